--- a/src/cell/admit.c
+++ b/src/cell/admit.c
@@ -77,7 +77,7 @@
 static bool
 may_place (const MuxCell *cell)
 {
-  return cell_may_order (cell) && !cell->unconfirmed
+  return cell_is_active_planner (cell) && !cell->jobs_unverified
          && cell_room_is_known (cell);
 }
 
@@ -310,13 +310,13 @@
     return mux_blob_ref (cell->admission_blob);
   cell_admission_forget (cell);
   cell->admission_blob_ms = cell->time.now_ms;
-  cell->admission_blob = cell_json_blob (cell_former_tell (
+  cell->admission_blob = cell_blob_from_json (cell_predecessors_to_json (
       cell,
       json_pack ("{s:i, s:I, s:o, s:o}", "share_milli",
                  (int) cell->throttle.share_milli, "late_ms",
                  (json_int_t) cell_late_ms (cell), "waits", waits_json (cell),
                  "run_times", cell_run_times_json (cell)),
-      cell_former_left_ms (cell)));
+      cell_predecessors_left_ms (cell)));
   return mux_blob_ref (cell->admission_blob);
 }
 
@@ -375,7 +375,7 @@
 void
 cell_admission_told (MuxCell *cell, const MuxBlob *body)
 {
-  json_t *json = body != NULL ? cell_blob_json (body) : NULL;
+  json_t *json = body != NULL ? cell_json_from_blob (body) : NULL;
   const json_t *share = json_object_get (json, "share_milli");
   json_int_t share_milli = json_integer_value (share);
   json_int_t late_ms = json_integer_value (json_object_get (json, "late_ms"));
@@ -471,10 +471,10 @@
 bool
 cell_planner_is_busy (const MuxCell *cell)
 {
-  int64_t silent_ms = cell->time.now_ms - cell->planner_welcome_ms;
+  int64_t silent_ms = cell->time.now_ms - cell->planner_hello_reply_ms;
 
-  if (cell->role != CELL_FOLLOWER || cell->planner_welcome_ms == 0
-      || cell->planner_store_bad_ms != 0 || silent_ms >= AWAY_MS)
+  if (cell->role != CELL_FOLLOWER || cell->planner_hello_reply_ms == 0
+      || cell->planner_store_failing_ms != 0 || silent_ms >= AWAY_MS)
     return false;
   if (longest_wait_ms (cell) < BACKLOG_MS && cell->planner_late_ms < ASK_MS)
     return false;
--- a/src/cell/approve.c
+++ b/src/cell/approve.c
@@ -72,7 +72,7 @@
 member_can_ask (const MuxCell *cell, const CellMember *member)
 {
   return member->asking == 0 && !member->stopping
-         && cell->time.heard_ms - member->heard_ms < MEMBER_SILENT_MS
+         && cell->time.heard_ms - member->last_contact_ms < MEMBER_SILENT_MS
          && cell->time.now_ms >= member->asking_until_ms;
 }
 
@@ -104,7 +104,7 @@
   cell->askers_busy_long = 0;
   HASH_ITER (hh, cell->members, member, next)
   {
-    if (cell->time.heard_ms - member->heard_ms >= MEMBER_SILENT_MS)
+    if (cell->time.heard_ms - member->last_contact_ms >= MEMBER_SILENT_MS)
       continue;
     cell->askers_alive++;
     cell->askers_busy_long
@@ -128,8 +128,8 @@
 
   if (own != NULL)
     {
-      own->heard_ms = cell->time.now_ms;
-      own->table_ok = true;
+      own->last_contact_ms = cell->time.now_ms;
+      own->store_available = true;
     }
   count_askers (cell);
   if (is_long && cell->askers_alive > 1
@@ -190,7 +190,7 @@
       return sent;
     }
   msg.call = number;
-  msg.body = cell_json_blob (question);
+  msg.body = cell_blob_from_json (question);
   sent = msg.body != NULL
          && cell->options.sink->peer_send (cell->options.sink, member->addr,
                                            &msg);
@@ -351,7 +351,7 @@
   cell_step_asks (cell, stage, question);
   stage->asking = true;
   stage->asked_ms = cell->time.now_ms;
-  cell_member_asks (cell, member, question->number);
+  cell_member_set_query (cell, member, question->number);
   member->asking_cost_ms = cost_ms;
   cell->askers_busy_long += cost_ms > LONG_MS;
   member->asking_until_ms = question->until_ms;
@@ -394,7 +394,7 @@
 
   if (member == NULL || member->asking != question->number)
     return;
-  cell_member_asks (cell, member, 0);
+  cell_member_set_query (cell, member, 0);
   cell->askers_counted_ms = 0;
   member->asking_until_ms = answered ? 0 : cell->time.now_ms + ASKER_REST_MS;
 }
--- a/src/cell/approve_peer.c
+++ b/src/cell/approve_peer.c
@@ -51,7 +51,7 @@
 
   msg.call = number;
   msg.found = answered;
-  msg.body = cell_json_blob (body);
+  msg.body = cell_blob_from_json (body);
   (void) cell->options.sink->peer_send (cell->options.sink, addr, &msg);
   mux_blob_unref (msg.body);
 }
@@ -76,7 +76,7 @@
 static void
 ask_for_planner (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  json_t *question = cell_blob_json (msg->body);
+  json_t *question = cell_json_from_blob (msg->body);
   CellPending pending = { .done = asked_answer, .number = msg->call };
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
@@ -89,7 +89,7 @@
 static void
 take_told (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  json_t *json = cell_blob_json (msg->body);
+  json_t *json = cell_json_from_blob (msg->body);
   const json_t *list = json_object_get (json, "approved");
   size_t count = json_array_size (list);
   MuxApproval *approvals = calloc (count > 0 ? count : 1, sizeof *approvals);
--- a/src/cell/approve_record.c
+++ b/src/cell/approve_record.c
@@ -156,7 +156,7 @@
 {
   const CellWorker *worker = cell_worker_find (cell, id);
 
-  return worker == NULL || !cell_worker_is_unheard (worker);
+  return worker == NULL || !cell_worker_is_unconfirmed (worker);
 }
 
 static bool
@@ -178,7 +178,7 @@
     {
       int64_t left_ms = is_heard (cell, list[i])
                             ? 0
-                            : cell_unheard_lease_left (
+                            : cell_unconfirmed_lease_left (
                                 cell, cell_worker_find (cell, list[i]));
 
       if (left_ms > longest_ms)
@@ -205,10 +205,10 @@
   if (!stage->job->old)
     return true;
   if (!queue->approval.needed)
-    return cell_all_heard (cell) && cell_late_starts_are_over (cell);
+    return cell_all_workers_confirmed (cell) && cell_late_starts_are_over (cell);
   /* Where it may run stood in what can't be read. */
   if (stage->job->progress_lost)
-    return cell_all_heard (cell);
+    return cell_all_workers_confirmed (cell);
   return all_heard (cell, stage->former, stage->former_count)
          && all_heard (cell, stage->spec->named, stage->spec->named_count);
 }
--- a/src/cell/authorize.c
+++ b/src/cell/authorize.c
@@ -18,8 +18,8 @@
 int64_t
 cell_config_age_ms (const MuxCell *cell)
 {
-  return cell->config_proved_ms != 0
-             ? cell->time.now_ms - cell->config_proved_ms
+  return cell->config_confirmed_ms != 0
+             ? cell->time.now_ms - cell->config_confirmed_ms
              : INT64_MAX;
 }
 
@@ -37,7 +37,7 @@
  * platform takes a second or two to send them elsewhere.
  */
 bool
-cell_keys_are_served (const MuxCell *cell)
+cell_keys_are_fresh (const MuxCell *cell)
 {
   int64_t most_ms = cell->options.revoke_timeout_ms;
 
@@ -51,7 +51,7 @@
 static MuxOutcome
 unknown_key (const MuxCell *cell)
 {
-  return cell_follow_is_known (cell, &cell->follow[FOLLOW_CONFIG])
+  return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_CONFIG])
              ? MUX_OUTCOME_NO_KEY
              : MUX_OUTCOME_REFUSED;
 }
@@ -89,14 +89,14 @@
 }
 
 bool
-cell_caller_may_know (const CellCaller *caller, const char *workspace)
+cell_caller_may_see (const CellCaller *caller, const char *workspace)
 {
   return !caller->is_bound || workspace[0] == 0
          || strcmp (caller->workspace, workspace) == 0;
 }
 
 bool
-cell_row_is_of (const MuxCellRow *row, const CellCaller *caller)
+cell_row_is_visible_to (const MuxCellRow *row, const CellCaller *caller)
 {
   json_t *json;
   const char *workspace;
@@ -104,9 +104,9 @@
 
   if (!caller->is_bound || row->value == NULL)
     return true;
-  json = cell_blob_json (row->value);
+  json = cell_json_from_blob (row->value);
   workspace = json_string_value (json_object_get (json, "workspace"));
-  is_of = cell_caller_may_know (caller, workspace != NULL ? workspace : "");
+  is_of = cell_caller_may_see (caller, workspace != NULL ? workspace : "");
   json_decref (json);
   return is_of;
 }
@@ -116,9 +116,9 @@
 {
   bool proved = cell->config != NULL && is_proved (cell);
 
-  if (proved == cell->keys_proved)
+  if (proved == cell->keys_confirmed_logged)
     return;
-  cell->keys_proved = proved;
+  cell->keys_confirmed_logged = proved;
   if (cell->config != NULL && cell->config->workspaces != NULL)
     cell_log (cell, proved ? "keys_proved" : "keys_unproved", "{s:I, s:I, s:b}",
               "version", (json_int_t) cell->config->version, "proof_age_ms",
@@ -128,8 +128,8 @@
 
 /* A configuration that can't be read may have taken keys away. */
 void
-cell_config_proved (MuxCell *cell, int64_t at_ms)
+cell_config_confirmed (MuxCell *cell, int64_t at_ms)
 {
-  if (at_ms > cell->config_proved_ms && !cell->config_unread)
-    cell->config_proved_ms = at_ms;
+  if (at_ms > cell->config_confirmed_ms && !cell->config_unread)
+    cell->config_confirmed_ms = at_ms;
 }
--- a/src/cell/call.c
+++ b/src/cell/call.c
@@ -64,7 +64,7 @@
 }
 
 void
-cell_call_forget (MuxCell *cell, uint64_t call_id)
+cell_call_abandon (MuxCell *cell, uint64_t call_id)
 {
   CellPending *entry;
 
@@ -92,7 +92,7 @@
     {
       cell->store_served_ms = cell->time.now_ms;
       if (cell->store_failing_ms != 0)
-        cell->store_turned_ms = cell->time.now_ms;
+        cell->store_changed_ms = cell->time.now_ms;
       if (cell->store_failing_ms != 0
           && cell->time.now_ms - cell->store_failing_ms > STORE_AWAY_MS)
         cell_log (cell, "store_back", "{s:I}", "away_ms",
@@ -103,21 +103,21 @@
   if (cell->store_failing_ms != 0)
     return;
   cell->store_failing_ms = cell->time.now_ms;
-  cell->store_turned_ms = cell->time.now_ms;
+  cell->store_changed_ms = cell->time.now_ms;
   cell_log (cell, "store_failing", "{s:s}", "status",
             mux_cell_status_name (reply->status));
 }
 
 void
-cell_store_silent (MuxCell *cell, int64_t since_ms)
+cell_store_timed_out (MuxCell *cell, int64_t since_ms)
 {
   cell->store_failing_ms = since_ms;
-  cell->store_turned_ms = cell->time.now_ms;
+  cell->store_changed_ms = cell->time.now_ms;
   cell_log (cell, "store_failing", "{s:s}", "status", "silent");
 }
 
 bool
-cell_store_ok (const MuxCell *cell)
+cell_store_available (const MuxCell *cell)
 {
   return cell->store_failing_ms == 0
          || cell->time.now_ms - cell->store_failing_ms < STORE_AWAY_MS;
@@ -174,7 +174,7 @@
 }
 
 int64_t
-cell_store_moment_ms (const MuxCell *cell, int64_t in_ms)
+cell_store_time_ms (const MuxCell *cell, int64_t in_ms)
 {
   return cell->store_clock_at_ms != 0
              ? cell->store_clock_ms
@@ -234,19 +234,19 @@
  * either has callers, so that a number of the other belongs to nobody here.
  */
 uint64_t
-cell_ask_number (const MuxCell *cell, uint64_t call)
+cell_peer_request_id (const MuxCell *cell, uint64_t call)
 {
   return cell->options.incarnation + call;
 }
 
 uint64_t
-cell_call_asked (const MuxCell *cell, uint64_t number)
+cell_peer_request_caller (const MuxCell *cell, uint64_t number)
 {
   return number - cell->options.incarnation;
 }
 
 MuxCellChange *
-cell_change (MuxCellCall *call,
+cell_call_add_change (MuxCellCall *call,
              MuxChangeKind kind,
              MuxCellTable table,
              const char *key)
@@ -288,17 +288,17 @@
 }
 
 void
-cell_expect (MuxCellCall *call,
+cell_call_expect (MuxCellCall *call,
              MuxCellTable table,
              const char *key,
              uint64_t version)
 {
-  cell_change (call, MUX_CHANGE_EXPECT, table, key)->version = version;
+  cell_call_add_change (call, MUX_CHANGE_EXPECT, table, key)->version = version;
 }
 
 /* A blank sorts before all that a key can hold. */
 void
-cell_key_behind (char next[MUX_ROW_NAME_LEN], const char *key)
+cell_key_after (char next[MUX_ROW_NAME_LEN], const char *key)
 {
   size_t len = strnlen (key, MUX_ROW_NAME_LEN - 2);
 
@@ -308,7 +308,7 @@
 }
 
 MuxBlob *
-cell_json_blob (json_t *json)
+cell_blob_from_json (json_t *json)
 {
   char *text = json != NULL ? json_dumps (json, JSON_COMPACT) : NULL;
   MuxBlob *blob = text != NULL ? mux_blob_new (text, strlen (text)) : NULL;
@@ -319,7 +319,7 @@
 }
 
 json_t *
-cell_blob_json (const MuxBlob *blob)
+cell_json_from_blob (const MuxBlob *blob)
 {
   return blob != NULL ? json_loadb (blob->bytes, blob->len, 0, NULL) : NULL;
 }
--- a/src/cell/carry.c
+++ b/src/cell/carry.c
@@ -42,8 +42,8 @@
 static bool
 can_carry (const MuxCell *cell, const CellMember *member, int64_t silent_ms)
 {
-  return !member->stopping && member->strength_milli >= CARRIER_MILLI
-         && cell->time.heard_ms - member->heard_ms < silent_ms
+  return !member->stopping && member->cpu_share_milli >= CARRIER_MILLI
+         && cell->time.heard_ms - member->last_contact_ms < silent_ms
          && strcmp (member->name, cell->options.name) != 0;
 }
 
@@ -60,7 +60,7 @@
   HASH_ITER (hh, cell->members, member, next)
   {
     uint64_t hash
-        = mux_hash_name (member->name, worker->slot + 1 + worker->detours);
+        = mux_hash_name (member->name, worker->slot + 1 + worker->reroutes);
 
     if (!can_carry (cell, member, silent_ms)
         || (best != NULL && hash <= best_hash))
@@ -72,7 +72,7 @@
 }
 
 bool
-cell_calls_are_carried (const MuxCell *cell)
+cell_uses_proxies (const MuxCell *cell)
 {
   return HASH_COUNT (cell->workers) > CARRY_WORKERS;
 }
@@ -80,17 +80,17 @@
 static CellMember *
 carrier_of (MuxCell *cell, CellWorker *worker)
 {
-  if (!cell_calls_are_carried (cell)
+  if (!cell_uses_proxies (cell)
       || cell->time.now_ms < worker->direct_until_ms)
     return NULL;
-  if (worker->carrier != NULL && cell->time.now_ms < worker->carrier_until_ms
-      && can_carry (cell, worker->carrier, MEMBER_SILENT_MS))
-    return worker->carrier;
-  worker->carrier = choose_carrier (cell, worker, MEMBER_SILENT_MS);
-  if (worker->carrier == NULL && cell->direct_workers >= DIRECT_MAX)
-    worker->carrier = choose_carrier (cell, worker, MEMBER_GONE_MS);
-  worker->carrier_until_ms = cell->time.now_ms + CARRIER_KEPT_MS;
-  return worker->carrier;
+  if (worker->proxy != NULL && cell->time.now_ms < worker->proxy_until_ms
+      && can_carry (cell, worker->proxy, MEMBER_SILENT_MS))
+    return worker->proxy;
+  worker->proxy = choose_carrier (cell, worker, MEMBER_SILENT_MS);
+  if (worker->proxy == NULL && cell->direct_workers >= DIRECT_MAX)
+    worker->proxy = choose_carrier (cell, worker, MEMBER_GONE_MS);
+  worker->proxy_until_ms = cell->time.now_ms + CARRIER_KEPT_MS;
+  return worker->proxy;
 }
 
 bool
@@ -116,7 +116,7 @@
   entry->verb = call->verb;
   entry->overdue_ms = cell->time.now_ms + call->timeout_ms + WAY_MS;
   msg.call = entry->call_id;
-  msg.body = cell_carried_call_blob (call);
+  msg.body = cell_proxied_call_encode (call);
   sent = msg.body != NULL
          && cell->options.sink->peer_send (cell->options.sink, carrier->addr,
                                            &msg);
@@ -136,7 +136,7 @@
  * and most of a core.  Beyond a few, another daemon carries the next call.
  */
 void
-cell_call_otherwise (MuxCell *cell, CellWorker *worker)
+cell_worker_reroute (MuxCell *cell, CellWorker *worker)
 {
   if (cell->time.now_ms < worker->direct_until_ms)
     {
@@ -149,8 +149,8 @@
       worker->direct_until_ms = cell->time.now_ms + DIRECT_MS;
       return;
     }
-  worker->detours += DETOUR;
-  worker->carrier = NULL;
+  worker->reroutes += DETOUR;
+  worker->proxy = NULL;
 }
 
 static void
@@ -173,7 +173,7 @@
 
   /* An unanswered renewal tells so itself. */
   if (worker != NULL && entry->verb != MUX_CELL_RENEW)
-    cell_call_otherwise (cell, worker);
+    cell_worker_reroute (cell, worker);
   if (reply != NULL)
     mux_cell_reply (cell, cell->time, reply);
 }
@@ -200,7 +200,7 @@
  * here with what was taken: an answer that came in time is found before.  With
  * all taken 2.5 s late 120 workers were lost 641 times in 40 s, now never. */
 void
-cell_carry_tick (MuxCell *cell)
+cell_proxy_tick (MuxCell *cell)
 {
   uint64_t overdue[OVERDUE_MAX] = { 0 };
   int64_t heard_ms = cell->time.heard_ms - answers_late_ms (cell);
@@ -233,7 +233,7 @@
 
   msg.found = true;
   msg.call = pending->number;
-  msg.body = cell_carried_reply_blob (reply);
+  msg.body = cell_proxied_reply_encode (reply);
   if (msg.body != NULL)
     (void) cell->options.sink->peer_send (cell->options.sink,
                                           pending->peer_addr, &msg);
@@ -247,20 +247,20 @@
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
   snprintf (pending.peer_addr, sizeof pending.peer_addr, "%s", msg->from_addr);
-  (void) cell_call (cell, cell_carried_call (msg->body), &pending);
+  (void) cell_call (cell, cell_proxied_call_decode (msg->body), &pending);
 }
 
 static void
 take (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  MuxCellReply *reply = cell_carried_reply (msg->body, msg->call);
+  MuxCellReply *reply = cell_proxied_reply_decode (msg->body, msg->call);
 
   if (reply != NULL)
     mux_cell_reply (cell, cell->time, reply);
 }
 
 void
-cell_carry_peer (MuxCell *cell, const MuxPeerMsg *msg)
+cell_proxy_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
   if (msg->verb == MUX_PEER_CARRY_ASK)
     carry (cell, msg);
--- a/src/cell/carry_wire.c
+++ b/src/cell/carry_wire.c
@@ -157,7 +157,7 @@
 }
 
 MuxBlob *
-cell_carried_call_blob (const MuxCellCall *call)
+cell_proxied_call_encode (const MuxCellCall *call)
 {
   Writer writer;
 
@@ -294,7 +294,7 @@
 }
 
 MuxCellCall *
-cell_carried_call (const MuxBlob *blob)
+cell_proxied_call_decode (const MuxBlob *blob)
 {
   MuxCellCall *call = NULL;
   msgpack_unpacked unpacked;
@@ -335,7 +335,7 @@
 }
 
 MuxBlob *
-cell_carried_reply_blob (const MuxCellReply *reply)
+cell_proxied_reply_encode (const MuxCellReply *reply)
 {
   Writer writer;
 
@@ -391,7 +391,7 @@
 }
 
 MuxCellReply *
-cell_carried_reply (const MuxBlob *blob, uint64_t call_id)
+cell_proxied_reply_decode (const MuxBlob *blob, uint64_t call_id)
 {
   MuxCellReply *reply = NULL;
   msgpack_unpacked unpacked;
--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -23,7 +23,7 @@
     {
       /* The one in force stays: callers of its queues are served on. */
       cell->config_unread = true;
-      cell_row_bad (cell, row,
+      cell_report_bad_row (cell, row,
                     row->wrong != NULL ? CELL_ROW_FIELD : CELL_ROW_VALUE,
                     row->wrong != NULL ? row->wrong : "value");
       return;
@@ -54,22 +54,22 @@
 set_up_follows (MuxCell *cell)
 {
   cell->follow[FOLLOW_CONFIG] = (CellFollow){
-    .name = "config", .table = MUX_TABLE_CONFIG, .seen = config_row, .on = true
+    .name = "config", .table = MUX_TABLE_CONFIG, .on_row = config_row, .enabled = true
   };
   cell->follow[FOLLOW_CLAIM] = (CellFollow){ .name = "claim",
                                              .table = MUX_TABLE_CLAIM,
-                                             .seen = cell_claim_row,
-                                             .whole = cell_claim_whole,
-                                             .on = true };
+                                             .on_row = cell_claim_row,
+                                             .on_full_read = cell_claim_full_read,
+                                             .enabled = true };
   cell->follow[FOLLOW_WORKERS] = (CellFollow){ .name = "workers",
                                                .table = MUX_TABLE_WORKERS,
-                                               .seen = cell_worker_row,
-                                               .whole = cell_workers_whole };
+                                               .on_row = cell_worker_row,
+                                               .on_full_read = cell_workers_full_read };
   cell->follow[FOLLOW_JOBS] = (CellFollow){ .name = "jobs",
                                             .table = MUX_TABLE_JOBS,
-                                            .seen = cell_jobs_row,
-                                            .whole = cell_jobs_whole,
-                                            .parted = true };
+                                            .on_row = cell_jobs_row,
+                                            .on_full_read = cell_jobs_full_read,
+                                            .by_part = true };
 }
 
 MuxCell *
@@ -92,7 +92,7 @@
    */
   cell->next_call = options->incarnation;
   cell->next_question = options->incarnation;
-  cell->greetings.number = options->incarnation;
+  cell->hellos.number = options->incarnation;
   cell->round = 1;
   cell_order_init (&cell->order);
   for (uint32_t i = 0; i < CELL_PARTS; i++)
@@ -110,7 +110,7 @@
 
   if (cell == NULL)
     return;
-  cell_depose (cell, "end");
+  cell_step_down (cell, "end");
   cell_submit_free (cell);
   cell_inquiry_free (cell);
   HASH_ITER (hh, cell->pending, entry, next)
@@ -151,7 +151,7 @@
       break;
     case MUX_PEER_CARRY_ASK:
     case MUX_PEER_CARRY_TOLD:
-      cell_carry_peer (cell, msg);
+      cell_proxy_peer (cell, msg);
       break;
     default:
       mux_count (cell->options.counters, MUX_COUNT_PEER_BAD, 1);
@@ -165,7 +165,7 @@
   if (cell->role != CELL_PLANNING)
     return;
   cell_progress_tick (cell);
-  cell_carry_tick (cell);
+  cell_proxy_tick (cell);
   if (cell->time.now_ms >= cell->next_look_ms)
     {
       cell->next_look_ms = cell->time.now_ms + LOOK_MS;
@@ -179,7 +179,7 @@
       cell_approvals_tick (cell);
       cell_waits_tick (cell);
       cell_learn_tick (cell);
-      cell_load_line_tick (cell);
+      cell_load_log_tick (cell);
       cell_sweep_tick (cell);
     }
   cell_workers_tick (cell);
@@ -210,9 +210,9 @@
 mux_cell_ready (const MuxCell *cell)
 {
   return cell->config != NULL && cell->claim.known && !cell->stopping
-         && cell_keys_are_served (cell)
-         && (cell_store_ok (cell)
-             || (cell->role == CELL_FOLLOWER && cell_planner_is_near (cell)));
+         && cell_keys_are_fresh (cell)
+         && (cell_store_available (cell)
+             || (cell->role == CELL_FOLLOWER && cell_planner_is_reachable (cell)));
 }
 
 void
@@ -222,13 +222,13 @@
   if (cell->stopping)
     return;
   cell->stopping = true;
-  cell_give_up_claim (cell);
+  cell_release_claim (cell);
 }
 
 bool
 mux_cell_stopped (const MuxCell *cell)
 {
-  if (!cell->gave_up || cell->inquiries != NULL)
+  if (!cell->claim_released || cell->inquiries != NULL)
     return false;
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     if (cell->part[i].submissions != NULL)
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -8,21 +8,21 @@
 MuxPeerMsg cell_message (const MuxCell *cell, MuxPeerVerb verb, const char *to);
 /** cell_ask_number() - of what a peer is asked for a caller, not given by any
  * other process */
-uint64_t cell_ask_number (const MuxCell *cell, uint64_t call);
+uint64_t cell_peer_request_id (const MuxCell *cell, uint64_t call);
 /** cell_call_asked() - the caller that a peer's word is for */
-uint64_t cell_call_asked (const MuxCell *cell, uint64_t number);
+uint64_t cell_peer_request_caller (const MuxCell *cell, uint64_t number);
 bool cell_call (MuxCell *cell, MuxCellCall *call, const CellPending *pending);
 /** cell_call_forget() - its reply will be ignored, whatever it says */
-void cell_call_forget (MuxCell *cell, uint64_t call_id);
+void cell_call_abandon (MuxCell *cell, uint64_t call_id);
 void cell_store_result (MuxCell *cell, const MuxCellReply *reply);
 /** cell_store_silent() - no answer of it came since @since_ms */
-void cell_store_silent (MuxCell *cell, int64_t since_ms);
-bool cell_store_ok (const MuxCell *cell);
+void cell_store_timed_out (MuxCell *cell, int64_t since_ms);
+bool cell_store_available (const MuxCell *cell);
 /** cell_store_moment_ms() - @in_ms from now on the store's clock, at the
  * latest; 0: that is not known */
-int64_t cell_store_moment_ms (const MuxCell *cell, int64_t in_ms);
+int64_t cell_store_time_ms (const MuxCell *cell, int64_t in_ms);
 uint32_t cell_part_of (const char *id);
-MuxCellChange *cell_change (MuxCellCall *call,
+MuxCellChange *cell_call_add_change (MuxCellCall *call,
                             MuxChangeKind kind,
                             MuxCellTable table,
                             const char *key);
@@ -32,15 +32,15 @@
 /** cell_commit_call() - with room for so many changes, none made yet */
 MuxCellCall *cell_commit_call (const char *part, uint32_t changes);
 /** cell_expect() - only if the row has that version; 0: if there is none */
-void cell_expect (MuxCellCall *call,
+void cell_call_expect (MuxCellCall *call,
                   MuxCellTable table,
                   const char *key,
                   uint64_t version);
 /** cell_key_behind() - the least key behind @key, to read on from */
-void cell_key_behind (char next[MUX_ROW_NAME_LEN], const char *key);
+void cell_key_after (char next[MUX_ROW_NAME_LEN], const char *key);
 /** cell_json_blob() - takes @json over; NULL: memory is out */
-MuxBlob *cell_json_blob (json_t *json);
-json_t *cell_blob_json (const MuxBlob *blob);
+MuxBlob *cell_blob_from_json (json_t *json);
+json_t *cell_json_from_blob (const MuxBlob *blob);
 void cell_log (MuxCell *cell, const char *event, const char *format, ...);
 
 /* carry.c: calls to workers made by other daemons */
@@ -51,20 +51,20 @@
                        const CellPending *pending);
 /** cell_call_otherwise() - the worker's last call went unanswered: the next
  * ones take another way for a while */
-void cell_call_otherwise (MuxCell *cell, CellWorker *worker);
-void cell_carry_peer (MuxCell *cell, const MuxPeerMsg *msg);
-void cell_carry_tick (MuxCell *cell);
+void cell_worker_reroute (MuxCell *cell, CellWorker *worker);
+void cell_proxy_peer (MuxCell *cell, const MuxPeerMsg *msg);
+void cell_proxy_tick (MuxCell *cell);
 /** cell_calls_are_carried() - the cell has so many workers */
-bool cell_calls_are_carried (const MuxCell *cell);
+bool cell_uses_proxies (const MuxCell *cell);
 /** cell_pending_add() - NULL: memory is out */
 CellPending *cell_pending_add (MuxCell *cell, const CellPending *pending);
 
 /* carry_wire.c: the bytes of a call and of its end; NULL: memory is out, or
  * they can't be read */
-MuxBlob *cell_carried_call_blob (const MuxCellCall *call);
-MuxCellCall *cell_carried_call (const MuxBlob *blob);
-MuxBlob *cell_carried_reply_blob (const MuxCellReply *reply);
-MuxCellReply *cell_carried_reply (const MuxBlob *blob, uint64_t call_id);
+MuxBlob *cell_proxied_call_encode (const MuxCellCall *call);
+MuxCellCall *cell_proxied_call_decode (const MuxBlob *blob);
+MuxBlob *cell_proxied_reply_encode (const MuxCellReply *reply);
+MuxCellReply *cell_proxied_reply_decode (const MuxBlob *blob, uint64_t call_id);
 
 /* foreign.c: rows of the store that can't be read */
 /**
@@ -79,14 +79,14 @@
 
 /** cell_row_bad() - the row is dropped; told once for each version of it
  * @what: names the field or part of it that is wrong */
-void cell_row_bad (MuxCell *cell,
+void cell_report_bad_row (MuxCell *cell,
                    const MuxCellRow *row,
                    CellRowFault fault,
                    const char *what);
 /** cell_row_json() - its value; NULL: removed, or told as unreadable */
 json_t *cell_row_json (MuxCell *cell, const MuxCellRow *row);
 /** cell_reply_row() - the row of that key; NULL: there is none */
-const MuxCellRow *cell_reply_row (const MuxCellReply *reply, const char *key);
+const MuxCellRow *cell_reply_find_row (const MuxCellReply *reply, const char *key);
 /** cell_next_page() - the first key of the page behind @reply
  * Return: false, and @from empty, when there is none. */
 bool cell_next_page (char from[MUX_ROW_NAME_LEN], const MuxCellReply *reply);
@@ -101,7 +101,7 @@
 void cell_follow_tick (MuxCell *cell, CellFollow *follow);
 void cell_follow_start (CellFollow *follow, uint64_t term, uint64_t version);
 /** cell_follow_is_known() - what the feed says is as young as it should be */
-bool cell_follow_is_known (const MuxCell *cell, const CellFollow *follow);
+bool cell_follow_is_fresh (const MuxCell *cell, const CellFollow *follow);
 
 /* late.c: a planner that has more to do than its processor bears */
 /** cell_answer_heard() - a worker has answered a call */
@@ -148,9 +148,9 @@
  * INT64_MAX: it never was */
 int64_t cell_config_age_ms (const MuxCell *cell);
 /** cell_config_proved() - no newer one stood in the store then */
-void cell_config_proved (MuxCell *cell, int64_t at_ms);
+void cell_config_confirmed (MuxCell *cell, int64_t at_ms);
 /** cell_keys_are_served() - and will be for some time */
-bool cell_keys_are_served (const MuxCell *cell);
+bool cell_keys_are_fresh (const MuxCell *cell);
 /** cell_keys_tick() - tell when keys begin, or end, to be proved */
 void cell_keys_tick (MuxCell *cell);
 /** cell_authorize() - who asks, by the key
@@ -160,10 +160,10 @@
                            const MuxQueueSpec *queue,
                            CellCaller *caller);
 /** cell_caller_may_know() - of jobs of @workspace; "": of none */
-bool cell_caller_may_know (const CellCaller *caller, const char *workspace);
+bool cell_caller_may_see (const CellCaller *caller, const char *workspace);
 /** cell_row_is_of() - the row of a job, or of its end, is not another
  * workspace's */
-bool cell_row_is_of (const MuxCellRow *row, const CellCaller *caller);
+bool cell_row_is_visible_to (const MuxCellRow *row, const CellCaller *caller);
 
 /* quota.c: what workspaces have running */
 /** cell_workspace() - of that name, made where it is new
@@ -231,9 +231,9 @@
 
 /* relay.c: jobs handed to the planner */
 /** cell_planner_is_near() - another daemon plans and answers */
-bool cell_planner_is_near (const MuxCell *cell);
+bool cell_planner_is_reachable (const MuxCell *cell);
 bool cell_relay (MuxCell *cell, CellSubmission *submission);
-void cell_relay_told (MuxCell *cell,
+void cell_relay_reply (MuxCell *cell,
                       const CellPart *part,
                       const CellSubmission *submission,
                       MuxOutcome outcome,
@@ -245,39 +245,39 @@
 /** cell_claim_read() - what a row of the claim says */
 void cell_claim_read (MuxCell *cell, CellClaim *claim, const MuxCellRow *row);
 /** cell_own_claim() - the next claim, with this daemon as the planner */
-json_t *cell_own_claim (const MuxCell *cell);
+json_t *cell_next_claim (const MuxCell *cell);
 
 /* claim.c: who plans */
 void cell_claim_tick (MuxCell *cell);
 void cell_claim_row (MuxCell *cell, const MuxCellRow *row);
-void cell_claim_whole (MuxCell *cell, bool ended);
+void cell_claim_full_read (MuxCell *cell, bool ended);
 void cell_claim_peer (MuxCell *cell, const MuxPeerMsg *msg);
-void cell_depose (MuxCell *cell, const char *why);
+void cell_step_down (MuxCell *cell, const char *why);
 /** cell_write_claim() - the row that says who plans, on condition that it is
  * the one known; takes @value over; @done finds the term in its number */
 bool cell_write_claim (MuxCell *cell, json_t *value, CellDone done);
 
 /* proof.c: what proves a planner's term */
 /** cell_proof_begin() - a term begins */
-void cell_proof_begin (MuxCell *cell);
+void cell_heartbeat_begin (MuxCell *cell);
 /** cell_proof_tick() - keep it proved; @paused_ms: since the last event */
-void cell_proof_tick (MuxCell *cell, int64_t paused_ms);
+void cell_heartbeat_tick (MuxCell *cell, int64_t paused_ms);
 void cell_claim_doubt (MuxCell *cell, const char *why);
-bool cell_may_order (const MuxCell *cell);
+bool cell_is_active_planner (const MuxCell *cell);
 /** cell_jobs_whole() - all jobs are read anew from now on (not @ended), or have
  * been */
-void cell_jobs_whole (MuxCell *cell, bool ended);
+void cell_jobs_full_read (MuxCell *cell, bool ended);
 /** cell_verified() - the claim was surely ours then */
-void cell_verified (MuxCell *cell, int64_t at_ms);
+void cell_claim_verified (MuxCell *cell, int64_t at_ms);
 /** cell_trusted() - the same, by a commit that a successor has seen or that
  * keeps it from claiming */
-void cell_trusted (MuxCell *cell, int64_t at_ms);
+void cell_claim_renewed (MuxCell *cell, int64_t at_ms);
 
 /* leave.c: who plans next when a planner leaves by itself */
 void cell_yield_begin (MuxCell *cell);
 /** cell_yield_tick() - to a much stronger member */
 void cell_yield_tick (MuxCell *cell);
-void cell_give_up_claim (MuxCell *cell);
+void cell_release_claim (MuxCell *cell);
 
 /* member.c: the daemons that greet the planner */
 CellMember *cell_member_find (MuxCell *cell, const char *name);
@@ -286,19 +286,19 @@
 CellMember *cell_member_new (MuxCell *cell, const char *name);
 /** cell_member_asks() - it works on an approval question from now on, or no
  * longer: @number is 0 */
-void cell_member_asks (MuxCell *cell, CellMember *member, uint64_t number);
+void cell_member_set_query (MuxCell *cell, CellMember *member, uint64_t number);
 /** cell_member_heard() - Return: false: it is not noted, as it is older than
  * one that was taken, or memory is out */
-bool cell_member_heard (MuxCell *cell, const MuxPeerMsg *hello);
+bool cell_member_hello_received (MuxCell *cell, const MuxPeerMsg *hello);
 void cell_members_free (MuxCell *cell);
 
 /* time_of_day.c: that the cell goes by */
 /** cell_set_time() - of the event that is taken now */
 void cell_set_time (MuxCell *cell, MuxCellTime time);
 /** cell_day_heard() - a member says what time of day it has; 0: it does not */
-void cell_day_heard (const MuxCell *cell, CellMember *member, int64_t wall_ms);
+void cell_member_set_wall_time (const MuxCell *cell, CellMember *member, int64_t wall_ms);
 /** cell_day_told() - the planner says which one the cell goes by */
-void cell_day_told (MuxCell *cell, int64_t wall_ms);
+void cell_planner_wall_time_received (MuxCell *cell, int64_t wall_ms);
 
 /* load.c: what a new planner reads */
 void cell_load_begin (MuxCell *cell);
@@ -349,12 +349,12 @@
 /** cell_occurrence_is_early() - the last that was begun is not due */
 bool cell_occurrence_is_early (const MuxCell *cell, const CellJob *job);
 /** cell_is_due() - the occurrence's time has come */
-bool cell_is_due (const MuxCell *cell, const CellJob *job, uint32_t occurrence);
+bool cell_occurrence_is_due (const MuxCell *cell, const CellJob *job, uint32_t occurrence);
 /** cell_occurrences_due() - most that a planner may have begun, its time of day
  * ahead of ours */
 uint32_t cell_occurrences_due (const MuxCell *cell, const CellJob *job);
 /** cell_job_occurrences() - those that a former planner had begun */
-void cell_job_occurrences (MuxCell *cell, CellJob *job, uint32_t count);
+void cell_occurrences_restore (MuxCell *cell, CellJob *job, uint32_t count);
 
 /* job_rows.c: the jobs' table */
 /** cell_jobs_take() - a job that this planner stored itself, as @row */
@@ -439,7 +439,7 @@
 
 /* load_line.c */
 /** cell_load_line_tick() - tell what askers and room are used for */
-void cell_load_line_tick (MuxCell *cell);
+void cell_load_log_tick (MuxCell *cell);
 
 /* wait.c */
 /** cell_waits_tick() - tell why the step that waits longest does */
@@ -459,7 +459,7 @@
 
 /* worker.c */
 void cell_worker_row (MuxCell *cell, const MuxCellRow *row);
-void cell_workers_whole (MuxCell *cell, bool ended);
+void cell_workers_full_read (MuxCell *cell, bool ended);
 CellWorker *cell_worker_find (MuxCell *cell, const char *id);
 CellWorker *cell_worker_add (MuxCell *cell, const char *id);
 /** cell_worker_replaced() - another life answers at its address */
@@ -470,13 +470,13 @@
 bool cell_worker_usable (const MuxCell *cell, const CellWorker *worker);
 /** cell_worker_is_unheard() - it may run what a former planner started, unknown
  * to this one */
-bool cell_worker_is_unheard (const CellWorker *worker);
-bool cell_all_heard (MuxCell *cell);
+bool cell_worker_is_unconfirmed (const CellWorker *worker);
+bool cell_all_workers_confirmed (MuxCell *cell);
 
 /** cell_worker_unlist() - it is missing from the platform's list */
 void cell_worker_unlist (MuxCell *cell, CellWorker *worker);
 /** cell_worker_take_entry() - what the list says of it, but for its name */
-void cell_worker_take_entry (CellWorker *worker, const MuxWorkerInfo *entry);
+void cell_worker_set_info (CellWorker *worker, const MuxWorkerInfo *entry);
 
 /* room.c */
 /** cell_room_take() - for a task of @stage */
@@ -493,80 +493,80 @@
 /* life.c: workers that start again under their ids */
 /** cell_life_join() - @worker to the lives of its id
  * Return: false when memory is out. */
-bool cell_life_join (MuxCell *cell, CellWorker *worker);
-void cell_life_leave (MuxCell *cell, CellWorker *worker);
+bool cell_incarnation_add (MuxCell *cell, CellWorker *worker);
+void cell_incarnation_remove (MuxCell *cell, CellWorker *worker);
 /** cell_life_is_outdated() - a later life of that id has answered */
-bool cell_life_is_outdated (MuxCell *cell, const char *id, uint64_t born_ms);
+bool cell_incarnation_is_outdated (MuxCell *cell, const char *id, uint64_t born_ms);
 /** cell_lives_unlist() - all lives of that id but one; NULL: all */
-void cell_lives_unlist (MuxCell *cell, const char *id, const CellWorker *but);
+void cell_incarnations_unlist (MuxCell *cell, const char *id, const CellWorker *but);
 /** cell_life_next() - the life that answered in place of @former
  * Return: NULL when memory is out. */
 CellWorker *
-cell_life_next (MuxCell *cell, const CellWorker *former, uint64_t born_ms);
+cell_incarnation_next (MuxCell *cell, const CellWorker *former, uint64_t born_ms);
 /** cell_lives_end() - of those before @worker, which has answered */
-void cell_lives_end (MuxCell *cell, CellWorker *worker);
+void cell_incarnations_end_earlier (MuxCell *cell, CellWorker *worker);
 /** cell_life_is_unsettled() - it is not known of all runs that were sent to the
  * life whether they are at the next one */
-bool cell_life_is_unsettled (const CellWorker *worker);
+bool cell_incarnation_is_unresolved (const CellWorker *worker);
 /** cell_life_settled() - it is known of one, and is to be stored */
-void cell_life_settled (MuxCell *cell, const char *life);
+void cell_incarnation_resolved (MuxCell *cell, const char *life);
 /** cell_life_listed_runs() - its first list has been taken: what is booked and
  * was not named is not to begin any more */
-void cell_life_listed_runs (MuxCell *cell, CellWorker *worker);
+void cell_incarnation_runs_listed (MuxCell *cell, CellWorker *worker);
 
 /* trust.c: how long a planner orders without a proof of its claim */
 /** cell_claim_is_trusted() - this planner may still order */
-bool cell_claim_is_trusted (const MuxCell *cell);
+bool cell_claim_is_valid (const MuxCell *cell);
 /** cell_greeting_next() - the planner is greeted; Return: the greeting's number
  */
-uint64_t cell_greeting_next (MuxCell *cell, bool table_ok);
+uint64_t cell_hello_next (MuxCell *cell, bool table_ok);
 /** cell_greeting_taken() - it has taken that one */
-void cell_greeting_taken (MuxCell *cell, uint64_t number);
+void cell_hello_acked (MuxCell *cell, uint64_t number);
 /** cell_trust_was_short() - the holder of the claim has surely not trusted it
  * for as long as through an outage of the store */
-bool cell_trust_was_short (const MuxCell *cell);
+bool cell_claim_lease_was_short (const MuxCell *cell);
 /** cell_trust_until_ms() - it trusts its claim no longer */
-int64_t cell_trust_until_ms (const MuxCell *cell);
+int64_t cell_claim_lease_until_ms (const MuxCell *cell);
 
 /* former.c: the planners before this one */
 /** cell_claim_former() - what a row of the claim tells of those before its
  * holder; @json: the row; NULL: it can't be read */
 void
-cell_claim_former (const MuxCell *cell, CellClaim *claim, const json_t *json);
+cell_claim_read_predecessors (const MuxCell *cell, CellClaim *claim, const json_t *json);
 /** cell_sign_read() - the same of the holder's sign of life */
-void cell_sign_read (MuxCell *cell, const MuxCellRow *row);
+void cell_heartbeat_read (MuxCell *cell, const MuxCellRow *row);
 /** cell_orders_until_ms() - neither the claim's holder nor any planner before
  * it orders after this */
 int64_t cell_orders_until_ms (const MuxCell *cell);
 /** cell_former_begin() - this daemon is about to hold the claim that is known
  */
-void cell_former_begin (MuxCell *cell);
+void cell_predecessor_begin (MuxCell *cell);
 /** cell_former_tell() - put into @json that planners before its writer may
  * order for @left_ms more; Return: @json */
-json_t *cell_former_tell (const MuxCell *cell, json_t *json, int64_t left_ms);
+json_t *cell_predecessors_to_json (const MuxCell *cell, json_t *json, int64_t left_ms);
 /** cell_former_left_ms() - for how long planners before this one may order */
-int64_t cell_former_left_ms (const MuxCell *cell);
+int64_t cell_predecessors_left_ms (const MuxCell *cell);
 /** cell_former_heard() - a daemon greets, maybe the former planner */
-void cell_former_heard (MuxCell *cell, const MuxPeerMsg *hello);
+void cell_predecessor_hello (MuxCell *cell, const MuxPeerMsg *hello);
 
 /* worker_lease.c: how long what runs at a worker may run on */
 /** cell_longest_lease_ms() - that workers grant, on the slowest clock */
 int64_t cell_longest_lease_ms (void);
 /** cell_worker_lease() - on its clock, a whole one from now; 0: not known */
-int64_t cell_worker_lease (const MuxCell *cell, CellWorker *worker);
+int64_t cell_worker_extend_lease (const MuxCell *cell, CellWorker *worker);
 /** cell_worker_lease_left() - until the furthest lease is surely over */
 int64_t cell_worker_lease_left (const MuxCell *cell, const CellWorker *worker);
 /** cell_former_lease_left() - until all that a former planner may have ordered
  * at a worker that was not heard is over */
-int64_t cell_former_lease_left (const MuxCell *cell);
+int64_t cell_predecessor_lease_left (const MuxCell *cell);
 /** cell_unheard_lease_left() - the same at @worker, which may bear a mark */
-int64_t cell_unheard_lease_left (const MuxCell *cell, const CellWorker *worker);
+int64_t cell_unconfirmed_lease_left (const MuxCell *cell, const CellWorker *worker);
 /** cell_lease_is_over() - nothing of ours can run there any more */
 bool cell_lease_is_over (MuxCell *cell, CellWorker *worker);
 /** cell_lease_of_stale() - what calls meant for a former life may have asked */
 void cell_lease_of_stale (const MuxCell *cell, CellWorker *worker);
 /** cell_lease_of_former() - what a former planner may have asked of it */
-void cell_lease_of_former (const MuxCell *cell, CellWorker *worker);
+void cell_lease_of_predecessor (const MuxCell *cell, CellWorker *worker);
 
 /* late_start.c: starts that a worker's next life may still carry out */
 /** cell_start_may_come() - the booking's start, or a run of it is left */
@@ -579,7 +579,7 @@
 
 /* evacuate.c: what runs at a worker that leaves */
 /** cell_worker_leaves() - its entry in the list was read */
-void cell_worker_leaves (const MuxCell *cell, CellWorker *worker);
+void cell_worker_set_leave_time (const MuxCell *cell, CellWorker *worker);
 /** cell_evacuate() - stop what would be lost with it */
 void cell_evacuate (MuxCell *cell, CellWorker *worker);
 
@@ -640,16 +640,16 @@
 /** cell_task_losses() - what became of the workers, as is known now */
 CellLosses cell_task_losses (const MuxCell *cell, const CellTask *task);
 /** cell_losses_allow() - the task may be started once more */
-bool cell_losses_allow (const MuxCell *cell, const CellTask *task);
+bool cell_losses_allow_start (const MuxCell *cell, const CellTask *task);
 /** cell_losses_give_up() - it is not to be started any more */
-bool cell_losses_give_up (const MuxCell *cell, const CellTask *task);
+bool cell_losses_exceeded (const MuxCell *cell, const CellTask *task);
 /** cell_life_acquits() - a run that lived so long shows that the task does not
  * crash its workers */
-bool cell_life_acquits (const CellTask *task, int64_t lived_ms);
+bool cell_run_clears_task (const CellTask *task, int64_t lived_ms);
 
 /* outage.c: workers that went down together */
 /** cell_outage_note() - the worker is out of reach */
-void cell_outage_note (MuxCell *cell, const CellWorker *worker);
+void cell_outage_record (MuxCell *cell, const CellWorker *worker);
 /** cell_outage_span() - of a run that is lost with the worker */
 CellLossSpan cell_outage_span (const MuxCell *cell,
                                const CellWorker *worker,
@@ -662,10 +662,10 @@
                           const CellTask *task,
                           const CellLoss *loss);
 /** cell_is_calm() - no worker went out of reach lately */
-bool cell_is_calm (const MuxCell *cell);
+bool cell_workers_are_stable (const MuxCell *cell);
 /** cell_run_lived_ms() - for how long at least, as its worker told */
 int64_t cell_run_lived_ms (const CellBooking *booking);
-bool cell_run_is_young (int64_t lived_ms);
+bool cell_run_was_short (int64_t lived_ms);
 
 /* crash.c: runs that were lost with their workers */
 /** cell_loss_add() - zeroed, to be filled; NULL: memory is out */
@@ -675,13 +675,13 @@
 void cell_lose_runs (MuxCell *cell, CellWorker *worker);
 /** cell_lose_settled() - a run that is not at the worker, and was sent to its
  * former life */
-void cell_lose_settled (MuxCell *cell, CellBooking *booking);
+void cell_lose_resolved (MuxCell *cell, CellBooking *booking);
 /** cell_losses_heard() - that life of a worker answers, and no other at its
  * address */
-void cell_losses_heard (MuxCell *cell, const CellWorker *worker);
+void cell_losses_worker_confirmed (MuxCell *cell, const CellWorker *worker);
 /** cell_losses_of_dead() - that life of a worker is over, or out of reach for
  * longer than its lease */
-void cell_losses_of_dead (MuxCell *cell, const CellWorker *worker);
+void cell_losses_worker_dead (MuxCell *cell, const CellWorker *worker);
 /** cell_start_is_recorded() - a start of the suspect there is stored, or it
  * goes into the next commit */
 bool cell_start_is_recorded (MuxCell *cell,
@@ -690,7 +690,7 @@
 /** cell_loss_run_began() - the worker told that the run of that record has */
 void cell_loss_run_began (MuxCell *cell, CellTask *task);
 /** cell_loss_run_lives() - a list names the run */
-void cell_loss_run_lives (MuxCell *cell, const CellBooking *booking);
+void cell_loss_run_listed (MuxCell *cell, const CellBooking *booking);
 /** cell_loss_run_ended() - the run of that record told its end */
 void cell_loss_run_ended (MuxCell *cell, CellTask *task);
 void cell_losses_tick (MuxCell *cell);
@@ -706,9 +706,9 @@
 
 /* crash_list.c */
 /** cell_losses_note() - of a job, after cell_loss_add() */
-void cell_losses_note (MuxCell *cell, CellJob *job);
+void cell_loss_list_add (MuxCell *cell, CellJob *job);
 /** cell_losses_forget() - it has none left, or goes */
-void cell_losses_forget (MuxCell *cell, CellJob *job);
+void cell_loss_list_remove (MuxCell *cell, CellJob *job);
 
 /* crash_rows.c: losses as they are stored */
 json_t *cell_losses_json (const CellStage *stage);
@@ -722,12 +722,12 @@
 /** cell_start_has_record() - of a run that has not ended */
 bool cell_start_has_record (const CellTask *task);
 /** cell_suspicion() - workers that may have crashed for the task */
-uint32_t cell_suspicion (const MuxCell *cell, const CellTask *task);
+uint32_t cell_suspected_crashes (const MuxCell *cell, const CellTask *task);
 bool cell_task_may_start (const MuxCell *cell, const CellTask *task);
 /** cell_gang_may_start() - each of its tasks may */
 bool cell_gang_may_start (const MuxCell *cell, const CellStage *stage);
 /** cell_worker_bears() - the task may start there beside what else does */
-bool cell_worker_bears (const MuxCell *cell,
+bool cell_worker_accepts_suspect (const MuxCell *cell,
                         const CellTask *task,
                         const CellWorker *worker);
 /** cell_suspect_cost() - of a suspect at the worker; smaller is better */
@@ -956,7 +956,7 @@
 /** cell_named_row() - the job's row @value with workers that its steps may run
  * on
  * Return: NULL when there are none to name, or memory is out. */
-MuxBlob *cell_named_row (MuxCell *cell, const MuxBlob *value);
+MuxBlob *cell_row_with_candidates (MuxCell *cell, const MuxBlob *value);
 
 /* plan.c, place.c, gang.c */
 void cell_plan (MuxCell *cell);
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -33,7 +33,7 @@
 /* A planner orders nothing when its claim has not been confirmed for so long:
  * longer than the store's usual outages of some 5 s, so that they leave the
  * running tasks alone.  Where the store serves others it stops sooner. */
-#define CELL_TRUST_MS 8000
+#define CELL_CLAIM_LEASE_MAX_MS 8000
 /* A pause of this thread's work after which the claim is read again before
  * anything is ordered: the instance may have been frozen while another took
  * over.  Well over what a busy core takes between two ticks. */
@@ -51,7 +51,7 @@
  * one that each commit of progress renews, and one that stays for as long as a
  * planner's term. */
 #define CELL_CLAIM_KEY "claim"
-#define CELL_BEAT_KEY "beat"
+#define CELL_HEARTBEAT_KEY "beat"
 #define CELL_FENCE_KEY "fence"
 #define CELL_TERM_KEY "term"
 
@@ -108,7 +108,7 @@
 };
 
 /* Called for each row that a followed table had or got. */
-typedef void (*CellRowSeen) (MuxCell *cell, const MuxCellRow *row);
+typedef void (*CellRowHandler) (MuxCell *cell, const MuxCellRow *row);
 
 /**
  * struct CellFollow - a table kept up with: read whole, then its changes
@@ -135,18 +135,18 @@
 {
   const char *name;
   MuxCellTable table;
-  CellRowSeen seen;
-  void (*whole) (MuxCell *cell, bool ended);
+  CellRowHandler on_row;
+  void (*on_full_read) (MuxCell *cell, bool ended);
   uint64_t term;
-  bool on;
+  bool enabled;
   bool loaded;
   bool busy;
   uint64_t call_id;
   int64_t sent_ms;
   uint32_t wait_ms;
-  int64_t known_ms;
+  int64_t known_until_ms;
   bool lost;
-  bool parted;
+  bool by_part;
   uint32_t part;
   char from[MUX_ROW_NAME_LEN];
   uint64_t version;
@@ -232,13 +232,13 @@
   char name[MUX_NAME_LEN];
   char addr[MUX_ADDR_LEN];
   uint64_t incarnation;
-  uint64_t greeting;
-  int64_t heard_ms;
-  bool table_ok;
-  uint32_t strength_milli;
+  uint64_t hello_number;
+  int64_t last_contact_ms;
+  bool store_available;
+  uint32_t cpu_share_milli;
   bool stopping;
-  bool day_known;
-  int64_t day_offset_ms; /* its time of day over our steady clock */
+  bool wall_known;
+  int64_t wall_offset_ms; /* its time of day over our steady clock */
   uint64_t asking;       /* number of the approval question it works on */
   uint32_t asking_cost_ms;
   int64_t asking_until_ms; /* it is asked nothing before */
@@ -351,7 +351,7 @@
   int64_t from_ms;
   int64_t to_ms;
   int64_t at_ms;
-} CellDown;
+} CellDownEvent;
 
 /**
  * struct CellLossSpan - when a run was at the worker with which it was lost
@@ -387,10 +387,10 @@
 typedef struct
 {
   uint32_t run;
-  bool open;
-  bool recorded;
+  bool outcome_unknown;
+  bool from_predecessor;
   bool began;
-  bool ended;
+  bool worker_ended;
   bool in_outage;
   int64_t lived_ms;
   CellLossSpan span;
@@ -414,13 +414,13 @@
 typedef struct
 {
   uint32_t crashed;
-  uint32_t untold;
+  uint32_t unconfirmed;
   uint32_t unreachable;
-  uint32_t unreachable_recorded;
+  uint32_t unreachable_from_predecessor;
   uint32_t crashed_in_outages;
   uint32_t unreachable_in_outages;
-  uint32_t untold_in_outages;
-  uint32_t recorded;
+  uint32_t unconfirmed_in_outages;
+  uint32_t from_predecessor;
 } CellLosses;
 
 /**
@@ -475,10 +475,10 @@
   int64_t stopped_ms;
   bool resumed;
   bool began;
-  bool confirmed;
+  bool was_listed;
   bool listed;
-  char *former;
-  CellLossSpan former_span;
+  char *previous_incarnation;
+  CellLossSpan previous_span;
   CellBooking *prev;
   CellBooking *next;
 };
@@ -697,7 +697,7 @@
   uint32_t loss_changes;
   uint32_t losses_written;
   uint32_t losses_stored;
-  bool former_lost;
+  bool predecessor_runs_lost;
   uint32_t approval_count;
   uint32_t approval_room;
   CellApproval *approval;
@@ -773,7 +773,7 @@
   MuxJobState end;
   bool dirty;
   bool watched;
-  bool losing;
+  bool in_loss_list;
   bool counted;
   bool in_commit;
   bool end_stored;
@@ -790,8 +790,8 @@
   CellJob *dirty_next;
   CellJob *watched_prev;
   CellJob *watched_next;
-  CellJob *losing_prev;
-  CellJob *losing_next;
+  CellJob *loss_list_prev;
+  CellJob *loss_list_next;
   UT_hash_handle hh;
 };
 
@@ -858,7 +858,7 @@
 {
   CELL_ROSTER_NONE = 1,   /* nothing: no next planner asks it */
   CELL_ROSTER_NAMED = 2,  /* where it is: it may run something */
-  CELL_ROSTER_MARKED = 4, /* and when its lease is surely over */
+  CELL_ROSTER_WITH_EXPIRY = 4, /* and when its lease is surely over */
 } CellRosterState;
 
 /**
@@ -867,9 +867,9 @@
 typedef struct
 {
   char id[MUX_NAME_LEN];
-  CellWorker *life;
+  CellWorker *incarnation;
   UT_hash_handle hh;
-} CellLives;
+} CellIncarnations;
 
 /**
  * struct CellWorker - one life of a worker, as the planner sees it
@@ -903,10 +903,10 @@
 struct CellWorker
 {
   MuxWorkerInfo info;
-  CellLives *lives;
-  CellWorker *lives_prev;
-  CellWorker *lives_next;
-  uint64_t born_ms;
+  CellIncarnations *incarnations;
+  CellWorker *incarnations_prev;
+  CellWorker *incarnations_next;
+  uint64_t started_ms;
   uint64_t service;     /* hash of its pool */
   uint64_t data_centre; /* hash of its name */
   uint32_t slot;
@@ -915,23 +915,23 @@
   int64_t leaves_at_ms;
   uint32_t roster; /* set of CellRosterState, as the two below */
   uint32_t roster_before;
-  uint32_t roster_asked;
-  int64_t lost_ms;       /* out of reach since; 0: it is not */
-  int64_t went_ms;       /* and went before this */
-  int64_t over_ms;       /* as a former planner marked it; 0: not marked */
-  int64_t over_since_ms; /* its lease is over by what we know; 0: it is not */
-  bool heard;
+  uint32_t roster_pending;
+  int64_t unreachable_since_ms;       /* out of reach since; 0: it is not */
+  int64_t down_before_ms;       /* and went before this */
+  int64_t marked_expiry_ms;       /* as a former planner marked it; 0: not marked */
+  int64_t lease_over_since_ms; /* its lease is over by what we know; 0: it is not */
+  bool confirmed;
   bool reachable;
   bool dead;
-  bool lost_life; /* another life answers at its address */
-  bool useless;   /* told that no queue names its service */
+  bool replaced; /* another life answers at its address */
+  bool no_queue_logged;   /* told that no queue names its service */
   int64_t clock_ms;
   int64_t clock_at_ms;
-  int64_t lease_until_ms;
+  int64_t lease_expires_ms;
   int64_t unanswered_ms;
   int64_t stale_until_ms;
   uint64_t acked;
-  uint64_t acked_told;
+  uint64_t acked_sent;
   uint64_t seen;
   uint64_t store_seq;
   bool renewing;
@@ -940,7 +940,7 @@
   int64_t unserved_ms;
   int64_t no_fill_until_ms;
   int64_t direct_until_ms; /* no other daemon calls it */
-  uint32_t detours;        /* decides which daemon calls it */
+  uint32_t reroutes;        /* decides which daemon calls it */
   int64_t idle_until_ms;   /* it is asked nothing while nothing runs there */
   uint32_t strikes;
   MuxSize booked;
@@ -953,8 +953,8 @@
   bool is_reserved; /* it has any: it is in the list of such */
   CellWorker *reserved_prev;
   CellWorker *reserved_next;
-  CellMember *carrier;      /* daemon that calls it; NULL: to be chosen */
-  int64_t carrier_until_ms; /* it is chosen anew after this */
+  CellMember *proxy;      /* daemon that calls it; NULL: to be chosen */
+  int64_t proxy_until_ms; /* it is chosen anew after this */
   CellBooking *bookings;
   UT_hash_handle hh;
 };
@@ -1032,16 +1032,16 @@
   MuxCellOptions options;
   MuxCellTime time; /* of this event; with the cell's time of day */
   int64_t own_wall_ms;
-  int64_t day_offset_ms; /* of the cell's time of day over @time.now_ms */
-  int64_t day_told_ms;   /* a planner told it then; 0: none did */
-  int64_t next_day_look_ms;
+  int64_t wall_offset_ms; /* of the cell's time of day over @time.now_ms */
+  int64_t wall_received_ms;   /* a planner told it then; 0: none did */
+  int64_t next_wall_check_ms;
   uint64_t next_call;
   CellPending *pending;
   CellFollow follow[FOLLOW_COUNT];
   MuxQueueConfig *config;
-  int64_t config_proved_ms; /* it was the newest then; 0: never */
+  int64_t config_confirmed_ms; /* it was the newest then; 0: never */
   bool config_unread;       /* a newer one can't be read */
-  bool keys_proved;         /* as told last */
+  bool keys_confirmed_logged;         /* as told last */
   CellWorkspace *workspaces;
   CellService *services;
   CellBadRow *bad_rows;
@@ -1055,55 +1055,55 @@
   int64_t store_served_ms;   /* its last answer that was not a failure */
   int64_t store_failing_ms;  /* first failure since; 0: none */
   int64_t commit_took_ms;    /* the last answered commit of any part */
-  int64_t store_turned_ms;   /* it began to fail, or to serve again, then */
+  int64_t store_changed_ms;   /* it began to fail, or to serve again, then */
 
   /* The claim. */
   CellClaim claim;
-  int64_t sign_seen_ms; /* it, or its holder's last sign of life, was read */
-  int64_t sign_former_until_ms; /* what that told of planners before it */
-  CellGreetings greetings;
-  CellFormer former; /* of the planner */
+  int64_t claim_read_ms; /* it, or its holder's last sign of life, was read */
+  int64_t heartbeat_predecessors_until_ms; /* what that told of planners before it */
+  CellHellos hellos;
+  CellPredecessor predecessor; /* of the planner */
   CellRole role;
   uint64_t term; /* version of the claim held; 0: none */
   int64_t term_began_ms;
   int64_t planning_began_ms;    /* all parts were fenced by then */
   int64_t late_starts_until_ms; /* of former planners, at next lives */
-  bool unconfirmed;    /* jobs were read without the claim beside them */
-  bool reading;        /* they still are */
-  bool confirming;     /* a call that reads the claim is on its way */
-  uint64_t readings;   /* of all jobs, begun so far */
-  int64_t verified_ms; /* the claim was surely ours then */
-  int64_t trusted_ms;  /* the same, and others have seen it; 0: never */
-  int64_t doubted_ms;  /* when it was last in doubt */
-  bool verifying;
+  bool jobs_unverified;    /* jobs were read without the claim beside them */
+  bool jobs_rereading;        /* they still are */
+  bool claim_recheck_busy;     /* a call that reads the claim is on its way */
+  uint64_t jobs_reread_count;   /* of all jobs, begun so far */
+  int64_t claim_verified_ms; /* the claim was surely ours then */
+  int64_t claim_renewed_ms;  /* the same, and others have seen it; 0: never */
+  int64_t claim_doubted_ms;  /* when it was last in doubt */
+  bool claim_verify_busy;
   int64_t next_verify_ms;
-  bool beating;
-  int64_t next_beat_ms;
-  bool yielding;
-  bool leaving; /* the claim is being given up */
+  bool heartbeat_busy;
+  int64_t next_heartbeat_ms;
+  bool yield_busy;
+  bool claim_releasing; /* the claim is being given up */
   int64_t yield_after_ms;
   int64_t last_event_ms;
   bool claiming;
   int64_t claim_after_ms;
   int64_t claim_retry_ms;
   bool planner_restarted; /* its process is gone, a younger one answers */
-  int64_t planner_heard_ms;
-  uint64_t beat_version;        /* of its last sign of life in the store */
-  bool beat_stands;             /* that row was not removed */
-  int64_t planner_welcome_ms;   /* its last answer to a greeting */
-  int64_t planner_store_bad_ms; /* it says so since; 0: it does not */
+  int64_t planner_last_contact_ms;
+  uint64_t heartbeat_version;        /* of its last sign of life in the store */
+  bool heartbeat_exists;             /* that row was not removed */
+  int64_t planner_hello_reply_ms;   /* its last answer to a greeting */
+  int64_t planner_store_failing_ms; /* it says so since; 0: it does not */
   int64_t planner_late_ms; /* as it says: what arrives there waits so long */
   MuxAdmission admission;  /* the planner's, or as it told last */
   int64_t admission_told_ms;
   MuxThrottle throttle;    /* the planner's, or as it told last */
   MuxBlob *admission_blob; /* both, as the planner tells them; or NULL */
   int64_t admission_blob_ms;
-  int64_t turned_away_ms; /* and this daemon is served since; 0: not */
+  int64_t only_planner_failing_ms; /* and this daemon is served since; 0: not */
   int64_t probed_ms;      /* the store answered a look then */
   int64_t next_probe_ms;
   int64_t next_hello_ms;
   bool stopping;
-  bool gave_up;
+  bool claim_released;
 
   /* Of the planner alone. */
   CellAnswers answers;
@@ -1114,8 +1114,8 @@
   uint64_t admission_term; /* in which the backlog was counted last */
   CellJob *jobs;
   CellJob *watched; /* jobs that time alone may change */
-  CellJob *losing;  /* jobs with lost runs */
-  uint32_t losing_count;
+  CellJob *loss_jobs;  /* jobs with lost runs */
+  uint32_t loss_job_count;
   CellQueueCount *queue_counts;
   CellEnded *ended;
   CellUnread *unread;
@@ -1123,14 +1123,14 @@
   bool unread_ends_passed; /* ends are stored of some of those */
   CellSweep sweep;
   CellWorker *workers;
-  CellLives *lives; /* of each id */
+  CellIncarnations *incarnations; /* of each id */
   uint32_t worker_slots;
   uint32_t direct_workers; /* that no other daemon calls, as last counted */
   CellWorker **worker_at;  /* by slot; NULL: forgotten */
-  int64_t heard_at_ms;     /* when @all_heard was looked up */
-  bool all_heard;          /* no worker of the roster is left to be heard */
-  uint32_t worker_turn;    /* slot that the next look at workers begins with */
-  int64_t worker_turn_ms;  /* when the last one was */
+  int64_t all_confirmed_at_ms;     /* when @all_heard was looked up */
+  bool all_confirmed;          /* no worker of the roster is left to be heard */
+  uint32_t worker_scan_slot;    /* slot that the next look at workers begins with */
+  int64_t worker_scanned_ms;  /* when the last one was */
   CellWorker *reserved;    /* with room reserved for gangs */
   CellMember *members;
   CellMember *free_members;  /* that work on no approval question */
@@ -1159,13 +1159,13 @@
   uint64_t quota_term;   /* all workers were heard in it */
   MuxQuota unheard_room; /* of workers whose runs are not known yet */
   int64_t next_overdue_ms;
-  int64_t next_loss_look_ms;
+  int64_t next_loss_check_ms;
   uint32_t down_next; /* counts them */
-  CellDown down[CELL_DOWN_MAX];
+  CellDownEvent down[CELL_DOWN_MAX];
   int64_t next_wait_line_ms;
   MuxRunTimes run_times; /* as seen, or as a planner told */
   int64_t next_learn_line_ms;
-  int64_t next_load_line_ms;
+  int64_t next_load_log_ms;
   int64_t slow_pass_ms;
   int64_t pass_ms; /* no pass before */
   uint64_t next_question;
--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -29,7 +29,7 @@
 #define HEIR_MS 350
 
 void
-cell_depose (MuxCell *cell, const char *why)
+cell_step_down (MuxCell *cell, const char *why)
 {
   CellJob *job;
   CellJob *next_job;
@@ -43,8 +43,8 @@
   cell->role = CELL_FOLLOWER;
   cell->term = 0;
   cell->claim_after_ms = cell->time.now_ms + OWN_CLAIM_MS;
-  cell->follow[FOLLOW_JOBS].on = false;
-  cell->follow[FOLLOW_WORKERS].on = false;
+  cell->follow[FOLLOW_JOBS].enabled = false;
+  cell->follow[FOLLOW_WORKERS].enabled = false;
   HASH_ITER (hh, cell->jobs, job, next_job)
   cell_job_free (cell, job);
   HASH_ITER (hh, cell->ended, ended, next_ended)
@@ -71,19 +71,19 @@
 begin_term (MuxCell *cell)
 {
   if (cell->role != CELL_FOLLOWER)
-    cell_depose (cell, "claimed_again");
+    cell_step_down (cell, "claimed_again");
   cell->role = CELL_LOADING;
   cell->term = cell->claim.version;
   cell->term_began_ms = cell->time.now_ms;
   cell->answers = (CellAnswers){ .count = 0 };
   cell->late_starts_until_ms = 0;
-  cell_proof_begin (cell);
+  cell_heartbeat_begin (cell);
   cell_admission_forget (cell);
   cell_yield_begin (cell);
   cell->end_seq = 0;
   cell->worker_slots = 0;
   cell_log (cell, "planner_began", "{s:I, s:i}", "term",
-            (json_int_t) cell->term, "count", (int) cell->claim.term);
+            (json_int_t) cell->term, "count", (int) cell->claim.term_count);
   cell_sweep_begin (cell);
   cell_load_begin (cell);
 }
@@ -124,19 +124,19 @@
 
   if (row->part[0] != 0)
     {
-      cell_row_bad (cell, row, CELL_ROW_KEY, "part");
+      cell_report_bad_row (cell, row, CELL_ROW_KEY, "part");
       return;
     }
-  if (row->table == MUX_TABLE_CLAIM && strcmp (row->key, CELL_BEAT_KEY) == 0
-      && row->version > cell->beat_version)
+  if (row->table == MUX_TABLE_CLAIM && strcmp (row->key, CELL_HEARTBEAT_KEY) == 0
+      && row->version > cell->heartbeat_version)
     {
-      cell->beat_version = row->version;
-      cell->beat_stands = !row->removed;
-      cell->planner_heard_ms = cell->time.now_ms;
-      cell->sign_seen_ms = cell->time.now_ms;
-      cell_sign_read (cell, row);
+      cell->heartbeat_version = row->version;
+      cell->heartbeat_exists = !row->removed;
+      cell->planner_last_contact_ms = cell->time.now_ms;
+      cell->claim_read_ms = cell->time.now_ms;
+      cell_heartbeat_read (cell, row);
       if (cell->role == CELL_FOLLOWER && row->value != NULL
-          && !cell_planner_is_near (cell))
+          && !cell_planner_is_reachable (cell))
         cell_admission_told (cell, row->value);
     }
   if (strcmp (row->key, CELL_CLAIM_KEY) != 0
@@ -151,16 +151,16 @@
     }
   ours = claim.incarnation == cell->options.incarnation;
   if (ours)
-    cell_former_begin (cell);
+    cell_predecessor_begin (cell);
   cell->claim = claim;
-  cell->sign_seen_ms = cell->time.now_ms;
-  cell->greetings.taken_number = 0;
-  cell->planner_heard_ms = cell->time.now_ms;
-  cell->planner_store_bad_ms = 0;
+  cell->claim_read_ms = cell->time.now_ms;
+  cell->hellos.acked_number = 0;
+  cell->planner_last_contact_ms = cell->time.now_ms;
+  cell->planner_store_failing_ms = 0;
   cell->planner_late_ms = 0;
-  cell->turned_away_ms = 0;
+  cell->only_planner_failing_ms = 0;
   cell->planner_restarted = false;
-  cell->planner_welcome_ms = 0;
+  cell->planner_hello_reply_ms = 0;
   cell->next_hello_ms = 0;
   if (!ours)
     cell_log (cell, "planner_is", "{s:s, s:I}", "name", cell->claim.name,
@@ -168,20 +168,20 @@
   if (ours && cell->term != cell->claim.version)
     begin_term (cell);
   else if (!ours)
-    cell_depose (cell, "other_claim");
+    cell_step_down (cell, "other_claim");
   cell->claim_after_ms = cell->time.now_ms + spread (cell);
   if (cell->claim.incarnation == 0 && !cell->claim.unreadable
-      && strcmp (cell->claim.heir, cell->options.name) != 0)
+      && strcmp (cell->claim.successor, cell->options.name) != 0)
     cell->claim_after_ms += HEIR_MS;
 }
 
 void
-cell_claim_whole (MuxCell *cell, bool ended)
+cell_claim_full_read (MuxCell *cell, bool ended)
 {
   if (!ended || cell->claim.known)
     return;
   cell->claim.known = true;
-  cell->sign_seen_ms = cell->time.now_ms;
+  cell->claim_read_ms = cell->time.now_ms;
   cell->claim_after_ms = cell->time.now_ms + spread (cell);
 }
 
@@ -209,12 +209,12 @@
     look_before_claim (cell);
   if (reply->status != MUX_CELL_OK || cell->stopping)
     return;
-  row.value = cell_json_blob (cell_own_claim (cell));
+  row.value = cell_blob_from_json (cell_next_claim (cell));
   if (row.value == NULL)
     return;
   cell_claim_row (cell, &row);
   if (cell->term == reply->version)
-    cell_trusted (cell, pending->sent_ms);
+    cell_claim_renewed (cell, pending->sent_ms);
   mux_blob_unref (row.value);
 }
 
@@ -225,7 +225,7 @@
 {
   MuxCellCall *call = cell_commit_call ("", 4);
   CellPending pending = { .done = done, .number = cell->term };
-  MuxBlob *blob = cell_json_blob (value);
+  MuxBlob *blob = cell_blob_from_json (value);
 
   if (call == NULL || blob == NULL)
     {
@@ -233,14 +233,14 @@
       mux_cell_call_free (call);
       return false;
     }
-  cell_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->claim.version);
+  cell_call_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->claim.version);
   /* No later sign of life of the former planner than the one known here. */
   if (cell->role == CELL_FOLLOWER)
-    cell_expect (call, MUX_TABLE_CLAIM, CELL_BEAT_KEY,
-                 cell->beat_stands ? cell->beat_version : 0);
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_CLAIM, CELL_CLAIM_KEY)->value
+    cell_call_expect (call, MUX_TABLE_CLAIM, CELL_HEARTBEAT_KEY,
+                 cell->heartbeat_exists ? cell->heartbeat_version : 0);
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_CLAIM, CELL_CLAIM_KEY)->value
       = blob;
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, CELL_CLAIM_KEY)->value
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, CELL_CLAIM_KEY)->value
       = mux_blob_ref (blob);
   return cell_call (cell, call, &pending);
 }
@@ -251,7 +251,7 @@
   cell_log (cell, "claiming", "{s:s, s:s}", "why", why, "from",
             cell->claim.name);
   cell->claiming
-      = cell_write_claim (cell, cell_own_claim (cell), claim_written);
+      = cell_write_claim (cell, cell_next_claim (cell), claim_written);
   if (!cell->claiming)
     cell->claim_after_ms = cell->time.now_ms + RETRY_MS;
 }
@@ -259,7 +259,7 @@
 static bool
 planner_is_silent (const MuxCell *cell)
 {
-  return cell->time.now_ms - cell->planner_heard_ms
+  return cell->time.now_ms - cell->planner_last_contact_ms
          > cell->options.dead_ms + spread (cell);
 }
 
@@ -275,12 +275,12 @@
 {
   int64_t now = cell->time.now_ms;
 
-  if (cell->planner_store_bad_ms == 0)
+  if (cell->planner_store_failing_ms == 0)
     return false;
-  if (cell->turned_away_ms == 0 || now - cell->probed_ms > PROBES_APART_MS)
-    cell->turned_away_ms = now;
+  if (cell->only_planner_failing_ms == 0 || now - cell->probed_ms > PROBES_APART_MS)
+    cell->only_planner_failing_ms = now;
   cell->probed_ms = now;
-  return now - cell->turned_away_ms > STORE_BAD_MS + spread (cell);
+  return now - cell->only_planner_failing_ms > STORE_BAD_MS + spread (cell);
 }
 
 static void
@@ -295,7 +295,7 @@
     cell_claim_row (cell, &reply->row[i]);
   if (reply->status != MUX_CELL_OK)
     {
-      cell->turned_away_ms = 0;
+      cell->only_planner_failing_ms = 0;
       cell->claim_after_ms = cell->time.now_ms + RETRY_MS;
       return;
     }
@@ -330,9 +330,9 @@
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_HELLO, cell->claim.name);
 
   cell->next_hello_ms = cell->time.now_ms + HELLO_MS;
-  msg.table_ok = cell_store_ok (cell);
+  msg.table_ok = cell_store_available (cell);
   msg.epoch = cell->claim.version;
-  msg.call = cell_greeting_next (cell, msg.table_ok);
+  msg.call = cell_hello_next (cell, msg.table_ok);
   msg.strength_milli = cell->options.strength_milli;
   msg.stopping = cell->stopping;
   msg.wall_ms = cell->own_wall_ms;
@@ -373,7 +373,7 @@
   if (cell->claim.incarnation != 0 && now >= cell->next_hello_ms)
     hello (cell);
   if (cell->claiming || cell->stopping || !cell->claim.known
-      || !cell_store_ok (cell))
+      || !cell_store_available (cell))
     return;
   if (is_our_former_life (cell) && now >= cell->claim_retry_ms
       && (weakness_ms (cell) == 0 || now >= cell->claim_after_ms))
@@ -387,7 +387,7 @@
   else if (cell->planner_restarted)
     claim (cell, "restarted");
   else if (planner_is_silent (cell)
-           || (cell->planner_store_bad_ms != 0 && now >= cell->next_probe_ms))
+           || (cell->planner_store_failing_ms != 0 && now >= cell->next_probe_ms))
     look_before_claim (cell);
 }
 
@@ -400,11 +400,11 @@
     {
       /* Silence that was our own is not held against the planner. */
       if (paused_ms > CELL_PAUSE_MS)
-        cell->planner_heard_ms = cell->time.now_ms;
+        cell->planner_last_contact_ms = cell->time.now_ms;
       follower_tick (cell);
     }
   else
-    cell_proof_tick (cell, paused_ms);
+    cell_heartbeat_tick (cell, paused_ms);
 }
 
 /* Also from one that does not plan: its incarnation tells that the planner of
@@ -416,7 +416,7 @@
 
   msg.epoch = cell->term;
   msg.call = taken ? hello->call : 0;
-  msg.table_ok = cell_store_ok (cell);
+  msg.table_ok = cell_store_available (cell);
   if (cell->role != CELL_FOLLOWER)
     {
       msg.wall_ms = cell->time.wall_ms;
@@ -441,20 +441,20 @@
     }
   if (msg->from_incarnation != cell->claim.incarnation)
     return;
-  cell->planner_heard_ms = cell->time.now_ms;
-  cell->planner_welcome_ms = cell->time.now_ms;
+  cell->planner_last_contact_ms = cell->time.now_ms;
+  cell->planner_hello_reply_ms = cell->time.now_ms;
   if (msg->epoch == cell->claim.version)
-    cell_greeting_taken (cell, msg->call);
+    cell_hello_acked (cell, msg->call);
   cell_admission_told (cell, msg->body);
   cell->planner_late_ms = msg->late_ms;
-  cell_day_told (cell, msg->wall_ms);
+  cell_planner_wall_time_received (cell, msg->wall_ms);
   if (msg->table_ok)
     {
-      cell->planner_store_bad_ms = 0;
-      cell->turned_away_ms = 0;
+      cell->planner_store_failing_ms = 0;
+      cell->only_planner_failing_ms = 0;
     }
-  else if (cell->planner_store_bad_ms == 0)
-    cell->planner_store_bad_ms = cell->time.now_ms;
+  else if (cell->planner_store_failing_ms == 0)
+    cell->planner_store_failing_ms = cell->time.now_ms;
 }
 
 void
@@ -469,8 +469,8 @@
     }
   if (cell->role != CELL_FOLLOWER)
     {
-      taken = cell_member_heard (cell, msg);
-      cell_former_heard (cell, msg);
+      taken = cell_member_hello_received (cell, msg);
+      cell_predecessor_hello (cell, msg);
     }
   welcome (cell, msg, taken);
 }
--- a/src/cell/claim_rows.c
+++ b/src/cell/claim_rows.c
@@ -60,12 +60,12 @@
   const char *heir = json_string_value (json_object_get (json, "heir"));
 
   memset (claim, 0, sizeof *claim);
-  cell_claim_former (cell, claim, json);
+  cell_claim_read_predecessors (cell, claim, json);
   claim->version = row->version;
   claim->known = true;
   claim->unreadable = !row->removed && (json == NULL || wrong != NULL);
   if (wrong != NULL)
-    cell_row_bad (cell, row, CELL_ROW_FIELD, wrong);
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD, wrong);
   if (claim->unreadable)
     {
       json_decref (json);
@@ -73,27 +73,27 @@
     }
   snprintf (claim->name, sizeof claim->name, "%s", name != NULL ? name : "");
   snprintf (claim->addr, sizeof claim->addr, "%s", addr != NULL ? addr : "");
-  snprintf (claim->heir, sizeof claim->heir, "%s", heir != NULL ? heir : "");
+  snprintf (claim->successor, sizeof claim->successor, "%s", heir != NULL ? heir : "");
   claim->incarnation
       = (uint64_t) json_integer_value (json_object_get (json, "incarnation"));
-  claim->given_up = claim->incarnation == 0 && is_given_up (cell, json);
-  claim->term = read_count (json);
+  claim->released = claim->incarnation == 0 && is_given_up (cell, json);
+  claim->term_count = read_count (json);
   json_decref (json);
 }
 
 /* The next claim, with this daemon as the planner. */
 json_t *
-cell_own_claim (const MuxCell *cell)
+cell_next_claim (const MuxCell *cell)
 {
   int64_t left_ms = cell_orders_until_ms (cell) - cell->time.now_ms;
 
   if (left_ms < 0)
     left_ms = 0;
-  return cell_former_tell (
+  return cell_predecessors_to_json (
       cell,
       json_pack ("{s:s, s:s, s:I, s:i}", "name", cell->options.name, "addr",
                  cell->options.peer_addr, "incarnation",
                  (json_int_t) cell->options.incarnation, "term",
-                 (int) (cell->claim.term % CELL_TERMS_MAX + 1)),
+                 (int) (cell->claim.term_count % CELL_TERMS_MAX + 1)),
       left_ms);
 }
--- a/src/cell/claim_types.h
+++ b/src/cell/claim_types.h
@@ -9,7 +9,7 @@
 /* Who plans, as the daemons of a cell know it. */
 
 /* Greetings of which it is known when they were sent: 8 s of them. */
-#define CELL_GREETINGS 32
+#define CELL_HELLOS 32
 
 /**
  * struct CellClaim - who plans, as the store says
@@ -19,14 +19,14 @@
 {
   bool known;      /* the row, or its absence, has been read */
   bool unreadable; /* somebody may plan, who can't be told */
-  bool given_up;   /* by its last holder, which ordered nothing from then on */
+  bool released;   /* by its last holder, which ordered nothing from then on */
   char name[MUX_NAME_LEN];
   char addr[MUX_ADDR_LEN];
-  char heir[MUX_NAME_LEN]; /* of a claim given up: who should take it first */
+  char successor[MUX_NAME_LEN]; /* of a claim given up: who should take it first */
   uint64_t incarnation;    /* 0: nobody */
   uint64_t version;
-  uint32_t term; /* how often it was taken */
-  int64_t former_until_ms;
+  uint32_t term_count; /* how often it was taken */
+  int64_t predecessors_until_ms;
 } CellClaim;
 
 /**
@@ -43,11 +43,11 @@
 {
   uint64_t number;
   uint64_t failing_number;
-  uint64_t taken_number;
-  int64_t taken_sent_ms;
-  int64_t served_ms;
-  int64_t sent_ms[CELL_GREETINGS];
-} CellGreetings;
+  uint64_t acked_number;
+  int64_t acked_sent_ms;
+  int64_t served_since_ms;
+  int64_t sent_ms[CELL_HELLOS];
+} CellHellos;
 
 /**
  * struct CellAnswers - how soon the planner hears of its calls to workers
@@ -77,6 +77,6 @@
   uint64_t incarnation;
   int64_t earlier_until_ms;
   int64_t until_ms;
-} CellFormer;
+} CellPredecessor;
 
 #endif
--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -42,7 +42,7 @@
 {
   task->stage->loss_changes++;
   cell_job_dirty (cell, task->stage->job);
-  if (cell_losses_give_up (cell, task))
+  if (cell_losses_exceeded (cell, task))
     give_up (cell, task);
 }
 
@@ -58,7 +58,7 @@
 drop_open (CellTask *task)
 {
   for (uint32_t i = 0; i < task->loss_count; i++)
-    if (task->loss[i].open && !task->loss[i].recorded)
+    if (task->loss[i].outcome_unknown && !task->loss[i].from_predecessor)
       {
         drop (task, i);
         return true;
@@ -111,7 +111,7 @@
 
   if (loss == NULL)
     return NULL;
-  cell_losses_note (cell, task->stage->job);
+  cell_loss_list_add (cell, task->stage->job);
   *loss = what;
   loss->at_wall_ms = cell->time.wall_ms;
   snprintf (loss->worker, sizeof loss->worker, "%s", worker);
@@ -161,7 +161,7 @@
 {
   return (CellLoss){ .run = booking->run,
                      .began = booking->began,
-                     .ended = booking->worker->lost_life,
+                     .worker_ended = booking->worker->replaced,
                      .lived_ms = cell_run_lived_ms (booking),
                      .span = cell_run_span (cell, booking) };
 }
@@ -186,9 +186,9 @@
   cell_unbook (cell, booking);
   cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LAPSED, "");
   (void) drop_open (task);
-  if (bears || cell_life_acquits (task, loss.lived_ms))
+  if (bears || cell_run_clears_task (task, loss.lived_ms))
     (void) drop_all (task);
-  if (!cell_run_is_young (loss.lived_ms)
+  if (!cell_run_was_short (loss.lived_ms)
       && cell_lost_in_outage (cell, task, &loss))
     return;
   if (counts)
@@ -196,15 +196,15 @@
 }
 
 void
-cell_loss_run_lives (MuxCell *cell, const CellBooking *booking)
+cell_loss_run_listed (MuxCell *cell, const CellBooking *booking)
 {
-  if (cell_life_acquits (booking->task, cell_run_lived_ms (booking))
+  if (cell_run_clears_task (booking->task, cell_run_lived_ms (booking))
       && drop_all (booking->task))
     changed (cell, booking->task);
 }
 
 void
-cell_lose_settled (MuxCell *cell, CellBooking *booking)
+cell_lose_resolved (MuxCell *cell, CellBooking *booking)
 {
   CellTask *task = booking->task;
   CellWorker *worker = booking->worker;
@@ -212,15 +212,15 @@
   bool counts = loss_counts (booking);
   char former[MUX_NAME_LEN];
 
-  loss.ended = true;
-  loss.span = booking->former_span;
-  snprintf (former, sizeof former, "%s", booking->former);
+  loss.worker_ended = true;
+  loss.span = booking->previous_span;
+  snprintf (former, sizeof former, "%s", booking->previous_incarnation);
   cell_unbook (cell, booking);
   cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LAPSED, "");
   (void) drop_open (task);
   if (counts)
     lose (cell, task, former, worker->info.addr, loss);
-  cell_life_settled (cell, former);
+  cell_incarnation_resolved (cell, former);
 }
 
 void
@@ -242,10 +242,10 @@
 bool
 cell_start_is_recorded (MuxCell *cell, CellTask *task, const CellWorker *worker)
 {
-  CellLoss open = { .open = true };
+  CellLoss open = { .outcome_unknown = true };
 
   for (uint32_t i = 0; i < task->loss_count; i++)
-    if (task->loss[i].open
+    if (task->loss[i].outcome_unknown
         && strcmp (task->loss[i].worker, worker->info.id) == 0)
       return true;
   (void) drop_open (task);
@@ -261,7 +261,7 @@
 cell_loss_run_began (MuxCell *cell, CellTask *task)
 {
   for (uint32_t i = 0; i < task->loss_count; i++)
-    if (task->loss[i].open && !task->loss[i].began)
+    if (task->loss[i].outcome_unknown && !task->loss[i].began)
       {
         task->loss[i].began = true;
         changed (cell, task);
@@ -284,14 +284,14 @@
 record_run (MuxCell *cell, CellTask *task)
 {
   const CellBooking *booking = task->booking;
-  CellLoss open = { .open = true };
+  CellLoss open = { .outcome_unknown = true };
   const char *life;
 
   if (booking == NULL || cell_start_has_record (task)
       || !cell_start_needs_record (cell, task))
     return false;
   open.began = booking->began;
-  life = booking->former != NULL ? booking->former : booking->worker->info.id;
+  life = booking->previous_incarnation != NULL ? booking->previous_incarnation : booking->worker->info.id;
   return add (cell, task, life, booking->worker->info.addr, open) != NULL;
 }
 
@@ -313,7 +313,7 @@
 {
   CellLoss *loss = &task->loss[i];
 
-  if (i >= task->loss_count || loss->open || loss->span.to_ms != 0)
+  if (i >= task->loss_count || loss->outcome_unknown || loss->span.to_ms != 0)
     return;
   loss->span = former_span (cell, worker);
   loss->in_outage = loss->in_outage || cell_lost_in_outage (cell, task, loss);
@@ -326,8 +326,8 @@
   CellJob *job;
   CellJob *next;
 
-  mux_count (cell->options.counters, MUX_COUNT_JOB_LOOKS, cell->losing_count);
-  DL_FOREACH_SAFE2 (cell->losing, job, next, losing_next)
+  mux_count (cell->options.counters, MUX_COUNT_JOB_LOOKS, cell->loss_job_count);
+  DL_FOREACH_SAFE2 (cell->loss_jobs, job, next, loss_list_next)
   for (uint32_t i = 0; i < job->stage_count && job->loss_count > 0; i++)
     for (uint32_t j = 0; j < job->stage[i]->spec->count; j++)
       {
@@ -359,10 +359,10 @@
 {
   CellLoss *loss = &task->loss[i];
 
-  if (loss->ended || (loss->open && !loss->recorded))
+  if (loss->worker_ended || (loss->outcome_unknown && !loss->from_predecessor))
     return false;
-  loss->open = false;
-  loss->ended = true;
+  loss->outcome_unknown = false;
+  loss->worker_ended = true;
   return true;
 }
 
@@ -374,9 +374,9 @@
   if (strcmp (loss->worker, worker->info.id) != 0)
     return strcmp (loss->addr, worker->info.addr) == 0
            && take_end_of_life (task, i);
-  if (loss->open && is_booked_at (task, worker))
-    loss->recorded = false;
-  else if (loss->recorded || !loss->open)
+  if (loss->outcome_unknown && is_booked_at (task, worker))
+    loss->from_predecessor = false;
+  else if (loss->from_predecessor || !loss->outcome_unknown)
     drop (task, i);
   return true;
 }
@@ -393,15 +393,15 @@
 {
   CellLoss *loss = &task->loss[i];
 
-  if (!loss->open || !loss->recorded
+  if (!loss->outcome_unknown || !loss->from_predecessor
       || strcmp (loss->worker, worker->info.id) != 0)
     return false;
-  loss->open = false;
+  loss->outcome_unknown = false;
   return true;
 }
 
 void
-cell_losses_heard (MuxCell *cell, const CellWorker *worker)
+cell_losses_worker_confirmed (MuxCell *cell, const CellWorker *worker)
 {
   for_losses (cell, worker, take_heard);
 }
@@ -415,11 +415,11 @@
 static void
 lose_former_runs (MuxCell *cell, CellStage *stage, const CellWorker *worker)
 {
-  CellLoss loss = { .ended = worker->lost_life,
-                    .recorded = true,
+  CellLoss loss = { .worker_ended = worker->replaced,
+                    .from_predecessor = true,
                     .span = former_span (cell, worker) };
 
-  stage->former_lost = true;
+  stage->predecessor_runs_lost = true;
   for (uint32_t i = 0; i < stage->spec->count; i++)
     if (stage->task[i].state == CELL_TASK_WAITING
         && stage->task[i].booking == NULL && stage->task[i].loss_count == 0)
@@ -437,7 +437,7 @@
     {
       CellStage *stage = job->stage[i];
 
-      if (stage->ready && !stage->former_lost
+      if (stage->ready && !stage->predecessor_runs_lost
           && (!job->spec->queue.approval.needed
               || cell_is_recorded (stage, worker)))
         lose_former_runs (cell, stage, worker);
@@ -445,10 +445,10 @@
 }
 
 void
-cell_losses_of_dead (MuxCell *cell, const CellWorker *worker)
+cell_losses_worker_dead (MuxCell *cell, const CellWorker *worker)
 {
-  for_losses (cell, worker, worker->lost_life ? take_ended : take_unreachable);
-  if (!worker->heard && !worker->info.draining)
+  for_losses (cell, worker, worker->replaced ? take_ended : take_unreachable);
+  if (!worker->confirmed && !worker->info.draining)
     lose_runs_of_former (cell, worker);
 }
 
@@ -458,12 +458,12 @@
 {
   CellLoss *loss = &task->loss[i];
 
-  if (loss->in_outage || loss->open
+  if (loss->in_outage || loss->outcome_unknown
       || cell->time.now_ms - loss->span.to_ms > OUTAGE_LOOK_MS
       || !cell_lost_in_outage (cell, task, loss))
     return false;
   loss->in_outage = true;
-  if (!cell_run_is_young (loss->lived_ms))
+  if (!cell_run_was_short (loss->lived_ms))
     drop (task, i);
   return true;
 }
@@ -477,7 +477,7 @@
     taken = take_outage (cell, task, i - 1) || taken;
   if (record_run (cell, task) || taken)
     changed (cell, task);
-  else if (cell_losses_give_up (cell, task))
+  else if (cell_losses_exceeded (cell, task))
     give_up (cell, task);
 }
 
@@ -496,13 +496,13 @@
   CellJob *job;
   CellJob *next;
 
-  if (cell->time.now_ms < cell->next_loss_look_ms)
+  if (cell->time.now_ms < cell->next_loss_check_ms)
     return;
-  cell->next_loss_look_ms = cell->time.now_ms + LOOK_MS;
-  mux_count (cell->options.counters, MUX_COUNT_JOB_LOOKS, cell->losing_count);
-  DL_FOREACH_SAFE2 (cell->losing, job, next, losing_next)
+  cell->next_loss_check_ms = cell->time.now_ms + LOOK_MS;
+  mux_count (cell->options.counters, MUX_COUNT_JOB_LOOKS, cell->loss_job_count);
+  DL_FOREACH_SAFE2 (cell->loss_jobs, job, next, loss_list_next)
   if (job->loss_count == 0)
-    cell_losses_forget (cell, job);
+    cell_loss_list_remove (cell, job);
   else if (!job->failed && !job->ended)
     look_at (cell, job);
 }
--- a/src/cell/crash_list.c
+++ b/src/cell/crash_list.c
@@ -4,21 +4,21 @@
  * heard first, or no longer. */
 
 void
-cell_losses_note (MuxCell *cell, CellJob *job)
+cell_loss_list_add (MuxCell *cell, CellJob *job)
 {
-  if (job->losing || job->loss_count == 0)
+  if (job->in_loss_list || job->loss_count == 0)
     return;
-  job->losing = true;
-  cell->losing_count++;
-  DL_APPEND2 (cell->losing, job, losing_prev, losing_next);
+  job->in_loss_list = true;
+  cell->loss_job_count++;
+  DL_APPEND2 (cell->loss_jobs, job, loss_list_prev, loss_list_next);
 }
 
 void
-cell_losses_forget (MuxCell *cell, CellJob *job)
+cell_loss_list_remove (MuxCell *cell, CellJob *job)
 {
-  if (!job->losing)
+  if (!job->in_loss_list)
     return;
-  job->losing = false;
-  cell->losing_count--;
-  DL_DELETE2 (cell->losing, job, losing_prev, losing_next);
+  job->in_loss_list = false;
+  cell->loss_job_count--;
+  DL_DELETE2 (cell->loss_jobs, job, loss_list_prev, loss_list_next);
 }
--- a/src/cell/crash_log.c
+++ b/src/cell/crash_log.c
@@ -43,10 +43,10 @@
             "{s:s, s:i, s:i, s:i, s:s, s:b, s:b, s:b, s:I, s:i, s:i, s:i}",
             "job", task->stage->job->id, "step", (int) task->stage->step,
             "task", (int) task->index, "run", (int) loss->run, "worker",
-            loss->worker, "worker_ended", (int) loss->ended, "began",
+            loss->worker, "worker_ended", (int) loss->worker_ended, "began",
             (int) loss->began, "in_outage", (int) loss->in_outage, "lived_ms",
             (json_int_t) loss->lived_ms, "crashed", (int) losses.crashed,
-            "untold", (int) losses.untold, "unreachable",
+            "untold", (int) losses.unconfirmed, "unreachable",
             (int) losses.unreachable);
 }
 
--- a/src/cell/crash_rows.c
+++ b/src/cell/crash_rows.c
@@ -38,8 +38,8 @@
 static int
 marks_of (const CellLoss *loss)
 {
-  return (loss->began ? MARK_BEGAN : 0) | (loss->open ? MARK_OPEN : 0)
-         | (loss->recorded ? MARK_RECORDED : 0);
+  return (loss->began ? MARK_BEGAN : 0) | (loss->outcome_unknown ? MARK_OPEN : 0)
+         | (loss->from_predecessor ? MARK_RECORDED : 0);
 }
 
 static bool
@@ -48,7 +48,7 @@
   return strcmp (json_string_value (json_array_get (group, LOST_WORKER)),
                  loss->worker)
              == 0
-         && json_is_true (json_array_get (group, LOST_ENDED)) == loss->ended;
+         && json_is_true (json_array_get (group, LOST_ENDED)) == loss->worker_ended;
 }
 
 /* NULL: memory is out. */
@@ -60,7 +60,7 @@
 
   json_array_foreach (list, i, group) if (is_of (group, loss)) return group;
   group = json_pack ("[s, s, b, I, []]", loss->worker, loss->addr,
-                     (int) loss->ended, (json_int_t) loss->at_wall_ms);
+                     (int) loss->worker_ended, (json_int_t) loss->at_wall_ms);
   return json_array_append_new (list, group) == 0 ? group : NULL;
 }
 
@@ -147,15 +147,15 @@
             json_string_value (json_array_get (group, LOST_WORKER)));
   snprintf (loss->addr, sizeof loss->addr, "%s",
             json_string_value (json_array_get (group, LOST_ADDR)));
-  loss->ended = json_is_true (json_array_get (group, LOST_ENDED));
+  loss->worker_ended = json_is_true (json_array_get (group, LOST_ENDED));
   loss->at_wall_ms = json_integer_value (json_array_get (group, LOST_AT));
   loss->run = (uint32_t) json_integer_value (json_array_get (run, RUN_NUMBER));
   loss->began = (marks & MARK_BEGAN) != 0;
-  loss->open = (marks & MARK_OPEN) != 0;
+  loss->outcome_unknown = (marks & MARK_OPEN) != 0;
   loss->in_outage
       = json_integer_value (json_array_get (run, RUN_IN_OUTAGE)) != 0;
   loss->lived_ms = json_integer_value (json_array_get (run, RUN_LIVED_MS));
-  loss->recorded = loss->open || (marks & MARK_RECORDED) != 0;
+  loss->from_predecessor = loss->outcome_unknown || (marks & MARK_RECORDED) != 0;
   if (loss->run > task->run)
     task->run = loss->run;
 }
--- a/src/cell/evacuate.c
+++ b/src/cell/evacuate.c
@@ -22,7 +22,7 @@
 #define PERCENT 100
 
 void
-cell_worker_leaves (const MuxCell *cell, CellWorker *worker)
+cell_worker_set_leave_time (const MuxCell *cell, CellWorker *worker)
 {
   int64_t at_ms;
 
--- a/src/cell/follow.c
+++ b/src/cell/follow.c
@@ -33,11 +33,11 @@
 void
 cell_follow_start (CellFollow *follow, uint64_t term, uint64_t version)
 {
-  follow->on = true;
+  follow->enabled = true;
   follow->term = term;
   follow->loaded = version != 0;
   follow->busy = false;
-  follow->known_ms = 0;
+  follow->known_until_ms = 0;
   follow->lost = false;
   follow->part = 0;
   follow->from[0] = 0;
@@ -46,10 +46,10 @@
 }
 
 bool
-cell_follow_is_known (const MuxCell *cell, const CellFollow *follow)
+cell_follow_is_fresh (const MuxCell *cell, const CellFollow *follow)
 {
-  return follow->known_ms != 0
-         && cell->time.now_ms - follow->known_ms < UNKNOWN_MS;
+  return follow->known_until_ms != 0
+         && cell->time.now_ms - follow->known_until_ms < UNKNOWN_MS;
 }
 
 static bool
@@ -75,13 +75,13 @@
 send_scan (MuxCell *cell, CellFollow *follow)
 {
   MuxCellCall *call = cell_scan_call (
-      follow->table, follow->parted ? cell->part[follow->part].name : "");
+      follow->table, follow->by_part ? cell->part[follow->part].name : "");
 
   if (call == NULL)
     return;
   snprintf (call->from, sizeof call->from, "%s", follow->from);
-  if (begins (follow) && follow->whole != NULL)
-    follow->whole (cell, false);
+  if (begins (follow) && follow->on_full_read != NULL)
+    follow->on_full_read (cell, false);
   send_call (cell, follow, call);
 }
 
@@ -108,7 +108,7 @@
   /* Those that waited for nothing fail all through an outage. */
   if (follow->wait_ms == 0)
     return;
-  follow->lost = follow->known_ms != 0;
+  follow->lost = follow->known_until_ms != 0;
   cell_log (cell, "feed_lost", "{s:s, s:s, s:I}", "feed", follow->name, "why",
             why, "out_ms", (json_int_t) (cell->time.now_ms - follow->sent_ms));
 }
@@ -118,7 +118,7 @@
 {
   if (follow->lost)
     cell_log (cell, "feed_back", "{s:s, s:I}", "feed", follow->name,
-              "behind_ms", (json_int_t) (cell->time.now_ms - follow->known_ms));
+              "behind_ms", (json_int_t) (cell->time.now_ms - follow->known_until_ms));
   follow->lost = false;
 }
 
@@ -138,10 +138,10 @@
   int64_t now = cell->time.now_ms;
 
   if (!follow->busy || !follow->loaded
-      || follow->sent_ms >= cell->store_turned_ms
+      || follow->sent_ms >= cell->store_changed_ms
       || now - follow->sent_ms < CELL_ANSWER_MS)
     return;
-  cell_call_forget (cell, follow->call_id);
+  cell_call_abandon (cell, follow->call_id);
   follow->busy = false;
   follow->next_ms = now;
   note_loss (cell, follow,
@@ -151,7 +151,7 @@
 void
 cell_follow_tick (MuxCell *cell, CellFollow *follow)
 {
-  if (!follow->on)
+  if (!follow->enabled)
     return;
   give_up_doubtful (cell, follow);
   if (follow->busy || cell->time.now_ms < follow->next_ms)
@@ -198,7 +198,7 @@
 {
   if (follow->table == MUX_TABLE_CONFIG && reply->row_count <= WHOLE_ROWS
       && !reply->more && begins (follow))
-    cell_config_proved (cell, follow->sent_ms);
+    cell_config_confirmed (cell, follow->sent_ms);
 }
 
 /* The version of a whole reading is that of its first page: what changed
@@ -210,14 +210,14 @@
     follow->version = reply->version;
   if (cell_next_page (follow->from, reply))
     return;
-  if (follow->parted && follow->part + 1 < CELL_PARTS)
+  if (follow->by_part && follow->part + 1 < CELL_PARTS)
     {
       follow->part++;
       return;
     }
   follow->loaded = true;
-  if (follow->whole != NULL)
-    follow->whole (cell, true);
+  if (follow->on_full_read != NULL)
+    follow->on_full_read (cell, true);
 }
 
 /*
@@ -247,10 +247,10 @@
       return;
     }
   note_answer (cell, follow);
-  follow->known_ms = given_ms (cell, follow, reply);
+  follow->known_until_ms = given_ms (cell, follow, reply);
   for (uint32_t i = 0; i < reply->row_count; i++)
     {
-      follow->seen (cell, &reply->row[i]);
+      follow->on_row (cell, &reply->row[i]);
       /* The row may have ended the term, and with it this reading. */
       if (pending->term != 0 && pending->term != cell->term)
         return;
--- a/src/cell/foreign.c
+++ b/src/cell/foreign.c
@@ -84,7 +84,7 @@
 }
 
 void
-cell_row_bad (MuxCell *cell,
+cell_report_bad_row (MuxCell *cell,
               const MuxCellRow *row,
               CellRowFault fault,
               const char *what)
@@ -105,17 +105,17 @@
 json_t *
 cell_row_json (MuxCell *cell, const MuxCellRow *row)
 {
-  json_t *json = row->removed ? NULL : cell_blob_json (row->value);
+  json_t *json = row->removed ? NULL : cell_json_from_blob (row->value);
 
   if (json_is_object (json))
     return json;
-  cell_row_bad (cell, row, CELL_ROW_VALUE, "value");
+  cell_report_bad_row (cell, row, CELL_ROW_VALUE, "value");
   json_decref (json);
   return NULL;
 }
 
 const MuxCellRow *
-cell_reply_row (const MuxCellReply *reply, const char *key)
+cell_reply_find_row (const MuxCellReply *reply, const char *key)
 {
   for (uint32_t i = 0; i < reply->row_count; i++)
     if (strcmp (reply->row[i].key, key) == 0)
@@ -131,7 +131,7 @@
 
   for (uint32_t i = reply->row_count; reply->more && i > 0; i--)
     {
-      cell_key_behind (next, reply->row[i - 1].key);
+      cell_key_after (next, reply->row[i - 1].key);
       if (reply->row[i - 1].key[0] == 0 || strcmp (next, from) <= 0)
         continue;
       memcpy (from, next, sizeof next);
--- a/src/cell/former.c
+++ b/src/cell/former.c
@@ -30,7 +30,7 @@
   const json_t *span = json_object_get (json, "former_ms");
 
   if (!json_is_integer (span) || json_integer_value (span) < 0
-      || json_integer_value (span) > CELL_TRUST_MS)
+      || json_integer_value (span) > CELL_CLAIM_LEASE_MAX_MS)
     return or_ms;
   return json_integer_value (span);
 }
@@ -43,7 +43,7 @@
 static int64_t
 told_until_ms (const MuxCell *cell, const json_t *json)
 {
-  int64_t left_ms = span_left (json, CELL_TRUST_MS);
+  int64_t left_ms = span_left (json, CELL_CLAIM_LEASE_MAX_MS);
   json_int_t over_ms
       = json_integer_value (json_object_get (json, "former_over_ms"));
 
@@ -54,28 +54,28 @@
 }
 
 json_t *
-cell_former_tell (const MuxCell *cell, json_t *json, int64_t left_ms)
+cell_predecessors_to_json (const MuxCell *cell, json_t *json, int64_t left_ms)
 {
   (void) json_object_set_new (json, "former_ms",
                               json_integer ((json_int_t) left_ms));
   (void) json_object_set_new (
       json, "former_over_ms",
-      json_integer ((json_int_t) cell_store_moment_ms (cell, left_ms)));
+      json_integer ((json_int_t) cell_store_time_ms (cell, left_ms)));
   return json;
 }
 
 void
-cell_claim_former (const MuxCell *cell, CellClaim *claim, const json_t *json)
+cell_claim_read_predecessors (const MuxCell *cell, CellClaim *claim, const json_t *json)
 {
-  claim->former_until_ms = told_until_ms (cell, json);
+  claim->predecessors_until_ms = told_until_ms (cell, json);
 }
 
 void
-cell_sign_read (MuxCell *cell, const MuxCellRow *row)
+cell_heartbeat_read (MuxCell *cell, const MuxCellRow *row)
 {
-  json_t *json = row->value != NULL ? cell_blob_json (row->value) : NULL;
+  json_t *json = row->value != NULL ? cell_json_from_blob (row->value) : NULL;
 
-  cell->sign_former_until_ms = told_until_ms (cell, json);
+  cell->heartbeat_predecessors_until_ms = told_until_ms (cell, json);
   json_decref (json);
 }
 
@@ -87,13 +87,13 @@
 static int64_t
 earlier_until_ms (const MuxCell *cell)
 {
-  int64_t until_ms = cell->claim.former_until_ms;
+  int64_t until_ms = cell->claim.predecessors_until_ms;
 
-  if (cell->claim.given_up)
+  if (cell->claim.released)
     return until_ms;
-  if (cell->beat_version <= cell->claim.version)
-    return later_of (until_ms, cell->sign_seen_ms + UNAWARE_MS);
-  return cell->sign_former_until_ms < until_ms ? cell->sign_former_until_ms
+  if (cell->heartbeat_version <= cell->claim.version)
+    return later_of (until_ms, cell->claim_read_ms + UNAWARE_MS);
+  return cell->heartbeat_predecessors_until_ms < until_ms ? cell->heartbeat_predecessors_until_ms
                                                : until_ms;
 }
 
@@ -111,29 +111,29 @@
 static const char *
 known_of_holder (const MuxCell *cell)
 {
-  if (cell->claim.given_up)
+  if (cell->claim.released)
     return "gave_up";
   if (is_own (cell, &cell->claim))
     return "ended";
-  return cell_trust_was_short (cell) ? "sign_of_life" : "nothing";
+  return cell_claim_lease_was_short (cell) ? "sign_of_life" : "nothing";
 }
 
 int64_t
 cell_orders_until_ms (const MuxCell *cell)
 {
   const CellClaim *claim = &cell->claim;
-  int64_t until_ms = claim->given_up || is_own (cell, claim)
+  int64_t until_ms = claim->released || is_own (cell, claim)
                          ? cell->time.now_ms
-                         : cell_trust_until_ms (cell);
+                         : cell_claim_lease_until_ms (cell);
 
   return later_of (until_ms, earlier_until_ms (cell));
 }
 
 void
-cell_former_begin (MuxCell *cell)
+cell_predecessor_begin (MuxCell *cell)
 {
   const CellClaim *claim = &cell->claim;
-  CellFormer *former = &cell->former;
+  CellPredecessor *former = &cell->predecessor;
   int64_t left_ms;
 
   snprintf (former->name, sizeof former->name, "%s", claim->name);
@@ -148,15 +148,15 @@
 }
 
 int64_t
-cell_former_left_ms (const MuxCell *cell)
+cell_predecessors_left_ms (const MuxCell *cell)
 {
-  return later_of (cell->former.until_ms - cell->time.now_ms, 0);
+  return later_of (cell->predecessor.until_ms - cell->time.now_ms, 0);
 }
 
 static void
 former_ended (MuxCell *cell)
 {
-  CellFormer *former = &cell->former;
+  CellPredecessor *former = &cell->predecessor;
   int64_t until_ms = later_of (cell->time.now_ms, former->earlier_until_ms);
 
   former->incarnation = 0;
@@ -166,7 +166,7 @@
             "sooner_ms", (json_int_t) (former->until_ms - until_ms));
   former->until_ms = until_ms;
   /* The next planner is to know, too. */
-  cell->next_beat_ms = cell->time.now_ms;
+  cell->next_heartbeat_ms = cell->time.now_ms;
 }
 
 /*
@@ -175,9 +175,9 @@
  * older greeting says nothing: it may be from before its own claim.
  */
 void
-cell_former_heard (MuxCell *cell, const MuxPeerMsg *hello)
+cell_predecessor_hello (MuxCell *cell, const MuxPeerMsg *hello)
 {
-  const CellFormer *former = &cell->former;
+  const CellPredecessor *former = &cell->predecessor;
 
   if (former->incarnation == 0 || hello->from_incarnation < former->incarnation
       || strcmp (hello->from, former->name) != 0
--- a/src/cell/inquiry.c
+++ b/src/cell/inquiry.c
@@ -121,9 +121,9 @@
 
   if (call == NULL)
     return false;
-  cell_expect (call, MUX_TABLE_JOBS, inquiry->id, inquiry->version);
+  cell_call_expect (call, MUX_TABLE_JOBS, inquiry->id, inquiry->version);
   snprintf (key, sizeof key, "%s" CANCEL_MARK, inquiry->id);
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, key)->value
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, key)->value
       = mux_blob_new ("{}", 2);
   return cell_call (cell, call, &pending);
 }
@@ -139,7 +139,7 @@
                   || *state == MUX_JOB_CANCELLED);
 
   if (json != NULL && !told)
-    cell_row_bad (cell, row, CELL_ROW_FIELD, "state");
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD, "state");
   json_decref (json);
   return told;
 }
@@ -161,8 +161,8 @@
       retry_later (cell, inquiry, STEP_JOB);
       return;
     }
-  row = cell_reply_row (reply, inquiry->id);
-  if (row == NULL || !cell_row_is_of (row, &inquiry->caller))
+  row = cell_reply_find_row (reply, inquiry->id);
+  if (row == NULL || !cell_row_is_visible_to (row, &inquiry->caller))
     {
       end_with (cell, inquiry, MUX_OUTCOME_ABSENT);
       return;
@@ -191,8 +191,8 @@
   bool cancelled;
 
   snprintf (cancel, sizeof cancel, "%s" CANCEL_MARK, inquiry->id);
-  cancelled = cell_reply_row (reply, cancel) != NULL;
-  if (!cell_row_is_of (&reply->row[0], &inquiry->caller))
+  cancelled = cell_reply_find_row (reply, cancel) != NULL;
+  if (!cell_row_is_visible_to (&reply->row[0], &inquiry->caller))
     {
       end_with (cell, inquiry, MUX_OUTCOME_ABSENT);
       return;
@@ -253,8 +253,8 @@
   inquiry->next_ms = cell->time.now_ms + PLANNER_MS;
   if (cell->claim.incarnation == 0 || cell->role == CELL_PLANNING)
     return;
-  msg.call = cell_ask_number (cell, inquiry->call);
-  msg.body = cell_json_blob (ask_json (inquiry));
+  msg.call = cell_peer_request_id (cell, inquiry->call);
+  msg.body = cell_blob_from_json (ask_json (inquiry));
   (void) cell->options.sink->peer_send (cell->options.sink, cell->claim.addr,
                                         &msg);
   mux_blob_unref (msg.body);
@@ -264,7 +264,7 @@
 static bool
 count_here (MuxCell *cell, CellInquiry *inquiry)
 {
-  if (inquiry->id[0] != 0 || !cell_may_order (cell))
+  if (inquiry->id[0] != 0 || !cell_is_active_planner (cell))
     return false;
   answer_pending (cell, inquiry->call, cell_pending_of (cell, inquiry->queue));
   inquiry_end (cell, inquiry);
@@ -310,7 +310,7 @@
     return false;
   if (id[0] == 0)
     {
-      if (!cell_may_order (cell))
+      if (!cell_is_active_planner (cell))
         return false;
       answer_pending (cell, question->call, cell_pending_of (cell, queue));
       return true;
@@ -359,7 +359,7 @@
   if (cell->time.now_ms >= inquiry->give_up_ms)
     end_with (cell, inquiry,
               inquiry->doubtful ? MUX_OUTCOME_UNKNOWN : MUX_OUTCOME_REFUSED);
-  else if (!cell_store_ok (cell) && !inquiry->doubtful
+  else if (!cell_store_available (cell) && !inquiry->doubtful
            && inquiry->step != STEP_PLANNER)
     end_with (cell, inquiry, MUX_OUTCOME_REFUSED);
   else
@@ -398,7 +398,7 @@
 tell (MuxCell *cell, const MuxPeerMsg *msg)
 {
   MuxPeerMsg told = cell_message (cell, MUX_PEER_JOB_TOLD, msg->from);
-  json_t *json = cell_blob_json (msg->body);
+  json_t *json = cell_json_from_blob (msg->body);
   const char *id = json_string_value (json_object_get (json, "id"));
   const char *queue = json_string_value (json_object_get (json, "queue"));
   CellCaller caller = read_caller (json);
@@ -415,7 +415,7 @@
   told.job_state = state;
   json_decref (json);
   /* A count that is not to be trusted is asked for again. */
-  if (id != NULL || cell_may_order (cell))
+  if (id != NULL || cell_is_active_planner (cell))
     (void) cell->options.sink->peer_send (cell->options.sink, msg->from_addr,
                                           &told);
 }
@@ -423,7 +423,7 @@
 static void
 take (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  CellInquiry *inquiry = find (cell, cell_call_asked (cell, msg->call));
+  CellInquiry *inquiry = find (cell, cell_peer_request_caller (cell, msg->call));
 
   if (inquiry == NULL || inquiry->step != STEP_PLANNER)
     return;
--- a/src/cell/job_rows.c
+++ b/src/cell/job_rows.c
@@ -19,7 +19,7 @@
   /* Not run, as gaps in it may be its order or its attempts, and not removed: a
    * daemon that can read it goes on with it, and its caller can cancel it. */
   if (json != NULL && spec == NULL)
-    cell_row_bad (cell, row, CELL_ROW_FIELD,
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD,
                   findings.count > 0 ? findings.item[0].text : "memory is out");
   json_decref (json);
   if (spec == NULL)
@@ -29,7 +29,7 @@
     }
   if (strcmp (spec->id, row->key) != 0)
     {
-      cell_row_bad (cell, row, CELL_ROW_FIELD, "id");
+      cell_report_bad_row (cell, row, CELL_ROW_FIELD, "id");
       cell_unread_note (cell, row->key, true);
       mux_job_free (spec);
       return;
@@ -51,7 +51,7 @@
 cell_jobs_take (MuxCell *cell, const MuxBlob *row, uint64_t version)
 {
   MuxFindings findings = { .count = 0, .dropped = 0 };
-  json_t *json = cell_blob_json (row);
+  json_t *json = cell_json_from_blob (row);
   MuxJobSpec *spec = mux_job_from_json (json, &findings);
   CellJob *job = NULL;
 
@@ -115,7 +115,7 @@
     return;
   snprintf (id, sizeof id, "%.*s", (int) (is_cancel ? len - 1 : len), row->key);
   if (!is_in_place (cell, row, id))
-    cell_row_bad (cell, row, CELL_ROW_KEY, "key");
+    cell_report_bad_row (cell, row, CELL_ROW_KEY, "key");
   else if (is_cancel)
     cancel_row (cell, id);
   else if (cell_job_find (cell, row->key) == NULL
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -168,7 +168,7 @@
   if (job == NULL)
     return;
   unwatch (cell, job);
-  cell_losses_forget (cell, job);
+  cell_loss_list_remove (cell, job);
   for (uint32_t i = 0; i < job->stage_count; i++)
     cell_stage_free (cell, job->stage[i]);
   free (job->stage);
@@ -277,7 +277,7 @@
     return;
   if (job->cancelled || job->failed)
     {
-      if (job->bookings == 0 && cell_all_heard (cell))
+      if (job->bookings == 0 && cell_all_workers_confirmed (cell))
         end_job (cell, job,
                  job->cancelled ? MUX_JOB_CANCELLED : MUX_JOB_FAILED);
       return;
@@ -432,7 +432,7 @@
 
   if (job != NULL)
     {
-      if (!cell_caller_may_know (caller, job->spec->workspace))
+      if (!cell_caller_may_see (caller, job->spec->workspace))
         return false;
       *state = job->end_stored  ? job->end
                : job->cancelled ? MUX_JOB_CANCELLED
@@ -441,7 +441,7 @@
       return true;
     }
   HASH_FIND_STR (cell->ended, id, ended);
-  if (ended == NULL || !cell_caller_may_know (caller, ended->workspace))
+  if (ended == NULL || !cell_caller_may_see (caller, ended->workspace))
     return false;
   *state = ended->state;
   return true;
--- a/src/cell/late.c
+++ b/src/cell/late.c
@@ -53,7 +53,7 @@
 {
   const CellAnswers *answers = &cell->answers;
 
-  if (cell->role != CELL_PLANNING || !cell_calls_are_carried (cell)
+  if (cell->role != CELL_PLANNING || !cell_uses_proxies (cell)
       || answers->count < ANSWERS_LEAST
       || cell->time.now_ms - answers->last_ms > ANSWERS_KEEP_MS)
     return 0;
@@ -79,7 +79,7 @@
 {
   if (cell->role == CELL_PLANNING)
     return cell_late_ms (cell);
-  return cell->time.now_ms - cell->planner_heard_ms < HEARD_MS
+  return cell->time.now_ms - cell->planner_last_contact_ms < HEARD_MS
              ? cell->planner_late_ms
              : 0;
 }
--- a/src/cell/late_start.c
+++ b/src/cell/late_start.c
@@ -28,7 +28,7 @@
 {
   const MuxQueueSpec *queue = &booking->task->stage->job->spec->queue;
 
-  return booking->worker->born_ms != 0 && !booking->began && !booking->confirmed
+  return booking->worker->started_ms != 0 && !booking->began && !booking->was_listed
          && !queue->approval.needed
          && cell->time.now_ms < booking->since_ms + over_ms ();
 }
@@ -36,9 +36,9 @@
 void
 cell_late_starts_of_former (MuxCell *cell, const CellWorker *worker)
 {
-  int64_t until_ms = cell->former.until_ms + over_ms ();
+  int64_t until_ms = cell->predecessor.until_ms + over_ms ();
 
-  if (worker->heard || worker->born_ms == 0)
+  if (worker->confirmed || worker->started_ms == 0)
     return;
   if (until_ms > cell->late_starts_until_ms)
     cell->late_starts_until_ms = until_ms;
--- a/src/cell/leave.c
+++ b/src/cell/leave.c
@@ -17,8 +17,8 @@
 static bool
 may_inherit (const MuxCell *cell, const CellMember *member)
 {
-  return member->table_ok && !member->stopping
-         && cell->time.heard_ms - member->heard_ms < HEARD_MS;
+  return member->store_available && !member->stopping
+         && cell->time.heard_ms - member->last_contact_ms < HEARD_MS;
 }
 
 /* The strongest member, and of these the youngest: where daemons are restarted
@@ -33,10 +33,10 @@
 
   HASH_ITER (hh, cell->members, member, next)
   {
-    if (!may_inherit (cell, member) || member->strength_milli < least_milli)
+    if (!may_inherit (cell, member) || member->cpu_share_milli < least_milli)
       continue;
-    if (best == NULL || member->strength_milli > best->strength_milli
-        || (member->strength_milli == best->strength_milli
+    if (best == NULL || member->cpu_share_milli > best->cpu_share_milli
+        || (member->cpu_share_milli == best->cpu_share_milli
             && member->incarnation > best->incarnation))
       best = member;
   }
@@ -51,18 +51,18 @@
   json_t *row = json_pack (
       "{s:s, s:s, s:s, s:I, s:I, s:i}", "name", "", "addr", "", "heir",
       heir != NULL ? heir->name : "", "incarnation", (json_int_t) 0, "gave_up",
-      (json_int_t) cell->term, "term", (int) cell->claim.term);
+      (json_int_t) cell->term, "term", (int) cell->claim.term_count);
   bool sent = cell_write_claim (
-      cell, cell_former_tell (cell, row, cell_former_left_ms (cell)), done);
+      cell, cell_predecessors_to_json (cell, row, cell_predecessors_left_ms (cell)), done);
 
-  cell->leaving = cell->leaving || sent;
+  cell->claim_releasing = cell->claim_releasing || sent;
   return sent;
 }
 
 void
 cell_yield_begin (MuxCell *cell)
 {
-  cell->yielding = false;
+  cell->yield_busy = false;
   cell->yield_after_ms = cell->time.now_ms + YIELD_AFTER_MS;
 }
 
@@ -78,9 +78,9 @@
   cell_yield_begin (cell);
   /* It may still be carried out, unless another claim comes before it. */
   if (reply->status == MUX_CELL_OK || reply->status == MUX_CELL_UNKNOWN)
-    cell_depose (cell, "yielded");
+    cell_step_down (cell, "yielded");
   else if (!cell->stopping)
-    cell->leaving = false;
+    cell->claim_releasing = false;
 }
 
 /*
@@ -94,12 +94,12 @@
 {
   const CellMember *heir;
 
-  if (cell->yielding || cell->time.now_ms < cell->yield_after_ms)
+  if (cell->yield_busy || cell->time.now_ms < cell->yield_after_ms)
     return;
   heir = choose_heir (cell, YIELD_FACTOR * cell->options.strength_milli);
   cell->yield_after_ms = cell->time.now_ms + YIELD_LOOK_MS;
   if (heir != NULL)
-    cell->yielding = leave_claim (cell, heir, yielded);
+    cell->yield_busy = leave_claim (cell, heir, yielded);
 }
 
 static void
@@ -110,19 +110,19 @@
   (void) pending;
   cell_log (cell, "claim_given_up", "{s:s}", "status",
             mux_cell_status_name (reply->status));
-  cell->gave_up = true;
-  cell_depose (cell, "stopping");
+  cell->claim_released = true;
+  cell_step_down (cell, "stopping");
 }
 
 void
-cell_give_up_claim (MuxCell *cell)
+cell_release_claim (MuxCell *cell)
 {
   if (cell->role == CELL_FOLLOWER)
     {
-      cell->gave_up = true;
+      cell->claim_released = true;
       return;
     }
   if (!leave_claim (cell, choose_heir (cell, cell->options.strength_milli),
                     claim_left))
-    cell->gave_up = true;
+    cell->claim_released = true;
 }
--- a/src/cell/life.c
+++ b/src/cell/life.c
@@ -18,70 +18,70 @@
  */
 
 bool
-cell_life_join (MuxCell *cell, CellWorker *worker)
+cell_incarnation_add (MuxCell *cell, CellWorker *worker)
 {
   char id[MUX_NAME_LEN];
-  CellLives *lives;
+  CellIncarnations *lives;
 
   mux_life_id (id, worker->info.id);
-  HASH_FIND_STR (cell->lives, id, lives);
+  HASH_FIND_STR (cell->incarnations, id, lives);
   if (lives == NULL)
     {
       lives = calloc (1, sizeof *lives);
       if (lives == NULL)
         return false;
       snprintf (lives->id, sizeof lives->id, "%s", id);
-      HASH_ADD_STR (cell->lives, id, lives);
+      HASH_ADD_STR (cell->incarnations, id, lives);
     }
-  worker->lives = lives;
-  DL_APPEND2 (lives->life, worker, lives_prev, lives_next);
+  worker->incarnations = lives;
+  DL_APPEND2 (lives->incarnation, worker, incarnations_prev, incarnations_next);
   return true;
 }
 
 void
-cell_life_leave (MuxCell *cell, CellWorker *worker)
+cell_incarnation_remove (MuxCell *cell, CellWorker *worker)
 {
-  CellLives *lives = worker->lives;
+  CellIncarnations *lives = worker->incarnations;
 
-  DL_DELETE2 (lives->life, worker, lives_prev, lives_next);
-  if (lives->life != NULL)
+  DL_DELETE2 (lives->incarnation, worker, incarnations_prev, incarnations_next);
+  if (lives->incarnation != NULL)
     return;
-  HASH_DEL (cell->lives, lives);
+  HASH_DEL (cell->incarnations, lives);
   free (lives);
 }
 
-static CellLives *
+static CellIncarnations *
 lives_of (MuxCell *cell, const char *id)
 {
-  CellLives *lives;
+  CellIncarnations *lives;
 
-  HASH_FIND_STR (cell->lives, id, lives);
+  HASH_FIND_STR (cell->incarnations, id, lives);
   return lives;
 }
 
 bool
-cell_life_is_outdated (MuxCell *cell, const char *id, uint64_t born_ms)
+cell_incarnation_is_outdated (MuxCell *cell, const char *id, uint64_t born_ms)
 {
-  const CellLives *lives = lives_of (cell, id);
+  const CellIncarnations *lives = lives_of (cell, id);
   const CellWorker *life;
 
   if (lives == NULL)
     return false;
-  DL_FOREACH2 (lives->life, life, lives_next)
-  if (life->heard && life->born_ms > born_ms)
+  DL_FOREACH2 (lives->incarnation, life, incarnations_next)
+  if (life->confirmed && life->started_ms > born_ms)
     return true;
   return false;
 }
 
 void
-cell_lives_unlist (MuxCell *cell, const char *id, const CellWorker *but)
+cell_incarnations_unlist (MuxCell *cell, const char *id, const CellWorker *but)
 {
-  const CellLives *lives = lives_of (cell, id);
+  const CellIncarnations *lives = lives_of (cell, id);
   CellWorker *life;
 
   if (lives == NULL)
     return;
-  DL_FOREACH2 (lives->life, life, lives_next)
+  DL_FOREACH2 (lives->incarnation, life, incarnations_next)
   if (life != but && life->listed)
     {
       cell_worker_unlist (cell, life);
@@ -99,10 +99,10 @@
   DL_DELETE (from->bookings, booking);
   from->stops -= booking->stop_at_ms != 0;
   cell_room_give (from, stage);
-  if (booking->former == NULL)
+  if (booking->previous_incarnation == NULL)
     {
-      booking->former = strdup (from->info.id);
-      booking->former_span = cell_run_span (cell, booking);
+      booking->previous_incarnation = strdup (from->info.id);
+      booking->previous_span = cell_run_span (cell, booking);
     }
   booking->worker = to;
   booking->stop_clock_ms = 0;
@@ -119,7 +119,7 @@
   CellBooking *next;
 
   DL_FOREACH_SAFE (from->bookings, booking, next)
-  if (!booking->confirmed)
+  if (!booking->was_listed)
     {
       move_booking (cell, booking, to);
       /* A next planner looks for it there. */
@@ -133,25 +133,25 @@
   const CellBooking *booking;
 
   DL_FOREACH (life->bookings, booking)
-  if (booking->former != NULL && !booking->confirmed
-      && strcmp (booking->former, former) == 0)
+  if (booking->previous_incarnation != NULL && !booking->was_listed
+      && strcmp (booking->previous_incarnation, former) == 0)
     return true;
   return false;
 }
 
 bool
-cell_life_is_unsettled (const CellWorker *worker)
+cell_incarnation_is_unresolved (const CellWorker *worker)
 {
   const CellWorker *life;
 
-  DL_FOREACH2 (worker->lives->life, life, lives_next)
+  DL_FOREACH2 (worker->incarnations->incarnation, life, incarnations_next)
   if (has_run_of (life, worker->info.id))
     return true;
   return false;
 }
 
 void
-cell_life_settled (MuxCell *cell, const char *life)
+cell_incarnation_resolved (MuxCell *cell, const char *life)
 {
   CellWorker *worker = cell_worker_find (cell, life);
 
@@ -170,23 +170,23 @@
 }
 
 void
-cell_lives_end (MuxCell *cell, CellWorker *worker)
+cell_incarnations_end_earlier (MuxCell *cell, CellWorker *worker)
 {
   CellWorker *life;
 
-  DL_FOREACH2 (worker->lives->life, life, lives_next)
+  DL_FOREACH2 (worker->incarnations->incarnation, life, incarnations_next)
   if ((!life->dead || life->bookings != NULL)
-      && life->born_ms < worker->born_ms)
+      && life->started_ms < worker->started_ms)
     end_life (cell, life, worker);
 }
 
 CellWorker *
-cell_life_next (MuxCell *cell, const CellWorker *former, uint64_t born_ms)
+cell_incarnation_next (MuxCell *cell, const CellWorker *former, uint64_t born_ms)
 {
   char life[MUX_NAME_LEN];
   CellWorker *worker;
 
-  if (!mux_life_name (life, former->lives->id, born_ms))
+  if (!mux_life_name (life, former->incarnations->id, born_ms))
     return NULL;
   worker = cell_worker_find (cell, life);
   if (worker != NULL)
@@ -195,7 +195,7 @@
   if (worker == NULL)
     return NULL;
   /* Its own entry tells the rest; until then nothing starts there. */
-  cell_worker_take_entry (worker, &former->info);
+  cell_worker_set_info (worker, &former->info);
   worker->unlisted_ms = cell->time.now_ms;
   cell_log (cell, "worker_started_again", "{s:s, s:s, s:s}", "worker", life,
             "former", former->info.id, "addr", worker->info.addr);
@@ -203,12 +203,12 @@
 }
 
 void
-cell_life_listed_runs (MuxCell *cell, CellWorker *worker)
+cell_incarnation_runs_listed (MuxCell *cell, CellWorker *worker)
 {
   CellBooking *booking;
   CellBooking *next;
 
   DL_FOREACH_SAFE (worker->bookings, booking, next)
-  if (!booking->confirmed)
+  if (!booking->was_listed)
     cell_stop_booking (cell, booking);
 }
--- a/src/cell/load.c
+++ b/src/cell/load.c
@@ -67,9 +67,9 @@
 void
 cell_fence_add (const MuxCell *cell, const CellPart *part, MuxCellCall *call)
 {
-  cell_expect (call, MUX_TABLE_FENCE, CELL_FENCE_KEY, part->fence_version);
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_FENCE, CELL_FENCE_KEY)->value
-      = cell_json_blob (json_pack ("{s:I}", "term", (json_int_t) cell->term));
+  cell_call_expect (call, MUX_TABLE_FENCE, CELL_FENCE_KEY, part->fence_version);
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_FENCE, CELL_FENCE_KEY)->value
+      = cell_blob_from_json (json_pack ("{s:I}", "term", (json_int_t) cell->term));
 }
 
 /* Both rows in one commit: from then on no former planner can store progress,
@@ -83,8 +83,8 @@
   if (call == NULL)
     return;
   cell_fence_add (cell, part, call);
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_FENCE, CELL_TERM_KEY)->value
-      = cell_json_blob (json_pack ("{s:I}", "term", (json_int_t) cell->term));
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_FENCE, CELL_TERM_KEY)->value
+      = cell_blob_from_json (json_pack ("{s:I}", "term", (json_int_t) cell->term));
   part->reading_fence = cell_call (cell, call, &pending);
 }
 
@@ -103,7 +103,7 @@
   bool sound = term > 0 && (uint64_t) term <= row->version;
 
   if (json != NULL && !sound)
-    cell_row_bad (cell, row, CELL_ROW_FIELD, "term");
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD, "term");
   json_decref (json);
   if (sound)
     return (uint64_t) term;
@@ -116,7 +116,7 @@
 static bool
 is_own_term (const MuxCell *cell, const MuxCellRow *row)
 {
-  json_t *json = row != NULL ? cell_blob_json (row->value) : NULL;
+  json_t *json = row != NULL ? cell_json_from_blob (row->value) : NULL;
   json_int_t term = json_integer_value (json_object_get (json, "term"));
 
   json_decref (json);
@@ -129,8 +129,8 @@
             const MuxCellReply *reply)
 {
   CellPart *part = &cell->part[pending->part];
-  const MuxCellRow *fence = cell_reply_row (reply, CELL_FENCE_KEY);
-  const MuxCellRow *term_row = cell_reply_row (reply, CELL_TERM_KEY);
+  const MuxCellRow *fence = cell_reply_find_row (reply, CELL_FENCE_KEY);
+  const MuxCellRow *term_row = cell_reply_find_row (reply, CELL_TERM_KEY);
   uint64_t term;
 
   part->reading_fence = false;
@@ -144,7 +144,7 @@
   term = fence != NULL ? fence_term (cell, fence) : 0;
   if (term > cell->term)
     {
-      cell_depose (cell, "fenced");
+      cell_step_down (cell, "fenced");
       return;
     }
   part->fence_version = fence != NULL ? fence->version : 0;
@@ -261,7 +261,7 @@
   CellJob *next;
 
   cell->role = CELL_PLANNING;
-  cell->heard_at_ms = -1; /* the roster may just have been read */
+  cell->all_confirmed_at_ms = -1; /* the roster may just have been read */
   cell->planning_began_ms = cell->time.now_ms;
   mux_count (cell->options.counters, MUX_COUNT_TERMS, 1);
   mux_observe (cell->options.counters, MUX_HIST_TAKEOVER,
--- a/src/cell/load_line.c
+++ b/src/cell/load_line.c
@@ -89,14 +89,14 @@
 }
 
 void
-cell_load_line_tick (MuxCell *cell)
+cell_load_log_tick (MuxCell *cell)
 {
   Room room;
 
-  if (cell->time.now_ms < cell->next_load_line_ms || !cell_may_order (cell)
+  if (cell->time.now_ms < cell->next_load_log_ms || !cell_is_active_planner (cell)
       || cell->order.planned.root == NULL)
     return;
-  cell->next_load_line_ms = cell->time.now_ms + LINE_MS;
+  cell->next_load_log_ms = cell->time.now_ms + LINE_MS;
   room = room_of (cell);
   mux_count (cell->options.counters, MUX_COUNT_KEPT_IDLE,
              room.held + room.kept_idle);
--- a/src/cell/loss.c
+++ b/src/cell/loss.c
@@ -35,12 +35,12 @@
 static void
 count_in_outage (CellLosses *losses, const CellLoss *loss, bool is_old)
 {
-  if (loss->began && (loss->ended || is_old))
+  if (loss->began && (loss->worker_ended || is_old))
     losses->crashed_in_outages++;
   else if (loss->began)
     losses->unreachable_in_outages++;
-  else if (loss->recorded || !is_old)
-    losses->untold_in_outages++;
+  else if (loss->from_predecessor || !is_old)
+    losses->unconfirmed_in_outages++;
 }
 
 static void
@@ -48,20 +48,20 @@
 {
   bool is_old = now_wall_ms - loss->at_wall_ms > GONE_MS;
 
-  if (loss->open)
+  if (loss->outcome_unknown)
     return;
-  losses->recorded += loss->recorded;
+  losses->from_predecessor += loss->from_predecessor;
   if (loss->in_outage)
     count_in_outage (losses, loss, is_old);
-  else if (!loss->ended && !is_old)
+  else if (!loss->worker_ended && !is_old)
     {
       losses->unreachable++;
-      losses->unreachable_recorded += loss->recorded;
+      losses->unreachable_from_predecessor += loss->from_predecessor;
     }
   else if (loss->began)
     losses->crashed++;
-  else if (loss->recorded || !is_old)
-    losses->untold++;
+  else if (loss->from_predecessor || !is_old)
+    losses->unconfirmed++;
 }
 
 CellLosses
@@ -79,8 +79,8 @@
 are_many (const CellLosses *losses)
 {
   uint32_t all = losses->crashed + losses->crashed_in_outages;
-  uint32_t untold = losses->untold + losses->untold_in_outages;
-  uint32_t most = losses->recorded > 0 ? LOSSES_MAX - 1 : LOSSES_MAX;
+  uint32_t untold = losses->unconfirmed + losses->unconfirmed_in_outages;
+  uint32_t most = losses->from_predecessor > 0 ? LOSSES_MAX - 1 : LOSSES_MAX;
 
   return all >= most || (all >= most - 1 && all + untold >= most);
 }
@@ -91,7 +91,7 @@
   return losses->crashed * CRASH_WEIGHT + losses->crashed_in_outages
              >= WEIGHT_MAX
          || (losses->crashed >= CRASHES_SURE
-             && losses->crashed + losses->untold >= LOSSES_MAX)
+             && losses->crashed + losses->unconfirmed >= LOSSES_MAX)
          || are_many (losses);
 }
 
@@ -103,7 +103,7 @@
   int64_t last = 0;
 
   for (uint32_t i = 0; i < task->loss_count; i++)
-    if (!task->loss[i].open && task->loss[i].at_wall_ms > last)
+    if (!task->loss[i].outcome_unknown && task->loss[i].at_wall_ms > last)
       last = task->loss[i].at_wall_ms;
   return cell->time.wall_ms - last;
 }
@@ -120,7 +120,7 @@
 }
 
 bool
-cell_losses_give_up (const MuxCell *cell, const CellTask *task)
+cell_losses_exceeded (const MuxCell *cell, const CellTask *task)
 {
   CellLosses losses = cell_task_losses (cell, task);
 
@@ -132,7 +132,7 @@
 may_be_enough (const CellLosses *losses)
 {
   CellLosses worst = *losses;
-  uint32_t untold = losses->untold + losses->untold_in_outages;
+  uint32_t untold = losses->unconfirmed + losses->unconfirmed_in_outages;
   uint32_t began;
 
   worst.crashed += losses->unreachable;
@@ -143,10 +143,10 @@
 }
 
 bool
-cell_losses_allow (const MuxCell *cell, const CellTask *task)
+cell_losses_allow_start (const MuxCell *cell, const CellTask *task)
 {
   CellLosses losses = cell_task_losses (cell, task);
-  uint32_t all = losses.crashed + losses.untold + losses.unreachable;
+  uint32_t all = losses.crashed + losses.unconfirmed + losses.unreachable;
   int64_t since_ms = since_last_ms (cell, task);
 
   if (are_enough (&losses))
@@ -158,15 +158,15 @@
   if (may_be_enough (&losses))
     return since_ms > TOLD_MS;
   return losses.crashed_in_outages + losses.unreachable_in_outages
-                 + losses.untold_in_outages
+                 + losses.unconfirmed_in_outages
              < OUTAGES_SURE
-         || cell_is_calm (cell) || since_ms > OUTAGE_PAUSE_MS;
+         || cell_workers_are_stable (cell) || since_ms > OUTAGE_PAUSE_MS;
 }
 
 bool
-cell_life_acquits (const CellTask *task, int64_t lived_ms)
+cell_run_clears_task (const CellTask *task, int64_t lived_ms)
 {
-  if (task->loss_count == 0 || cell_run_is_young (lived_ms))
+  if (task->loss_count == 0 || cell_run_was_short (lived_ms))
     return false;
   for (uint32_t i = 0; i < task->loss_count; i++)
     if (lived_ms < LIFE_FACTOR * task->loss[i].lived_ms)
--- a/src/cell/member.c
+++ b/src/cell/member.c
@@ -23,12 +23,12 @@
     return NULL;
   snprintf (member->name, sizeof member->name, "%s", name);
   HASH_ADD_STR (cell->members, name, member);
-  cell_member_asks (cell, member, 0);
+  cell_member_set_query (cell, member, 0);
   return member;
 }
 
 void
-cell_member_asks (MuxCell *cell, CellMember *member, uint64_t number)
+cell_member_set_query (MuxCell *cell, CellMember *member, uint64_t number)
 {
   member->asking = number;
   if (member->is_free == (number == 0))
@@ -56,7 +56,7 @@
 }
 
 bool
-cell_member_heard (MuxCell *cell, const MuxPeerMsg *msg)
+cell_member_hello_received (MuxCell *cell, const MuxPeerMsg *msg)
 {
   CellMember *member = cell_member_find (cell, msg->from);
 
@@ -70,7 +70,7 @@
   /* One that was overtaken says what is true no more. */
   if (msg->from_incarnation < member->incarnation
       || (msg->from_incarnation == member->incarnation && msg->call != 0
-          && msg->call <= member->greeting))
+          && msg->call <= member->hello_number))
     return false;
   /* What its former process asked is lost with it, answer and all: the step
    * asks anew at once. */
@@ -78,11 +78,11 @@
     cell_took_answer (cell, member->asking, false, NULL, 0, 0);
   snprintf (member->addr, sizeof member->addr, "%s", msg->from_addr);
   member->incarnation = msg->from_incarnation;
-  member->greeting = msg->call;
-  member->heard_ms = cell->time.heard_ms;
-  member->table_ok = msg->table_ok;
-  member->strength_milli = msg->strength_milli;
+  member->hello_number = msg->call;
+  member->last_contact_ms = cell->time.heard_ms;
+  member->store_available = msg->table_ok;
+  member->cpu_share_milli = msg->strength_milli;
   member->stopping = msg->stopping;
-  cell_day_heard (cell, member, msg->wall_ms);
+  cell_member_set_wall_time (cell, member, msg->wall_ms);
   return true;
 }
--- a/src/cell/named_row.c
+++ b/src/cell/named_row.c
@@ -66,11 +66,11 @@
         return NULL;
       named += spec->step[i].named_count;
     }
-  return named > 0 ? cell_json_blob (mux_job_to_json (spec)) : NULL;
+  return named > 0 ? cell_blob_from_json (mux_job_to_json (spec)) : NULL;
 }
 
 MuxBlob *
-cell_named_row (MuxCell *cell, const MuxBlob *value)
+cell_row_with_candidates (MuxCell *cell, const MuxBlob *value)
 {
   MuxFindings findings = { .count = 0, .dropped = 0 };
   MuxBlob *row = NULL;
@@ -80,7 +80,7 @@
 
   if (cell->commit_took_ms < SLOW_COMMIT_MS)
     return NULL;
-  json = cell_blob_json (value);
+  json = cell_json_from_blob (value);
   spec = mux_job_from_json (json, &findings);
   json_decref (json);
   if (spec == NULL)
--- a/src/cell/occurrence.c
+++ b/src/cell/occurrence.c
@@ -50,7 +50,7 @@
 }
 
 bool
-cell_is_due (const MuxCell *cell, const CellJob *job, uint32_t occurrence)
+cell_occurrence_is_due (const MuxCell *cell, const CellJob *job, uint32_t occurrence)
 {
   return job->spec->repetitions == 0
          || until_due_ms (cell, job, occurrence) <= 0;
@@ -110,7 +110,7 @@
 }
 
 void
-cell_job_occurrences (MuxCell *cell, CellJob *job, uint32_t count)
+cell_occurrences_restore (MuxCell *cell, CellJob *job, uint32_t count)
 {
   while (cell_occurrences_left (job) && job->next_occurrence < count
          && add_next (cell, job))
@@ -125,5 +125,5 @@
 cell_occurrence_is_early (const MuxCell *cell, const CellJob *job)
 {
   return job->next_occurrence > 0
-         && !cell_is_due (cell, job, job->next_occurrence - 1);
+         && !cell_occurrence_is_due (cell, job, job->next_occurrence - 1);
 }
--- a/src/cell/outage.c
+++ b/src/cell/outage.c
@@ -31,14 +31,14 @@
 }
 
 void
-cell_outage_note (MuxCell *cell, const CellWorker *worker)
+cell_outage_record (MuxCell *cell, const CellWorker *worker)
 {
-  CellDown *down = &cell->down[cell->down_next++ % CELL_DOWN_MAX];
+  CellDownEvent *down = &cell->down[cell->down_next++ % CELL_DOWN_MAX];
 
-  *down = (CellDown){ .addr = mux_hash_name (worker->info.addr, 0),
+  *down = (CellDownEvent){ .addr = mux_hash_name (worker->info.addr, 0),
                       .rack = rack_of (&worker->info),
                       .from_ms = worker->clock_at_ms,
-                      .to_ms = worker->went_ms,
+                      .to_ms = worker->down_before_ms,
                       .at_ms = cell->time.now_ms };
 }
 
@@ -63,9 +63,9 @@
                   const CellWorker *worker,
                   int64_t from_ms)
 {
-  bool went = (worker->dead || worker->lost_ms != 0) && worker->went_ms != 0;
+  bool went = (worker->dead || worker->unreachable_since_ms != 0) && worker->down_before_ms != 0;
   CellLossSpan span = { .from_ms = from_ms,
-                        .to_ms = went ? worker->went_ms : cell->time.now_ms,
+                        .to_ms = went ? worker->down_before_ms : cell->time.now_ms,
                         .rack = rack_of (&worker->info) };
 
   count_workers (cell, &span);
@@ -118,7 +118,7 @@
     {
       const CellLoss *loss = &task->loss[i];
 
-      if (!loss->open && loss->lived_ms < YOUNG_MS
+      if (!loss->outcome_unknown && loss->lived_ms < YOUNG_MS
           && (loss->span.to_ms == 0 || loss->span.to_ms >= from_ms))
         put (list, mux_hash_name (loss->addr, 0));
     }
@@ -150,9 +150,9 @@
 }
 
 bool
-cell_is_calm (const MuxCell *cell)
+cell_workers_are_stable (const MuxCell *cell)
 {
-  const CellDown *last = &cell->down[(cell->down_next - 1) % CELL_DOWN_MAX];
+  const CellDownEvent *last = &cell->down[(cell->down_next - 1) % CELL_DOWN_MAX];
 
   return cell->down_next == 0 || cell->time.now_ms - last->to_ms > CALM_MS;
 }
@@ -173,7 +173,7 @@
   put_step (task->stage, span->from_ms, &own);
   for (uint32_t i = 1; i <= cell->down_next && i <= CELL_DOWN_MAX; i++)
     {
-      const CellDown *down = &cell->down[(cell->down_next - i) % CELL_DOWN_MAX];
+      const CellDownEvent *down = &cell->down[(cell->down_next - i) % CELL_DOWN_MAX];
 
       if (down->at_ms < span->from_ms)
         return false;
@@ -198,7 +198,7 @@
 }
 
 bool
-cell_run_is_young (int64_t lived_ms)
+cell_run_was_short (int64_t lived_ms)
 {
   return lived_ms < YOUNG_MS;
 }
--- a/src/cell/place.c
+++ b/src/cell/place.c
@@ -52,7 +52,7 @@
 cost_of (const MuxCell *cell, const CellTask *task, const CellWorker *worker)
 {
   const MuxStepSpec *spec = task->stage->spec;
-  int64_t cost = cell_suspicion (cell, task) > 0
+  int64_t cost = cell_suspected_crashes (cell, task) > 0
                      ? cell_suspect_cost (cell, task, worker)
                      : cell_worker_free (worker).cpu_milli;
 
@@ -85,7 +85,7 @@
 
   if (cell_worker_takes (cell, task->stage, worker) == 0)
     return;
-  if (!cell_worker_bears (cell, task, worker))
+  if (!cell_worker_accepts_suspect (cell, task, worker))
     {
       best->kept_apart = true;
       return;
--- a/src/cell/plan.c
+++ b/src/cell/plan.c
@@ -279,7 +279,7 @@
 bool
 cell_room_is_known (const MuxCell *cell)
 {
-  return cell_follow_is_known (cell, &cell->follow[FOLLOW_WORKERS]);
+  return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_WORKERS]);
 }
 
 /* A step of many tasks is looked at beyond the pass's limit, and may have
@@ -299,7 +299,7 @@
 {
   bool all = cell->time.now_ms >= cell->slow_pass_ms;
 
-  if (!cell_may_order (cell) || cell->stopping || cell->unconfirmed
+  if (!cell_is_active_planner (cell) || cell->stopping || cell->jobs_unverified
       || !cell_room_is_known (cell))
     return;
   if (cell->time.now_ms < cell->next_plan_ms && !cell->replan)
--- a/src/cell/progress.c
+++ b/src/cell/progress.c
@@ -135,8 +135,8 @@
     cell_unread_remove_row (call, job);
   if (!job->ended)
     {
-      cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, job->id)->value
-          = cell_json_blob (cell_progress_json (cell, job));
+      cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, job->id)->value
+          = cell_blob_from_json (cell_progress_json (cell, job));
       for (uint32_t i = 0; i < job->stage_count; i++)
         {
           cell_approvals_written (job->stage[i]);
@@ -144,14 +144,14 @@
         }
       return;
     }
-  cell_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_JOBS, job->id);
+  cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_JOBS, job->id);
   /* Also where no cancel is known: one may have been stored just now. */
   snprintf (cancel, sizeof cancel, "%s!", job->id);
-  cell_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_JOBS, cancel);
+  cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_JOBS, cancel);
   if (job->progress_stored)
-    cell_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS, job->id);
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_ENDED, job->id)->value
-      = cell_json_blob (end_json (cell, job));
+    cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS, job->id);
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_ENDED, job->id)->value
+      = cell_blob_from_json (end_json (cell, job));
 }
 
 static void
--- a/src/cell/progress_rows.c
+++ b/src/cell/progress_rows.c
@@ -327,12 +327,12 @@
   if (wrong != NULL)
     return wrong;
   job->started = json_is_true (json_object_get (json, "started"));
-  cell_job_occurrences (
+  cell_occurrences_restore (
       cell, job,
       (uint32_t) json_integer_value (json_object_get (json, "occurrences")));
   apply_done (job, done_before (job, json));
   json_array_foreach (stages, i, stage) apply_stage (job, stage);
-  cell_losses_note (cell, job);
+  cell_loss_list_add (cell, job);
   return NULL;
 }
 
@@ -350,7 +350,7 @@
   if (json != NULL)
     wrong = cell_progress_apply (cell, job, json);
   if (wrong != NULL)
-    cell_row_bad (cell, row, CELL_ROW_FIELD, wrong);
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD, wrong);
   job->progress_lost = json == NULL || wrong != NULL;
   cell_queue_update (cell, job);
   json_decref (json);
--- a/src/cell/proof.c
+++ b/src/cell/proof.c
@@ -11,32 +11,32 @@
 #define VERIFY_RETRY_MS 100
 
 void
-cell_proof_begin (MuxCell *cell)
+cell_heartbeat_begin (MuxCell *cell)
 {
-  cell->verifying = false;
-  cell->beating = false;
-  cell->unconfirmed = false;
-  cell->reading = false;
-  cell->confirming = false;
-  cell->trusted_ms = 0;
-  cell->leaving = false;
-  cell->next_beat_ms = cell->time.now_ms + BEAT_MS;
+  cell->claim_verify_busy = false;
+  cell->heartbeat_busy = false;
+  cell->jobs_unverified = false;
+  cell->jobs_rereading = false;
+  cell->claim_recheck_busy = false;
+  cell->claim_renewed_ms = 0;
+  cell->claim_releasing = false;
+  cell->next_heartbeat_ms = cell->time.now_ms + BEAT_MS;
 }
 
 bool
-cell_may_order (const MuxCell *cell)
+cell_is_active_planner (const MuxCell *cell)
 {
-  return cell->role == CELL_PLANNING && cell->verified_ms != 0 && !cell->leaving
-         && cell_claim_is_trusted (cell);
+  return cell->role == CELL_PLANNING && cell->claim_verified_ms != 0 && !cell->claim_releasing
+         && cell_claim_is_valid (cell);
 }
 
 /* What was asked before a doubt arose says nothing about it: an answer that
  * lay in a frozen instance's queue would end the doubt of its own pause. */
 void
-cell_verified (MuxCell *cell, int64_t at_ms)
+cell_claim_verified (MuxCell *cell, int64_t at_ms)
 {
-  if (at_ms > cell->verified_ms && at_ms >= cell->doubted_ms)
-    cell->verified_ms = at_ms;
+  if (at_ms > cell->claim_verified_ms && at_ms >= cell->claim_doubted_ms)
+    cell->claim_verified_ms = at_ms;
 }
 
 /*
@@ -44,20 +44,20 @@
  * read, and so knows the last of these proofs; it knows of no other.
  */
 void
-cell_trusted (MuxCell *cell, int64_t at_ms)
+cell_claim_renewed (MuxCell *cell, int64_t at_ms)
 {
-  cell_verified (cell, at_ms);
-  if (at_ms > cell->trusted_ms && at_ms >= cell->doubted_ms)
-    cell->trusted_ms = at_ms;
+  cell_claim_verified (cell, at_ms);
+  if (at_ms > cell->claim_renewed_ms && at_ms >= cell->claim_doubted_ms)
+    cell->claim_renewed_ms = at_ms;
 }
 
 void
 cell_claim_doubt (MuxCell *cell, const char *why)
 {
-  if (cell->verified_ms != 0)
+  if (cell->claim_verified_ms != 0)
     cell_log (cell, "claim_doubted", "{s:s}", "why", why);
-  cell->verified_ms = 0;
-  cell->doubted_ms = cell->time.now_ms;
+  cell->claim_verified_ms = 0;
+  cell->claim_doubted_ms = cell->time.now_ms;
 }
 
 static void
@@ -65,7 +65,7 @@
                const CellPending *pending,
                const MuxCellReply *reply)
 {
-  cell->verifying = false;
+  cell->claim_verify_busy = false;
   if (reply->status != MUX_CELL_OK || reply->row_count == 0)
     {
       cell->next_verify_ms = cell->time.now_ms + VERIFY_RETRY_MS;
@@ -77,19 +77,19 @@
 
       cell_claim_row (cell, row);
       if (cell->role != CELL_FOLLOWER && row->version == cell->term)
-        cell_verified (cell, pending->sent_ms);
+        cell_claim_verified (cell, pending->sent_ms);
     }
 }
 
 static void
 confirmed (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
 {
-  cell->confirming = false;
+  cell->claim_recheck_busy = false;
   claim_checked (cell, pending, reply);
   if (reply->status != MUX_CELL_OK || cell->term != pending->term
-      || pending->number != cell->readings || cell->reading)
+      || pending->number != cell->jobs_reread_count || cell->jobs_rereading)
     return;
-  cell->unconfirmed = false;
+  cell->jobs_unverified = false;
   cell->replan = true;
 }
 
@@ -105,27 +105,27 @@
 confirm (MuxCell *cell)
 {
   CellPending pending
-      = { .done = confirmed, .term = cell->term, .number = cell->readings };
+      = { .done = confirmed, .term = cell->term, .number = cell->jobs_reread_count };
 
-  cell->confirming
+  cell->claim_recheck_busy
       = cell_call (cell, cell_scan_call (MUX_TABLE_CLAIM, ""), &pending);
 }
 
 void
-cell_jobs_whole (MuxCell *cell, bool ended)
+cell_jobs_full_read (MuxCell *cell, bool ended)
 {
-  cell->unconfirmed = true;
-  cell->reading = !ended;
+  cell->jobs_unverified = true;
+  cell->jobs_rereading = !ended;
   if (!ended)
-    cell->readings++;
+    cell->jobs_reread_count++;
 }
 
 static void
 beaten (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
 {
-  cell->beating = false;
+  cell->heartbeat_busy = false;
   if (reply->status == MUX_CELL_OK)
-    cell_trusted (cell, pending->sent_ms);
+    cell_claim_renewed (cell, pending->sent_ms);
   else if (reply->status == MUX_CELL_CONFLICT)
     cell_claim_doubt (cell, "beat_conflict");
 }
@@ -143,13 +143,13 @@
   MuxCellCall *call = cell_commit_call ("", 2);
   CellPending pending = { .done = beaten, .term = cell->term };
 
-  cell->next_beat_ms = cell->time.now_ms + BEAT_MS;
+  cell->next_heartbeat_ms = cell->time.now_ms + BEAT_MS;
   if (call == NULL)
     return;
-  cell_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->term);
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_CLAIM, CELL_BEAT_KEY)->value
+  cell_call_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->term);
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_CLAIM, CELL_HEARTBEAT_KEY)->value
       = cell_admission_blob (cell);
-  cell->beating = cell_call (cell, call, &pending);
+  cell->heartbeat_busy = cell_call (cell, call, &pending);
 }
 
 static void
@@ -157,7 +157,7 @@
 {
   CellPending pending = { .done = claim_checked, .term = cell->term };
 
-  cell->verifying
+  cell->claim_verify_busy
       = cell_call (cell, cell_scan_call (MUX_TABLE_CLAIM, ""), &pending);
 }
 
@@ -168,23 +168,23 @@
  * between two ticks; nothing is ordered until the claim has been read again.
  */
 void
-cell_proof_tick (MuxCell *cell, int64_t paused_ms)
+cell_heartbeat_tick (MuxCell *cell, int64_t paused_ms)
 {
   int64_t now = cell->time.now_ms;
 
   if (paused_ms > CELL_PAUSE_MS)
     cell_claim_doubt (cell, "paused");
-  if (cell->verified_ms == 0)
+  if (cell->claim_verified_ms == 0)
     {
-      if (!cell->verifying && now >= cell->next_verify_ms)
+      if (!cell->claim_verify_busy && now >= cell->next_verify_ms)
         verify (cell);
     }
-  else if (!cell->beating
-           && (now >= cell->next_beat_ms || cell->trusted_ms == 0))
+  else if (!cell->heartbeat_busy
+           && (now >= cell->next_heartbeat_ms || cell->claim_renewed_ms == 0))
     beat (cell);
-  if (cell->unconfirmed && !cell->reading && !cell->confirming
+  if (cell->jobs_unverified && !cell->jobs_rereading && !cell->claim_recheck_busy
       && now >= cell->next_verify_ms)
     confirm (cell);
-  if (cell->verified_ms != 0)
+  if (cell->claim_verified_ms != 0)
     cell_yield_tick (cell);
 }
--- a/src/cell/question.c
+++ b/src/cell/question.c
@@ -35,7 +35,7 @@
 static MuxOutcome
 no_queue (const MuxCell *cell)
 {
-  return cell_follow_is_known (cell, &cell->follow[FOLLOW_CONFIG])
+  return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_CONFIG])
              ? MUX_OUTCOME_NO_QUEUE
              : MUX_OUTCOME_REFUSED;
 }
--- a/src/cell/quota.c
+++ b/src/cell/quota.c
@@ -178,7 +178,7 @@
   const CellWorker *worker;
 
   for (worker = cell->workers; worker != NULL; worker = worker->hh.next)
-    if (cell_worker_is_unheard (worker))
+    if (cell_worker_is_unconfirmed (worker))
       room = mux_quota_add (room, largest, 1);
   return room;
 }
@@ -219,7 +219,7 @@
 
   if (cell->workspaces == NULL || cell->quota_term == cell->term)
     return;
-  all_heard = cell_all_heard (cell);
+  all_heard = cell_all_workers_confirmed (cell);
   if (all_heard)
     cell->quota_term = cell->term;
   cell->unheard_room = (MuxQuota){ 0 };
--- a/src/cell/relay.c
+++ b/src/cell/relay.c
@@ -17,10 +17,10 @@
 #define HEARD_MS 800
 
 bool
-cell_planner_is_near (const MuxCell *cell)
+cell_planner_is_reachable (const MuxCell *cell)
 {
-  return cell->planner_welcome_ms != 0 && cell->planner_store_bad_ms == 0
-         && cell->time.now_ms - cell->planner_welcome_ms < HEARD_MS;
+  return cell->planner_hello_reply_ms != 0 && cell->planner_store_failing_ms == 0
+         && cell->time.now_ms - cell->planner_hello_reply_ms < HEARD_MS;
 }
 
 bool
@@ -29,9 +29,9 @@
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_SUBMIT_ASK, cell->claim.name);
 
   if (cell->role != CELL_FOLLOWER || cell->claim.incarnation == 0
-      || !cell_planner_is_near (cell))
+      || !cell_planner_is_reachable (cell))
     return false;
-  msg.call = cell_ask_number (cell, submission->call);
+  msg.call = cell_peer_request_id (cell, submission->call);
   msg.body = submission->value;
   submission->relayed = cell->options.sink->peer_send (cell->options.sink,
                                                        cell->claim.addr, &msg);
@@ -51,7 +51,7 @@
 void
 cell_relay_tick (MuxCell *cell, CellPart *part)
 {
-  bool near = cell_planner_is_near (cell);
+  bool near = cell_planner_is_reachable (cell);
   CellSubmission *submission;
   CellSubmission *next;
 
@@ -62,7 +62,7 @@
 }
 
 void
-cell_relay_told (MuxCell *cell,
+cell_relay_reply (MuxCell *cell,
                  const CellPart *part,
                  const CellSubmission *submission,
                  MuxOutcome outcome,
@@ -76,7 +76,7 @@
   msg.call = submission->call;
   msg.outcome = outcome;
   msg.retry_ms = submission->retry_ms;
-  msg.table_ok = cell_store_ok (cell);
+  msg.table_ok = cell_store_available (cell);
   (void) cell->options.sink->peer_send (cell->options.sink,
                                         submission->peer_addr, &msg);
 }
@@ -85,7 +85,7 @@
 take_asked (MuxCell *cell, const MuxPeerMsg *msg)
 {
   MuxFindings findings = { .count = 0, .dropped = 0 };
-  json_t *json = cell_blob_json (msg->body);
+  json_t *json = cell_json_from_blob (msg->body);
   MuxJobSpec *spec = mux_job_from_json (json, &findings);
   CellSubmission *submission = calloc (1, sizeof *submission);
 
@@ -125,7 +125,7 @@
 {
   CellPart *part = NULL;
   CellSubmission *submission
-      = find (cell, cell_call_asked (cell, msg->call), &part);
+      = find (cell, cell_peer_request_caller (cell, msg->call), &part);
 
   if (submission == NULL)
     return;
--- a/src/cell/renew.c
+++ b/src/cell/renew.c
@@ -33,13 +33,13 @@
 static bool
 knows_acks (const CellWorker *worker)
 {
-  return worker->acked == worker->seen && worker->acked_told == worker->acked;
+  return worker->acked == worker->seen && worker->acked_sent == worker->acked;
 }
 
 static bool
 is_idle (const MuxCell *cell, const CellWorker *worker)
 {
-  return worker->heard && worker->reachable && worker->bookings == NULL
+  return worker->confirmed && worker->reachable && worker->bookings == NULL
          && knows_acks (worker) && cell->time.now_ms < worker->idle_until_ms;
 }
 
@@ -63,13 +63,13 @@
   if (worker->reachable)
     cell_log (cell, "worker_lost", "{s:s, s:s}", "worker", worker->info.id,
               "status", mux_cell_status_name (status));
-  cell_call_otherwise (cell, worker);
+  cell_worker_reroute (cell, worker);
   worker->reachable = false;
-  if (worker->lost_ms == 0)
+  if (worker->unreachable_since_ms == 0)
     {
-      worker->lost_ms = cell->time.now_ms;
-      worker->went_ms = went_by_ms (cell, pending);
-      cell_outage_note (cell, worker);
+      worker->unreachable_since_ms = cell->time.now_ms;
+      worker->down_before_ms = went_by_ms (cell, pending);
+      cell_outage_record (cell, worker);
     }
   worker->next_renew_ms = cell->time.now_ms + CELL_RENEW_PAUSE_MS;
 }
@@ -77,13 +77,13 @@
 static void
 take_answer (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply)
 {
-  bool first = !worker->heard;
+  bool first = !worker->confirmed;
 
   if (!worker->reachable && !first)
     cell_log (cell, "worker_back", "{s:s}", "worker", worker->info.id);
   worker->reachable = true;
-  worker->lost_ms = 0;
-  worker->over_since_ms = 0;
+  worker->unreachable_since_ms = 0;
+  worker->lease_over_since_ms = 0;
   /* From when the answer came, not from when it is taken: a planner 2.5 s late
    * asked for leases so much shorter, and 44 of 80 tasks lapsed and ran again.
    */
@@ -93,11 +93,11 @@
       worker->clock_at_ms = cell->time.heard_ms;
     }
   if (first)
-    cell_lives_end (cell, worker);
+    cell_incarnations_end_earlier (cell, worker);
   if (first)
-    cell_lease_of_former (cell, worker);
+    cell_lease_of_predecessor (cell, worker);
   cell_lease_of_stale (cell, worker);
-  worker->heard = true;
+  worker->confirmed = true;
   /* While ends wait to be stored an answer does not wait for news: asked at
    * once again, a worker got 250 renewals a second. */
   worker->next_renew_ms
@@ -107,8 +107,8 @@
   cell_reports (cell, worker, reply);
   if (first)
     {
-      cell_life_listed_runs (cell, worker);
-      cell_losses_heard (cell, worker);
+      cell_incarnation_runs_listed (cell, worker);
+      cell_losses_worker_confirmed (cell, worker);
     }
   cell->replan = cell->replan || first;
 }
@@ -117,7 +117,7 @@
 static void
 take_other_life (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply)
 {
-  CellWorker *next = cell_life_next (cell, worker, reply->born_ms);
+  CellWorker *next = cell_incarnation_next (cell, worker, reply->born_ms);
 
   if (next != NULL && !next->dead)
     take_answer (cell, next, reply);
@@ -127,7 +127,7 @@
 static MuxCellStatus
 renewal_status (const CellWorker *worker, const MuxCellReply *reply)
 {
-  return reply->status == MUX_CELL_OK && reply->born_ms < worker->born_ms
+  return reply->status == MUX_CELL_OK && reply->born_ms < worker->started_ms
              ? MUX_CELL_UNKNOWN
              : reply->status;
 }
@@ -161,15 +161,15 @@
       not_renewed (cell, worker, pending, status);
       return;
     }
-  if (worker->born_ms == 0)
-    worker->born_ms = reply->born_ms;
-  if (reply->born_ms > worker->born_ms)
+  if (worker->started_ms == 0)
+    worker->started_ms = reply->born_ms;
+  if (reply->born_ms > worker->started_ms)
     {
       take_other_life (cell, worker, reply);
       return;
     }
-  if (pending->number > worker->acked_told)
-    worker->acked_told = pending->number;
+  if (pending->number > worker->acked_sent)
+    worker->acked_sent = pending->number;
   take_answer (cell, worker, reply);
 }
 
@@ -182,10 +182,10 @@
 static uint64_t
 acks_to_tell (const MuxCell *cell, const CellWorker *worker)
 {
-  bool fresh = worker->heard && worker->reachable
+  bool fresh = worker->confirmed && worker->reachable
                && cell->time.now_ms - worker->clock_at_ms <= ACK_FRESH_MS;
 
-  return worker->acked > worker->acked_told && fresh ? worker->acked : 0;
+  return worker->acked > worker->acked_sent && fresh ? worker->acked : 0;
 }
 
 static void
@@ -195,9 +195,9 @@
   CellPending pending = { .done = renewed,
                           .term = cell->term,
                           .number = acks_to_tell (cell, worker) };
-  bool waits = worker->heard && worker->reachable
+  bool waits = worker->confirmed && worker->reachable
                && worker->acked == worker->seen
-               && (worker->acked_told == worker->acked || pending.number != 0);
+               && (worker->acked_sent == worker->acked || pending.number != 0);
 
   if (call == NULL)
     return;
@@ -212,9 +212,9 @@
   /* An unanswered renewal may still arrive: asking for ever longer leases
    * would keep the tasks of a lost worker out of work for good.  None is asked
    * either while the roster may say when the last one ends. */
-  call->lease_until_ms = worker->heard && worker->reachable
-                                 && (worker->roster & CELL_ROSTER_MARKED) == 0
-                             ? cell_worker_lease (cell, worker)
+  call->lease_until_ms = worker->confirmed && worker->reachable
+                                 && (worker->roster & CELL_ROSTER_WITH_EXPIRY) == 0
+                             ? cell_worker_extend_lease (cell, worker)
                              : 0;
   worker->renewing = cell_worker_call (cell, worker, call, &pending);
   if (!worker->renewing)
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -41,8 +41,8 @@
   booking->began = true;
   if (booking->told_ms == 0)
     booking->told_ms = cell->time.heard_ms;
-  cell_loss_run_lives (cell, booking);
-  booking->confirmed = true;
+  cell_loss_run_listed (cell, booking);
+  booking->was_listed = true;
   booking->usage = report->usage;
   task->stage->job->started = true;
   cell_queue_update (cell, task->stage->job);
@@ -189,9 +189,9 @@
   CellTask *task = booking->task;
   uint32_t run = booking->run;
 
-  if (booking->former != NULL)
+  if (booking->previous_incarnation != NULL)
     {
-      cell_lose_settled (cell, booking);
+      cell_lose_resolved (cell, booking);
       return;
     }
   cell_unbook (cell, booking);
@@ -278,7 +278,7 @@
   if (job == NULL || job->ended || task->occurrence < job->next_occurrence
       || task->occurrence >= job->spec->repetitions)
     return;
-  cell_job_occurrences (cell, job, task->occurrence + 1);
+  cell_occurrences_restore (cell, job, task->occurrence + 1);
   cell_job_advance (cell, job);
 }
 
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -59,7 +59,7 @@
   int64_t over_ms = 0;
 
   if (json != NULL && wrong != NULL)
-    cell_row_bad (cell, row, CELL_ROW_FIELD, wrong);
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD, wrong);
   if (worker != NULL)
     worker->roster = CELL_ROSTER_NAMED;
   if (worker != NULL && wrong == NULL)
@@ -70,8 +70,8 @@
       /* Missing from the platform's list since now: it is asked for a while
        * before that counts. */
       worker->unlisted_ms = cell->time.now_ms;
-      worker->roster = over_ms != 0 ? CELL_ROSTER_MARKED : CELL_ROSTER_NAMED;
-      worker->over_ms
+      worker->roster = over_ms != 0 ? CELL_ROSTER_WITH_EXPIRY : CELL_ROSTER_NAMED;
+      worker->marked_expiry_ms
           = over_ms != 0 ? cell->time.now_ms + (over_ms - store_clock_ms) : 0;
     }
   json_decref (json);
@@ -93,7 +93,7 @@
     else if (mux_life_valid (reply->row[i].key))
       take_row (cell, &reply->row[i], reply->store_clock_ms);
     else
-      cell_row_bad (cell, &reply->row[i], CELL_ROW_KEY, "key");
+      cell_report_bad_row (cell, &reply->row[i], CELL_ROW_KEY, "key");
   cell->roster_loaded = !cell_next_page (cell->roster_from, reply);
   if (!cell->roster_loaded)
     cell->roster_next_ms = cell->time.now_ms;
@@ -136,7 +136,7 @@
 static bool
 wants_former_mark (const MuxCell *cell, const CellWorker *worker)
 {
-  return (worker->roster & CELL_ROSTER_NAMED) != 0 && worker->lost_ms != 0
+  return (worker->roster & CELL_ROSTER_NAMED) != 0 && worker->unreachable_since_ms != 0
          && cell->time.now_ms - cell->planning_began_ms > MARK_AFTER_MS
          && can_mark (cell, worker);
 }
@@ -150,21 +150,21 @@
   /* Until what was lost there is stored a next planner asks it, too. */
   if (worker->dead)
     return cell_stored_seq (cell) >= worker->store_seq
-                   && !cell_life_is_unsettled (worker)
+                   && !cell_incarnation_is_unresolved (worker)
                    && worker->bookings == NULL
-                   && (worker->heard || cell_late_starts_are_over (cell))
+                   && (worker->confirmed || cell_late_starts_are_over (cell))
                ? CELL_ROSTER_NONE
                : worker->roster;
-  if (!worker->heard)
-    return wants_former_mark (cell, worker) ? CELL_ROSTER_MARKED
+  if (!worker->confirmed)
+    return wants_former_mark (cell, worker) ? CELL_ROSTER_WITH_EXPIRY
                                             : worker->roster;
-  if (worker->lost_ms == 0)
+  if (worker->unreachable_since_ms == 0)
     return CELL_ROSTER_NAMED;
   if (worker->roster == CELL_ROSTER_NONE
-      || cell->time.now_ms - worker->lost_ms <= MARK_AFTER_MS
+      || cell->time.now_ms - worker->unreachable_since_ms <= MARK_AFTER_MS
       || !can_mark (cell, worker))
     return worker->roster;
-  return CELL_ROSTER_MARKED;
+  return CELL_ROSTER_WITH_EXPIRY;
 }
 
 /*
@@ -181,13 +181,13 @@
 
   HASH_ITER (hh, cell->workers, worker, next)
   {
-    if (worker->roster_asked == 0)
+    if (worker->roster_pending == 0)
       continue;
     if (status == MUX_CELL_OK)
-      worker->roster = worker->roster_asked;
+      worker->roster = worker->roster_pending;
     else if (status != MUX_CELL_UNKNOWN)
       worker->roster = worker->roster_before;
-    worker->roster_asked = 0;
+    worker->roster_pending = 0;
   }
 }
 
@@ -208,15 +208,15 @@
       return;
     }
   cell->roster_fence = reply->version;
-  cell_verified (cell, pending->sent_ms);
+  cell_claim_verified (cell, pending->sent_ms);
   cell->replan = true;
 }
 
 static int64_t
 lease_left (const MuxCell *cell, const CellWorker *worker)
 {
-  return worker->heard ? cell_worker_lease_left (cell, worker)
-                       : cell_former_lease_left (cell);
+  return worker->confirmed ? cell_worker_lease_left (cell, worker)
+                       : cell_predecessor_lease_left (cell);
 }
 
 /* The mark is a time of the store's clock, which all daemons can read. */
@@ -225,22 +225,22 @@
 {
   int64_t over_ms = 0;
 
-  if (worker->roster_asked == CELL_ROSTER_MARKED)
-    over_ms = cell_store_moment_ms (cell, lease_left (cell, worker));
-  return cell_json_blob (json_pack ("{s:s, s:I}", "addr", worker->info.addr,
+  if (worker->roster_pending == CELL_ROSTER_WITH_EXPIRY)
+    over_ms = cell_store_time_ms (cell, lease_left (cell, worker));
+  return cell_blob_from_json (json_pack ("{s:s, s:I}", "addr", worker->info.addr,
                                     "over_ms", (json_int_t) over_ms));
 }
 
 static void
 write_entry (MuxCell *cell, CellWorker *worker, MuxCellCall *call)
 {
-  worker->roster_asked = wanted (cell, worker);
+  worker->roster_pending = wanted (cell, worker);
   worker->roster_before = worker->roster;
-  worker->roster |= worker->roster_asked;
-  if (worker->roster_asked == CELL_ROSTER_NONE)
-    cell_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_ROSTER, worker->info.id);
+  worker->roster |= worker->roster_pending;
+  if (worker->roster_pending == CELL_ROSTER_NONE)
+    cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_ROSTER, worker->info.id);
   else
-    cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_ROSTER, worker->info.id)->value
+    cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_ROSTER, worker->info.id)->value
         = entry (cell, worker);
 }
 
@@ -268,9 +268,9 @@
 static void
 add_fence (const MuxCell *cell, MuxCellCall *call)
 {
-  cell_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->term);
-  cell_expect (call, MUX_TABLE_ROSTER, CELL_FENCE_KEY, cell->roster_fence);
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_ROSTER, CELL_FENCE_KEY)->value
+  cell_call_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->term);
+  cell_call_expect (call, MUX_TABLE_ROSTER, CELL_FENCE_KEY, cell->roster_fence);
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_ROSTER, CELL_FENCE_KEY)->value
       = mux_blob_new ("{}", 2);
 }
 
@@ -312,7 +312,7 @@
   if (call == NULL)
     return;
   snprintf (call->from, sizeof call->from, "%s", CELL_FENCE_KEY);
-  cell_key_behind (call->to, CELL_FENCE_KEY);
+  cell_key_after (call->to, CELL_FENCE_KEY);
   cell->roster_busy = cell_call (cell, call, &pending);
 }
 
--- a/src/cell/run.c
+++ b/src/cell/run.c
@@ -25,7 +25,7 @@
 uint32_t
 cell_next_run (const MuxCell *cell, uint32_t last)
 {
-  uint32_t base = (cell->claim.term - 1) * CELL_RUNS_PER_TERM + 1;
+  uint32_t base = (cell->claim.term_count - 1) * CELL_RUNS_PER_TERM + 1;
 
   return last + 1 > base ? last + 1 : base;
 }
@@ -65,7 +65,7 @@
   task->stage->job->bookings--;
   task->booking = NULL;
   cell->replan = true;
-  free (booking->former);
+  free (booking->previous_incarnation);
   free (booking);
 }
 
@@ -141,7 +141,7 @@
                  const MuxTaskRef *task,
                  uint32_t run)
 {
-  if (cell_may_order (cell))
+  if (cell_is_active_planner (cell))
     send_stop (cell, worker, task, run);
 }
 
@@ -164,7 +164,7 @@
 
   /* Each 4 ms for each worker: a look at all bookings of 350 of them took 7 %
    * of the planner's processor. */
-  if (worker->stops == 0 || !cell_may_order (cell))
+  if (worker->stops == 0 || !cell_is_active_planner (cell))
     return;
   DL_FOREACH (worker->bookings, booking)
   {
@@ -328,7 +328,7 @@
   call->task = pending.task;
   call->run = run;
   call->fence = cell->term;
-  call->lease_until_ms = cell_worker_lease (cell, worker);
+  call->lease_until_ms = cell_worker_extend_lease (cell, worker);
   call->payload = mux_blob_ref (task->stage->job->payload);
   call->timeout_ms = CELL_WORKER_TIMEOUT_MS;
   mux_count (cell->options.counters, MUX_COUNT_STARTS, 1);
--- a/src/cell/stage.c
+++ b/src/cell/stage.c
@@ -119,7 +119,7 @@
 {
   bool ready = stage->left > 0 && !stage->job->cancelled && !stage->job->failed
                && !stage->job->ended && steps_before_done (stage)
-               && cell_is_due (cell, stage->job, stage->occurrence);
+               && cell_occurrence_is_due (cell, stage->job, stage->occurrence);
 
   if (ready && stage->spec->gang)
     ready = cell_stage_gang_settled (stage);
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -100,7 +100,7 @@
                      const char *why)
 {
   if (submission->peer[0] != 0)
-    cell_relay_told (cell, part, submission, outcome, why);
+    cell_relay_reply (cell, part, submission, outcome, why);
   else
     tell_caller (cell, part, submission, outcome, why);
   DL_DELETE (part->submissions, submission);
@@ -177,7 +177,7 @@
   cell_admission_taken (cell, submission->job);
   if (submission->peer[0] == 0 && cell_relay (cell, submission))
     return;
-  if (!cell_store_ok (cell))
+  if (!cell_store_available (cell))
     cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED,
                          "store_away");
   else if (is_behind (part))
@@ -196,7 +196,7 @@
   job->accepted_wall_ms = cell->time.wall_ms;
   (void) mux_name_copy (job->data_centre, cell->options.data_centre);
   if (submission != NULL)
-    submission->value = cell_json_blob (mux_job_to_json (job));
+    submission->value = cell_blob_from_json (mux_job_to_json (job));
   if (submission == NULL || submission->value == NULL)
     {
       free (submission);
@@ -239,7 +239,7 @@
   CellCaller caller = { .is_bound = submission->job->workspace[0] != 0 };
 
   (void) mux_name_copy (caller.workspace, submission->job->workspace);
-  return !cell_row_is_of (row, &caller);
+  return !cell_row_is_visible_to (row, &caller);
 }
 
 /*
@@ -305,7 +305,7 @@
       cell_submission_end (cell, part, submission, MUX_OUTCOME_UNKNOWN,
                            "no_answer");
     else if (!submission->doubtful
-             && (now >= submission->give_up_ms || !cell_store_ok (cell)
+             && (now >= submission->give_up_ms || !cell_store_available (cell)
                  || (cell->store_failing_ms != 0
                      && now - cell->store_failing_ms >= GIVE_UP_MS)))
       cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED,
@@ -363,7 +363,7 @@
 name_workers (MuxCell *cell, CellSubmission *submission)
 {
   MuxBlob *named = cell->role == CELL_PLANNING
-                       ? cell_named_row (cell, submission->value)
+                       ? cell_row_with_candidates (cell, submission->value)
                        : NULL;
 
   mux_blob_unref (submission->row);
@@ -375,10 +375,10 @@
 {
   const char *id = submission->job->id;
 
-  cell_expect (call, MUX_TABLE_JOBS, id, 0);
-  cell_expect (call, MUX_TABLE_ENDED, id, 0);
+  cell_call_expect (call, MUX_TABLE_JOBS, id, 0);
+  cell_call_expect (call, MUX_TABLE_ENDED, id, 0);
   name_workers (cell, submission);
-  cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, id)->value
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, id)->value
       = mux_blob_ref (submission->row);
   submission->sent = true;
 }
@@ -426,7 +426,7 @@
     return;
   if (cell->role == CELL_PLANNING)
     {
-      cell_expect (call, MUX_TABLE_FENCE, CELL_TERM_KEY, part->term_version);
+      cell_call_expect (call, MUX_TABLE_FENCE, CELL_TERM_KEY, part->term_version);
       pending.number = cell->term;
     }
   call->timeout_ms = TIMEOUT_MS;
@@ -465,7 +465,7 @@
       if (part->submitting && cell->store_failing_ms == 0
           && cell->time.now_ms - part->submit_sent_ms > SLOW_MS
           && cell->time.now_ms - cell->store_served_ms > SLOW_MS)
-        cell_store_silent (cell, part->submit_sent_ms);
+        cell_store_timed_out (cell, part->submit_sent_ms);
       cell_relay_tick (cell, part);
       give_up_overdue (cell, part);
       if (!part->submitting && cell->time.now_ms >= part->next_submit_ms)
--- a/src/cell/suspect.c
+++ b/src/cell/suspect.c
@@ -28,14 +28,14 @@
 #define SAME_ADDR_COST 10000000
 
 uint32_t
-cell_suspicion (const MuxCell *cell, const CellTask *task)
+cell_suspected_crashes (const MuxCell *cell, const CellTask *task)
 {
   CellLosses losses;
 
   if (task->loss_count == 0)
     return 0;
   losses = cell_task_losses (cell, task);
-  return losses.crashed + losses.untold + losses.unreachable_recorded
+  return losses.crashed + losses.unconfirmed + losses.unreachable_from_predecessor
          + (losses.crashed_in_outages > 0);
 }
 
@@ -47,9 +47,9 @@
   if (task->loss_count == 0)
     return false;
   losses = cell_task_losses (cell, task);
-  return losses.crashed + losses.untold + losses.unreachable_recorded
+  return losses.crashed + losses.unconfirmed + losses.unreachable_from_predecessor
              + losses.crashed_in_outages + losses.unreachable_in_outages
-             + losses.untold_in_outages
+             + losses.unconfirmed_in_outages
          > 0;
 }
 
@@ -57,7 +57,7 @@
 cell_start_has_record (const CellTask *task)
 {
   for (uint32_t i = 0; i < task->loss_count; i++)
-    if (task->loss[i].open)
+    if (task->loss[i].outcome_unknown)
       return true;
   return false;
 }
@@ -65,7 +65,7 @@
 static bool
 is_on_trial (const MuxCell *cell, const CellBooking *booking)
 {
-  return cell_suspicion (cell, booking->task) > 0
+  return cell_suspected_crashes (cell, booking->task) > 0
          && (cell->time.now_ms - booking->since_ms < TRIAL_MS
              || !booking->worker->reachable);
 }
@@ -73,7 +73,7 @@
 static bool
 is_strong (const MuxCell *cell, const CellTask *task)
 {
-  return cell_suspicion (cell, task) >= STRONG_CRASHES;
+  return cell_suspected_crashes (cell, task) >= STRONG_CRASHES;
 }
 
 typedef struct
@@ -116,7 +116,7 @@
         add_trial (cell, task->booking, &trials);
       else if (task->state == CELL_TASK_WAITING)
         trials.strong_waiting
-            += is_strong (cell, task) && cell_losses_allow (cell, task);
+            += is_strong (cell, task) && cell_losses_allow_start (cell, task);
     }
   return trials;
 }
@@ -149,7 +149,7 @@
     {
       const CellLoss *loss = &task->loss[i];
 
-      if (loss->ended && loss->began && !loss->in_outage
+      if (loss->worker_ended && loss->began && !loss->in_outage
           && !is_among (list, *count, loss))
         list[(*count)++] = loss;
     }
@@ -184,7 +184,7 @@
 may_be_lost_again (const MuxCell *cell, const CellTask *task)
 {
   return task->loss_count == 0
-         || (cell_losses_allow (cell, task)
+         || (cell_losses_allow_start (cell, task)
              && (!cell_start_needs_record (cell, task) || is_stored (task)));
 }
 
@@ -196,7 +196,7 @@
 
   if (!may_be_lost_again (cell, task))
     return false;
-  if (cell_suspicion (cell, task) == 0)
+  if (cell_suspected_crashes (cell, task) == 0)
     return true;
   trials = trials_of (cell, task->stage);
   if (is_strong (cell, task))
@@ -215,13 +215,13 @@
 }
 
 bool
-cell_worker_bears (const MuxCell *cell,
+cell_worker_accepts_suspect (const MuxCell *cell,
                    const CellTask *task,
                    const CellWorker *worker)
 {
   Trials trials;
 
-  if (cell_suspicion (cell, task) == 0)
+  if (cell_suspected_crashes (cell, task) == 0)
     return true;
   trials = trials_at (cell, worker);
   return is_strong (cell, task) ? trials.all == 0 : trials.strong == 0;
@@ -241,7 +241,7 @@
 is_open_there (const CellTask *task, const CellWorker *worker)
 {
   for (uint32_t i = 0; i < task->loss_count; i++)
-    if (task->loss[i].open
+    if (task->loss[i].outcome_unknown
         && strcmp (task->loss[i].worker, worker->info.id) == 0)
       return true;
   return false;
--- a/src/cell/sweep.c
+++ b/src/cell/sweep.c
@@ -44,7 +44,7 @@
 static bool
 is_old (const MuxCell *cell, const MuxCellRow *row)
 {
-  json_t *json = cell_blob_json (row->value);
+  json_t *json = cell_json_from_blob (row->value);
   int64_t ended_ms
       = (int64_t) json_integer_value (json_object_get (json, "ended_ms"));
 
@@ -83,8 +83,8 @@
                                  2 * REMOVALS_MAX);
       if (call == NULL)
         return NULL;
-      cell_expect (call, MUX_TABLE_ENDED, row->key, row->version);
-      cell_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_ENDED, row->key);
+      cell_call_expect (call, MUX_TABLE_ENDED, row->key, row->version);
+      cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_ENDED, row->key);
       n++;
     }
   return call;
@@ -118,7 +118,7 @@
   CellPending pending = { .done = page_read, .term = cell->term };
   MuxCellCall *call;
 
-  if (!cell_may_order (cell) || sweep->busy
+  if (!cell_is_active_planner (cell) || sweep->busy
       || cell->time.now_ms < sweep->next_ms)
     return;
   call = cell_scan_call (MUX_TABLE_ENDED, cell->part[sweep->part].name);
--- a/src/cell/time_of_day.c
+++ b/src/cell/time_of_day.c
@@ -40,14 +40,14 @@
 static bool
 told_lately (const MuxCell *cell)
 {
-  return cell->day_told_ms != 0
-         && cell->time.now_ms - cell->day_told_ms < TOLD_MS;
+  return cell->wall_received_ms != 0
+         && cell->time.now_ms - cell->wall_received_ms < TOLD_MS;
 }
 
 static bool
 says (const MuxCell *cell, const CellMember *member)
 {
-  return member->day_known && cell->time.heard_ms - member->heard_ms < HEARD_MS;
+  return member->wall_known && cell->time.heard_ms - member->last_contact_ms < HEARD_MS;
 }
 
 /* Return: false when no other daemon has said anything. */
@@ -64,11 +64,11 @@
     return false;
   HASH_ITER (hh, cell->members, member, next)
   if (says (cell, member))
-    offset_ms[count++] = member->day_offset_ms;
+    offset_ms[count++] = member->wall_offset_ms;
   if (count > 0)
     {
       offset_ms[count++] = own_ms;
-      cell->day_offset_ms = median (offset_ms, count);
+      cell->wall_offset_ms = median (offset_ms, count);
     }
   free (offset_ms);
   return count > 0;
@@ -81,14 +81,14 @@
 
   if (cell->role != CELL_FOLLOWER)
     {
-      if (cell->time.now_ms < cell->next_day_look_ms)
+      if (cell->time.now_ms < cell->next_wall_check_ms)
         return;
-      cell->next_day_look_ms = cell->time.now_ms + LOOK_MS;
+      cell->next_wall_check_ms = cell->time.now_ms + LOOK_MS;
       if (ask_all (cell, own_ms))
         return;
     }
   if (!told_lately (cell))
-    cell->day_offset_ms = own_ms;
+    cell->wall_offset_ms = own_ms;
 }
 
 void
@@ -97,21 +97,21 @@
   cell->time = time;
   cell->own_wall_ms = time.wall_ms;
   look (cell);
-  cell->time.wall_ms = time.now_ms + cell->day_offset_ms;
+  cell->time.wall_ms = time.now_ms + cell->wall_offset_ms;
 }
 
 void
-cell_day_heard (const MuxCell *cell, CellMember *member, int64_t wall_ms)
+cell_member_set_wall_time (const MuxCell *cell, CellMember *member, int64_t wall_ms)
 {
-  member->day_known = wall_ms != 0;
-  member->day_offset_ms = wall_ms - cell->time.now_ms;
+  member->wall_known = wall_ms != 0;
+  member->wall_offset_ms = wall_ms - cell->time.now_ms;
 }
 
 void
-cell_day_told (MuxCell *cell, int64_t wall_ms)
+cell_planner_wall_time_received (MuxCell *cell, int64_t wall_ms)
 {
   if (wall_ms == 0 || cell->role != CELL_FOLLOWER)
     return;
-  cell->day_offset_ms = wall_ms - cell->time.now_ms;
-  cell->day_told_ms = cell->time.now_ms;
+  cell->wall_offset_ms = wall_ms - cell->time.now_ms;
+  cell->wall_received_ms = cell->time.now_ms;
 }
--- a/src/cell/trust.c
+++ b/src/cell/trust.c
@@ -29,31 +29,31 @@
   HASH_ITER (hh, cell->members, member, next)
   {
     if (member->incarnation == cell->options.incarnation
-        || member->heard_ms < cell->trusted_ms - MEMBER_MS)
+        || member->last_contact_ms < cell->claim_renewed_ms - MEMBER_MS)
       continue;
-    if (member->table_ok || cell->time.now_ms - member->heard_ms > SAID_MS)
+    if (member->store_available || cell->time.now_ms - member->last_contact_ms > SAID_MS)
       return false;
   }
   return true;
 }
 
 bool
-cell_claim_is_trusted (const MuxCell *cell)
+cell_claim_is_valid (const MuxCell *cell)
 {
-  int64_t age_ms = cell->time.now_ms - cell->trusted_ms;
+  int64_t age_ms = cell->time.now_ms - cell->claim_renewed_ms;
 
-  if (cell->trusted_ms == 0 || age_ms >= CELL_TRUST_MS)
+  if (cell->claim_renewed_ms == 0 || age_ms >= CELL_CLAIM_LEASE_MAX_MS)
     return false;
   return age_ms < TRUST_MS || store_fails_all (cell);
 }
 
 uint64_t
-cell_greeting_next (MuxCell *cell, bool table_ok)
+cell_hello_next (MuxCell *cell, bool table_ok)
 {
-  CellGreetings *greetings = &cell->greetings;
+  CellHellos *greetings = &cell->hellos;
   uint64_t number = ++greetings->number;
 
-  greetings->sent_ms[number % CELL_GREETINGS] = cell->time.now_ms;
+  greetings->sent_ms[number % CELL_HELLOS] = cell->time.now_ms;
   if (!table_ok)
     greetings->failing_number = number;
   return number;
@@ -62,9 +62,9 @@
 /* Greetings that said that the store fails were all overtaken by one that the
  * planner has taken: an older one counts no more. */
 static bool
-says_served (const CellGreetings *greetings)
+says_served (const CellHellos *greetings)
 {
-  return greetings->taken_number > greetings->failing_number;
+  return greetings->acked_number > greetings->failing_number;
 }
 
 /*
@@ -73,38 +73,38 @@
  * fails it, or had not been heard for so long that it did not count.
  */
 void
-cell_greeting_taken (MuxCell *cell, uint64_t number)
+cell_hello_acked (MuxCell *cell, uint64_t number)
 {
-  CellGreetings *greetings = &cell->greetings;
+  CellHellos *greetings = &cell->hellos;
   int64_t now_ms = cell->time.now_ms;
 
-  if (number <= greetings->taken_number || number > greetings->number
-      || greetings->number - number >= CELL_GREETINGS)
+  if (number <= greetings->acked_number || number > greetings->number
+      || greetings->number - number >= CELL_HELLOS)
     return;
   if (!says_served (greetings)
-      || now_ms - greetings->taken_sent_ms > MEMBER_SURELY_MS)
-    greetings->served_ms = now_ms;
-  greetings->taken_number = number;
-  greetings->taken_sent_ms = greetings->sent_ms[number % CELL_GREETINGS];
+      || now_ms - greetings->acked_sent_ms > MEMBER_SURELY_MS)
+    greetings->served_since_ms = now_ms;
+  greetings->acked_number = number;
+  greetings->acked_sent_ms = greetings->sent_ms[number % CELL_HELLOS];
 }
 
 bool
-cell_trust_was_short (const MuxCell *cell)
+cell_claim_lease_was_short (const MuxCell *cell)
 {
-  const CellGreetings *greetings = &cell->greetings;
+  const CellHellos *greetings = &cell->hellos;
 
   return says_served (greetings)
-         && cell->sign_seen_ms - greetings->taken_sent_ms <= MEMBER_SURELY_MS;
+         && cell->claim_read_ms - greetings->acked_sent_ms <= MEMBER_SURELY_MS;
 }
 
 int64_t
-cell_trust_until_ms (const MuxCell *cell)
+cell_claim_lease_until_ms (const MuxCell *cell)
 {
-  int64_t short_ms = cell->sign_seen_ms + TRUST_MS;
-  int64_t long_ms = cell->sign_seen_ms + CELL_TRUST_MS;
-  int64_t served_ms = cell->greetings.served_ms;
+  int64_t short_ms = cell->claim_read_ms + TRUST_MS;
+  int64_t long_ms = cell->claim_read_ms + CELL_CLAIM_LEASE_MAX_MS;
+  int64_t served_ms = cell->hellos.served_since_ms;
 
-  if (!cell_trust_was_short (cell) || served_ms > long_ms)
+  if (!cell_claim_lease_was_short (cell) || served_ms > long_ms)
     return long_ms;
   return served_ms > short_ms ? served_ms : short_ms;
 }
--- a/src/cell/unread.c
+++ b/src/cell/unread.c
@@ -256,7 +256,7 @@
   if (ref.occurrence >= cell_occurrences_due (cell, job))
     return;
   snprintf (ref.job, sizeof ref.job, "%s", job->id);
-  cell_job_occurrences (cell, job, ref.occurrence + 1);
+  cell_occurrences_restore (cell, job, ref.occurrence + 1);
   task = cell_task_find (cell, &ref);
   if (task == NULL)
     return;
--- a/src/cell/unread_rows.c
+++ b/src/cell/unread_rows.c
@@ -46,10 +46,10 @@
   unread->in_commit = true;
   snprintf (key, sizeof key, "%s" ENDS_MARK, unread->id);
   if (unread->expired)
-    (void) cell_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS, key);
+    (void) cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS, key);
   else
-    cell_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, key)->value
-        = cell_json_blob (ends_json (cell, unread));
+    cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, key)->value
+        = cell_blob_from_json (ends_json (cell, unread));
 }
 
 void
@@ -58,7 +58,7 @@
   char key[MUX_ROW_NAME_LEN];
 
   snprintf (key, sizeof key, "%s" ENDS_MARK, job->id);
-  (void) cell_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS, key);
+  (void) cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS, key);
 }
 
 /* Return: whether @json is one end, which @end then holds. */
@@ -109,5 +109,5 @@
   }
   json_decref (json);
   if (unread->overflow)
-    cell_row_bad (cell, row, CELL_ROW_FIELD, "ends");
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD, "ends");
 }
--- a/src/cell/wait.c
+++ b/src/cell/wait.c
@@ -71,7 +71,7 @@
 
   HASH_ITER (hh, cell->workers, worker, next)
   {
-    lack.unheard += cell_worker_is_unheard (worker);
+    lack.unheard += cell_worker_is_unconfirmed (worker);
     if (!cell_worker_serves (stage, worker))
       continue;
     if (cell->time.now_ms < worker->avoid_until_ms)
@@ -122,7 +122,7 @@
 {
   uint32_t need = stage->spec->gang ? stage->spec->count : 1;
 
-  if (!cell_may_order (cell))
+  if (!cell_is_active_planner (cell))
     return "claim";
   if (stopping (stage) > 0)
     return "ends";
--- a/src/cell/worker.c
+++ b/src/cell/worker.c
@@ -51,8 +51,8 @@
   if (worker == NULL)
     return NULL;
   snprintf (worker->info.id, sizeof worker->info.id, "%s", id);
-  worker->born_ms = mux_life_born_ms (id);
-  if (!cell_life_join (cell, worker))
+  worker->started_ms = mux_life_born_ms (id);
+  if (!cell_incarnation_add (cell, worker))
     {
       free (worker);
       return NULL;
@@ -74,7 +74,7 @@
   DL_FOREACH_SAFE (worker->bookings, booking, next)
   cell_unbook (cell, booking);
   cell_reservation_forget (cell, worker);
-  cell_life_leave (cell, worker);
+  cell_incarnation_remove (cell, worker);
   HASH_DEL (cell->workers, worker);
   cell->worker_at[worker->slot] = NULL;
   free (worker);
@@ -91,9 +91,9 @@
 }
 
 bool
-cell_worker_is_unheard (const CellWorker *worker)
+cell_worker_is_unconfirmed (const CellWorker *worker)
 {
-  return cell_in_roster (worker) && !worker->heard && !worker->dead;
+  return cell_in_roster (worker) && !worker->confirmed && !worker->dead;
 }
 
 static bool
@@ -107,7 +107,7 @@
   HASH_ITER (hh, cell->workers, worker, next)
   {
     looks++;
-    found = cell_worker_is_unheard (worker);
+    found = cell_worker_is_unconfirmed (worker);
     if (found)
       break;
   }
@@ -122,14 +122,14 @@
  * only come to be heard.
  */
 bool
-cell_all_heard (MuxCell *cell)
+cell_all_workers_confirmed (MuxCell *cell)
 {
-  if (cell->heard_at_ms != cell->time.now_ms)
+  if (cell->all_confirmed_at_ms != cell->time.now_ms)
     {
-      cell->heard_at_ms = cell->time.now_ms;
-      cell->all_heard = !find_unheard (cell);
+      cell->all_confirmed_at_ms = cell->time.now_ms;
+      cell->all_confirmed = !find_unheard (cell);
     }
-  return cell->all_heard;
+  return cell->all_confirmed;
 }
 
 /* Nothing that ran there runs any more. */
@@ -142,29 +142,29 @@
   cell->replan = true;
   cell_log (cell, "worker_dead", "{s:s, s:s}", "worker", worker->info.id, "why",
             why);
-  if (worker->lost_life && !worker->info.draining)
+  if (worker->replaced && !worker->info.draining)
     cell_log_crash (cell, worker);
   cell_late_starts_of_former (cell, worker);
   cell_lose_runs (cell, worker);
-  cell_losses_of_dead (cell, worker);
+  cell_losses_worker_dead (cell, worker);
   worker->store_seq = cell->end_seq;
 }
 
 void
 cell_worker_replaced (MuxCell *cell, CellWorker *worker)
 {
-  worker->lost_life = true;
-  if (worker->lost_ms == 0)
+  worker->replaced = true;
+  if (worker->unreachable_since_ms == 0)
     {
-      worker->went_ms = cell->time.now_ms;
-      cell_outage_note (cell, worker);
+      worker->down_before_ms = cell->time.now_ms;
+      cell_outage_record (cell, worker);
     }
   cell_worker_dead (cell, worker, "other_life");
 }
 
 /* The id stays: it is the key under which the worker is found. */
 void
-cell_worker_take_entry (CellWorker *worker, const MuxWorkerInfo *entry)
+cell_worker_set_info (CellWorker *worker, const MuxWorkerInfo *entry)
 {
   char id[MUX_NAME_LEN];
 
@@ -196,7 +196,7 @@
 static bool
 moves (const CellWorker *worker, const MuxWorkerInfo *entry)
 {
-  return worker != NULL && (worker->heard || cell_in_roster (worker))
+  return worker != NULL && (worker->confirmed || cell_in_roster (worker))
          && worker->info.addr[0] != 0
          && strcmp (worker->info.addr, entry->addr) != 0;
 }
@@ -213,10 +213,10 @@
 static void
 tell_useless (MuxCell *cell, CellWorker *worker)
 {
-  if (worker->useless || cell->config == NULL
+  if (worker->no_queue_logged || cell->config == NULL
       || cell_service_named (cell, worker->service))
     return;
-  worker->useless = true;
+  worker->no_queue_logged = true;
   mux_count (cell->options.counters, MUX_COUNT_WORKERS_OF_NO_QUEUE, 1);
   cell_log (cell, "worker_of_no_queue", "{s:s, s:s}", "worker", worker->info.id,
             "service", worker->info.service);
@@ -227,11 +227,11 @@
 drop_entry (MuxCell *cell, const MuxCellRow *row, const char *wrong)
 {
   if (wrong != NULL)
-    cell_row_bad (cell, row,
+    cell_report_bad_row (cell, row,
                   row->worker == NULL && row->wrong == NULL ? CELL_ROW_VALUE
                                                             : CELL_ROW_FIELD,
                   wrong);
-  cell_lives_unlist (cell, row->key, NULL);
+  cell_incarnations_unlist (cell, row->key, NULL);
 }
 
 static void
@@ -245,13 +245,13 @@
     {
       cell_log (cell, "worker_listed", "{s:s, s:s}", "worker", life, "addr",
                 row->worker->addr);
-      cell_lives_unlist (cell, row->key, worker);
+      cell_incarnations_unlist (cell, row->key, worker);
     }
   if (row->worker->draining && !worker->info.draining)
     cell_log (cell, "worker_draining", "{s:s}", "worker", life);
   worker->listed = true;
-  cell_worker_take_entry (worker, row->worker);
-  cell_worker_leaves (cell, worker);
+  cell_worker_set_info (worker, row->worker);
+  cell_worker_set_leave_time (cell, worker);
   tell_useless (cell, worker);
   cell->replan = true;
 }
@@ -267,13 +267,13 @@
   if (row->part[0] != 0 || !mux_name_valid (row->key)
       || !mux_life_name (life, row->key, entry != NULL ? entry->born_ms : 0))
     {
-      cell_row_bad (cell, row, CELL_ROW_KEY, "key");
+      cell_report_bad_row (cell, row, CELL_ROW_KEY, "key");
       return;
     }
   /* Only the latest life of a worker tells of it, whoever writes. */
-  if (entry != NULL && cell_life_is_outdated (cell, row->key, entry->born_ms))
+  if (entry != NULL && cell_incarnation_is_outdated (cell, row->key, entry->born_ms))
     {
-      cell_row_bad (cell, row, CELL_ROW_FIELD, "born");
+      cell_report_bad_row (cell, row, CELL_ROW_FIELD, "born");
       return;
     }
   if (!row->removed)
@@ -286,7 +286,7 @@
 
 /* A whole reading names those that are there: all others are missing. */
 void
-cell_workers_whole (MuxCell *cell, bool ended)
+cell_workers_full_read (MuxCell *cell, bool ended)
 {
   CellWorker *worker;
   CellWorker *next;
@@ -304,14 +304,14 @@
 static bool
 unlisted_for_good (const MuxCell *cell, const CellWorker *worker)
 {
-  return !worker->listed && cell_store_ok (cell)
+  return !worker->listed && cell_store_available (cell)
          && cell->time.now_ms - worker->unlisted_ms > UNLISTED_MS;
 }
 
 bool
 cell_worker_usable (const MuxCell *cell, const CellWorker *worker)
 {
-  return worker->heard && worker->reachable
+  return worker->confirmed && worker->reachable
          && worker->roster == CELL_ROSTER_NAMED && worker->listed
          && !worker->dead && !worker->info.draining
          && cell->time.now_ms >= worker->avoid_until_ms;
@@ -333,11 +333,11 @@
 revive (MuxCell *cell, CellWorker *worker)
 {
   worker->dead = false;
-  worker->heard = false;
+  worker->confirmed = false;
   worker->reachable = false;
-  worker->lease_until_ms = 0;
-  worker->over_ms = 0;
-  worker->over_since_ms = 0;
+  worker->lease_expires_ms = 0;
+  worker->marked_expiry_ms = 0;
+  worker->lease_over_since_ms = 0;
   worker->next_renew_ms = cell->time.now_ms + CELL_RENEW_PAUSE_MS;
 }
 
@@ -363,13 +363,13 @@
 worker_tick (MuxCell *cell, CellWorker *worker)
 {
   if (cell_in_roster (worker) && !worker->dead
-      && (!worker->reachable || !worker->heard)
-      && (worker->lease_until_ms != 0 || !worker->heard)
+      && (!worker->reachable || !worker->confirmed)
+      && (worker->lease_expires_ms != 0 || !worker->confirmed)
       && cell_lease_is_over (cell, worker))
     cell_worker_dead (cell, worker, "lease_over");
   if (worker->dead)
     lose_late_starts (cell, worker);
-  if (worker->dead && !worker->lost_life && !cell_in_roster (worker))
+  if (worker->dead && !worker->replaced && !cell_in_roster (worker))
     revive (cell, worker);
   if (worker->dead || worker->info.addr[0] == 0 || !is_of_use (cell, worker))
     return;
@@ -379,7 +379,7 @@
   if (unlisted_for_good (cell, worker) && !worker->reachable)
     return;
   cell_renew_if_due (cell, worker);
-  if (!worker->heard)
+  if (!worker->confirmed)
     return;
   cell_evacuate (cell, worker);
   cell_stops_tick (cell, worker);
@@ -401,7 +401,7 @@
 static uint32_t
 slots_due (const MuxCell *cell)
 {
-  int64_t passed_ms = cell->time.now_ms - cell->worker_turn_ms;
+  int64_t passed_ms = cell->time.now_ms - cell->worker_scanned_ms;
   uint32_t slots = cell->worker_slots;
 
   if (!cell_is_sampled (cell) || passed_ms >= TURN_MS)
@@ -414,16 +414,16 @@
 {
   uint32_t due = slots_due (cell);
 
-  if (!cell_may_order (cell) || due == 0)
+  if (!cell_is_active_planner (cell) || due == 0)
     return;
-  cell->worker_turn_ms = cell->time.now_ms;
+  cell->worker_scanned_ms = cell->time.now_ms;
   for (uint32_t i = 0; i < due; i++)
     {
       CellWorker *worker;
 
-      if (cell->worker_turn >= cell->worker_slots)
-        cell->worker_turn = 0;
-      worker = cell->worker_at[cell->worker_turn++];
+      if (cell->worker_scan_slot >= cell->worker_slots)
+        cell->worker_scan_slot = 0;
+      worker = cell->worker_at[cell->worker_scan_slot++];
       if (worker == NULL)
         continue;
       worker_tick (cell, worker);
--- a/src/cell/worker_lease.c
+++ b/src/cell/worker_lease.c
@@ -21,15 +21,15 @@
 }
 
 int64_t
-cell_worker_lease (const MuxCell *cell, CellWorker *worker)
+cell_worker_extend_lease (const MuxCell *cell, CellWorker *worker)
 {
   int64_t until;
 
   if (worker->clock_at_ms == 0)
     return 0;
   until = clock_least (worker, cell->time.now_ms) + cell->options.lease_ms;
-  if (until > worker->lease_until_ms)
-    worker->lease_until_ms = until;
+  if (until > worker->lease_expires_ms)
+    worker->lease_expires_ms = until;
   return until;
 }
 
@@ -65,7 +65,7 @@
 {
   int64_t now = cell->time.now_ms;
   int64_t left
-      = on_slow_clock (worker->lease_until_ms - clock_least (worker, now));
+      = on_slow_clock (worker->lease_expires_ms - clock_least (worker, now));
   int64_t stale = stale_lease_over_ms (worker) - now;
 
   if (stale > left)
@@ -78,13 +78,13 @@
 static int64_t
 former_lease_over_ms (const MuxCell *cell)
 {
-  return cell->former.until_ms
+  return cell->predecessor.until_ms
          + (int64_t) cell->options.lease_ms * (PERCENT + CLOCK_SLOW_PERCENT + 1)
                / PERCENT;
 }
 
 int64_t
-cell_former_lease_left (const MuxCell *cell)
+cell_predecessor_lease_left (const MuxCell *cell)
 {
   int64_t left = former_lease_over_ms (cell) - cell->time.now_ms;
 
@@ -92,12 +92,12 @@
 }
 
 int64_t
-cell_unheard_lease_left (const MuxCell *cell, const CellWorker *worker)
+cell_unconfirmed_lease_left (const MuxCell *cell, const CellWorker *worker)
 {
-  int64_t left = cell_former_lease_left (cell);
-  int64_t marked = worker->over_ms - cell->time.now_ms;
+  int64_t left = cell_predecessor_lease_left (cell);
+  int64_t marked = worker->marked_expiry_ms - cell->time.now_ms;
 
-  if (worker->over_ms == 0 || marked >= left)
+  if (worker->marked_expiry_ms == 0 || marked >= left)
     return left;
   return marked > 0 ? marked : 0;
 }
@@ -115,12 +115,12 @@
   int64_t now = cell->time.now_ms;
 
   /* No mark of a former planner lies behind the end of the longest lease. */
-  if (!worker->heard && worker->over_ms != 0
-      && now - LAPSE_MARGIN_MS > worker->over_ms)
+  if (!worker->confirmed && worker->marked_expiry_ms != 0
+      && now - LAPSE_MARGIN_MS > worker->marked_expiry_ms)
     return true;
-  if (!worker->heard)
+  if (!worker->confirmed)
     return now - LAPSE_MARGIN_MS > former_lease_over_ms (cell);
-  return clock_least (worker, now) > worker->lease_until_ms + LAPSE_MARGIN_MS
+  return clock_least (worker, now) > worker->lease_expires_ms + LAPSE_MARGIN_MS
          && now > stale_lease_over_ms (worker) + LAPSE_MARGIN_MS;
 }
 
@@ -136,15 +136,15 @@
 {
   if (!lease_is_over (cell, worker))
     {
-      worker->over_since_ms = 0;
+      worker->lease_over_since_ms = 0;
       return false;
     }
-  if (worker->over_since_ms == 0)
+  if (worker->lease_over_since_ms == 0)
     {
-      worker->over_since_ms = cell->time.now_ms;
-      cell->next_beat_ms = cell->time.now_ms;
+      worker->lease_over_since_ms = cell->time.now_ms;
+      cell->next_heartbeat_ms = cell->time.now_ms;
     }
-  return cell->verified_ms >= worker->over_since_ms;
+  return cell->claim_verified_ms >= worker->lease_over_since_ms;
 }
 
 /* What such a call asked for before this answer. */
@@ -154,17 +154,17 @@
   int64_t until = worker->clock_ms + LEASE_MAX_MS;
 
   if (cell->time.now_ms < worker->stale_until_ms
-      && until > worker->lease_until_ms)
-    worker->lease_until_ms = until;
+      && until > worker->lease_expires_ms)
+    worker->lease_expires_ms = until;
 }
 
 /* A former planner's last order came before ours, and asked no longer lease
  * than one from now; that may be all that is known of it. */
 void
-cell_lease_of_former (const MuxCell *cell, CellWorker *worker)
+cell_lease_of_predecessor (const MuxCell *cell, CellWorker *worker)
 {
   int64_t until = worker->clock_ms + cell->options.lease_ms;
 
-  if (until > worker->lease_until_ms)
-    worker->lease_until_ms = until;
+  if (until > worker->lease_expires_ms)
+    worker->lease_expires_ms = until;
 }
