--- a/include/cell/admission.h
+++ b/include/cell/admission.h
@@ -48,22 +48,22 @@
   uint64_t service;
   uint32_t waiting;
   int64_t work;
-  int64_t aged;
-  int64_t placed;
+  int64_t aged_work;
+  int64_t placed_work;
   int64_t placed_tasks;
-  int64_t placed_waited_ms;
+  int64_t placed_wait_sum_ms;
   int64_t rate;
   int64_t busy_ms;
   int64_t pool_milli;
   int64_t free_milli;
-  int64_t held_milli;
-  int64_t later_milli;
+  int64_t running_milli;
+  int64_t lower_priority_milli;
   int64_t sojourn_ms;
-  int64_t unplaced_ms;
-  int64_t least_sojourn_ms;
-  int64_t first_work;
-  int64_t first_rate;
-  int64_t later_rate;
+  int64_t since_placed_ms;
+  int64_t min_sojourn_ms;
+  int64_t higher_priority_work;
+  int64_t higher_priority_rate;
+  int64_t lower_priority_rate;
   int64_t wait_ms;
 } MuxAdmissionQueue;
 
@@ -90,8 +90,8 @@
 {
   uint64_t queue;
   int64_t slack_ms;
-  uint32_t turns;
-  uint64_t spread;
+  uint32_t chain_length;
+  uint64_t jitter_seed;
 } MuxAdmissionJob;
 
 /**
@@ -130,12 +130,12 @@
 /** mux_admission_count_begin() - before each count of what waits */
 void mux_admission_count_begin (MuxAdmission *admission);
 /** mux_admission_waits() - such a step of the queue waits */
-void mux_admission_waits (MuxAdmission *admission,
+void mux_admission_add_waiting (MuxAdmission *admission,
                           uint64_t queue,
                           const MuxAdmissionStep *step);
 /** mux_admission_holds() - a task of the queue runs */
 void
-mux_admission_holds (MuxAdmission *admission, uint64_t queue, int64_t milli);
+mux_admission_add_running (MuxAdmission *admission, uint64_t queue, int64_t milli);
 /** mux_admission_count_end() - all that waits has been counted */
 void mux_admission_count_end (MuxAdmission *admission, int64_t now_ms);
 /**
@@ -143,7 +143,7 @@
  * @pool_milli: its processors, in thousandths; 0: not known
  * @free_milli: those that nothing runs on
  */
-void mux_admission_judge (MuxAdmission *admission,
+void mux_admission_update_pool (MuxAdmission *admission,
                           uint64_t service,
                           int64_t pool_milli,
                           int64_t free_milli);
@@ -151,7 +151,7 @@
 bool mux_admission_has_room (const MuxAdmissionQueue *queue);
 /** mux_admission_taken() - a job was taken since the last count */
 void
-mux_admission_taken (MuxAdmission *admission, uint64_t queue, int64_t work);
+mux_admission_accepted (MuxAdmission *admission, uint64_t queue, int64_t work);
 /** mux_admission_wait_ms() - of a new job of the queue */
 int64_t mux_admission_wait_ms (const MuxAdmission *admission, uint64_t queue);
 /** mux_admission_retry_ms() - when to come again; 0: the job is taken */
--- a/include/cell/run_time.h
+++ b/include/cell/run_time.h
@@ -31,8 +31,8 @@
   uint32_t count;
   double mean;
   double variance;
-  double off_mean;
-  double off_variance;
+  double error_mean;
+  double error_variance;
 } MuxRunTime;
 
 /**
@@ -47,7 +47,7 @@
 /** mux_run_time_find() - made where it is new; NULL: there are too many */
 MuxRunTime *mux_run_time_find (MuxRunTimes *times, uint64_t queue);
 /** mux_run_time_note() - a run for which @declared_ms was given took so long */
-void mux_run_time_note (MuxRunTimes *times,
+void mux_run_time_record (MuxRunTimes *times,
                         uint64_t queue,
                         uint32_t declared_ms,
                         int64_t took_ms);
--- a/include/cell/throttle.h
+++ b/include/cell/throttle.h
@@ -12,7 +12,7 @@
  */
 
 /* All new jobs, in thousandths. */
-#define MUX_THROTTLE_ALL 1000
+#define MUX_THROTTLE_FULL_MILLI 1000
 
 /**
  * struct MuxThrottle - share of new jobs that is taken
@@ -27,10 +27,10 @@
 typedef struct
 {
   uint32_t share_milli;
-  uint32_t taken;
-  uint32_t begun;
-  uint32_t looked;
-  uint32_t rate;
+  uint32_t accepted;
+  uint32_t started;
+  uint32_t scanned;
+  uint32_t scan_rate;
   int64_t delay_ms;
   int64_t updated_ms;
 } MuxThrottle;
@@ -45,7 +45,7 @@
 mux_throttle_update (MuxThrottle *throttle, int64_t now_ms, int64_t delay_ms);
 /** mux_throttle_turn_ms() - how long a new step waits until it is looked at
  * @unlooked: steps before it */
-int64_t mux_throttle_turn_ms (const MuxThrottle *throttle, uint32_t unlooked);
+int64_t mux_throttle_scan_wait_ms (const MuxThrottle *throttle, uint32_t unlooked);
 /** mux_throttle_share_now() - the share as it is between two updates */
 uint32_t mux_throttle_share_now (const MuxThrottle *throttle, int64_t delay_ms);
 /**
--- a/src/cell/admission.c
+++ b/src/cell/admission.c
@@ -54,7 +54,7 @@
       MuxAdmissionQueue *queue = &admission->queue[i];
 
       queue->waiting = 0;
-      queue->placed = 0;
+      queue->placed_work = 0;
       queue->rate = 0;
       queue->busy_ms = 0;
     }
@@ -94,9 +94,9 @@
 
   if (entry == NULL)
     return;
-  entry->placed += work;
+  entry->placed_work += work;
   entry->placed_tasks++;
-  entry->placed_waited_ms += waited_ms;
+  entry->placed_wait_sum_ms += waited_ms;
 }
 
 void
@@ -106,13 +106,13 @@
     {
       admission->queue[i].waiting = 0;
       admission->queue[i].work = 0;
-      admission->queue[i].held_milli = 0;
-      admission->queue[i].aged = 0;
+      admission->queue[i].running_milli = 0;
+      admission->queue[i].aged_work = 0;
     }
 }
 
 void
-mux_admission_waits (MuxAdmission *admission,
+mux_admission_add_waiting (MuxAdmission *admission,
                      uint64_t queue,
                      const MuxAdmissionStep *step)
 {
@@ -129,16 +129,16 @@
     return;
   entry->waiting++;
   entry->work += step->work;
-  entry->aged += step->work * age;
+  entry->aged_work += step->work * age;
 }
 
 void
-mux_admission_holds (MuxAdmission *admission, uint64_t queue, int64_t milli)
+mux_admission_add_running (MuxAdmission *admission, uint64_t queue, int64_t milli)
 {
   MuxAdmissionQueue *entry = mux_admission_find (admission, queue);
 
   if (entry != NULL)
-    entry->held_milli += milli;
+    entry->running_milli += milli;
 }
 
 /* Moves @mean towards @value, as far as @passed_ms is of the memory. */
@@ -157,15 +157,15 @@
 {
   if (queue->placed_tasks == 0)
     {
-      queue->unplaced_ms += passed_ms;
+      queue->since_placed_ms += passed_ms;
       return;
     }
-  queue->unplaced_ms = 0;
+  queue->since_placed_ms = 0;
   add_to_mean (&queue->sojourn_ms,
-               queue->placed_waited_ms / queue->placed_tasks, passed_ms,
+               queue->placed_wait_sum_ms / queue->placed_tasks, passed_ms,
                queue->busy_ms);
   queue->placed_tasks = 0;
-  queue->placed_waited_ms = 0;
+  queue->placed_wait_sum_ms = 0;
 }
 
 /* Time in which nothing waited says nothing of how fast the queue could be
@@ -173,11 +173,11 @@
 static void
 measure (MuxAdmissionQueue *queue, int64_t passed_ms)
 {
-  int64_t rate = queue->placed * MS_PER_S / passed_ms;
+  int64_t rate = queue->placed_work * MS_PER_S / passed_ms;
 
-  if (queue->waiting == 0 && queue->placed == 0)
+  if (queue->waiting == 0 && queue->placed_work == 0)
     return;
-  queue->placed = 0;
+  queue->placed_work = 0;
   queue->busy_ms += passed_ms;
   add_to_mean (&queue->rate, rate, passed_ms, queue->busy_ms);
   measure_sojourn (queue, passed_ms);
@@ -210,7 +210,7 @@
 static int64_t
 work_ahead (const MuxAdmissionQueue *queue)
 {
-  return queue->work > queue->placed ? queue->work - queue->placed : 0;
+  return queue->work > queue->placed_work ? queue->work - queue->placed_work : 0;
 }
 
 /* Until it is measured, of a part of the pool alone; a planner that does not
@@ -228,14 +228,14 @@
 bool
 mux_admission_has_room (const MuxAdmissionQueue *queue)
 {
-  return (queue->free_milli + queue->later_milli) * FULL_PARTS
+  return (queue->free_milli + queue->lower_priority_milli) * FULL_PARTS
          >= queue->pool_milli;
 }
 
 static int64_t
 age_of (const MuxAdmissionQueue *queue)
 {
-  return queue->work > 0 ? queue->aged / queue->work : 0;
+  return queue->work > 0 ? queue->aged_work / queue->work : 0;
 }
 
 static bool
@@ -254,7 +254,7 @@
 wait_beside_room_ms (const MuxAdmissionQueue *queue)
 {
   if (stands (queue))
-    return queue->least_sojourn_ms / ROOM_FACTOR;
+    return queue->min_sojourn_ms / ROOM_FACTOR;
   return time_of (work_ahead (queue), queue->pool_milli);
 }
 
@@ -262,11 +262,11 @@
 measured_wait_ms (const MuxAdmissionQueue *queue)
 {
   /* Core-milliseconds a second are thousandths of a processor. */
-  int64_t spare = queue->free_milli + queue->later_rate;
+  int64_t spare = queue->free_milli + queue->lower_priority_rate;
 
-  if (stands (queue) || queue->first_work > 0)
-    return time_of (work_ahead (queue) + queue->first_work,
-                    queue->rate + queue->first_rate);
+  if (stands (queue) || queue->higher_priority_work > 0)
+    return time_of (work_ahead (queue) + queue->higher_priority_work,
+                    queue->rate + queue->higher_priority_rate);
   /* The whole pool can't be faster. */
   if (age_of (queue) < GUST_AGE || queue->rate + spare > queue->pool_milli)
     return queue->pool_milli > 0
@@ -295,14 +295,14 @@
 {
   if (!stands (first))
     return;
-  queue->first_work += first->work;
-  queue->first_rate += first->rate;
+  queue->higher_priority_work += first->work;
+  queue->higher_priority_rate += first->rate;
 }
 
 static bool
 is_placed (const MuxAdmissionQueue *queue)
 {
-  return queue->busy_ms > 0 && queue->unplaced_ms < RATE_MEMORY_MS;
+  return queue->busy_ms > 0 && queue->since_placed_ms < RATE_MEMORY_MS;
 }
 
 static void
@@ -310,10 +310,10 @@
 {
   int64_t least_ms = MUX_ADMISSION_WAIT_MAX_MS;
 
-  queue->first_work = 0;
-  queue->first_rate = 0;
-  queue->later_rate = 0;
-  queue->later_milli = 0;
+  queue->higher_priority_work = 0;
+  queue->higher_priority_rate = 0;
+  queue->lower_priority_rate = 0;
+  queue->lower_priority_milli = 0;
   for (uint32_t i = 0; i < admission->count; i++)
     {
       const MuxAdmissionQueue *other = &admission->queue[i];
@@ -326,16 +326,16 @@
         add_first (queue, other);
       else if (other->priority > queue->priority)
         {
-          queue->later_rate += other->rate;
-          queue->later_milli += other->held_milli;
+          queue->lower_priority_rate += other->rate;
+          queue->lower_priority_milli += other->running_milli;
         }
     }
   /* Nothing is placed: that says nothing of how long it would wait. */
-  queue->least_sojourn_ms = least_ms < MUX_ADMISSION_WAIT_MAX_MS ? least_ms : 0;
+  queue->min_sojourn_ms = least_ms < MUX_ADMISSION_WAIT_MAX_MS ? least_ms : 0;
 }
 
 void
-mux_admission_judge (MuxAdmission *admission,
+mux_admission_update_pool (MuxAdmission *admission,
                      uint64_t service,
                      int64_t pool_milli,
                      int64_t free_milli)
@@ -358,7 +358,7 @@
  * what it serves, each count comes too late for seconds of work.
  */
 void
-mux_admission_taken (MuxAdmission *admission, uint64_t queue, int64_t work)
+mux_admission_accepted (MuxAdmission *admission, uint64_t queue, int64_t work)
 {
   MuxAdmissionQueue *entry = mux_admission_find (admission, queue);
 
@@ -384,12 +384,12 @@
   int64_t wait_ms = mux_admission_wait_ms (admission, job->queue);
   uint64_t retry_ms = (uint64_t) wait_ms;
 
-  if (wait_ms * job->turns <= job->slack_ms * WAIT_OF_SLACK / MILLI)
+  if (wait_ms * job->chain_length <= job->slack_ms * WAIT_OF_SLACK / MILLI)
     return 0;
   if (retry_ms < RETRY_MIN_MS)
     retry_ms = RETRY_MIN_MS;
   if (retry_ms > RETRY_MAX_MS / 2)
     retry_ms = RETRY_MAX_MS / 2;
   /* Callers who are refused together are told times that lie apart. */
-  return (uint32_t) (retry_ms + job->spread % retry_ms);
+  return (uint32_t) (retry_ms + job->jitter_seed % retry_ms);
 }
--- a/src/cell/admit.c
+++ b/src/cell/admit.c
@@ -78,14 +78,14 @@
 may_place (const MuxCell *cell)
 {
   return cell_is_active_planner (cell) && !cell->jobs_unverified
-         && cell_room_is_known (cell);
+         && cell_room_is_current (cell);
 }
 
 void
-cell_admission_taken (MuxCell *cell, const MuxJobSpec *spec)
+cell_admission_accepted (MuxCell *cell, const MuxJobSpec *spec)
 {
   if (cell->role == CELL_PLANNING && may_place (cell) && is_timed (spec))
-    mux_admission_taken (&cell->admission, queue_of (spec),
+    mux_admission_accepted (&cell->admission, queue_of (spec),
                          work_of_job (cell, spec));
 }
 
@@ -106,7 +106,7 @@
               .slack_ms = 1 };
 
       if (is_timed (spec))
-        mux_admission_waits (&cell->admission, queue_of (spec), &step);
+        mux_admission_add_waiting (&cell->admission, queue_of (spec), &step);
     }
 }
 
@@ -124,7 +124,7 @@
   step.work = work_of (stage, cell_stage_waiting (stage));
   step.waited_ms = now - stage->ready_ms;
   step.slack_ms = stage->due_ms - stage->expected_ms - stage->ready_ms;
-  mux_admission_waits (&cell->admission, queue_of (stage->job->spec), &step);
+  mux_admission_add_waiting (&cell->admission, queue_of (stage->job->spec), &step);
 }
 
 static void
@@ -137,7 +137,7 @@
   HASH_ITER (hh, cell->workers, worker, next)
   DL_FOREACH (worker->bookings, booking)
   if (!booking->task->stage->spec->long_running)
-    mux_admission_holds (&cell->admission,
+    mux_admission_add_running (&cell->admission,
                          queue_of (booking->task->stage->job->spec),
                          booking->task->stage->spec->size.cpu_milli);
 }
@@ -146,7 +146,7 @@
 count_backlog (MuxCell *cell)
 {
   mux_admission_count_begin (&cell->admission);
-  cell_order_visit (cell, count_stage);
+  cell_plan_order_visit (cell, count_stage);
   count_submissions (cell);
   count_running (cell);
   mux_admission_count_end (&cell->admission, cell->time.now_ms);
@@ -168,7 +168,7 @@
       all += worker->info.capacity.cpu_milli;
       free += cell_worker_free (worker).cpu_milli;
     }
-  mux_admission_judge (&cell->admission, service, all, free);
+  mux_admission_update_pool (&cell->admission, service, all, free);
 }
 
 /* Each pool once, with the first of its queues. */
@@ -215,8 +215,8 @@
   cell_log (cell, "queue_waits", "{s:i, s:i, s:I, s:I, s:I, s:I, s:I, s:I}",
             "priority", (int) queue->priority, "steps", (int) queue->waiting,
             "work", (json_int_t) queue->work, "rate", (json_int_t) queue->rate,
-            "age", (json_int_t) queue->aged / queue->work, "free",
-            (json_int_t) queue->free_milli + queue->later_milli, "pool",
+            "age", (json_int_t) queue->aged_work / queue->work, "free",
+            (json_int_t) queue->free_milli + queue->lower_priority_milli, "pool",
             (json_int_t) queue->pool_milli, "wait_ms",
             (json_int_t) queue->wait_ms);
 }
@@ -227,14 +227,14 @@
   bool backlog = longest_ms >= BACKLOG_MS;
 
   mux_observe (cell->options.counters, MUX_HIST_BACKLOG, longest_ms);
-  if (backlog != cell->backlog)
+  if (backlog != cell->has_backlog)
     cell_log (cell, backlog ? "backlog" : "backlog_over", "{s:I, s:i}",
               "wait_ms", (json_int_t) longest_ms, "steps",
               (int) waiting_steps (cell));
-  cell->backlog = backlog;
-  if (!backlog || cell->time.now_ms < cell->next_backlog_line_ms)
+  cell->has_backlog = backlog;
+  if (!backlog || cell->time.now_ms < cell->next_backlog_log_ms)
     return;
-  cell->next_backlog_line_ms = cell->time.now_ms + LINE_MS;
+  cell->next_backlog_log_ms = cell->time.now_ms + LINE_MS;
   for (uint32_t i = 0; i < cell->admission.count; i++)
     if (cell->admission.queue[i].wait_ms > 0
         && cell->admission.queue[i].work > 0)
@@ -255,8 +255,8 @@
 delay_ms (const MuxCell *cell)
 {
   int64_t late_ms = cell_late_ms (cell);
-  int64_t turn_ms = cell->has_room
-                        ? mux_throttle_turn_ms (&cell->throttle, cell->unlooked)
+  int64_t turn_ms = cell->pool_has_room
+                        ? mux_throttle_scan_wait_ms (&cell->throttle, cell->unscanned_steps)
                         : 0;
 
   return late_ms > turn_ms ? late_ms : turn_ms;
@@ -274,7 +274,7 @@
               (int) cell->throttle.share_milli, "behind_ms",
               (json_int_t) behind_ms, "answers_ms",
               (json_int_t) cell_answers_late_ms (cell), "unlooked",
-              (int) cell->unlooked, "looked_s", (int) cell->throttle.rate);
+              (int) cell->unscanned_steps, "looked_s", (int) cell->throttle.scan_rate);
 }
 
 static json_t *
@@ -295,7 +295,7 @@
 }
 
 void
-cell_admission_forget (MuxCell *cell)
+cell_admission_blob_reset (MuxCell *cell)
 {
   mux_blob_unref (cell->admission_blob);
   cell->admission_blob = NULL;
@@ -308,7 +308,7 @@
   if (cell->admission_blob != NULL
       && cell->time.now_ms - cell->admission_blob_ms < TOLD_ANEW_MS)
     return mux_blob_ref (cell->admission_blob);
-  cell_admission_forget (cell);
+  cell_admission_blob_reset (cell);
   cell->admission_blob_ms = cell->time.now_ms;
   cell->admission_blob = cell_blob_from_json (cell_predecessors_to_json (
       cell,
@@ -330,7 +330,7 @@
     }
   count_backlog (cell);
   judge_pools (cell);
-  cell->has_room = some_pool_has_room (cell);
+  cell->pool_has_room = some_pool_has_room (cell);
   tell_backlog (cell, longest_wait_ms (cell));
 }
 
@@ -343,7 +343,7 @@
   if (!began && now < cell->admission.counted_ms + COUNT_MS)
     return;
   cell->admission_term = cell->term;
-  cell->admission_told_ms = now;
+  cell->admission_updated_ms = now;
   if (began)
     {
       mux_admission_reset (&cell->admission, now);
@@ -373,7 +373,7 @@
 }
 
 void
-cell_admission_told (MuxCell *cell, const MuxBlob *body)
+cell_admission_receive (MuxCell *cell, const MuxBlob *body)
 {
   json_t *json = body != NULL ? cell_json_from_blob (body) : NULL;
   const json_t *share = json_object_get (json, "share_milli");
@@ -381,22 +381,22 @@
   json_int_t late_ms = json_integer_value (json_object_get (json, "late_ms"));
 
   take_waits (cell, json_object_get (json, "waits"));
-  cell_run_times_told (cell, json_object_get (json, "run_times"));
+  cell_run_times_receive (cell, json_object_get (json, "run_times"));
   cell->throttle.share_milli
-      = share != NULL && share_milli >= 0 && share_milli < MUX_THROTTLE_ALL
+      = share != NULL && share_milli >= 0 && share_milli < MUX_THROTTLE_FULL_MILLI
             ? (uint32_t) share_milli
-            : MUX_THROTTLE_ALL;
+            : MUX_THROTTLE_FULL_MILLI;
   cell->planner_late_ms
       = late_ms > 0 && late_ms < MUX_ADMISSION_WAIT_MAX_MS ? late_ms : 0;
   json_decref (json);
-  cell->admission_told_ms = cell->time.now_ms;
+  cell->admission_updated_ms = cell->time.now_ms;
 }
 
 static bool
 is_known (const MuxCell *cell)
 {
-  return cell->admission_told_ms != 0
-         && cell->time.now_ms - cell->admission_told_ms < TOLD_KEEP_MS;
+  return cell->admission_updated_ms != 0
+         && cell->time.now_ms - cell->admission_updated_ms < TOLD_KEEP_MS;
 }
 
 /* Steps of the longest chain. */
@@ -427,8 +427,8 @@
       || mux_admission_wait_ms (&cell->admission, job.queue) == 0)
     return 0;
   job.slack_ms = cell_job_slack_ms (cell, spec);
-  job.turns = turns_of (spec);
-  job.spread = mux_hash_name (spec->id, cell->claim.version);
+  job.chain_length = turns_of (spec);
+  job.jitter_seed = mux_hash_name (spec->id, cell->claim.version);
   return mux_admission_retry_ms (&cell->admission, &job);
 }
 
@@ -469,7 +469,7 @@
  * or have all daemons store jobs for it.
  */
 bool
-cell_planner_is_busy (const MuxCell *cell)
+cell_planner_is_overloaded (const MuxCell *cell)
 {
   int64_t silent_ms = cell->time.now_ms - cell->planner_hello_reply_ms;
 
--- a/src/cell/approval_list.c
+++ b/src/cell/approval_list.c
@@ -32,7 +32,7 @@
 }
 
 CellApproval *
-cell_approval_at (const CellStage *stage, uint32_t slot)
+cell_approval_find_slot (const CellStage *stage, uint32_t slot)
 {
   uint32_t i = position (stage, slot);
 
@@ -42,9 +42,9 @@
 }
 
 CellApproval *
-cell_approval (const CellStage *stage, const CellWorker *worker)
+cell_approval_find (const CellStage *stage, const CellWorker *worker)
 {
-  return cell_approval_at (stage, worker->slot);
+  return cell_approval_find_slot (stage, worker->slot);
 }
 
 static bool
@@ -52,14 +52,14 @@
 {
   CellApproval *list;
 
-  if (stage->approval_count < stage->approval_room)
+  if (stage->approval_count < stage->approval_capacity)
     return true;
   list
-      = realloc (stage->approval, (stage->approval_room + GROW) * sizeof *list);
+      = realloc (stage->approval, (stage->approval_capacity + GROW) * sizeof *list);
   if (list == NULL)
     return false;
   stage->approval = list;
-  stage->approval_room += GROW;
+  stage->approval_capacity += GROW;
   return true;
 }
 
@@ -67,7 +67,7 @@
 cell_approval_add (CellStage *stage, const CellWorker *worker)
 {
   uint32_t i = position (stage, worker->slot);
-  CellApproval *approval = cell_approval (stage, worker);
+  CellApproval *approval = cell_approval_find (stage, worker);
 
   if (approval != NULL)
     return approval;
--- a/src/cell/approve.c
+++ b/src/cell/approve.c
@@ -37,11 +37,11 @@
  * waits for these alone.  A step without a record has not run.
  */
 const char *
-cell_proof_taken (const MuxCell *cell, const CellApproval *approval)
+cell_usable_proof (const MuxCell *cell, const CellApproval *approval)
 {
-  if (approval == NULL || !approval->yes || approval->proof == NULL
+  if (approval == NULL || !approval->approved || approval->proof == NULL
       || !approval->stored
-      || cell->time.now_ms > approval->until_ms - PROOF_MARGIN_MS)
+      || cell->time.now_ms > approval->proof_expires_ms - PROOF_MARGIN_MS)
     return NULL;
   return approval->proof;
 }
@@ -51,7 +51,7 @@
                      const CellStage *stage,
                      const CellWorker *worker)
 {
-  return cell_proof_taken (cell, cell_approval (stage, worker));
+  return cell_usable_proof (cell, cell_approval_find (stage, worker));
 }
 
 /*
@@ -60,20 +60,20 @@
  * once.
  */
 bool
-cell_approval_is_near (const MuxCell *cell, const CellApproval *approval)
+cell_approval_is_being_recorded (const MuxCell *cell, const CellApproval *approval)
 {
-  return approval != NULL && approval->yes && approval->proof != NULL
+  return approval != NULL && approval->approved && approval->proof != NULL
          && !approval->stored
          && cell->time.now_ms + RECORD_MS
-                <= approval->until_ms - PROOF_MARGIN_MS;
+                <= approval->proof_expires_ms - PROOF_MARGIN_MS;
 }
 
 static bool
 member_can_ask (const MuxCell *cell, const CellMember *member)
 {
-  return member->asking == 0 && !member->stopping
+  return member->query_number == 0 && !member->stopping
          && cell->time.heard_ms - member->last_contact_ms < MEMBER_SILENT_MS
-         && cell->time.now_ms >= member->asking_until_ms;
+         && cell->time.now_ms >= member->no_query_until_ms;
 }
 
 /* The planner asks, too, as a member that needs no message. */
@@ -97,26 +97,26 @@
   const CellMember *member;
   const CellMember *next;
 
-  if (cell->askers_counted_ms == cell->time.now_ms)
+  if (cell->queriers_counted_ms == cell->time.now_ms)
     return;
-  cell->askers_counted_ms = cell->time.now_ms;
-  cell->askers_alive = 0;
-  cell->askers_busy_long = 0;
+  cell->queriers_counted_ms = cell->time.now_ms;
+  cell->queriers_alive = 0;
+  cell->queriers_with_long_query = 0;
   HASH_ITER (hh, cell->members, member, next)
   {
     if (cell->time.heard_ms - member->last_contact_ms >= MEMBER_SILENT_MS)
       continue;
-    cell->askers_alive++;
-    cell->askers_busy_long
-        += member->asking != 0 && member->asking_cost_ms > LONG_MS;
+    cell->queriers_alive++;
+    cell->queriers_with_long_query
+        += member->query_number != 0 && member->query_cost_ms > LONG_MS;
   }
 }
 
 uint32_t
-cell_askers (MuxCell *cell)
+cell_queriers_alive (MuxCell *cell)
 {
   count_askers (cell);
-  return cell->askers_alive;
+  return cell->queriers_alive;
 }
 
 static CellMember *
@@ -132,8 +132,8 @@
       own->store_available = true;
     }
   count_askers (cell);
-  if (is_long && cell->askers_alive > 1
-      && cell->askers_busy_long + 1 >= cell->askers_alive)
+  if (is_long && cell->queriers_alive > 1
+      && cell->queriers_with_long_query + 1 >= cell->queriers_alive)
     return NULL;
   DL_FOREACH2 (cell->free_members, member, free_next)
   {
@@ -167,7 +167,7 @@
             const CellPending *pending,
             const MuxCellReply *reply)
 {
-  cell_took_answer (cell, pending->number, reply->status == MUX_CELL_OK,
+  cell_approval_query_done (cell, pending->number, reply->status == MUX_CELL_OK,
                     reply->approval, reply->approval_count, reply->valid_ms);
 }
 
@@ -185,7 +185,7 @@
       CellPending pending
           = { .done = own_answer, .term = cell->term, .number = number };
 
-      sent = cell_call (cell, cell_question_call (question), &pending);
+      sent = cell_call (cell, cell_approval_query_call (question), &pending);
       json_decref (question);
       return sent;
     }
@@ -215,9 +215,9 @@
 {
   for (uint32_t i = 0; i < count; i++)
     {
-      const CellApproval *approval = cell_approval (stage, candidates[i]);
+      const CellApproval *approval = cell_approval_find (stage, candidates[i]);
 
-      if (approval == NULL || !approval->yes)
+      if (approval == NULL || !approval->approved)
         return false;
     }
   return true;
@@ -225,13 +225,13 @@
 
 static void
 mark_asked (CellStage *stage,
-            CellQuestion *question,
+            CellApprovalQuery *question,
             CellWorker *const *candidates)
 {
   for (uint32_t i = 0; i < question->candidate_count; i++)
     {
       question->slot[i] = candidates[i]->slot;
-      cell_approval (stage, candidates[i])->asked = true;
+      cell_approval_find (stage, candidates[i])->queried = true;
     }
 }
 
@@ -241,18 +241,18 @@
  * approved, and a gang that needs them would wait for good.
  */
 static void
-unmark_asked (CellStage *stage, const CellQuestion *question)
+unmark_asked (CellStage *stage, const CellApprovalQuery *question)
 {
   for (uint32_t i = 0; i < question->candidate_count; i++)
     {
-      CellApproval *approval = cell_approval_at (stage, question->slot[i]);
+      CellApproval *approval = cell_approval_find_slot (stage, question->slot[i]);
 
-      approval->asked = approval->yes;
+      approval->queried = approval->approved;
     }
 }
 
 static void
-question_free (CellQuestion *question)
+question_free (CellApprovalQuery *question)
 {
   if (question == NULL)
     return;
@@ -261,7 +261,7 @@
 }
 
 uint32_t
-cell_question_ms (const CellStage *stage, uint32_t count)
+cell_approval_query_ms (const CellStage *stage, uint32_t count)
 {
   const MuxApprovalSpec *spec = &stage->job->spec->queue.approval;
 
@@ -269,9 +269,9 @@
 }
 
 bool
-cell_question_is_short (const CellStage *stage, uint32_t count)
+cell_approval_query_is_short (const CellStage *stage, uint32_t count)
 {
-  return cell_question_ms (stage, count) <= LONG_MS;
+  return cell_approval_query_ms (stage, count) <= LONG_MS;
 }
 
 /*
@@ -282,45 +282,45 @@
 static uint32_t
 overdue_ms_of (const CellStage *stage)
 {
-  uint32_t doublings = stage->lost_answers < OVERDUE_DOUBLINGS
-                           ? stage->lost_answers
+  uint32_t doublings = stage->lost_queries < OVERDUE_DOUBLINGS
+                           ? stage->lost_queries
                            : OVERDUE_DOUBLINGS;
 
   return OVERDUE_MS << doublings;
 }
 
 bool
-cell_approval_lasts (const MuxCell *cell,
+cell_proof_outlasts_query (const MuxCell *cell,
                      const CellStage *stage,
                      const CellWorker *worker,
                      uint32_t count)
 {
   int64_t answered_ms
-      = cell->time.now_ms + cell_question_ms (stage, count) + OVERDUE_MS;
+      = cell->time.now_ms + cell_approval_query_ms (stage, count) + OVERDUE_MS;
 
   return cell_approval_proof (cell, stage, worker) != NULL
          && answered_ms
-                <= cell_approval (stage, worker)->until_ms - PROOF_MARGIN_MS;
+                <= cell_approval_find (stage, worker)->proof_expires_ms - PROOF_MARGIN_MS;
 }
 
 bool
-cell_can_ask (MuxCell *cell, const CellStage *stage, uint32_t count)
+cell_can_query (MuxCell *cell, const CellStage *stage, uint32_t count)
 {
-  return !stage->asking && cell->time.now_ms >= stage->ask_after_ms
-         && choose_member (cell, cell_question_ms (stage, count) > LONG_MS)
+  return !stage->query_pending && cell->time.now_ms >= stage->no_query_until_ms
+         && choose_member (cell, cell_approval_query_ms (stage, count) > LONG_MS)
                 != NULL;
 }
 
 bool
-cell_approval_ask (MuxCell *cell,
+cell_approval_query_send (MuxCell *cell,
                    CellStage *stage,
                    CellWorker *const *candidates,
                    uint32_t count)
 {
-  uint32_t cost_ms = cell_question_ms (stage, count);
+  uint32_t cost_ms = cell_approval_query_ms (stage, count);
   uint32_t timeout_ms = cost_ms + overdue_ms_of (stage);
   CellMember *member = choose_member (cell, cost_ms > LONG_MS);
-  CellQuestion *question;
+  CellApprovalQuery *question;
 
   if (member == NULL || count == 0 || !add_entries (stage, candidates, count))
     return false;
@@ -332,29 +332,29 @@
       question_free (question);
       return false;
     }
-  question->number = ++cell->next_question;
+  question->number = ++cell->last_approval_query;
   question->step = cell_task_ref (&stage->task[0]);
   question->candidate_count = count;
   question->is_renewal = is_renewal (stage, candidates, count);
   question->sent_ms = cell->time.now_ms;
-  question->due_ms = cell->time.now_ms + cost_ms + OVERDUE_MS;
-  question->until_ms = cell->time.now_ms + timeout_ms;
-  snprintf (question->member, sizeof question->member, "%s", member->name);
+  question->expected_by_ms = cell->time.now_ms + cost_ms + OVERDUE_MS;
+  question->expires_ms = cell->time.now_ms + timeout_ms;
+  snprintf (question->querier, sizeof question->querier, "%s", member->name);
   if (!send_question (cell, member, question->number,
                       question_json (stage, candidates, count, timeout_ms)))
     {
       question_free (question);
       return false;
     }
-  HASH_ADD (hh, cell->questions, number, sizeof question->number, question);
+  HASH_ADD (hh, cell->approval_queries, number, sizeof question->number, question);
   mark_asked (stage, question, candidates);
   cell_step_asks (cell, stage, question);
-  stage->asking = true;
-  stage->asked_ms = cell->time.now_ms;
+  stage->query_pending = true;
+  stage->queried_ms = cell->time.now_ms;
   cell_member_set_query (cell, member, question->number);
-  member->asking_cost_ms = cost_ms;
-  cell->askers_busy_long += cost_ms > LONG_MS;
-  member->asking_until_ms = question->until_ms;
+  member->query_cost_ms = cost_ms;
+  cell->queriers_with_long_query += cost_ms > LONG_MS;
+  member->no_query_until_ms = question->expires_ms;
   return true;
 }
 
@@ -369,68 +369,68 @@
 
   if (worker == NULL)
     return;
-  approval = cell_approval (stage, worker);
+  approval = cell_approval_find (stage, worker);
   if (approval == NULL)
     return;
-  approval->stored = approval->stored || cell_is_recorded (stage, worker);
-  if (!approval->yes && !approval->stored)
+  approval->stored = approval->stored || cell_worker_is_recorded (stage, worker);
+  if (!approval->approved && !approval->stored)
     {
       cell_job_dirty (cell, stage->job);
       if (stage->job->spec->queue.priority == 0)
         cell->part[stage->job->part].hurry = true;
     }
-  approval->yes = true;
+  approval->approved = true;
   free (approval->proof);
   approval->proof = strdup (given->proof);
-  approval->until_ms = until_ms;
-  if (until_ms > stage->proof_until_ms)
-    stage->proof_until_ms = until_ms;
+  approval->proof_expires_ms = until_ms;
+  if (until_ms > stage->proofs_expire_ms)
+    stage->proofs_expire_ms = until_ms;
 }
 
 static void
-release_member (MuxCell *cell, const CellQuestion *question, bool answered)
+release_member (MuxCell *cell, const CellApprovalQuery *question, bool answered)
 {
-  CellMember *member = cell_member_find (cell, question->member);
+  CellMember *member = cell_member_find (cell, question->querier);
 
-  if (member == NULL || member->asking != question->number)
+  if (member == NULL || member->query_number != question->number)
     return;
   cell_member_set_query (cell, member, 0);
-  cell->askers_counted_ms = 0;
-  member->asking_until_ms = answered ? 0 : cell->time.now_ms + ASKER_REST_MS;
+  cell->queriers_counted_ms = 0;
+  member->no_query_until_ms = answered ? 0 : cell->time.now_ms + ASKER_REST_MS;
 }
 
 /* The step may ask again; with more time where answers were late. */
 static void
 end_asking (MuxCell *cell,
             CellStage *stage,
-            const CellQuestion *question,
+            const CellApprovalQuery *question,
             bool answered)
 {
-  stage->asking = false;
-  stage->round = 0;
+  stage->query_pending = false;
+  stage->scan_round = 0;
   if (answered)
     {
-      if (cell->time.now_ms <= question->due_ms)
-        stage->lost_answers = 0;
+      if (cell->time.now_ms <= question->expected_by_ms)
+        stage->lost_queries = 0;
       return;
     }
-  stage->lost_answers++;
+  stage->lost_queries++;
   unmark_asked (stage, question);
-  stage->ask_after_ms = cell->time.now_ms + RETRY_MS;
+  stage->no_query_until_ms = cell->time.now_ms + RETRY_MS;
 }
 
 void
-cell_took_answer (MuxCell *cell,
+cell_approval_query_done (MuxCell *cell,
                   uint64_t number,
                   bool answered,
                   const MuxApproval *approvals,
                   uint32_t count,
                   uint32_t valid_ms)
 {
-  CellQuestion *question;
+  CellApprovalQuery *question;
   CellTask *task;
 
-  HASH_FIND (hh, cell->questions, &number, sizeof number, question);
+  HASH_FIND (hh, cell->approval_queries, &number, sizeof number, question);
   if (question == NULL)
     return;
   task = cell_task_find (cell, &question->step);
@@ -445,11 +445,11 @@
     }
   cell_log (cell, "approvals", "{s:s, s:i, s:s, s:b, s:b, s:i, s:i, s:I}",
             "job", question->step.job, "step", (int) question->step.step,
-            "asker", question->member, "answered", (int) answered, "renewal",
+            "asker", question->querier, "answered", (int) answered, "renewal",
             (int) question->is_renewal, "asked",
             (int) question->candidate_count, "approved", (int) count, "took_ms",
             (json_int_t) (cell->time.now_ms - question->sent_ms));
-  HASH_DEL (cell->questions, question);
+  HASH_DEL (cell->approval_queries, question);
   question_free (question);
   cell->replan = true;
 }
@@ -463,23 +463,23 @@
 void
 cell_approvals_tick (MuxCell *cell)
 {
-  CellQuestion *question;
-  CellQuestion *next;
+  CellApprovalQuery *question;
+  CellApprovalQuery *next;
 
-  HASH_ITER (hh, cell->questions, question, next)
-  if (cell->time.heard_ms > question->until_ms)
-    cell_took_answer (cell, question->number, false, NULL, 0, 0);
+  HASH_ITER (hh, cell->approval_queries, question, next)
+  if (cell->time.heard_ms > question->expires_ms)
+    cell_approval_query_done (cell, question->number, false, NULL, 0, 0);
 }
 
 void
-cell_questions_free (MuxCell *cell)
+cell_approval_queries_free (MuxCell *cell)
 {
-  CellQuestion *question;
-  CellQuestion *next;
+  CellApprovalQuery *question;
+  CellApprovalQuery *next;
 
-  HASH_ITER (hh, cell->questions, question, next)
+  HASH_ITER (hh, cell->approval_queries, question, next)
   {
-    HASH_DEL (cell->questions, question);
+    HASH_DEL (cell->approval_queries, question);
     question_free (question);
   }
 }
--- a/src/cell/approve_peer.c
+++ b/src/cell/approve_peer.c
@@ -7,7 +7,7 @@
  * daemons that ask on its behalf. */
 
 MuxCellCall *
-cell_question_call (const json_t *question)
+cell_approval_query_call (const json_t *question)
 {
   const json_t *workers = json_object_get (question, "workers");
   const char *job = json_string_value (json_object_get (question, "job"));
@@ -81,7 +81,7 @@
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
   snprintf (pending.peer_addr, sizeof pending.peer_addr, "%s", msg->from_addr);
-  if (!cell_call (cell, cell_question_call (question), &pending))
+  if (!cell_call (cell, cell_approval_query_call (question), &pending))
     tell (cell, msg->from, msg->from_addr, msg->call, json_object (), false);
   json_decref (question);
 }
@@ -104,7 +104,7 @@
       snprintf (approvals[i].proof, MUX_TOKEN_LEN, "%s",
                 proof != NULL ? proof : "");
     }
-  cell_took_answer (
+  cell_approval_query_done (
       cell, msg->call, msg->found && approvals != NULL, approvals,
       approvals != NULL ? (uint32_t) count : 0,
       (uint32_t) json_integer_value (json_object_get (json, "valid_ms")));
--- a/src/cell/approve_record.c
+++ b/src/cell/approve_record.c
@@ -8,10 +8,10 @@
  * see approve.c for when a start waits for it. */
 
 void
-cell_approvals_written (CellStage *stage)
+cell_approvals_in_commit (CellStage *stage)
 {
   for (uint32_t i = 0; i < stage->approval_count; i++)
-    stage->approval[i].written = stage->approval[i].yes;
+    stage->approval[i].in_commit = stage->approval[i].approved;
 }
 
 void
@@ -19,7 +19,7 @@
 {
   for (uint32_t i = 0; i < stage->approval_count; i++)
     stage->approval[i].stored
-        = stage->approval[i].stored || stage->approval[i].written;
+        = stage->approval[i].stored || stage->approval[i].in_commit;
 }
 
 static bool
@@ -34,11 +34,11 @@
 static bool
 is_former (const CellStage *stage, const char *id)
 {
-  return contains (stage->former, stage->former_count, id);
+  return contains (stage->recorded, stage->recorded_count, id);
 }
 
 bool
-cell_is_recorded (const CellStage *stage, const CellWorker *worker)
+cell_worker_is_recorded (const CellStage *stage, const CellWorker *worker)
 {
   return contains (stage->spec->named, stage->spec->named_count,
                    worker->info.id)
@@ -48,9 +48,9 @@
 static bool
 is_approved (const CellStage *stage, const CellWorker *worker)
 {
-  const CellApproval *approval = cell_approval (stage, worker);
+  const CellApproval *approval = cell_approval_find (stage, worker);
 
-  return approval != NULL && approval->yes;
+  return approval != NULL && approval->approved;
 }
 
 /* An earlier task runs at the same worker. */
@@ -94,13 +94,13 @@
 {
   json_t *list = json_array ();
 
-  for (uint32_t i = 0; i < stage->former_count; i++)
-    (void) json_array_append_new (list, json_string (stage->former[i]));
+  for (uint32_t i = 0; i < stage->recorded_count; i++)
+    (void) json_array_append_new (list, json_string (stage->recorded[i]));
   for (uint32_t i = 0; i < stage->approval_count; i++)
     {
       const CellWorker *worker = cell->worker_at[stage->approval[i].slot];
 
-      if (stage->approval[i].yes && worker != NULL
+      if (stage->approval[i].approved && worker != NULL
           && !is_former (stage, worker->info.id))
         (void) json_array_append_new (list, json_string (worker->info.id));
     }
@@ -114,15 +114,15 @@
 {
   size_t count = json_array_size (json);
 
-  free (stage->former);
-  stage->former_count = 0;
-  stage->former = calloc (count + 1, sizeof *stage->former);
-  for (size_t i = 0; stage->former != NULL && i < count; i++)
+  free (stage->recorded);
+  stage->recorded_count = 0;
+  stage->recorded = calloc (count + 1, sizeof *stage->recorded);
+  for (size_t i = 0; stage->recorded != NULL && i < count; i++)
     {
       const char *id = json_string_value (json_array_get (json, i));
 
       if (id != NULL)
-        snprintf (stage->former[stage->former_count++], MUX_NAME_LEN, "%s", id);
+        snprintf (stage->recorded[stage->recorded_count++], MUX_NAME_LEN, "%s", id);
     }
 }
 
@@ -131,21 +131,21 @@
  * approved for a step does not change, only proofs age.
  */
 void
-cell_approvals_take_former (MuxCell *cell, CellStage *stage)
+cell_approvals_add_recorded (MuxCell *cell, CellStage *stage)
 {
-  if (stage->former_taken)
+  if (stage->recorded_added)
     return;
-  stage->former_taken = true;
-  for (uint32_t i = 0; i < stage->former_count; i++)
+  stage->recorded_added = true;
+  for (uint32_t i = 0; i < stage->recorded_count; i++)
     {
-      const CellWorker *worker = cell_worker_find (cell, stage->former[i]);
+      const CellWorker *worker = cell_worker_find (cell, stage->recorded[i]);
       CellApproval *approval
           = worker != NULL ? cell_approval_add (stage, worker) : NULL;
 
       if (approval == NULL)
         continue;
-      approval->asked = true;
-      approval->yes = true;
+      approval->queried = true;
+      approval->approved = true;
       approval->stored = true;
     }
 }
@@ -190,7 +190,7 @@
 int64_t
 cell_stage_settles_in_ms (MuxCell *cell, const CellStage *stage)
 {
-  int64_t former_ms = unheard_ms (cell, stage->former, stage->former_count);
+  int64_t former_ms = unheard_ms (cell, stage->recorded, stage->recorded_count);
   int64_t named_ms
       = unheard_ms (cell, stage->spec->named, stage->spec->named_count);
 
@@ -209,6 +209,6 @@
   /* Where it may run stood in what can't be read. */
   if (stage->job->progress_lost)
     return cell_all_workers_confirmed (cell);
-  return all_heard (cell, stage->former, stage->former_count)
+  return all_heard (cell, stage->recorded, stage->recorded_count)
          && all_heard (cell, stage->spec->named, stage->spec->named_count);
 }
--- a/src/cell/ask_ahead.c
+++ b/src/cell/ask_ahead.c
@@ -18,7 +18,7 @@
 {
   const MuxApprovalSpec *approval = &stage->job->spec->queue.approval;
 
-  return approval->needed && cell_question_is_short (stage, CELL_NAMES_LATER);
+  return approval->needed && cell_approval_query_is_short (stage, CELL_CANDIDATES_AHEAD_MIN);
 }
 
 /* Of the steps that @stage comes after, all tasks have been sent to workers.
@@ -49,7 +49,7 @@
 {
   int64_t longest_ms = longest_before_ms (stage);
 
-  return stage->left > 0 && !stage->ready && !stage->asking
+  return stage->left > 0 && !stage->ready && !stage->query_pending
          && !stage->spec->gang && stage->approval_count == 0 && longest_ms > 0
          && longest_ms + OVERRUN_MS
                 <= (int64_t) stage->job->spec->queue.approval.valid_ms;
@@ -61,14 +61,14 @@
   CellWorker *worker[CELL_CANDIDATES_MAX];
   uint32_t count;
 
-  if (!cell_can_ask (cell, stage, CELL_NAMES_LATER))
+  if (!cell_can_query (cell, stage, CELL_CANDIDATES_AHEAD_MIN))
     return;
-  count = cell_candidates_later (cell, stage, worker);
-  (void) cell_approval_ask (cell, stage, worker, count);
+  count = cell_candidates_ahead (cell, stage, worker);
+  (void) cell_approval_query_send (cell, stage, worker, count);
 }
 
 void
-cell_ask_ahead (MuxCell *cell, const CellStage *placed)
+cell_query_ahead (MuxCell *cell, const CellStage *placed)
 {
   const CellJob *job = placed->job;
   uint32_t first = placed->occurrence * job->spec->step_count;
--- a/src/cell/authorize.c
+++ b/src/cell/authorize.c
@@ -65,7 +65,7 @@
   const MuxWorkspaces *workspaces = cell->config->workspaces;
   const MuxWorkspaceSpec *workspace;
 
-  *caller = (CellCaller){ .is_bound = workspaces != NULL };
+  *caller = (CellCaller){ .is_restricted = workspaces != NULL };
   if (workspaces == NULL || queue->is_public)
     return MUX_OUTCOME_ACCEPTED;
   if (!question->has_key)
@@ -91,7 +91,7 @@
 bool
 cell_caller_may_see (const CellCaller *caller, const char *workspace)
 {
-  return !caller->is_bound || workspace[0] == 0
+  return !caller->is_restricted || workspace[0] == 0
          || strcmp (caller->workspace, workspace) == 0;
 }
 
@@ -102,7 +102,7 @@
   const char *workspace;
   bool is_of;
 
-  if (!caller->is_bound || row->value == NULL)
+  if (!caller->is_restricted || row->value == NULL)
     return true;
   json = cell_json_from_blob (row->value);
   workspace = json_string_value (json_object_get (json, "workspace"));
--- a/src/cell/candidate.c
+++ b/src/cell/candidate.c
@@ -36,7 +36,7 @@
  * cell stands idle.
  */
 uint64_t
-cell_worker_turn (uint64_t job_hash, const CellWorker *worker)
+cell_worker_tie_break (uint64_t job_hash, const CellWorker *worker)
 {
   return (job_hash ^ worker->slot) * HASH_MULTIPLIER;
 }
@@ -79,7 +79,7 @@
 static Candidate *
 candidates_new (const MuxCell *cell, const CellStage *stage)
 {
-  return calloc (cell_sample_max (cell) + stage->approval_count + 1,
+  return calloc (cell_worker_scan_max (cell) + stage->approval_count + 1,
                  sizeof (Candidate));
 }
 
@@ -122,7 +122,7 @@
                Found *found,
                Candidate *candidate)
 {
-  uint32_t tasks = cell_worker_takes (cell, stage, worker);
+  uint32_t tasks = cell_worker_startable_tasks (cell, stage, worker);
 
   if (tasks == 0)
     return;
@@ -130,11 +130,11 @@
        (Candidate){
            .worker = worker,
            .tasks = tasks,
-           .approved = approval != NULL && approval->yes,
-           .recorded = cell_is_recorded (stage, worker),
-           .outside = cell_is_outside (stage, worker),
+           .approved = approval != NULL && approval->approved,
+           .recorded = cell_worker_is_recorded (stage, worker),
+           .outside = cell_is_outside_data_centre (stage, worker),
            .delays = cell_delays_gang (cell, stage, worker),
-           .near = cell_approval_is_near (cell, approval),
+           .near = cell_approval_is_being_recorded (cell, approval),
        });
 }
 
@@ -144,13 +144,13 @@
                   Found *found,
                   Candidate *candidate)
 {
-  cell->looks += stage->approval_count;
+  cell->scan_cost += stage->approval_count;
   for (uint32_t i = 0; i < stage->approval_count; i++)
     {
       const CellApproval *approval = &stage->approval[i];
       CellWorker *worker = cell->worker_at[approval->slot];
 
-      if (worker != NULL && approval->yes)
+      if (worker != NULL && approval->approved)
         add_with_room (cell, stage, worker, approval, found, candidate);
     }
 }
@@ -162,20 +162,20 @@
                  Found *found,
                  Candidate *candidate)
 {
-  CellSample sample = cell_sample_begin (cell, stage);
+  CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
   CellWorker *worker;
 
-  while ((worker = cell_sample_next (cell, &sample)) != NULL)
+  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
     {
-      const CellApproval *approval = cell_approval (stage, worker);
+      const CellApproval *approval = cell_approval_find (stage, worker);
 
-      if (approval != NULL && (approval->asked || approval->yes))
+      if (approval != NULL && (approval->queried || approval->approved))
         continue;
       add_with_room (cell, stage, worker, approval, found, candidate);
-      if (sample.is_part && is_plenty (found, waiting, CELL_CANDIDATES_LEAST))
+      if (sample.is_partial && is_plenty (found, waiting, CELL_CANDIDATES_MIN))
         break;
     }
-  cell_sample_end (stage, &sample);
+  cell_worker_scan_end (stage, &sample);
 }
 
 static uint32_t
@@ -198,31 +198,31 @@
 static uint32_t
 collect_later (MuxCell *cell, CellStage *stage, Candidate *candidate)
 {
-  CellSample sample = cell_sample_begin (cell, stage);
+  CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
   uint64_t hash = mux_hash_name (stage->job->id, stage->step);
   Found found = { .count = 0 };
   CellWorker *worker;
 
-  while ((worker = cell_sample_next (cell, &sample)) != NULL)
+  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
     {
-      uint32_t tasks = cell_stage_bounded (
-          stage, cell_worker_holds (stage, worker->info.capacity));
+      uint32_t tasks = cell_stage_cap_per_worker (
+          stage, cell_tasks_that_fit (stage, worker->info.capacity));
 
-      if (tasks == 0 || !cell_worker_fits (cell, stage, worker))
+      if (tasks == 0 || !cell_worker_is_eligible (cell, stage, worker))
         continue;
       add (&found, candidate,
            (Candidate){
                .worker = worker,
                .tasks = tasks,
-               .recorded = cell_is_recorded (stage, worker),
-               .outside = cell_is_outside (stage, worker),
-               .turn = cell_worker_turn (hash, worker),
+               .recorded = cell_worker_is_recorded (stage, worker),
+               .outside = cell_is_outside_data_centre (stage, worker),
+               .turn = cell_worker_tie_break (hash, worker),
            });
-      if (sample.is_part
-          && is_plenty (&found, stage->spec->count, CELL_NAMES_LATER))
+      if (sample.is_partial
+          && is_plenty (&found, stage->spec->count, CELL_CANDIDATES_AHEAD_MIN))
         break;
     }
-  cell_sample_end (stage, &sample);
+  cell_worker_scan_end (stage, &sample);
   if (found.count > 0)
     qsort (candidate, found.count, sizeof *candidate, by_turn);
   return found.count;
@@ -285,18 +285,18 @@
   count = collect (cell, stage, waiting, candidate);
   /* Nobody has room: asked again when something can have changed. */
   if (count == 0)
-    stage->ask_after_ms = cell->time.now_ms + NO_ROOM_MS;
+    stage->no_query_until_ms = cell->time.now_ms + NO_ROOM_MS;
   /* The record of what was approved is on its way. */
   if (near_tasks (candidate, count) >= waiting)
     count = 0;
-  count = enough (candidate, count, waiting, CELL_CANDIDATES_LEAST);
+  count = enough (candidate, count, waiting, CELL_CANDIDATES_MIN);
   copy_workers (worker, candidate, count);
   free (candidate);
   return count;
 }
 
 uint32_t
-cell_candidates_later (MuxCell *cell,
+cell_candidates_ahead (MuxCell *cell,
                        CellStage *stage,
                        CellWorker *worker[CELL_CANDIDATES_MAX])
 {
@@ -307,7 +307,7 @@
     return 0;
   cell_choose_data_centre (cell, stage);
   count = collect_later (cell, stage, candidate);
-  count = enough (candidate, count, stage->spec->count, CELL_NAMES_LATER);
+  count = enough (candidate, count, stage->spec->count, CELL_CANDIDATES_AHEAD_MIN);
   copy_workers (worker, candidate, count);
   free (candidate);
   return count;
--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -91,10 +91,10 @@
    * millisecond, which is more calls than any makes.
    */
   cell->next_call = options->incarnation;
-  cell->next_question = options->incarnation;
+  cell->last_approval_query = options->incarnation;
   cell->hellos.number = options->incarnation;
-  cell->round = 1;
-  cell_order_init (&cell->order);
+  cell->scan_round = 1;
+  cell_plan_order_init (&cell->plan_order);
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     snprintf (cell->part[i].name, sizeof cell->part[i].name, "p%u",
               (unsigned) i);
@@ -178,7 +178,7 @@
       cell_unread_tick (cell);
       cell_approvals_tick (cell);
       cell_waits_tick (cell);
-      cell_learn_tick (cell);
+      cell_run_times_tick (cell);
       cell_load_log_tick (cell);
       cell_sweep_tick (cell);
     }
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -122,7 +122,7 @@
 /** cell_admission_placed() - a task of the stage was started */
 void cell_admission_placed (MuxCell *cell, const CellStage *stage);
 /** cell_admission_taken() - the planner goes to store the job */
-void cell_admission_taken (MuxCell *cell, const MuxJobSpec *spec);
+void cell_admission_accepted (MuxCell *cell, const MuxJobSpec *spec);
 /** cell_admission_tick() - the planner counts its backlog */
 void cell_admission_tick (MuxCell *cell);
 /** cell_admission_blob() - what is told to other daemons; NULL: memory is out
@@ -130,18 +130,18 @@
 MuxBlob *cell_admission_blob (MuxCell *cell);
 /** cell_admission_forget() - a term begins: what was told last is another one's
  */
-void cell_admission_forget (MuxCell *cell);
+void cell_admission_blob_reset (MuxCell *cell);
 /** cell_throttle_retry_ms() - the planner can't take the job, when to come
  * again; 0: it is taken */
 uint32_t cell_throttle_retry_ms (const MuxCell *cell, const MuxJobSpec *spec);
 /** cell_admission_told() - by the planner, in a message or beside its sign of
  * life; NULL: it takes all */
-void cell_admission_told (MuxCell *cell, const MuxBlob *body);
+void cell_admission_receive (MuxCell *cell, const MuxBlob *body);
 /** cell_admission_retry_ms() - the job would begin too late, when to come
  * again; 0: it is taken */
 uint32_t cell_admission_retry_ms (const MuxCell *cell, const MuxJobSpec *spec);
 /** cell_planner_is_busy() - it lives, and does not answer for its load */
-bool cell_planner_is_busy (const MuxCell *cell);
+bool cell_planner_is_overloaded (const MuxCell *cell);
 
 /* authorize.c: callers and their keys */
 /** cell_config_age_ms() - since the configuration was surely the newest one;
@@ -168,26 +168,26 @@
 /* quota.c: what workspaces have running */
 /** cell_workspace() - of that name, made where it is new
  * Return: NULL for "", or when memory is out. */
-CellWorkspace *cell_workspace (MuxCell *cell, const char *name);
+CellWorkspace *cell_workspace_get (MuxCell *cell, const char *name);
 /** cell_workspaces_configure() - as the configuration in force says */
 void cell_workspaces_configure (MuxCell *cell);
 void cell_workspaces_free (MuxCell *cell);
 /** cell_quota_take() - a run of the stage may hold room from now on */
-void cell_quota_take (const CellStage *stage);
-void cell_quota_give (const CellStage *stage);
+void cell_quota_charge (const CellStage *stage);
+void cell_quota_release (const CellStage *stage);
 /** cell_quota_spares() - tasks of the stage that may start now beside what its
  * workspace has running, or may have */
-uint32_t cell_quota_spares (const MuxCell *cell, const CellStage *stage);
+uint32_t cell_quota_tasks_allowed (const MuxCell *cell, const CellStage *stage);
 /** cell_quota_wait() - a gang has less than it needs: others of its workspace
  * leave it what becomes free */
-void cell_quota_wait (const MuxCell *cell, const CellStage *stage);
+void cell_quota_reserve (const MuxCell *cell, const CellStage *stage);
 /** cell_quota_leave() - the stage waits no longer */
-void cell_quota_leave (const CellStage *stage);
+void cell_quota_unreserve (const CellStage *stage);
 /** cell_quota_tick() - count what a former planner may have started */
 void cell_quota_tick (MuxCell *cell);
 /** cell_quota_never_holds() - a task of the job, or a gang, by the quota of the
  * configuration in force */
-bool cell_quota_never_holds (const MuxCell *cell, const MuxJobSpec *spec);
+bool cell_quota_never_fits (const MuxCell *cell, const MuxJobSpec *spec);
 
 /* submit.c, inquiry.c: callers */
 void cell_submit (MuxCell *cell, MuxQuestion *question);
@@ -423,11 +423,11 @@
 /** cell_step_asks() - @question about it is on its way */
 void cell_step_asks (const MuxCell *cell,
                      CellStage *stage,
-                     const CellQuestion *question);
+                     const CellApprovalQuery *question);
 /** cell_step_answered() - or it is lost, with no workers @approved */
 void cell_step_answered (const MuxCell *cell,
                          CellStage *stage,
-                         const CellQuestion *question,
+                         const CellApprovalQuery *question,
                          uint32_t approved);
 /** cell_step_used() - a start with a proof goes to @worker */
 void cell_step_used (const MuxCell *cell,
@@ -480,10 +480,10 @@
 
 /* room.c */
 /** cell_room_take() - for a task of @stage */
-void cell_room_take (CellWorker *worker, const CellStage *stage);
-void cell_room_give (CellWorker *worker, const CellStage *stage);
+void cell_room_book (CellWorker *worker, const CellStage *stage);
+void cell_room_release (CellWorker *worker, const CellStage *stage);
 /** cell_room_ever() - once all that ends there has ended */
-MuxSize cell_room_ever (const CellWorker *worker);
+MuxSize cell_room_eventual (const CellWorker *worker);
 
 /* renew.c */
 /* Between renewals while ends wait to be stored, or after a failure. */
@@ -589,12 +589,12 @@
                            const MuxJobSpec *spec,
                            const MuxStepSpec *step);
 /** cell_learn_run() - that ended well just now */
-void cell_learn_run (MuxCell *cell, const CellBooking *booking);
+void cell_run_time_record (MuxCell *cell, const CellBooking *booking);
 /** cell_run_times_json() - for other daemons; owned by the caller */
 json_t *cell_run_times_json (const MuxCell *cell);
 /** cell_run_times_told() - by the planner; NULL: nothing */
-void cell_run_times_told (MuxCell *cell, const json_t *list);
-void cell_learn_tick (MuxCell *cell);
+void cell_run_times_receive (MuxCell *cell, const json_t *list);
+void cell_run_times_tick (MuxCell *cell);
 
 /* sweep.c: rows of jobs that ended long ago */
 void cell_sweep_begin (MuxCell *cell);
@@ -742,20 +742,20 @@
 /* approval_list.c */
 /** cell_approval() - what is known of the worker; NULL: it was not asked about
  */
-CellApproval *cell_approval (const CellStage *stage, const CellWorker *worker);
-CellApproval *cell_approval_at (const CellStage *stage, uint32_t slot);
+CellApproval *cell_approval_find (const CellStage *stage, const CellWorker *worker);
+CellApproval *cell_approval_find_slot (const CellStage *stage, uint32_t slot);
 /** cell_approval_add() - the entry of the worker; NULL: memory is out */
 CellApproval *cell_approval_add (CellStage *stage, const CellWorker *worker);
 void cell_approvals_free (CellStage *stage);
 
 /* approve.c */
 /** cell_askers() - daemons that were heard lately, busy or not */
-uint32_t cell_askers (MuxCell *cell);
+uint32_t cell_queriers_alive (MuxCell *cell);
 /** cell_question_ms() - what a question about @count workers takes */
-uint32_t cell_question_ms (const CellStage *stage, uint32_t count);
+uint32_t cell_approval_query_ms (const CellStage *stage, uint32_t count);
 /** cell_can_ask() - some daemon is free to ask about @count workers */
-bool cell_can_ask (MuxCell *cell, const CellStage *stage, uint32_t count);
-bool cell_approval_ask (MuxCell *cell,
+bool cell_can_query (MuxCell *cell, const CellStage *stage, uint32_t count);
+bool cell_approval_query_send (MuxCell *cell,
                         CellStage *stage,
                         CellWorker *const *candidates,
                         uint32_t count);
@@ -764,14 +764,14 @@
                                  const CellWorker *worker);
 /** cell_proof_taken() - the proof to show now; NULL: there is none, or
  * @approval is NULL */
-const char *cell_proof_taken (const MuxCell *cell,
+const char *cell_usable_proof (const MuxCell *cell,
                               const CellApproval *approval);
 /** cell_approval_is_near() - its proof is taken once the record of the approval
  * is stored, which is on its way; false for NULL */
-bool cell_approval_is_near (const MuxCell *cell, const CellApproval *approval);
+bool cell_approval_is_being_recorded (const MuxCell *cell, const CellApproval *approval);
 /** cell_approval_lasts() - its proof is still taken when a question about
  * @count workers that is sent now was answered */
-bool cell_approval_lasts (const MuxCell *cell,
+bool cell_proof_outlasts_query (const MuxCell *cell,
                           const CellStage *stage,
                           const CellWorker *worker,
                           uint32_t count);
@@ -779,15 +779,15 @@
  * written stands in the store */
 void cell_approvals_stored (CellStage *stage);
 /** cell_approvals_written() - they go into a commit */
-void cell_approvals_written (CellStage *stage);
+void cell_approvals_in_commit (CellStage *stage);
 /** cell_approvals_json() - ids of workers that the stage may run on */
 json_t *cell_approvals_json (MuxCell *cell, const CellStage *stage);
 /** cell_is_recorded() - the stored record names the worker */
-bool cell_is_recorded (const CellStage *stage, const CellWorker *worker);
+bool cell_worker_is_recorded (const CellStage *stage, const CellWorker *worker);
 void cell_approvals_apply (CellStage *stage, const json_t *json);
 /** cell_approvals_take_former() - what is recorded of a former planner is
  * known, but for proofs */
-void cell_approvals_take_former (MuxCell *cell, CellStage *stage);
+void cell_approvals_add_recorded (MuxCell *cell, CellStage *stage);
 /** cell_stage_is_settled() - no run of it that a former planner started can
  * be anywhere without being known */
 bool cell_stage_is_settled (MuxCell *cell, const CellStage *stage);
@@ -795,37 +795,37 @@
  * are recorded */
 int64_t cell_stage_settles_in_ms (MuxCell *cell, const CellStage *stage);
 /** cell_took_answer() - the question of that number was answered, or is lost */
-void cell_took_answer (MuxCell *cell,
+void cell_approval_query_done (MuxCell *cell,
                        uint64_t number,
                        bool answered,
                        const MuxApproval *approvals,
                        uint32_t count,
                        uint32_t valid_ms);
 void cell_approvals_tick (MuxCell *cell);
-void cell_questions_free (MuxCell *cell);
+void cell_approval_queries_free (MuxCell *cell);
 
 /** cell_question_is_short() - one about @count workers takes no daemon from
  * urgent steps */
-bool cell_question_is_short (const CellStage *stage, uint32_t count);
+bool cell_approval_query_is_short (const CellStage *stage, uint32_t count);
 
 /* ask_ahead.c */
 /** cell_ask_ahead() - about the steps that come after @placed */
-void cell_ask_ahead (MuxCell *cell, const CellStage *placed);
+void cell_query_ahead (MuxCell *cell, const CellStage *placed);
 
 /* approve_peer.c */
 /** cell_question_call() - the call that asks what @question says
  * Return: NULL if it can't be understood, or memory is out. */
-MuxCellCall *cell_question_call (const json_t *question);
+MuxCellCall *cell_approval_query_call (const json_t *question);
 void cell_approval_peer (MuxCell *cell, const MuxPeerMsg *msg);
 
 /* rank.c: the order of waiting steps */
 CellRank cell_stage_rank (const CellStage *stage, int64_t now_ms);
 /** cell_stage_ranked_until() - when that rank changes; INT64_MAX: never */
-int64_t cell_stage_ranked_until (const CellStage *stage, int64_t now_ms);
+int64_t cell_stage_rank_expires_ms (const CellStage *stage, int64_t now_ms);
 /** cell_stage_order() - negative: @a goes first; of steps that were ranked */
 /** cell_stage_is_late() - it goes behind all that is in time */
 bool cell_stage_is_late (const CellStage *stage);
-int cell_stage_order (const CellStage *a, const CellStage *b);
+int cell_stage_compare (const CellStage *a, const CellStage *b);
 
 /* tree.c: sets in order */
 void cell_tree_add (CellTree *tree, CellNode *node);
@@ -834,44 +834,44 @@
 CellNode *cell_tree_next (const CellNode *node);
 
 /* plan_order.c: stages with waiting tasks, in planning order */
-void cell_order_init (CellOrder *order);
-void cell_order_add (MuxCell *cell, CellStage *stage);
-void cell_order_remove (MuxCell *cell, CellStage *stage);
+void cell_plan_order_init (CellPlanOrder *order);
+void cell_plan_order_add (MuxCell *cell, CellStage *stage);
+void cell_plan_order_remove (MuxCell *cell, CellStage *stage);
 /** cell_order_rank() - of those whose rank has changed by now */
-void cell_order_rank (MuxCell *cell);
-typedef void (*CellVisit) (MuxCell *cell, const CellStage *stage);
+void cell_plan_order_rerank (MuxCell *cell);
+typedef void (*CellStageVisit) (MuxCell *cell, const CellStage *stage);
 /** cell_order_visit() - all stages of the plan, in no order; it must not change
  * the plan */
-void cell_order_visit (MuxCell *cell, CellVisit visit);
+void cell_plan_order_visit (MuxCell *cell, CellStageVisit visit);
 /** cell_order_begin() - a pass, with the first in order */
-void cell_order_begin (CellOrder *order);
+void cell_plan_order_begin (CellPlanOrder *order);
 /** cell_order_front() - the next in order; NULL: that was the last */
-CellStage *cell_order_front (CellOrder *order);
+CellStage *cell_plan_order_next_front (CellPlanOrder *order);
 /** cell_order_turn() - the next in the round, which may have been looked at
  * before if its rank changed; NULL: all had their turn */
-CellStage *cell_order_turn (CellOrder *order);
+CellStage *cell_plan_order_next_in_round (CellPlanOrder *order);
 /** cell_order_is_done() - all had their turn in the round */
-bool cell_order_is_done (const CellOrder *order);
-void cell_order_new_round (CellOrder *order);
+bool cell_plan_order_is_done (const CellPlanOrder *order);
+void cell_plan_order_new_round (CellPlanOrder *order);
 /** cell_order_begin_urgent() - a pass over those of urgent queues */
-void cell_order_begin_urgent (CellOrder *order);
-CellStage *cell_order_urgent (CellOrder *order);
+void cell_plan_order_begin_urgent (CellPlanOrder *order);
+CellStage *cell_plan_order_next_urgent (CellPlanOrder *order);
 
 /* sample.c: which workers a look at a step passes over */
 /** cell_is_sampled() - the cell has more workers than one look passes over */
-bool cell_is_sampled (const MuxCell *cell);
+bool cell_worker_scan_is_partial (const MuxCell *cell);
 /** cell_sample_max() - most workers of one look */
-uint32_t cell_sample_max (const MuxCell *cell);
+uint32_t cell_worker_scan_max (const MuxCell *cell);
 /** cell_sample_begin() - a look of the stage, behind its last one */
-CellSample cell_sample_begin (const MuxCell *cell, const CellStage *stage);
+CellWorkerScan cell_worker_scan_begin (const MuxCell *cell, const CellStage *stage);
 /** cell_sample_next() - NULL: that was the last */
-CellWorker *cell_sample_next (MuxCell *cell, CellSample *sample);
+CellWorker *cell_worker_scan_next (MuxCell *cell, CellWorkerScan *sample);
 /** cell_sample_end() - the stage's next look begins where this one stands */
-void cell_sample_end (CellStage *stage, const CellSample *sample);
+void cell_worker_scan_end (CellStage *stage, const CellWorkerScan *sample);
 
 /* forecast.c: when running tasks will have ended */
 /** cell_booking_left_ms() - its run is expected to take so much longer */
-int64_t cell_booking_left_ms (const MuxCell *cell, const CellBooking *booking);
+int64_t cell_booking_remaining_ms (const MuxCell *cell, const CellBooking *booking);
 /** cell_worker_free_at() - for @stage, if nothing starts there until @at_ms */
 MuxSize cell_worker_free_at (const MuxCell *cell,
                              const CellStage *stage,
@@ -879,16 +879,16 @@
                              int64_t at_ms);
 /** cell_worker_gaps() - for members of @stage there, in the order of time
  * Return: how many, @gap_max at most. */
-uint32_t cell_worker_gaps (const MuxCell *cell,
+uint32_t cell_worker_openings (const MuxCell *cell,
                            const CellStage *stage,
                            CellWorker *worker,
-                           CellGap *gap,
+                           CellOpening *gap,
                            uint32_t gap_max);
 
 /* gather.c */
 /** cell_gather() - reserve room at @count approved workers for a gang that has
  * too little now, and ask for proofs if the time has come and it @may_ask */
-void cell_gather (MuxCell *cell,
+void cell_gang_reserve (MuxCell *cell,
                   CellStage *stage,
                   CellWorker *const *worker,
                   uint32_t count,
@@ -904,12 +904,12 @@
                    int64_t at_ms);
 /** cell_reservations_begin() - a pass begins: only those of stages that rest
  * stay */
-void cell_reservations_begin (MuxCell *cell);
+void cell_reservations_new_pass (MuxCell *cell);
 /** cell_reservations_drop() - those of this pass */
-void cell_reservations_drop (MuxCell *cell, const CellStage *stage);
+void cell_reservations_mark_stale (MuxCell *cell, const CellStage *stage);
 /** cell_reservations_stand() - those of the pass before stay in this one
  * Return: false: there were none. */
-bool cell_reservations_stand (MuxCell *cell, const CellStage *stage);
+bool cell_reservations_keep (MuxCell *cell, const CellStage *stage);
 /** cell_was_reserved() - in this pass or the one before */
 bool cell_was_reserved (const CellStage *stage, const CellWorker *worker);
 /** cell_reserved_for_others() - than @stage, up to @at_ms */
@@ -918,7 +918,7 @@
                                   int64_t at_ms);
 /** cell_worker_spares() - tasks of @stage that may start there now, beside what
  * is kept for another */
-uint32_t cell_worker_spares (const MuxCell *cell,
+uint32_t cell_worker_spare_tasks (const MuxCell *cell,
                              const CellStage *stage,
                              const CellWorker *worker);
 /** cell_delays_gang() - a task of @stage that starts there takes room that is
@@ -929,13 +929,13 @@
 /** cell_reservations_clear() - nothing is kept for the stage any more */
 void cell_reservations_clear (MuxCell *cell, const CellStage *stage);
 /** cell_reservation_forget() - the worker goes */
-void cell_reservation_forget (MuxCell *cell, CellWorker *worker);
+void cell_reservations_clear_worker (MuxCell *cell, CellWorker *worker);
 
 /* failure_domain.c: what a cut between data centres separates */
 /** cell_choose_data_centre() - for the tasks of the stage that wait */
 void cell_choose_data_centre (MuxCell *cell, CellStage *stage);
 /** cell_is_outside() - of the data centre that the stage's tasks go to */
-bool cell_is_outside (const CellStage *stage, const CellWorker *worker);
+bool cell_is_outside_data_centre (const CellStage *stage, const CellWorker *worker);
 
 /* candidate.c: workers to ask the policy service about, those of the data
  * centre that is chosen for the stage before others */
@@ -945,10 +945,10 @@
                           CellStage *stage,
                           CellWorker *worker[CELL_CANDIDATES_MAX]);
 /** cell_worker_turn() - decides among workers that are alike for a job */
-uint64_t cell_worker_turn (uint64_t job_hash, const CellWorker *worker);
+uint64_t cell_worker_tie_break (uint64_t job_hash, const CellWorker *worker);
 /** cell_candidates_later() - that can hold tasks of the stage once its turn has
  * come */
-uint32_t cell_candidates_later (MuxCell *cell,
+uint32_t cell_candidates_ahead (MuxCell *cell,
                                 CellStage *stage,
                                 CellWorker *worker[CELL_CANDIDATES_MAX]);
 
@@ -962,16 +962,16 @@
 void cell_plan (MuxCell *cell);
 /** cell_room_is_known() - what workers last said of their room is young enough
  * to start something there */
-bool cell_room_is_known (const MuxCell *cell);
+bool cell_room_is_current (const MuxCell *cell);
 void cell_plan_add (MuxCell *cell, CellStage *stage);
 void cell_plan_drop (MuxCell *cell, CellStage *stage);
 /** cell_stage_rests() - it was looked at in this round, and others were not */
-bool cell_stage_rests (const MuxCell *cell, const CellStage *stage);
+bool cell_stage_is_scanned (const MuxCell *cell, const CellStage *stage);
 /** cell_stage_bounded() - so many of @tasks may run on one worker */
-uint32_t cell_stage_bounded (const CellStage *stage, uint32_t tasks);
+uint32_t cell_stage_cap_per_worker (const CellStage *stage, uint32_t tasks);
 /** cell_worker_serves() - it is of the stage's service and has its label */
-bool cell_worker_serves (const CellStage *stage, const CellWorker *worker);
-bool cell_worker_fits (const MuxCell *cell,
+bool cell_worker_matches (const CellStage *stage, const CellWorker *worker);
+bool cell_worker_is_eligible (const MuxCell *cell,
                        const CellStage *stage,
                        const CellWorker *worker);
 MuxSize cell_worker_free (const CellWorker *worker);
@@ -979,15 +979,15 @@
 MuxSize cell_worker_free_for (const CellStage *stage, const CellWorker *worker);
 /** cell_size_of() - of @tasks of the stage's tasks */
 MuxSize cell_size_of (const CellStage *stage, uint32_t tasks);
-uint32_t cell_worker_holds (const CellStage *stage, MuxSize free);
+uint32_t cell_tasks_that_fit (const CellStage *stage, MuxSize free);
 /** cell_worker_takes() - tasks of the stage that it has room for now */
-uint32_t cell_worker_takes (const MuxCell *cell,
+uint32_t cell_worker_startable_tasks (const MuxCell *cell,
                             const CellStage *stage,
                             const CellWorker *worker);
 void cell_place_tasks (MuxCell *cell, CellStage *stage);
 /** cell_place_soon() - a former planner may have started tasks of it: ask for
  * what it needs once that is known */
-void cell_place_soon (MuxCell *cell, CellStage *stage);
+void cell_place_unsettled (MuxCell *cell, CellStage *stage);
 /** cell_hold() - keep room for @tasks of the stage at @worker
  * Return: false when memory is out. */
 bool cell_hold (CellStage *stage, CellWorker *worker, uint32_t tasks);
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -62,7 +62,7 @@
 typedef struct CellTask CellTask;
 typedef struct CellWorker CellWorker;
 typedef struct CellBooking CellBooking;
-typedef struct CellQuestion CellQuestion;
+typedef struct CellApprovalQuery CellApprovalQuery;
 typedef struct CellBadRow CellBadRow;
 typedef struct CellUnread CellUnread;
 typedef struct CellService CellService;
@@ -239,9 +239,9 @@
   bool stopping;
   bool wall_known;
   int64_t wall_offset_ms; /* its time of day over our steady clock */
-  uint64_t asking;       /* number of the approval question it works on */
-  uint32_t asking_cost_ms;
-  int64_t asking_until_ms; /* it is asked nothing before */
+  uint64_t query_number;       /* number of the approval question it works on */
+  uint32_t query_cost_ms;
+  int64_t no_query_until_ms; /* it is asked nothing before */
   bool is_free;
   CellMember *free_prev;
   CellMember *free_next;
@@ -249,12 +249,12 @@
 };
 
 /* Workers named in a policy question: so many at least, */
-#define CELL_CANDIDATES_LEAST 6
+#define CELL_CANDIDATES_MIN 6
 /* and as many as the service takes. */
 #define CELL_CANDIDATES_MAX 100
 /* Workers named for a step whose turn has not come, at least: its tasks may
  * find others free than those of now. */
-#define CELL_NAMES_LATER 12
+#define CELL_CANDIDATES_AHEAD_MIN 12
 
 /**
  * struct CellApproval - what is known of one worker's right to run a stage
@@ -270,12 +270,12 @@
 typedef struct
 {
   uint32_t slot;
-  bool asked;
-  bool yes;
+  bool queried;
+  bool approved;
   bool used;
   char *proof;
-  int64_t until_ms;
-  bool written;
+  int64_t proof_expires_ms;
+  bool in_commit;
   bool stored;
 } CellApproval;
 
@@ -287,7 +287,7 @@
  * @until_ms: then it counts as lost
  * @member: the daemon that puts it
  */
-struct CellQuestion
+struct CellApprovalQuery
 {
   uint64_t number;
   MuxTaskRef step;
@@ -295,9 +295,9 @@
   uint32_t *slot;
   bool is_renewal;
   int64_t sent_ms;
-  int64_t due_ms;
-  int64_t until_ms;
-  char member[MUX_NAME_LEN];
+  int64_t expected_by_ms;
+  int64_t expires_ms;
+  char querier[MUX_NAME_LEN];
   UT_hash_handle hh;
 };
 
@@ -500,9 +500,9 @@
 typedef struct
 {
   CellWorker *worker;
-  int64_t at_ms;
+  int64_t from_ms;
   uint32_t tasks;
-} CellGap;
+} CellOpening;
 
 /* Gangs that one worker's room is reserved for. */
 #define CELL_RESERVATIONS_MAX 6
@@ -518,9 +518,9 @@
 {
   CellStage *stage;
   MuxSize size;
-  int64_t at_ms;
-  bool is_old;
-  bool stands;
+  int64_t from_ms;
+  bool is_stale;
+  bool is_kept;
 } CellReservation;
 
 /**
@@ -533,10 +533,10 @@
 typedef struct
 {
   uint32_t slot;
-  uint32_t slots;
-  uint32_t workers;
-  bool is_part;
-} CellSample;
+  uint32_t slots_left;
+  uint32_t workers_left;
+  bool is_partial;
+} CellWorkerScan;
 
 /* Of a step whose tasks are placed in any data centre. */
 #define CELL_ANY_DATA_CENTRE 0
@@ -577,22 +577,22 @@
  */
 typedef struct
 {
-  CellTree planned;
-  CellTree fresh;
+  CellTree visited;
+  CellTree unvisited;
   CellTree urgent;
-  CellTree ranked;
-  CellStage *front;
-  CellStage *turn;
-  CellStage *next_urgent;
-  uint64_t numbers;
-} CellOrder;
+  CellTree by_rank_expiry;
+  CellStage *front_cursor;
+  CellStage *round_cursor;
+  CellStage *urgent_cursor;
+  uint64_t last_number;
+} CellPlanOrder;
 
 /**
  * enum CellRank - what the end of a step that starts now would be worth
  */
 typedef enum
 {
-  CELL_RANK_OWED, /* it is to last, and has been away for a while */
+  CELL_RANK_STARVED, /* it is to last, and has been away for a while */
   CELL_RANK_IN_TIME,
   CELL_RANK_LATE,
   CELL_RANK_WORTHLESS, /* it still ends, as was promised */
@@ -673,23 +673,23 @@
   uint32_t step;
   bool ready;
   int64_t ready_ms;
-  uint64_t round;
-  int64_t looked_ms;
-  bool is_unlooked;
+  uint64_t scan_round;
+  int64_t scanned_ms;
+  bool is_unscanned;
   int64_t told_ms;
-  bool is_fresh;
+  bool is_unvisited;
   uint64_t number;
-  int64_t ranked_until_ms;
-  CellNode planned;
-  CellNode urgent;
-  CellNode ranked;
-  bool reserving;
-  bool is_listed; /* among those that room is reserved for */
-  int64_t counted_ms;
-  uint32_t sample_slot;
+  int64_t rank_expires_ms;
+  CellNode plan_node;
+  CellNode urgent_node;
+  CellNode rank_node;
+  bool has_reservation;
+  bool is_in_reserving; /* among those that room is reserved for */
+  int64_t reserving_counted_ms;
+  uint32_t scan_slot;
   uint64_t service;       /* hash of the pool that runs it */
   uint64_t data_centre;   /* hash of the one that its tasks are placed in */
-  int64_t proof_until_ms; /* no proof is taken after this */
+  int64_t proofs_expire_ms; /* no proof is taken after this */
   uint32_t left;
   uint32_t run;
   uint32_t expected_ms; /* that a run of it will take */
@@ -699,23 +699,23 @@
   uint32_t losses_stored;
   bool predecessor_runs_lost;
   uint32_t approval_count;
-  uint32_t approval_room;
+  uint32_t approval_capacity;
   CellApproval *approval;
-  uint32_t former_count;
-  char (*former)[MUX_NAME_LEN]; /* workers that a former planner could use */
-  bool former_taken;            /* they stand among @approval */
-  bool asking;
-  int64_t asked_ms;
-  uint32_t lost_answers;
-  int64_t ask_after_ms;
+  uint32_t recorded_count;
+  char (*recorded)[MUX_NAME_LEN]; /* workers that a former planner could use */
+  bool recorded_added;            /* they stand among @approval */
+  bool query_pending;
+  int64_t queried_ms;
+  uint32_t lost_queries;
+  int64_t no_query_until_ms;
   CellStepWait wait;
   int64_t due_ms;
   int64_t worthless_ms;
-  int64_t latest_ms;
+  int64_t latest_start_ms;
   CellRank rank;
   uint32_t hold_count;
   CellHold *hold; /* GANG: room kept while its proofs are renewed */
-  int64_t hold_until_ms;
+  int64_t holds_expire_ms;
   CellTask *task;
   CellStage *reserving_prev;
   CellStage *reserving_next;
@@ -1094,7 +1094,7 @@
   int64_t planner_store_failing_ms; /* it says so since; 0: it does not */
   int64_t planner_late_ms; /* as it says: what arrives there waits so long */
   MuxAdmission admission;  /* the planner's, or as it told last */
-  int64_t admission_told_ms;
+  int64_t admission_updated_ms;
   MuxThrottle throttle;    /* the planner's, or as it told last */
   MuxBlob *admission_blob; /* both, as the planner tells them; or NULL */
   int64_t admission_blob_ms;
@@ -1108,9 +1108,9 @@
   /* Of the planner alone. */
   CellAnswers answers;
   bool late;     /* it takes no new jobs, as it told last */
-  bool backlog;  /* new jobs would wait, the same */
-  bool has_room; /* some pool is not full, as counted last */
-  int64_t next_backlog_line_ms;
+  bool has_backlog;  /* new jobs would wait, the same */
+  bool pool_has_room; /* some pool is not full, as counted last */
+  int64_t next_backlog_log_ms;
   uint64_t admission_term; /* in which the backlog was counted last */
   CellJob *jobs;
   CellJob *watched; /* jobs that time alone may change */
@@ -1134,17 +1134,17 @@
   CellWorker *reserved;    /* with room reserved for gangs */
   CellMember *members;
   CellMember *free_members;  /* that work on no approval question */
-  int64_t askers_counted_ms; /* when the next two were counted */
-  uint32_t askers_alive;
-  uint32_t askers_busy_long; /* of them, with a long question */
-  CellQuestion *questions;
-  CellOrder order;
-  uint32_t late_reservations; /* left to late gangs in this pass */
-  CellStage *reserving;       /* stages that room is reserved for */
-  uint32_t looks;             /* workers looked at in this pass */
-  uint32_t idle_looks;        /* for stages that still wait, the same */
-  uint32_t steps_looked;      /* waiting steps, the same */
-  uint64_t round; /* of looks at all stages; several passes may share one */
+  int64_t queriers_counted_ms; /* when the next two were counted */
+  uint32_t queriers_alive;
+  uint32_t queriers_with_long_query; /* of them, with a long question */
+  CellApprovalQuery *approval_queries;
+  CellPlanOrder plan_order;
+  uint32_t late_reservations_left; /* left to late gangs in this pass */
+  CellStage *reserving_stages;       /* stages that room is reserved for */
+  uint32_t scan_cost;             /* workers looked at in this pass */
+  uint32_t idle_scan_cost;        /* for stages that still wait, the same */
+  uint32_t steps_scanned;      /* waiting steps, the same */
+  uint64_t scan_round; /* of looks at all stages; several passes may share one */
   bool replan;
   uint64_t end_seq;
   bool roster_loaded;
@@ -1153,22 +1153,22 @@
   bool roster_fence_doubtful; /* a commit went unanswered, it is to be read */
   char roster_from[MUX_ROW_NAME_LEN]; /* first key of its next page */
   int64_t roster_next_ms;
-  uint32_t unlooked; /* steps that wait and no pass has looked at yet */
+  uint32_t unscanned_steps; /* steps that wait and no pass has looked at yet */
   int64_t next_plan_ms;
   int64_t next_look_ms;
   uint64_t quota_term;   /* all workers were heard in it */
-  MuxQuota unheard_room; /* of workers whose runs are not known yet */
+  MuxQuota unconfirmed_room; /* of workers whose runs are not known yet */
   int64_t next_overdue_ms;
   int64_t next_loss_check_ms;
   uint32_t down_next; /* counts them */
   CellDownEvent down[CELL_DOWN_MAX];
   int64_t next_wait_line_ms;
   MuxRunTimes run_times; /* as seen, or as a planner told */
-  int64_t next_learn_line_ms;
+  int64_t next_run_times_log_ms;
   int64_t next_load_log_ms;
-  int64_t slow_pass_ms;
-  int64_t pass_ms; /* no pass before */
-  uint64_t next_question;
+  int64_t next_full_pass_ms;
+  int64_t next_pass_ms; /* no pass before */
+  uint64_t last_approval_query;
 };
 
 #endif
--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -54,7 +54,7 @@
   }
   cell_workers_free (cell);
   cell_members_free (cell);
-  cell_questions_free (cell);
+  cell_approval_queries_free (cell);
   cell_unread_free (cell);
   cell->late = false;
   for (uint32_t i = 0; i < CELL_PARTS; i++)
@@ -78,7 +78,7 @@
   cell->answers = (CellAnswers){ .count = 0 };
   cell->late_starts_until_ms = 0;
   cell_heartbeat_begin (cell);
-  cell_admission_forget (cell);
+  cell_admission_blob_reset (cell);
   cell_yield_begin (cell);
   cell->end_seq = 0;
   cell->worker_slots = 0;
@@ -137,7 +137,7 @@
       cell_heartbeat_read (cell, row);
       if (cell->role == CELL_FOLLOWER && row->value != NULL
           && !cell_planner_is_reachable (cell))
-        cell_admission_told (cell, row->value);
+        cell_admission_receive (cell, row->value);
     }
   if (strcmp (row->key, CELL_CLAIM_KEY) != 0
       || row->version <= cell->claim.version)
@@ -445,7 +445,7 @@
   cell->planner_hello_reply_ms = cell->time.now_ms;
   if (msg->epoch == cell->claim.version)
     cell_hello_acked (cell, msg->call);
-  cell_admission_told (cell, msg->body);
+  cell_admission_receive (cell, msg->body);
   cell->planner_late_ms = msg->late_ms;
   cell_planner_wall_time_received (cell, msg->wall_ms);
   if (msg->table_ok)
--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -439,7 +439,7 @@
 
       if (stage->ready && !stage->predecessor_runs_lost
           && (!job->spec->queue.approval.needed
-              || cell_is_recorded (stage, worker)))
+              || cell_worker_is_recorded (stage, worker)))
         lose_former_runs (cell, stage, worker);
     }
 }
--- a/src/cell/evacuate.c
+++ b/src/cell/evacuate.c
@@ -39,7 +39,7 @@
 static bool
 ends_in_time (const MuxCell *cell, const CellBooking *booking, int64_t stays_ms)
 {
-  return cell_booking_left_ms (cell, booking) * LEFT_SURE_PERCENT / PERCENT
+  return cell_booking_remaining_ms (cell, booking) * LEFT_SURE_PERCENT / PERCENT
          <= stays_ms;
 }
 
--- a/src/cell/failure_domain.c
+++ b/src/cell/failure_domain.c
@@ -56,17 +56,17 @@
 static void
 sum_up (MuxCell *cell, const CellStage *stage, uint64_t first, Rooms *rooms)
 {
-  CellSample sample = cell_sample_begin (cell, stage);
+  CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
   uint32_t most = cell_stage_waiting (stage);
   CellWorker *worker;
 
-  while ((worker = cell_sample_next (cell, &sample)) != NULL)
+  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
     {
-      uint32_t tasks = cell_worker_takes (cell, stage, worker);
+      uint32_t tasks = cell_worker_startable_tasks (cell, stage, worker);
 
       if (tasks > 0)
         add_room (rooms, worker->data_centre, tasks < most ? tasks : most);
-      if (sample.is_part && worker->data_centre == first
+      if (sample.is_partial && worker->data_centre == first
           && room_in (rooms, first) >= most)
         return;
     }
@@ -105,7 +105,7 @@
 }
 
 bool
-cell_is_outside (const CellStage *stage, const CellWorker *worker)
+cell_is_outside_data_centre (const CellStage *stage, const CellWorker *worker)
 {
   return stage->data_centre != CELL_ANY_DATA_CENTRE
          && worker->data_centre != stage->data_centre;
--- a/src/cell/forecast.c
+++ b/src/cell/forecast.c
@@ -12,7 +12,7 @@
 
 /* By its progress; before it has made any, by what is expected. */
 int64_t
-cell_booking_left_ms (const MuxCell *cell, const CellBooking *booking)
+cell_booking_remaining_ms (const MuxCell *cell, const CellBooking *booking)
 {
   int64_t ran_ms = booking->moved_ms - booking->since_ms;
   int64_t ends_ms = booking->since_ms + booking->task->stage->expected_ms;
@@ -27,7 +27,7 @@
 static int64_t
 likely_left_ms (const MuxCell *cell, const CellBooking *booking)
 {
-  int64_t left_ms = cell_booking_left_ms (cell, booking);
+  int64_t left_ms = cell_booking_remaining_ms (cell, booking);
   int64_t ran_ms = cell->time.now_ms - booking->since_ms;
 
   return left_ms > 0 ? left_ms : ran_ms * OVERDUE_PERCENT / PERCENT;
@@ -87,15 +87,15 @@
 static uint32_t
 holds_beside (const CellStage *stage, MuxSize free, MuxSize reserved)
 {
-  return cell_stage_bounded (
-      stage, cell_worker_holds (stage, mux_size_sub (free, reserved)));
+  return cell_stage_cap_per_worker (
+      stage, cell_tasks_that_fit (stage, mux_size_sub (free, reserved)));
 }
 
 uint32_t
-cell_worker_gaps (const MuxCell *cell,
+cell_worker_openings (const MuxCell *cell,
                   const CellStage *stage,
                   CellWorker *worker,
-                  CellGap *gap,
+                  CellOpening *gap,
                   uint32_t gap_max)
 {
   MuxSize reserved = cell_reserved_for_others (stage, worker, INT64_MAX);
@@ -106,7 +106,7 @@
   uint32_t count = ends_of (cell, worker, end);
 
   if (tasks > 0 && n < gap_max)
-    gap[n++] = (CellGap){ worker, cell->time.now_ms, tasks };
+    gap[n++] = (CellOpening){ worker, cell->time.now_ms, tasks };
   for (uint32_t i = 0; i < count && n < gap_max; i++)
     {
       uint32_t more;
@@ -115,7 +115,7 @@
       more = holds_beside (stage, free, reserved);
       if (more <= tasks)
         continue;
-      gap[n++] = (CellGap){ worker, cell->time.now_ms + end[i].left_ms,
+      gap[n++] = (CellOpening){ worker, cell->time.now_ms + end[i].left_ms,
                             more - tasks };
       tasks = more;
     }
--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -44,18 +44,18 @@
 {
   bool needed = stage->job->spec->queue.approval.needed;
 
-  if (!cell_worker_fits (cell, stage, worker))
+  if (!cell_worker_is_eligible (cell, stage, worker))
     return 0;
   p->worker = worker;
-  p->asked = approval != NULL && approval->asked;
-  p->now = cell_stage_bounded (stage, cell_worker_spares (cell, stage, worker));
+  p->asked = approval != NULL && approval->queried;
+  p->now = cell_stage_cap_per_worker (stage, cell_worker_spare_tasks (cell, stage, worker));
   p->reserved = cell_was_reserved (stage, worker);
-  p->turn = cell_worker_turn (hash, worker);
-  p->ever = cell_stage_bounded (
-      stage, cell_worker_holds (stage, cell_room_ever (worker)));
-  p->yes = !needed || (approval != NULL && approval->yes);
-  p->proven = !needed || cell_proof_taken (cell, approval) != NULL;
-  p->near = !p->proven && cell_approval_is_near (cell, approval);
+  p->turn = cell_worker_tie_break (hash, worker);
+  p->ever = cell_stage_cap_per_worker (
+      stage, cell_tasks_that_fit (stage, cell_room_eventual (worker)));
+  p->yes = !needed || (approval != NULL && approval->approved);
+  p->proven = !needed || cell_usable_proof (cell, approval) != NULL;
+  p->near = !p->proven && cell_approval_is_being_recorded (cell, approval);
   return p->ever > 0;
 }
 
@@ -67,13 +67,13 @@
 {
   uint32_t n = 0;
 
-  cell->looks += stage->approval_count;
+  cell->scan_cost += stage->approval_count;
   for (uint32_t i = 0; i < stage->approval_count; i++)
     {
       const CellApproval *approval = &stage->approval[i];
       CellWorker *worker = cell->worker_at[approval->slot];
 
-      if (worker != NULL && approval->yes)
+      if (worker != NULL && approval->approved)
         n += look_at (cell, stage, worker, approval, hash, &place[n]);
     }
   return n;
@@ -98,28 +98,28 @@
               const CellApproval *approval)
 {
   return stage->job->spec->queue.approval.needed
-             ? approval != NULL && approval->yes
+             ? approval != NULL && approval->approved
              : cell_was_reserved (stage, worker);
 }
 
 static uint32_t
 collect_sample (MuxCell *cell, CellStage *stage, uint64_t hash, Place *place)
 {
-  CellSample sample = cell_sample_begin (cell, stage);
+  CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
   CellWorker *worker;
   uint32_t n = 0;
 
-  while ((worker = cell_sample_next (cell, &sample)) != NULL)
+  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
     {
-      const CellApproval *approval = cell_approval (stage, worker);
+      const CellApproval *approval = cell_approval_find (stage, worker);
 
       if (is_collected (stage, worker, approval))
         continue;
       n += look_at (cell, stage, worker, approval, hash, &place[n]);
-      if (sample.is_part && n >= PLENTY)
+      if (sample.is_partial && n >= PLENTY)
         break;
     }
-  cell_sample_end (stage, &sample);
+  cell_worker_scan_end (stage, &sample);
   return n;
 }
 
@@ -254,7 +254,7 @@
       worker[n++] = place[i].worker;
       room += place[i].ever;
     }
-  (void) cell_approval_ask (cell, stage, worker, n);
+  (void) cell_approval_query_send (cell, stage, worker, n);
 }
 
 /* Hold room for those of @left members that fit on workers whose proofs last
@@ -273,7 +273,7 @@
       uint32_t take = place[i].now < left ? place[i].now : left;
 
       if (!place[i].yes || take == 0
-          || cell_approval_lasts (cell, stage, place[i].worker, CANDIDATES_MAX)
+          || cell_proof_outlasts_query (cell, stage, place[i].worker, CANDIDATES_MAX)
                  != lasts)
         continue;
       if (!cell_hold (stage, place[i].worker, take))
@@ -303,8 +303,8 @@
   left = hold_where (cell, stage, place, count, left, false);
   for (uint32_t i = lasting; i < stage->hold_count && n < CANDIDATES_MAX; i++)
     worker[n++] = stage->hold[i].worker;
-  if (left == 0 && cell_approval_ask (cell, stage, worker, n))
-    stage->hold_until_ms = cell->time.now_ms + HOLD_MAX_MS;
+  if (left == 0 && cell_approval_query_send (cell, stage, worker, n))
+    stage->holds_expire_ms = cell->time.now_ms + HOLD_MAX_MS;
   else
     cell_holds_release (stage);
 }
@@ -316,7 +316,7 @@
   uint32_t left = stage->spec->count;
 
   if (stage->hold_count == 0)
-    stage->hold_until_ms = cell->time.now_ms + HOLD_MAX_MS;
+    stage->holds_expire_ms = cell->time.now_ms + HOLD_MAX_MS;
   cell_holds_release (stage);
   for (uint32_t i = 0; i < count && left > 0; i++)
     {
@@ -374,7 +374,7 @@
     return;
   for (uint32_t i = 0; i < count; i++)
     worker[i] = place[i].worker;
-  cell_gather (cell, stage, worker, count, may_ask && !stage->asking);
+  cell_gang_reserve (cell, stage, worker, count, may_ask && !stage->query_pending);
   free (worker);
 }
 
@@ -440,7 +440,7 @@
 static uint32_t *
 reservations_of (MuxCell *cell, const CellStage *stage, uint32_t *reservations)
 {
-  return cell_stage_is_late (stage) ? &cell->late_reservations : reservations;
+  return cell_stage_is_late (stage) ? &cell->late_reservations_left : reservations;
 }
 
 static void
@@ -454,7 +454,7 @@
   Room room = sum_up (place, count);
   uint32_t need = stage->spec->count;
 
-  if (stage->hold_count > 0 && cell->time.now_ms > stage->hold_until_ms)
+  if (stage->hold_count > 0 && cell->time.now_ms > stage->holds_expire_ms)
     cell_holds_release (stage);
 
   if (room.proven_now >= need)
@@ -480,7 +480,7 @@
     }
   if (may_ask)
     ask (cell, stage, place, count, &room);
-  if (!stage->asking)
+  if (!stage->query_pending)
     cell_step_lacks (cell, stage, what_lacks (stage, &room));
   reservations = reservations_of (cell, stage, reservations);
   if (*reservations == 0 || room.yes_ever < need || stage->hold_count > 0)
@@ -497,7 +497,7 @@
   size_t reserved = 0;
 
   DL_COUNT2 (cell->reserved, worker, reserved, reserved_next);
-  return cell_sample_max (cell) + stage->approval_count + reserved + 1;
+  return cell_worker_scan_max (cell) + stage->approval_count + reserved + 1;
 }
 
 /* What is reserved for a gang stays so while it asks; what is held for it takes
@@ -507,9 +507,9 @@
 {
   reservations = reservations_of (cell, stage, reservations);
   if (*reservations == 0 || stage->hold_count > 0
-      || !cell_reservations_stand (cell, stage))
+      || !cell_reservations_keep (cell, stage))
     return;
-  stage->reserving = true;
+  stage->has_reservation = true;
   (*reservations)--;
 }
 
@@ -521,26 +521,26 @@
   uint32_t count;
   bool may_ask;
 
-  if (stage->asking)
+  if (stage->query_pending)
     {
       keep_reservations (cell, stage, reservations);
       return;
     }
   if (!cell_gang_may_start (cell, stage))
     return;
-  if (cell_quota_spares (cell, stage) < stage->spec->count)
+  if (cell_quota_tasks_allowed (cell, stage) < stage->spec->count)
     {
-      cell_quota_wait (cell, stage);
+      cell_quota_reserve (cell, stage);
       cell_holds_release (stage);
       cell_step_lacks (cell, stage, CELL_LACKS_QUOTA);
       return;
     }
   if (needed)
-    cell_approvals_take_former (cell, stage);
+    cell_approvals_add_recorded (cell, stage);
   place = calloc (places_max (cell, stage), sizeof *place);
   if (place == NULL)
     return;
-  may_ask = needed && cell_can_ask (cell, stage, CANDIDATES_MAX);
+  may_ask = needed && cell_can_query (cell, stage, CANDIDATES_MAX);
   count = collect (cell, stage, may_ask, place);
   if (stage->spec->rack_sensitive)
     keep_to_one_rack (stage, place, count);
--- a/src/cell/gather.c
+++ b/src/cell/gather.c
@@ -22,18 +22,18 @@
 typedef struct
 {
   uint32_t count;
-  CellGap *gap;
+  CellOpening *gap;
 } Gaps;
 
 /* Fewer workers where several have room at the same time. */
 static int
 soonest_first (const void *x, const void *y)
 {
-  const CellGap *a = x;
-  const CellGap *b = y;
+  const CellOpening *a = x;
+  const CellOpening *b = y;
 
-  if (a->at_ms != b->at_ms)
-    return a->at_ms < b->at_ms ? -1 : 1;
+  if (a->from_ms != b->from_ms)
+    return a->from_ms < b->from_ms ? -1 : 1;
   if (a->tasks != b->tasks)
     return a->tasks > b->tasks ? -1 : 1;
   return a->worker->slot < b->worker->slot ? -1 : 1;
@@ -49,7 +49,7 @@
       = { .gap = calloc ((size_t) count * GAPS_MAX + 1, sizeof *gaps.gap) };
 
   for (uint32_t i = 0; i < count && gaps.gap != NULL; i++)
-    gaps.count += cell_worker_gaps (cell, stage, worker[i],
+    gaps.count += cell_worker_openings (cell, stage, worker[i],
                                     &gaps.gap[gaps.count], GAPS_MAX);
   if (gaps.count > 0)
     qsort (gaps.gap, gaps.count, sizeof *gaps.gap, soonest_first);
@@ -83,12 +83,12 @@
 static void
 reserve (MuxCell *cell, CellStage *stage, const Gaps *gaps, uint32_t count)
 {
-  int64_t at_ms = gaps->gap[count - 1].at_ms;
+  int64_t at_ms = gaps->gap[count - 1].from_ms;
   uint32_t left = stage->spec->count;
 
   for (uint32_t i = 0; i < count && left > 0; i++)
     {
-      const CellGap *gap = &gaps->gap[i];
+      const CellOpening *gap = &gaps->gap[i];
       uint32_t take = gap->tasks < left ? gap->tasks : left;
 
       if (cell_reserve (cell, stage, gap->worker, take, at_ms))
@@ -112,15 +112,15 @@
     count = gaps->count;
   for (uint32_t i = 0; i < count && n < CELL_CANDIDATES_MAX; i++)
     if (!contains (worker, n, gaps->gap[i].worker)
-        && !cell_approval_lasts (cell, stage, gaps->gap[i].worker,
+        && !cell_proof_outlasts_query (cell, stage, gaps->gap[i].worker,
                                  CELL_CANDIDATES_MAX))
       worker[n++] = gaps->gap[i].worker;
-  if (at_ms - cell->time.now_ms <= cell_question_ms (stage, n))
-    (void) cell_approval_ask (cell, stage, worker, n);
+  if (at_ms - cell->time.now_ms <= cell_approval_query_ms (stage, n))
+    (void) cell_approval_query_send (cell, stage, worker, n);
 }
 
 void
-cell_gather (MuxCell *cell,
+cell_gang_reserve (MuxCell *cell,
              CellStage *stage,
              CellWorker *const *worker,
              uint32_t count,
@@ -129,16 +129,16 @@
   Gaps gaps;
   uint32_t first;
 
-  cell_reservations_drop (cell, stage);
+  cell_reservations_mark_stale (cell, stage);
   gaps = gaps_of (cell, stage, worker, count);
-  cell->looks += gaps.count;
+  cell->scan_cost += gaps.count;
   first = gaps.gap != NULL ? first_that_hold (&gaps, stage->spec->count) : 0;
   if (first > 0)
     {
-      stage->reserving = true;
+      stage->has_reservation = true;
       reserve (cell, stage, &gaps, first);
       if (may_ask)
-        ask_for_proofs (cell, stage, &gaps, gaps.gap[first - 1].at_ms);
+        ask_for_proofs (cell, stage, &gaps, gaps.gap[first - 1].from_ms);
     }
   free (gaps.gap);
 }
--- a/src/cell/inquiry.c
+++ b/src/cell/inquiry.c
@@ -239,7 +239,7 @@
   if (inquiry->id[0] == 0)
     return json_pack ("{s:s}", "queue", inquiry->queue);
   json = json_pack ("{s:s}", "id", inquiry->id);
-  if (inquiry->caller.is_bound)
+  if (inquiry->caller.is_restricted)
     (void) json_object_set_new (json, "workspace",
                                 json_string (inquiry->caller.workspace));
   return json;
@@ -387,7 +387,7 @@
 {
   const char *workspace
       = json_string_value (json_object_get (json, "workspace"));
-  CellCaller caller = { .is_bound = workspace != NULL };
+  CellCaller caller = { .is_restricted = workspace != NULL };
 
   if (workspace != NULL)
     (void) mux_name_copy (caller.workspace, workspace);
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -93,7 +93,7 @@
       return NULL;
     }
   job->spec = spec;
-  job->workspace = cell_workspace (cell, spec->workspace);
+  job->workspace = cell_workspace_get (cell, spec->workspace);
   snprintf (job->id, sizeof job->id, "%s", spec->id);
   job->part = cell_part_of (job->id);
   job->payload = mux_blob_new (spec->payload, strlen (spec->payload));
@@ -128,7 +128,7 @@
   cell_service_add (cell, job->spec->queue.service);
   HASH_ADD_STR (cell->jobs, id, job);
   cell_queue_update (cell, job);
-  cell->throttle.taken += cell->role == CELL_PLANNING;
+  cell->throttle.accepted += cell->role == CELL_PLANNING;
   if (cell_occurrences_left (job))
     cell_job_watch (cell, job);
   return job;
--- a/src/cell/late.c
+++ b/src/cell/late.c
@@ -67,7 +67,7 @@
 cell_late_ms (const MuxCell *cell)
 {
   int64_t late_ms = cell->time.now_ms - cell->time.heard_ms;
-  int64_t answers_ms = cell->has_room ? cell_answers_late_ms (cell) : 0;
+  int64_t answers_ms = cell->pool_has_room ? cell_answers_late_ms (cell) : 0;
 
   if (late_ms < answers_ms)
     late_ms = answers_ms;
--- a/src/cell/learn.c
+++ b/src/cell/learn.c
@@ -40,7 +40,7 @@
 /* A run that resumes what was saved, or that a former planner started, tells
  * nothing of a whole one; a gang ends once. */
 void
-cell_learn_run (MuxCell *cell, const CellBooking *booking)
+cell_run_time_record (MuxCell *cell, const CellBooking *booking)
 {
   const CellTask *task = booking->task;
   const CellStage *stage = task->stage;
@@ -49,7 +49,7 @@
       || task->state == CELL_TASK_DONE || booking->resumed
       || booking->run < cell_next_run (cell, 0))
     return;
-  mux_run_time_note (&cell->run_times, queue_of (stage->job->spec),
+  mux_run_time_record (&cell->run_times, queue_of (stage->job->spec),
                      stage->spec->estimate_ms,
                      cell->time.now_ms - booking->since_ms);
 }
@@ -72,8 +72,8 @@
       (void) json_array_append_new (
           list, json_pack ("[I, i, I, I, I, I]", (json_int_t) time->queue,
                            (int) time->count, in_parts (time->mean),
-                           in_parts (time->variance), in_parts (time->off_mean),
-                           in_parts (time->off_variance)));
+                           in_parts (time->variance), in_parts (time->error_mean),
+                           in_parts (time->error_variance)));
     }
   return list;
 }
@@ -85,7 +85,7 @@
 }
 
 void
-cell_run_times_told (MuxCell *cell, const json_t *list)
+cell_run_times_receive (MuxCell *cell, const json_t *list)
 {
   const json_t *entry;
   size_t i;
@@ -97,8 +97,8 @@
       .count = (uint32_t) json_integer_value (json_array_get (entry, 1)),
       .mean = part_at (entry, 2),
       .variance = part_at (entry, 3),
-      .off_mean = part_at (entry, 4),
-      .off_variance = part_at (entry, 5),
+      .error_mean = part_at (entry, 4),
+      .error_variance = part_at (entry, 5),
     };
     MuxRunTime *time;
 
@@ -111,11 +111,11 @@
 }
 
 void
-cell_learn_tick (MuxCell *cell)
+cell_run_times_tick (MuxCell *cell)
 {
-  if (cell->time.now_ms < cell->next_learn_line_ms)
+  if (cell->time.now_ms < cell->next_run_times_log_ms)
     return;
-  cell->next_learn_line_ms = cell->time.now_ms + LINE_MS;
+  cell->next_run_times_log_ms = cell->time.now_ms + LINE_MS;
   for (uint32_t i = 0; i < cell->run_times.count; i++)
     {
       const MuxRunTime *time = &cell->run_times.item[i];
@@ -124,7 +124,7 @@
                 (json_int_t) time->queue, "runs", (int) time->count, "usual_ms",
                 (json_int_t) exp (time->mean), "spread_milli",
                 in_parts (sqrt (time->variance)), "off_milli",
-                in_parts (exp (time->off_mean)), "off_spread_milli",
-                in_parts (sqrt (time->off_variance)));
+                in_parts (exp (time->error_mean)), "off_spread_milli",
+                in_parts (sqrt (time->error_variance)));
     }
 }
--- a/src/cell/life.c
+++ b/src/cell/life.c
@@ -98,7 +98,7 @@
 
   DL_DELETE (from->bookings, booking);
   from->stops -= booking->stop_at_ms != 0;
-  cell_room_give (from, stage);
+  cell_room_release (from, stage);
   if (booking->previous_incarnation == NULL)
     {
       booking->previous_incarnation = strdup (from->info.id);
@@ -109,7 +109,7 @@
   booking->listed = false;
   DL_APPEND (to->bookings, booking);
   to->stops += booking->stop_at_ms != 0;
-  cell_room_take (to, stage);
+  cell_room_book (to, stage);
 }
 
 static void
--- a/src/cell/load_line.c
+++ b/src/cell/load_line.c
@@ -66,10 +66,10 @@
                                       [CELL_RANK_WORTHLESS] = "worthless" };
   json_t *queues = json_object ();
   json_t *ranks = json_object ();
-  const CellQuestion *question;
-  const CellQuestion *next;
+  const CellApprovalQuery *question;
+  const CellApprovalQuery *next;
 
-  HASH_ITER (hh, cell->questions, question, next)
+  HASH_ITER (hh, cell->approval_queries, question, next)
   {
     const CellTask *task = cell_task_find (cell, &question->step);
 
@@ -80,8 +80,8 @@
   }
   cell_log (cell, "planner_load",
             "{s:i, s:i, s:o, s:o, s:I, s:I, s:I, s:I, s:i}", "askers",
-            (int) cell_askers (cell), "asking",
-            (int) HASH_COUNT (cell->questions), "asking_for", queues, "ranks",
+            (int) cell_queriers_alive (cell), "asking",
+            (int) HASH_COUNT (cell->approval_queries), "asking_for", queues, "ranks",
             ranks, "cores", (json_int_t) (room->all / MILLI), "booked",
             (json_int_t) (room->booked / MILLI), "held",
             (json_int_t) (room->held / MILLI), "kept_idle",
@@ -94,7 +94,7 @@
   Room room;
 
   if (cell->time.now_ms < cell->next_load_log_ms || !cell_is_active_planner (cell)
-      || cell->order.planned.root == NULL)
+      || cell->plan_order.visited.root == NULL)
     return;
   cell->next_load_log_ms = cell->time.now_ms + LINE_MS;
   room = room_of (cell);
--- a/src/cell/member.c
+++ b/src/cell/member.c
@@ -30,7 +30,7 @@
 void
 cell_member_set_query (MuxCell *cell, CellMember *member, uint64_t number)
 {
-  member->asking = number;
+  member->query_number = number;
   if (member->is_free == (number == 0))
     return;
   member->is_free = number == 0;
@@ -52,7 +52,7 @@
     free (member);
   }
   cell->free_members = NULL;
-  cell->askers_counted_ms = 0;
+  cell->queriers_counted_ms = 0;
 }
 
 bool
@@ -75,7 +75,7 @@
   /* What its former process asked is lost with it, answer and all: the step
    * asks anew at once. */
   if (member->incarnation != msg->from_incarnation)
-    cell_took_answer (cell, member->asking, false, NULL, 0, 0);
+    cell_approval_query_done (cell, member->query_number, false, NULL, 0, 0);
   snprintf (member->addr, sizeof member->addr, "%s", msg->from_addr);
   member->incarnation = msg->from_incarnation;
   member->hello_number = msg->call;
--- a/src/cell/named_row.c
+++ b/src/cell/named_row.c
@@ -38,7 +38,7 @@
   uint32_t count;
 
   count = step->after == 0 ? cell_candidates (cell, stage, worker)
-                           : cell_candidates_later (cell, stage, worker);
+                           : cell_candidates_ahead (cell, stage, worker);
   if (count > NAMES_MAX)
     count = NAMES_MAX;
   free (step->named);
--- a/src/cell/place.c
+++ b/src/cell/place.c
@@ -18,16 +18,16 @@
 }
 
 uint32_t
-cell_worker_takes (const MuxCell *cell,
+cell_worker_startable_tasks (const MuxCell *cell,
                    const CellStage *stage,
                    const CellWorker *worker)
 {
   uint32_t n;
   uint32_t there;
 
-  if (!cell_worker_fits (cell, stage, worker))
+  if (!cell_worker_is_eligible (cell, stage, worker))
     return 0;
-  n = cell_worker_spares (cell, stage, worker);
+  n = cell_worker_spare_tasks (cell, stage, worker);
   if (stage->spec->per_worker_max == 0 || n == 0)
     return n;
   there = running_there (stage, worker);
@@ -61,7 +61,7 @@
     cost += FAR_COST;
   if (task->failed_slot == worker->slot + 1)
     cost += FAILED_COST;
-  if (cell_is_outside (task->stage, worker))
+  if (cell_is_outside_data_centre (task->stage, worker))
     cost += OUTSIDE_COST;
   if (cell_delays_gang (cell, task->stage, worker))
     cost += DELAY_COST;
@@ -83,7 +83,7 @@
 {
   int64_t cost;
 
-  if (cell_worker_takes (cell, task->stage, worker) == 0)
+  if (cell_worker_startable_tasks (cell, task->stage, worker) == 0)
     return;
   if (!cell_worker_accepts_suspect (cell, task, worker))
     {
@@ -104,13 +104,13 @@
   const CellStage *stage = task->stage;
   Choice best = { .worker = NULL };
 
-  cell->looks += stage->approval_count;
+  cell->scan_cost += stage->approval_count;
   for (uint32_t i = 0; i < stage->approval_count; i++)
     {
       CellWorker *worker = cell->worker_at[stage->approval[i].slot];
 
       if (worker != NULL
-          && cell_proof_taken (cell, &stage->approval[i]) != NULL)
+          && cell_usable_proof (cell, &stage->approval[i]) != NULL)
         consider (cell, task, worker, &best);
     }
   return best;
@@ -120,16 +120,16 @@
 best_worker (MuxCell *cell, const CellTask *task)
 {
   Choice best = { .worker = NULL };
-  CellSample sample;
+  CellWorkerScan sample;
   CellWorker *worker;
 
   if (task->stage->job->spec->queue.approval.needed)
     return best_approved (cell, task);
-  sample = cell_sample_begin (cell, task->stage);
-  while ((worker = cell_sample_next (cell, &sample)) != NULL)
+  sample = cell_worker_scan_begin (cell, task->stage);
+  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
     consider (cell, task, worker, &best);
   if (best.worker == NULL)
-    cell_sample_end (task->stage, &sample);
+    cell_worker_scan_end (task->stage, &sample);
   return best;
 }
 
@@ -162,9 +162,9 @@
       const CellApproval *approval = &stage->approval[i];
       CellWorker *worker = cell->worker_at[approval->slot];
 
-      if (worker == NULL || !approval->yes
-          || (!stage->asking && !cell_approval_is_near (cell, approval))
-          || cell_worker_takes (cell, stage, worker) == 0)
+      if (worker == NULL || !approval->approved
+          || (!stage->query_pending && !cell_approval_is_being_recorded (cell, approval))
+          || cell_worker_startable_tasks (cell, stage, worker) == 0)
         continue;
       if (!cell_hold (stage, worker, 1))
         return;
@@ -178,23 +178,23 @@
   CellWorker *worker[CELL_CANDIDATES_MAX];
   uint32_t count;
 
-  if (!cell_can_ask (cell, stage, CELL_CANDIDATES_LEAST))
+  if (!cell_can_query (cell, stage, CELL_CANDIDATES_MIN))
     return;
   count = cell_candidates (cell, stage, worker);
-  (void) cell_approval_ask (cell, stage, worker, count);
+  (void) cell_approval_query_send (cell, stage, worker, count);
 }
 
 void
-cell_place_soon (MuxCell *cell, CellStage *stage)
+cell_place_unsettled (MuxCell *cell, CellStage *stage)
 {
   int64_t wait_ms;
 
-  if (stage->spec->gang || stage->asking
+  if (stage->spec->gang || stage->query_pending
       || !stage->job->spec->queue.approval.needed)
     return;
   wait_ms = cell_stage_settles_in_ms (cell, stage);
   if (wait_ms > ASK_BEFORE_MS
-      || stage->proof_until_ms > cell->time.now_ms + wait_ms)
+      || stage->proofs_expire_ms > cell->time.now_ms + wait_ms)
     return;
   ask (cell, stage);
 }
@@ -221,7 +221,7 @@
   if (!placing->short_of_workers)
     return CELL_LACKS_RECORD;
   return !stage->job->spec->queue.approval.needed
-                 || cell_can_ask (cell, stage, CELL_CANDIDATES_LEAST)
+                 || cell_can_query (cell, stage, CELL_CANDIDATES_MIN)
              ? CELL_LACKS_ROOM
              : CELL_LACKS_ASKER;
 }
@@ -258,7 +258,7 @@
       if (task->state != CELL_TASK_WAITING || task->booking != NULL
           || !cell_task_may_start (cell, task))
         continue;
-      placing->over_quota = cell_quota_spares (cell, stage) == 0;
+      placing->over_quota = cell_quota_tasks_allowed (cell, stage) == 0;
       if (placing->over_quota)
         return true;
       if (!place_task (cell, task, placing))
@@ -272,9 +272,9 @@
 {
   bool needed = stage->job->spec->queue.approval.needed;
   Placing placing = {
-    .over_quota = cell_quota_spares (cell, stage) == 0,
+    .over_quota = cell_quota_tasks_allowed (cell, stage) == 0,
     /* Without a proof that is taken now no worker needs to be looked at. */
-    .short_of_workers = needed && cell->time.now_ms >= stage->proof_until_ms,
+    .short_of_workers = needed && cell->time.now_ms >= stage->proofs_expire_ms,
   };
 
   if (placing.over_quota)
@@ -289,13 +289,13 @@
   if (placing.sent > 0 && cell_stage_waiting (stage) == 0)
     {
       cell_stage_placed (cell, stage, placing.sent);
-      cell_ask_ahead (cell, stage);
+      cell_query_ahead (cell, stage);
     }
   if (placing.short_of_workers && needed)
     ask (cell, stage);
-  if (!stage->asking && cell_stage_waiting (stage) > 0)
+  if (!stage->query_pending && cell_stage_waiting (stage) > 0)
     cell_step_lacks (cell, stage, what_lacks (cell, stage, &placing));
-  if (stage->rank == CELL_RANK_OWED)
+  if (stage->rank == CELL_RANK_STARVED)
     hold_approved (cell, stage);
   cell_stage_update (cell, stage);
 }
--- a/src/cell/plan.c
+++ b/src/cell/plan.c
@@ -42,7 +42,7 @@
 
 /* How many tasks of the stage fit into @free. */
 uint32_t
-cell_worker_holds (const CellStage *stage, MuxSize free)
+cell_tasks_that_fit (const CellStage *stage, MuxSize free)
 {
   MuxSize need = stage->spec->size;
   uint32_t n = UINT32_MAX;
@@ -57,7 +57,7 @@
 }
 
 uint32_t
-cell_stage_bounded (const CellStage *stage, uint32_t tasks)
+cell_stage_cap_per_worker (const CellStage *stage, uint32_t tasks)
 {
   uint32_t max = stage->spec->per_worker_max;
 
@@ -65,7 +65,7 @@
 }
 
 bool
-cell_worker_serves (const CellStage *stage, const CellWorker *worker)
+cell_worker_matches (const CellStage *stage, const CellWorker *worker)
 {
   const char *label = stage->spec->label;
 
@@ -76,11 +76,11 @@
 
 /* The worker may run the stage at all, whatever room it has now. */
 bool
-cell_worker_fits (const MuxCell *cell,
+cell_worker_is_eligible (const MuxCell *cell,
                   const CellStage *stage,
                   const CellWorker *worker)
 {
-  return cell_worker_serves (stage, worker) && cell_worker_usable (cell, worker)
+  return cell_worker_matches (stage, worker) && cell_worker_usable (cell, worker)
          && (!stage->spec->fills
              || cell->time.now_ms >= worker->no_fill_until_ms);
 }
@@ -93,21 +93,21 @@
   stage->ready = true;
   stage->ready_ms = cell->time.now_ms;
   cell_step_wait_begin (cell, stage);
-  stage->round = 0;
-  stage->is_unlooked = true;
-  cell->unlooked++;
-  cell_order_add (cell, stage);
+  stage->scan_round = 0;
+  stage->is_unscanned = true;
+  cell->unscanned_steps++;
+  cell_plan_order_add (cell, stage);
   cell->replan = true;
 }
 
 static void
 stop_reserving (MuxCell *cell, CellStage *stage)
 {
-  stage->reserving = false;
-  if (!stage->is_listed)
+  stage->has_reservation = false;
+  if (!stage->is_in_reserving)
     return;
-  stage->is_listed = false;
-  DL_DELETE2 (cell->reserving, stage, reserving_prev, reserving_next);
+  stage->is_in_reserving = false;
+  DL_DELETE2 (cell->reserving_stages, stage, reserving_prev, reserving_next);
 }
 
 void
@@ -116,18 +116,18 @@
   if (!stage->ready)
     return;
   stage->ready = false;
-  cell->unlooked -= stage->is_unlooked;
-  stage->is_unlooked = false;
+  cell->unscanned_steps -= stage->is_unscanned;
+  stage->is_unscanned = false;
   cell_holds_release (stage);
-  cell_quota_leave (stage);
+  cell_quota_unreserve (stage);
   stop_reserving (cell, stage);
-  cell_order_remove (cell, stage);
+  cell_plan_order_remove (cell, stage);
 }
 
 bool
-cell_stage_rests (const MuxCell *cell, const CellStage *stage)
+cell_stage_is_scanned (const MuxCell *cell, const CellStage *stage)
 {
-  return stage->round == cell->round;
+  return stage->scan_round == cell->scan_round;
 }
 
 static void
@@ -136,9 +136,9 @@
   CellStage *stage;
   CellStage *next_stage;
 
-  cell_reservations_begin (cell);
-  DL_FOREACH_SAFE2 (cell->reserving, stage, next_stage, reserving_next)
-  if (!cell_stage_rests (cell, stage))
+  cell_reservations_new_pass (cell);
+  DL_FOREACH_SAFE2 (cell->reserving_stages, stage, next_stage, reserving_next)
+  if (!cell_stage_is_scanned (cell, stage))
     stop_reserving (cell, stage);
 }
 
@@ -154,23 +154,23 @@
 place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations)
 {
   cell_place_gang (cell, stage, reservations);
-  if (!stage->ready || !stage->reserving || stage->is_listed)
+  if (!stage->ready || !stage->has_reservation || stage->is_in_reserving)
     return;
-  stage->is_listed = true;
-  DL_APPEND2 (cell->reserving, stage, reserving_prev, reserving_next);
+  stage->is_in_reserving = true;
+  DL_APPEND2 (cell->reserving_stages, stage, reserving_prev, reserving_next);
 }
 
 static void
 place (MuxCell *cell, CellStage *stage, uint32_t *reservations)
 {
-  uint32_t looks = cell->looks;
-
-  stage->looked_ms = cell->time.now_ms;
-  cell->unlooked -= stage->is_unlooked;
-  cell->throttle.looked += stage->is_unlooked;
-  stage->is_unlooked = false;
-  cell->steps_looked++;
-  cell->looks += STEP_LOOKS;
+  uint32_t looks = cell->scan_cost;
+
+  stage->scanned_ms = cell->time.now_ms;
+  cell->unscanned_steps -= stage->is_unscanned;
+  cell->throttle.scanned += stage->is_unscanned;
+  stage->is_unscanned = false;
+  cell->steps_scanned++;
+  cell->scan_cost += STEP_LOOKS;
   /* What a former planner may have started is looked for first. */
   if (cell_stage_is_settled (cell, stage))
     {
@@ -180,9 +180,9 @@
         cell_place_tasks (cell, stage);
     }
   else
-    cell_place_soon (cell, stage);
+    cell_place_unsettled (cell, stage);
   if (stage->ready)
-    cell->idle_looks += cell->looks - looks;
+    cell->idle_scan_cost += cell->scan_cost - looks;
 }
 
 static void
@@ -191,9 +191,9 @@
   uint32_t reservations = reservations_max (cell);
   CellStage *stage;
 
-  cell_order_begin_urgent (&cell->order);
-  while (cell->looks <= URGENT_PASS_LOOKS
-         && (stage = cell_order_urgent (&cell->order)) != NULL)
+  cell_plan_order_begin_urgent (&cell->plan_order);
+  while (cell->scan_cost <= URGENT_PASS_LOOKS
+         && (stage = cell_plan_order_next_urgent (&cell->plan_order)) != NULL)
     place (cell, stage, &reservations);
 }
 
@@ -202,11 +202,11 @@
 {
   CellStage *stage;
 
-  cell_order_begin (&cell->order);
-  while (cell->looks <= FRONT_LOOKS
-         && (stage = cell_order_front (&cell->order)) != NULL)
+  cell_plan_order_begin (&cell->plan_order);
+  while (cell->scan_cost <= FRONT_LOOKS
+         && (stage = cell_plan_order_next_front (&cell->plan_order)) != NULL)
     {
-      stage->round = cell->round;
+      stage->scan_round = cell->scan_round;
       place (cell, stage, reservations);
     }
 }
@@ -219,14 +219,14 @@
   int64_t now_ms = cell->time.now_ms;
   CellStage *other;
 
-  DL_FOREACH2 (cell->reserving, other, reserving_next)
+  DL_FOREACH2 (cell->reserving_stages, other, reserving_next)
   {
     if (*reservations == 0)
       return;
-    if (!cell_stage_rests (cell, other) || other->looked_ms == now_ms
-        || other->counted_ms == now_ms || cell_stage_order (other, stage) > 0)
+    if (!cell_stage_is_scanned (cell, other) || other->scanned_ms == now_ms
+        || other->reserving_counted_ms == now_ms || cell_stage_compare (other, stage) > 0)
       continue;
-    other->counted_ms = now_ms;
+    other->reserving_counted_ms = now_ms;
     (*reservations)--;
   }
 }
@@ -237,22 +237,22 @@
 {
   CellStage *stage;
 
-  while (cell->looks <= PASS_LOOKS)
+  while (cell->scan_cost <= PASS_LOOKS)
     {
-      stage = cell_order_turn (&cell->order);
+      stage = cell_plan_order_next_in_round (&cell->plan_order);
       if (stage == NULL)
         return true;
-      if (cell_stage_rests (cell, stage))
+      if (cell_stage_is_scanned (cell, stage))
         {
-          cell->looks += STEP_LOOKS;
+          cell->scan_cost += STEP_LOOKS;
           continue;
         }
-      stage->round = cell->round;
+      stage->scan_round = cell->scan_round;
       if (stage->spec->gang)
         count_reserving (cell, stage, reservations);
       place (cell, stage, reservations);
     }
-  return cell_order_is_done (&cell->order);
+  return cell_plan_order_is_done (&cell->plan_order);
 }
 
 static void
@@ -260,7 +260,7 @@
 {
   uint32_t reservations = reservations_max (cell);
 
-  cell->late_reservations
+  cell->late_reservations_left
       = 1 + HASH_COUNT (cell->workers) / WORKERS_PER_LATE_RESERVATION;
   pass_over_front (cell, &reservations);
   if (!pass_over_rest (cell, &reservations))
@@ -268,8 +268,8 @@
       mux_count (cell->options.counters, MUX_COUNT_PLAN_CUT, 1);
       return;
     }
-  cell->round++;
-  cell_order_new_round (&cell->order);
+  cell->scan_round++;
+  cell_plan_order_new_round (&cell->plan_order);
 }
 
 /*
@@ -277,7 +277,7 @@
  * at any moment, and only the list of workers tells.
  */
 bool
-cell_room_is_known (const MuxCell *cell)
+cell_room_is_current (const MuxCell *cell)
 {
   return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_WORKERS]);
 }
@@ -288,7 +288,7 @@
 pause_ms (const MuxCell *cell, int64_t least_ms, uint32_t most_looks)
 {
   uint32_t looks
-      = cell->idle_looks < most_looks ? cell->idle_looks : most_looks;
+      = cell->idle_scan_cost < most_looks ? cell->idle_scan_cost : most_looks;
   int64_t idle_ms = looks / IDLE_LOOKS_PER_MS;
 
   return idle_ms > least_ms ? idle_ms : least_ms;
@@ -297,33 +297,33 @@
 void
 cell_plan (MuxCell *cell)
 {
-  bool all = cell->time.now_ms >= cell->slow_pass_ms;
+  bool all = cell->time.now_ms >= cell->next_full_pass_ms;
 
   if (!cell_is_active_planner (cell) || cell->stopping || cell->jobs_unverified
-      || !cell_room_is_known (cell))
+      || !cell_room_is_current (cell))
     return;
   if (cell->time.now_ms < cell->next_plan_ms && !cell->replan)
     return;
-  if (cell->time.now_ms < cell->pass_ms)
+  if (cell->time.now_ms < cell->next_pass_ms)
     return;
   cell->replan = false;
   cell->next_plan_ms = cell->time.now_ms + IDLE_PASS_MS;
-  cell_order_rank (cell);
-  cell->looks = 0;
-  cell->idle_looks = 0;
-  cell->steps_looked = 0;
+  cell_plan_order_rerank (cell);
+  cell->scan_cost = 0;
+  cell->idle_scan_cost = 0;
+  cell->steps_scanned = 0;
   if (all)
     {
       clear_reservations (cell);
       pass_over_all (cell);
-      cell->slow_pass_ms
+      cell->next_full_pass_ms
           = cell->time.now_ms + pause_ms (cell, SLOW_PASS_MS, PASS_LOOKS);
     }
   else
     pass_over_urgent (cell);
-  cell->pass_ms
+  cell->next_pass_ms
       = cell->time.now_ms
         + (all ? PASS_MS : pause_ms (cell, PASS_MS, URGENT_PASS_LOOKS));
-  mux_count (cell->options.counters, MUX_COUNT_PLAN_LOOKS, cell->looks);
-  mux_count (cell->options.counters, MUX_COUNT_PLAN_STEPS, cell->steps_looked);
+  mux_count (cell->options.counters, MUX_COUNT_PLAN_LOOKS, cell->scan_cost);
+  mux_count (cell->options.counters, MUX_COUNT_PLAN_STEPS, cell->steps_scanned);
 }
--- a/src/cell/progress.c
+++ b/src/cell/progress.c
@@ -139,7 +139,7 @@
           = cell_blob_from_json (cell_progress_json (cell, job));
       for (uint32_t i = 0; i < job->stage_count; i++)
         {
-          cell_approvals_written (job->stage[i]);
+          cell_approvals_in_commit (job->stage[i]);
           job->stage[i]->losses_written = job->stage[i]->loss_changes;
         }
       return;
--- a/src/cell/question.c
+++ b/src/cell/question.c
@@ -18,7 +18,7 @@
   (void) mux_name_copy (question->job->workspace, caller->workspace);
   if (!mux_job_check (question->job, &findings))
     cell_answer (cell, question->call, MUX_OUTCOME_BAD);
-  else if (cell_quota_never_holds (cell, question->job))
+  else if (cell_quota_never_fits (cell, question->job))
     {
       mux_count_refused (cell->options.counters, MUX_REASON_QUOTA);
       cell_answer (cell, question->call, MUX_OUTCOME_TOO_LARGE);
--- a/src/cell/quota.c
+++ b/src/cell/quota.c
@@ -19,7 +19,7 @@
 #define CLAIM_AFTER_MS 1000
 
 CellWorkspace *
-cell_workspace (MuxCell *cell, const char *name)
+cell_workspace_get (MuxCell *cell, const char *name)
 {
   CellWorkspace *workspace;
 
@@ -43,7 +43,7 @@
 
   for (uint32_t i = 0; given != NULL && i < given->count; i++)
     {
-      CellWorkspace *workspace = cell_workspace (cell, given->item[i].name);
+      CellWorkspace *workspace = cell_workspace_get (cell, given->item[i].name);
 
       if (workspace != NULL)
         workspace->spec = given->item[i];
@@ -65,7 +65,7 @@
 }
 
 void
-cell_quota_take (const CellStage *stage)
+cell_quota_charge (const CellStage *stage)
 {
   CellWorkspace *workspace = stage->job->workspace;
 
@@ -74,7 +74,7 @@
 }
 
 void
-cell_quota_give (const CellStage *stage)
+cell_quota_release (const CellStage *stage)
 {
   CellWorkspace *workspace = stage->job->workspace;
 
@@ -88,13 +88,13 @@
                  const CellWorkspace *workspace,
                  const CellStage *stage)
 {
-  const CellStage *gang = workspace->gang;
+  const CellStage *gang = workspace->waiting_gang;
   MuxQuota none = { 0 };
 
   if (gang == NULL || gang == stage)
     return none;
-  if (cell_stage_order (stage, gang) < 0
-      && cell->time.now_ms - workspace->gang_since_ms < CLAIM_AFTER_MS)
+  if (cell_stage_compare (stage, gang) < 0
+      && cell->time.now_ms - workspace->gang_waiting_since_ms < CLAIM_AFTER_MS)
     return none;
   return mux_quota_add (none, gang->spec->size, gang->spec->count);
 }
@@ -113,39 +113,39 @@
 }
 
 uint32_t
-cell_quota_spares (const MuxCell *cell, const CellStage *stage)
+cell_quota_tasks_allowed (const MuxCell *cell, const CellStage *stage)
 {
   const CellWorkspace *workspace = stage->job->workspace;
   MuxQuota used;
 
   if (workspace == NULL)
     return UINT32_MAX;
-  used = mux_quota_least (workspace->unsettled, cell->unheard_room);
+  used = mux_quota_least (workspace->unsettled, cell->unconfirmed_room);
   used = mux_quota_sum (used, workspace->booked);
   used = mux_quota_sum (used, claimed_by_gang (cell, workspace, stage));
   return mux_quota_fits (limit_for (cell, stage), used, stage->spec->size);
 }
 
 void
-cell_quota_wait (const MuxCell *cell, const CellStage *stage)
+cell_quota_reserve (const MuxCell *cell, const CellStage *stage)
 {
   CellWorkspace *workspace = stage->job->workspace;
 
-  if (workspace == NULL || workspace->gang == stage
-      || (workspace->gang != NULL
-          && cell_stage_order (workspace->gang, stage) <= 0))
+  if (workspace == NULL || workspace->waiting_gang == stage
+      || (workspace->waiting_gang != NULL
+          && cell_stage_compare (workspace->waiting_gang, stage) <= 0))
     return;
-  workspace->gang = stage;
-  workspace->gang_since_ms = cell->time.now_ms;
+  workspace->waiting_gang = stage;
+  workspace->gang_waiting_since_ms = cell->time.now_ms;
 }
 
 void
-cell_quota_leave (const CellStage *stage)
+cell_quota_unreserve (const CellStage *stage)
 {
   CellWorkspace *workspace = stage->job->workspace;
 
-  if (workspace != NULL && workspace->gang == stage)
-    workspace->gang = NULL;
+  if (workspace != NULL && workspace->waiting_gang == stage)
+    workspace->waiting_gang = NULL;
 }
 
 static MuxSize
@@ -222,9 +222,9 @@
   all_heard = cell_all_workers_confirmed (cell);
   if (all_heard)
     cell->quota_term = cell->term;
-  cell->unheard_room = (MuxQuota){ 0 };
+  cell->unconfirmed_room = (MuxQuota){ 0 };
   if (!all_heard)
-    cell->unheard_room = unheard_room (cell);
+    cell->unconfirmed_room = unheard_room (cell);
   for (workspace = cell->workspaces; workspace != NULL;
        workspace = workspace->hh.next)
     workspace->unsettled = (MuxQuota){ 0 };
@@ -233,7 +233,7 @@
 }
 
 bool
-cell_quota_never_holds (const MuxCell *cell, const MuxJobSpec *spec)
+cell_quota_never_fits (const MuxCell *cell, const MuxJobSpec *spec)
 {
   CellWorkspace *workspace;
   MuxQuota limit;
--- a/src/cell/rank.c
+++ b/src/cell/rank.c
@@ -25,7 +25,7 @@
 rank_of_lasting (const CellStage *stage, int64_t now_ms)
 {
   return now_ms < stage->ready_ms + OWED_AFTER_MS ? CELL_RANK_IN_TIME
-                                                  : CELL_RANK_OWED;
+                                                  : CELL_RANK_STARVED;
 }
 
 CellRank
@@ -39,7 +39,7 @@
 }
 
 int64_t
-cell_stage_ranked_until (const CellStage *stage, int64_t now_ms)
+cell_stage_rank_expires_ms (const CellStage *stage, int64_t now_ms)
 {
   int64_t late_ms = stage->due_ms - stage->expected_ms;
 
@@ -53,7 +53,7 @@
 }
 
 int
-cell_stage_order (const CellStage *a, const CellStage *b)
+cell_stage_compare (const CellStage *a, const CellStage *b)
 {
   uint32_t x = a->job->spec->queue.priority;
   uint32_t y = b->job->spec->queue.priority;
@@ -62,8 +62,8 @@
     return a->rank < b->rank ? -1 : 1;
   if (x != y)
     return x < y ? -1 : 1;
-  if (a->latest_ms != b->latest_ms)
-    return a->latest_ms < b->latest_ms ? -1 : 1;
+  if (a->latest_start_ms != b->latest_start_ms)
+    return a->latest_start_ms < b->latest_start_ms ? -1 : 1;
   return 0;
 }
 
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -149,7 +149,7 @@
       return true;
     }
   if (report->end == MUX_RUN_DONE)
-    cell_learn_run (cell, task->booking);
+    cell_run_time_record (cell, task->booking);
   cell_unbook (cell, task->booking);
   cell_run_ended (cell, task, worker, report->run, report->end,
                   report->checkpoint);
--- a/src/cell/reserve.c
+++ b/src/cell/reserve.c
@@ -58,16 +58,16 @@
         return false;
       reservation = &worker->reservation[worker->reservation_count++];
     }
-  else if (!reservation->is_old)
+  else if (!reservation->is_stale)
     size = mux_size_add (reservation->size, size);
   *reservation
-      = (CellReservation){ .stage = stage, .size = size, .at_ms = at_ms };
+      = (CellReservation){ .stage = stage, .size = size, .from_ms = at_ms };
   update (cell, worker);
   return true;
 }
 
 void
-cell_reservations_begin (MuxCell *cell)
+cell_reservations_new_pass (MuxCell *cell)
 {
   CellWorker *worker;
   CellWorker *next;
@@ -77,19 +77,19 @@
     {
       CellReservation *reservation = &worker->reservation[i];
 
-      if (cell_stage_rests (cell, reservation->stage))
+      if (cell_stage_is_scanned (cell, reservation->stage))
         continue;
-      if (reservation->is_old)
+      if (reservation->is_stale)
         drop (cell, worker, reservation);
-      else if (cell_stage_is_late (reservation->stage) && !reservation->stands)
-        reservation->stands = true;
+      else if (cell_stage_is_late (reservation->stage) && !reservation->is_kept)
+        reservation->is_kept = true;
       else
-        reservation->is_old = true;
+        reservation->is_stale = true;
     }
 }
 
 void
-cell_reservations_drop (MuxCell *cell, const CellStage *stage)
+cell_reservations_mark_stale (MuxCell *cell, const CellStage *stage)
 {
   CellWorker *worker;
 
@@ -98,12 +98,12 @@
     CellReservation *reservation = find (worker, stage);
 
     if (reservation != NULL)
-      reservation->is_old = true;
+      reservation->is_stale = true;
   }
 }
 
 bool
-cell_reservations_stand (MuxCell *cell, const CellStage *stage)
+cell_reservations_keep (MuxCell *cell, const CellStage *stage)
 {
   CellWorker *worker;
   bool any = false;
@@ -114,8 +114,8 @@
 
     if (reservation == NULL)
       continue;
-    reservation->is_old = false;
-    reservation->stands = false;
+    reservation->is_stale = false;
+    reservation->is_kept = false;
     any = true;
   }
   return any;
@@ -134,10 +134,10 @@
 static bool
 is_for_another (const CellReservation *reservation, const CellStage *stage)
 {
-  if (reservation->is_old || reservation->stage == stage)
+  if (reservation->is_stale || reservation->stage == stage)
     return false;
   return stage == NULL || !stage->spec->gang
-         || cell_stage_order (stage, reservation->stage) > 0;
+         || cell_stage_compare (stage, reservation->stage) > 0;
 }
 
 MuxSize
@@ -149,7 +149,7 @@
 
   for (uint32_t i = 0; i < worker->reservation_count; i++)
     if (is_for_another (&worker->reservation[i], stage)
-        && worker->reservation[i].at_ms <= at_ms)
+        && worker->reservation[i].from_ms <= at_ms)
       size = mux_size_add (size, worker->reservation[i].size);
   return size;
 }
@@ -182,7 +182,7 @@
   for (uint32_t i = 0; i < worker->reservation_count && tasks > 0; i++)
     {
       const CellReservation *reservation = &worker->reservation[i];
-      int64_t at_ms = reservation->at_ms;
+      int64_t at_ms = reservation->from_ms;
       MuxSize free;
       uint32_t left;
 
@@ -191,19 +191,19 @@
       free = cell_worker_free_at (cell, stage, worker, at_ms);
       free = mux_size_sub (free,
                            cell_reserved_for_others (stage, worker, at_ms));
-      left = cell_worker_holds (stage, free);
+      left = cell_tasks_that_fit (stage, free);
       tasks = left < tasks ? left : tasks;
     }
   return tasks;
 }
 
 uint32_t
-cell_worker_spares (const MuxCell *cell,
+cell_worker_spare_tasks (const MuxCell *cell,
                     const CellStage *stage,
                     const CellWorker *worker)
 {
   uint32_t now
-      = cell_worker_holds (stage, cell_worker_free_for (stage, worker));
+      = cell_tasks_that_fit (stage, cell_worker_free_for (stage, worker));
 
   return passes_over (stage) ? now : beside (cell, stage, worker, now);
 }
@@ -232,7 +232,7 @@
 }
 
 void
-cell_reservation_forget (MuxCell *cell, CellWorker *worker)
+cell_reservations_clear_worker (MuxCell *cell, CellWorker *worker)
 {
   worker->reservation_count = 0;
   update (cell, worker);
--- a/src/cell/room.c
+++ b/src/cell/room.c
@@ -3,21 +3,21 @@
 /* Room of workers that tasks of ours have. */
 
 void
-cell_room_take (CellWorker *worker, const CellStage *stage)
+cell_room_book (CellWorker *worker, const CellStage *stage)
 {
   worker->booked = mux_size_add (worker->booked, stage->spec->size);
   if (stage->spec->long_running)
     worker->lasting = mux_size_add (worker->lasting, stage->spec->size);
-  cell_quota_take (stage);
+  cell_quota_charge (stage);
 }
 
 void
-cell_room_give (CellWorker *worker, const CellStage *stage)
+cell_room_release (CellWorker *worker, const CellStage *stage)
 {
   worker->booked = mux_size_sub (worker->booked, stage->spec->size);
   if (stage->spec->long_running)
     worker->lasting = mux_size_sub (worker->lasting, stage->spec->size);
-  cell_quota_give (stage);
+  cell_quota_release (stage);
 }
 
 /*
@@ -25,7 +25,7 @@
  * becomes free: tasks that run until they are cancelled hold it.
  */
 MuxSize
-cell_room_ever (const CellWorker *worker)
+cell_room_eventual (const CellWorker *worker)
 {
   return mux_size_sub (worker->info.capacity, worker->lasting);
 }
--- a/src/cell/run.c
+++ b/src/cell/run.c
@@ -48,7 +48,7 @@
   if (run > task->stage->run)
     task->stage->run = run;
   task->stage->job->bookings++;
-  cell_room_take (worker, task->stage);
+  cell_room_book (worker, task->stage);
   DL_APPEND (worker->bookings, booking);
   return booking;
 }
@@ -61,7 +61,7 @@
 
   DL_DELETE (worker->bookings, booking);
   worker->stops -= booking->stop_at_ms != 0;
-  cell_room_give (worker, task->stage);
+  cell_room_release (worker, task->stage);
   task->stage->job->bookings--;
   task->booking = NULL;
   cell->replan = true;
@@ -226,7 +226,7 @@
          CellWorker *worker,
          MuxCellStatus status)
 {
-  CellApproval *approval = cell_approval (task->stage, worker);
+  CellApproval *approval = cell_approval_find (task->stage, worker);
 
   if (status == MUX_CELL_NOT_DONE)
     leave_alone (cell, worker);
@@ -237,7 +237,7 @@
   else if (status == MUX_CELL_FENCED)
     cell_claim_doubt (cell, "start_fenced");
   else if (status == MUX_CELL_UNPROVEN && approval != NULL)
-    approval->until_ms = 0;
+    approval->proof_expires_ms = 0;
   if (task->run > task->stage->run)
     task->stage->run = task->run;
 }
@@ -275,7 +275,7 @@
         task->state = CELL_TASK_RUNNING;
       if (!task->stage->job->started)
         {
-          cell->throttle.begun++;
+          cell->throttle.started++;
           mux_observe (cell->options.counters, MUX_HIST_JOB_WAIT,
                        cell->time.now_ms - task->stage->job->began_ms);
         }
--- a/src/cell/run_time.c
+++ b/src/cell/run_time.c
@@ -51,7 +51,7 @@
 }
 
 void
-mux_run_time_note (MuxRunTimes *times,
+mux_run_time_record (MuxRunTimes *times,
                    uint64_t queue,
                    uint32_t declared_ms,
                    int64_t took_ms)
@@ -65,7 +65,7 @@
   if (time->count < MEMORY_RUNS)
     time->count++;
   add (&time->mean, &time->variance, taken, time->count);
-  add (&time->off_mean, &time->off_variance, log (declared_ms) - taken,
+  add (&time->error_mean, &time->error_variance, log (declared_ms) - taken,
        time->count);
 }
 
@@ -89,9 +89,9 @@
   if (time == NULL || time->count < RUNS_LEAST || declared_ms == 0)
     return declared_ms;
   usual = weight (time->variance);
-  declared = weight (time->off_variance);
+  declared = weight (time->error_variance);
   expected
-      = (time->mean * usual + (log (declared_ms) - time->off_mean) * declared)
+      = (time->mean * usual + (log (declared_ms) - time->error_mean) * declared)
         / (usual + declared);
   if (fabs (expected - log (declared_ms)) < ALIKE)
     return declared_ms;
@@ -109,6 +109,6 @@
 mux_run_time_is_valid (const MuxRunTime *time)
 {
   return time->count <= MEMORY_RUNS && is_within (time->mean, -LOG_MAX)
-         && is_within (time->off_mean, -LOG_MAX)
-         && is_within (time->variance, 0) && is_within (time->off_variance, 0);
+         && is_within (time->error_mean, -LOG_MAX)
+         && is_within (time->variance, 0) && is_within (time->error_variance, 0);
 }
--- a/src/cell/sample.c
+++ b/src/cell/sample.c
@@ -15,54 +15,54 @@
 #define LOOK_MAX 384
 
 bool
-cell_is_sampled (const MuxCell *cell)
+cell_worker_scan_is_partial (const MuxCell *cell)
 {
   return HASH_COUNT (cell->workers) > LOOK_MAX;
 }
 
 uint32_t
-cell_sample_max (const MuxCell *cell)
+cell_worker_scan_max (const MuxCell *cell)
 {
-  return cell_is_sampled (cell) ? LOOK_MAX : HASH_COUNT (cell->workers);
+  return cell_worker_scan_is_partial (cell) ? LOOK_MAX : HASH_COUNT (cell->workers);
 }
 
-CellSample
-cell_sample_begin (const MuxCell *cell, const CellStage *stage)
+CellWorkerScan
+cell_worker_scan_begin (const MuxCell *cell, const CellStage *stage)
 {
-  CellSample sample = { .slots = cell->worker_slots,
-                        .workers = cell_sample_max (cell),
-                        .is_part = cell_is_sampled (cell) };
+  CellWorkerScan sample = { .slots_left = cell->worker_slots,
+                        .workers_left = cell_worker_scan_max (cell),
+                        .is_partial = cell_worker_scan_is_partial (cell) };
   uint64_t first;
 
-  if (!sample.is_part)
+  if (!sample.is_partial)
     return sample;
-  first = stage->sample_slot != 0 ? stage->sample_slot
+  first = stage->scan_slot != 0 ? stage->scan_slot
                                   : mux_hash_name (stage->job->id, stage->step);
   sample.slot = (uint32_t) (first % cell->worker_slots);
   return sample;
 }
 
 CellWorker *
-cell_sample_next (MuxCell *cell, CellSample *sample)
+cell_worker_scan_next (MuxCell *cell, CellWorkerScan *sample)
 {
-  while (sample->slots > 0 && sample->workers > 0)
+  while (sample->slots_left > 0 && sample->workers_left > 0)
     {
       CellWorker *worker = cell->worker_at[sample->slot];
 
       sample->slot = (sample->slot + 1) % cell->worker_slots;
-      sample->slots--;
+      sample->slots_left--;
       if (worker == NULL)
         continue;
-      sample->workers--;
-      cell->looks++;
+      sample->workers_left--;
+      cell->scan_cost++;
       return worker;
     }
   return NULL;
 }
 
 void
-cell_sample_end (CellStage *stage, const CellSample *sample)
+cell_worker_scan_end (CellStage *stage, const CellWorkerScan *sample)
 {
-  if (sample->is_part)
-    stage->sample_slot = sample->slot;
+  if (sample->is_partial)
+    stage->scan_slot = sample->slot;
 }
--- a/src/cell/stage.c
+++ b/src/cell/stage.c
@@ -27,9 +27,9 @@
   stage->due_ms = job->due_ms + (began_ms - job->began_ms);
   stage->worthless_ms = job->worthless_ms + (began_ms - job->began_ms);
   stage->expected_ms = cell_expected_ms (cell, job->spec, stage->spec);
-  stage->latest_ms = stage->due_ms - stage->expected_ms;
+  stage->latest_start_ms = stage->due_ms - stage->expected_ms;
   if (stage->spec->gang)
-    stage->latest_ms -= (int64_t) stage->spec->count * GATHER_MS_PER_TASK;
+    stage->latest_start_ms -= (int64_t) stage->spec->count * GATHER_MS_PER_TASK;
   stage->task = calloc (stage->spec->count, sizeof *stage->task);
   if (stage->task == NULL)
     {
@@ -66,7 +66,7 @@
       cell_losses_free (&stage->task[i]);
     }
   cell_approvals_free (stage);
-  free (stage->former);
+  free (stage->recorded);
   free (stage->task);
   free (stage);
 }
--- a/src/cell/step_wait.c
+++ b/src/cell/step_wait.c
@@ -24,7 +24,7 @@
 void
 cell_step_asks (const MuxCell *cell,
                 CellStage *stage,
-                const CellQuestion *question)
+                const CellApprovalQuery *question)
 {
   stage->wait.questions++;
   stage->wait.names += question->candidate_count;
@@ -37,7 +37,7 @@
 void
 cell_step_answered (const MuxCell *cell,
                     CellStage *stage,
-                    const CellQuestion *question,
+                    const CellApprovalQuery *question,
                     uint32_t approved)
 {
   int64_t took_ms = cell->time.now_ms - question->sent_ms;
@@ -52,7 +52,7 @@
 void
 cell_step_used (const MuxCell *cell, CellStage *stage, const CellWorker *worker)
 {
-  CellApproval *approval = cell_approval (stage, worker);
+  CellApproval *approval = cell_approval_find (stage, worker);
 
   if (approval == NULL || approval->used)
     return;
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -154,7 +154,7 @@
   submission->retry_ms = cell_throttle_retry_ms (cell, submission->job);
   if (submission->retry_ms != 0)
     return "planner_overload";
-  if (cell_takes_jobs (cell) && !cell_planner_is_busy (cell))
+  if (cell_takes_jobs (cell) && !cell_planner_is_overloaded (cell))
     return NULL;
   submission->retry_ms = usual_retry_ms (cell);
   return cell_takes_jobs (cell) ? "planner_busy" : "planner_late";
@@ -174,7 +174,7 @@
       cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED, why);
       return;
     }
-  cell_admission_taken (cell, submission->job);
+  cell_admission_accepted (cell, submission->job);
   if (submission->peer[0] == 0 && cell_relay (cell, submission))
     return;
   if (!cell_store_available (cell))
@@ -236,7 +236,7 @@
 static bool
 is_of_other (const MuxCellRow *row, const CellSubmission *submission)
 {
-  CellCaller caller = { .is_bound = submission->job->workspace[0] != 0 };
+  CellCaller caller = { .is_restricted = submission->job->workspace[0] != 0 };
 
   (void) mux_name_copy (caller.workspace, submission->job->workspace);
   return !cell_row_is_visible_to (row, &caller);
--- a/src/cell/throttle.c
+++ b/src/cell/throttle.c
@@ -31,14 +31,14 @@
 mux_throttle_reset (MuxThrottle *throttle, int64_t now_ms)
 {
   *throttle
-      = (MuxThrottle){ .share_milli = MUX_THROTTLE_ALL, .updated_ms = now_ms };
+      = (MuxThrottle){ .share_milli = MUX_THROTTLE_FULL_MILLI, .updated_ms = now_ms };
 }
 
 static uint32_t
 fall_milli (const MuxThrottle *throttle)
 {
   uint64_t fall
-      = (uint64_t) throttle->begun * MUX_THROTTLE_ALL / throttle->taken;
+      = (uint64_t) throttle->started * MUX_THROTTLE_FULL_MILLI / throttle->accepted;
 
   if (fall < FALL_LEAST)
     return FALL_LEAST;
@@ -51,7 +51,7 @@
 is_too_much (const MuxThrottle *throttle, int64_t delay_ms)
 {
   return delay_ms > BEHIND_MS && delay_ms >= throttle->delay_ms
-         && throttle->begun < throttle->taken;
+         && throttle->started < throttle->accepted;
 }
 
 /* A planner that works off what it has is late for those, and can begin more
@@ -61,21 +61,21 @@
 {
   return delay_ms < IN_TIME_MS
          || (delay_ms < throttle->delay_ms
-             && throttle->begun > throttle->taken);
+             && throttle->started > throttle->accepted);
 }
 
 static uint32_t
 risen (uint32_t share)
 {
   share += share / RISE_PARTS + RISE_LEAST;
-  return share < MUX_THROTTLE_ALL ? share : MUX_THROTTLE_ALL;
+  return share < MUX_THROTTLE_FULL_MILLI ? share : MUX_THROTTLE_FULL_MILLI;
 }
 
 static uint32_t
 fallen (const MuxThrottle *throttle)
 {
   uint32_t share
-      = throttle->share_milli * fall_milli (throttle) / MUX_THROTTLE_ALL;
+      = throttle->share_milli * fall_milli (throttle) / MUX_THROTTLE_FULL_MILLI;
 
   return share > SHARE_MIN ? share : SHARE_MIN;
 }
@@ -83,8 +83,8 @@
 static void
 measure (MuxThrottle *throttle, int64_t passed_ms)
 {
-  throttle->rate
-      = (uint32_t) ((throttle->rate + throttle->looked * MS_PER_S / passed_ms)
+  throttle->scan_rate
+      = (uint32_t) ((throttle->scan_rate + throttle->scanned * MS_PER_S / passed_ms)
                     / 2);
 }
 
@@ -100,15 +100,15 @@
   else if (can_take_more (throttle, delay_ms))
     throttle->share_milli = risen (throttle->share_milli);
   throttle->delay_ms = delay_ms;
-  throttle->taken = 0;
-  throttle->begun = 0;
-  throttle->looked = 0;
+  throttle->accepted = 0;
+  throttle->started = 0;
+  throttle->scanned = 0;
 }
 
 int64_t
-mux_throttle_turn_ms (const MuxThrottle *throttle, uint32_t unlooked)
+mux_throttle_scan_wait_ms (const MuxThrottle *throttle, uint32_t unlooked)
 {
-  uint32_t rate = throttle->rate > RATE_MIN ? throttle->rate : RATE_MIN;
+  uint32_t rate = throttle->scan_rate > RATE_MIN ? throttle->scan_rate : RATE_MIN;
 
   if (unlooked < UNLOOKED_MIN)
     return 0;
@@ -124,11 +124,11 @@
 uint32_t
 mux_throttle_retry_ms (uint32_t share_milli, uint64_t spread)
 {
-  uint32_t place = (uint32_t) (spread % MUX_THROTTLE_ALL);
+  uint32_t place = (uint32_t) (spread % MUX_THROTTLE_FULL_MILLI);
 
   if (place < share_milli)
     return 0;
   return RETRY_MIN_MS
          + (place - share_milli) * (RETRY_MAX_MS - RETRY_MIN_MS)
-               / MUX_THROTTLE_ALL;
+               / MUX_THROTTLE_FULL_MILLI;
 }
--- a/src/cell/wait.c
+++ b/src/cell/wait.c
@@ -44,20 +44,20 @@
             const CellWorker *worker,
             Lack *lack)
 {
-  const CellApproval *approval = cell_approval (stage, worker);
+  const CellApproval *approval = cell_approval_find (stage, worker);
   bool needed = stage->job->spec->queue.approval.needed;
   uint32_t now
-      = cell_stage_bounded (stage, cell_worker_spares (cell, stage, worker));
+      = cell_stage_cap_per_worker (stage, cell_worker_spare_tasks (cell, stage, worker));
 
   lack->kept += cell_delays_gang (cell, stage, worker);
   lack->held += worker->hold_count > 0 && cell_held (stage, worker) == 0;
-  lack->unasked += needed && (approval == NULL || !approval->asked);
+  lack->unasked += needed && (approval == NULL || !approval->queried);
   lack->room += now;
-  if (needed && (approval == NULL || !approval->yes))
+  if (needed && (approval == NULL || !approval->approved))
     return;
   lack->yes_now += now;
-  lack->yes_ever += cell_stage_bounded (
-      stage, cell_worker_holds (stage, worker->info.capacity));
+  lack->yes_ever += cell_stage_cap_per_worker (
+      stage, cell_tasks_that_fit (stage, worker->info.capacity));
   if (!needed || cell_approval_proof (cell, stage, worker) != NULL)
     lack->proven += now;
 }
@@ -72,7 +72,7 @@
   HASH_ITER (hh, cell->workers, worker, next)
   {
     lack.unheard += cell_worker_is_unconfirmed (worker);
-    if (!cell_worker_serves (stage, worker))
+    if (!cell_worker_matches (stage, worker))
       continue;
     if (cell->time.now_ms < worker->avoid_until_ms)
       lack.avoided++;
@@ -88,7 +88,7 @@
 unseen_ms (const MuxCell *cell, const CellStage *stage)
 {
   return cell->time.now_ms
-         - (stage->looked_ms > stage->ready_ms ? stage->looked_ms
+         - (stage->scanned_ms > stage->ready_ms ? stage->scanned_ms
                                                : stage->ready_ms);
 }
 
@@ -128,19 +128,19 @@
     return "ends";
   if (!cell_stage_is_settled (cell, stage))
     return "workers_unheard";
-  if (!cell_room_is_known (cell))
+  if (!cell_room_is_current (cell))
     return "list";
   if (all_under_suspicion (cell, stage))
     return "crashes";
-  if (cell_quota_spares (cell, stage) < need)
+  if (cell_quota_tasks_allowed (cell, stage) < need)
     return "quota";
-  if (stage->asking)
+  if (stage->query_pending)
     return "answer";
   if (unseen_ms (cell, stage) > UNSEEN_MS)
     return "turn";
   if ((lack->yes_ever < need && lack->unasked > 0)
       || (lack->yes_now >= need && lack->proven < need))
-    return cell_can_ask (cell, stage, QUESTION_WORKERS) ? "question" : "asker";
+    return cell_can_query (cell, stage, QUESTION_WORKERS) ? "question" : "asker";
   if (lack->yes_ever < need)
     return "approvals";
   return lack->yes_now < need ? "room" : "start";
@@ -161,7 +161,7 @@
       (int) cell_stage_waiting (stage), "waited_ms",
       (json_int_t) (now - since_ms), "lacks", what_lacks (cell, stage, &lack),
       "stopping", (int) stopping (stage), "asking_ms",
-      (json_int_t) (stage->asking ? now - stage->asked_ms : 0), "unseen_ms",
+      (json_int_t) (stage->query_pending ? now - stage->queried_ms : 0), "unseen_ms",
       (json_int_t) unseen_ms (cell, stage), "rank", (int) stage->rank,
       "unheard", (int) lack.unheard, "unusable", (int) lack.unusable, "avoided",
       (int) lack.avoided, "kept", (int) lack.kept, "held", (int) lack.held,
--- a/src/cell/worker.c
+++ b/src/cell/worker.c
@@ -73,7 +73,7 @@
 
   DL_FOREACH_SAFE (worker->bookings, booking, next)
   cell_unbook (cell, booking);
-  cell_reservation_forget (cell, worker);
+  cell_reservations_clear_worker (cell, worker);
   cell_incarnation_remove (cell, worker);
   HASH_DEL (cell->workers, worker);
   cell->worker_at[worker->slot] = NULL;
@@ -404,7 +404,7 @@
   int64_t passed_ms = cell->time.now_ms - cell->worker_scanned_ms;
   uint32_t slots = cell->worker_slots;
 
-  if (!cell_is_sampled (cell) || passed_ms >= TURN_MS)
+  if (!cell_worker_scan_is_partial (cell) || passed_ms >= TURN_MS)
     return slots;
   return (uint32_t) (slots * passed_ms / TURN_MS);
 }
--- a/src/cell/workspace_types.h
+++ b/src/cell/workspace_types.h
@@ -14,7 +14,7 @@
  */
 typedef struct
 {
-  bool is_bound;
+  bool is_restricted;
   char workspace[MUX_NAME_LEN];
 } CellCaller;
 
@@ -32,8 +32,8 @@
   MuxWorkspaceSpec spec;
   MuxQuota booked;
   MuxQuota unsettled;
-  const CellStage *gang;
-  int64_t gang_since_ms;
+  const CellStage *waiting_gang;
+  int64_t gang_waiting_since_ms;
   UT_hash_handle hh;
 } CellWorkspace;
 
--- a/test/unit/test_admission.c
+++ b/test/unit/test_admission.c
@@ -43,12 +43,12 @@
                           waited_ms);
   mux_admission_count_begin (admission);
   for (uint32_t i = 0; i < steps; i++)
-    mux_admission_waits (admission, QUEUE, &step);
+    mux_admission_add_waiting (admission, QUEUE, &step);
   step = (MuxAdmissionStep){ .priority = 1, .service = POOL, .slack_ms = 1 };
-  mux_admission_waits (admission, OTHER, &step);
-  mux_admission_holds (admission, OTHER, play->later_milli);
+  mux_admission_add_waiting (admission, OTHER, &step);
+  mux_admission_add_running (admission, OTHER, play->later_milli);
   mux_admission_count_end (admission, play->now_ms);
-  mux_admission_judge (admission, POOL, POOL_MILLI, play->free_milli);
+  mux_admission_update_pool (admission, POOL, POOL_MILLI, play->free_milli);
 }
 
 static void
@@ -65,7 +65,7 @@
 static MuxAdmissionJob
 job (int64_t slack_ms)
 {
-  return (MuxAdmissionJob){ .queue = QUEUE, .slack_ms = slack_ms, .turns = 1 };
+  return (MuxAdmissionJob){ .queue = QUEUE, .slack_ms = slack_ms, .chain_length = 1 };
 }
 
 static uint32_t
@@ -192,10 +192,10 @@
   count_for (&play, 5000, 400, 1500, 10);
   assert_int_equal (retry_ms (&play, other), 0);
   for (uint32_t i = 0; i < 10; i++)
-    mux_admission_waits (admission, OTHER, &late);
-  mux_admission_judge (admission, POOL, POOL_MILLI, 0);
+    mux_admission_add_waiting (admission, OTHER, &late);
+  mux_admission_update_pool (admission, POOL, POOL_MILLI, 0);
   assert_int_not_equal (retry_ms (&play, other), 0);
-  mux_admission_judge (admission, POOL, POOL_MILLI, POOL_MILLI / 4);
+  mux_admission_update_pool (admission, POOL, POOL_MILLI, POOL_MILLI / 4);
   assert_int_equal (retry_ms (&play, other), 0);
 }
 
@@ -277,7 +277,7 @@
       MuxAdmissionJob asked = job (4000);
       uint32_t ms;
 
-      asked.spread = i * 7919;
+      asked.jitter_seed = i * 7919;
       ms = retry_ms (&play, asked);
       least = ms < least ? ms : least;
       most = ms > most ? ms : most;
@@ -295,7 +295,7 @@
   (void) state;
   count_for (&play, 5000, 400, 5000, 10);
   assert_int_equal (retry_ms (&play, asked), 0);
-  asked.turns = 3;
+  asked.chain_length = 3;
   assert_int_not_equal (retry_ms (&play, asked), 0);
 }
 
@@ -319,9 +319,9 @@
   for (uint64_t i = 0; i < MUX_ADMISSION_QUEUES_MAX; i++)
     assert_non_null (mux_admission_find (&admission, i + 1));
   assert_null (mux_admission_find (&admission, UINT64_MAX));
-  mux_admission_waits (&admission, UINT64_MAX, &step);
+  mux_admission_add_waiting (&admission, UINT64_MAX, &step);
   mux_admission_placed (&admission, UINT64_MAX, step.work, 0);
-  mux_admission_taken (&admission, UINT64_MAX, step.work);
+  mux_admission_accepted (&admission, UINT64_MAX, step.work);
   assert_int_equal (mux_admission_wait_ms (&admission, UINT64_MAX), 0);
 }
 
--- a/test/unit/test_run_time.c
+++ b/test/unit/test_run_time.c
@@ -73,7 +73,7 @@
       int64_t took_ms;
 
       draw (load, &state, &declared_ms, &took_ms);
-      mux_run_time_note (&times, QUEUE, declared_ms, took_ms);
+      mux_run_time_record (&times, QUEUE, declared_ms, took_ms);
     }
   return times;
 }
@@ -85,7 +85,7 @@
 
   (void) state;
   assert_int_equal (mux_run_time_expect (&times, QUEUE, 700), 700);
-  mux_run_time_note (&times, QUEUE, 700, 7000);
+  mux_run_time_record (&times, QUEUE, 700, 7000);
   assert_int_equal (mux_run_time_expect (&times, QUEUE, 700), 700);
 }
 
@@ -141,9 +141,9 @@
 
   (void) state;
   for (uint32_t i = 0; i < 1000; i++)
-    mux_run_time_note (&times, QUEUE, 1000 + i % 900, 1000);
+    mux_run_time_record (&times, QUEUE, 1000 + i % 900, 1000);
   for (uint32_t i = 0; i < 600; i++)
-    mux_run_time_note (&times, QUEUE, 1000 + i % 900, 8000);
+    mux_run_time_record (&times, QUEUE, 1000 + i % 900, 8000);
   assert_true (mux_run_time_expect (&times, QUEUE, 1400) > 6000);
 }
 
@@ -154,7 +154,7 @@
 
   (void) state;
   for (uint32_t i = 0; i < 2 * MUX_RUN_TIMES_MAX; i++)
-    mux_run_time_note (&times, i, 10, 20);
+    mux_run_time_record (&times, i, 10, 20);
   assert_int_equal (times.count, MUX_RUN_TIMES_MAX);
   assert_int_equal (mux_run_time_expect (&times, 2 * MUX_RUN_TIMES_MAX - 1, 10),
                     10);
--- a/test/unit/test_throttle.c
+++ b/test/unit/test_throttle.c
@@ -57,7 +57,7 @@
   play->busy_until_us += 1000000 / SERVED_PER_S;
   job->begins_ms = play->busy_until_us / 1000;
   job->is_taken = true;
-  play->throttle.taken++;
+  play->throttle.accepted++;
 }
 
 static void
@@ -78,7 +78,7 @@
 count_begun (Play *play)
 {
   for (uint32_t i = 0; i < play->count; i++)
-    play->throttle.begun += play->job[i].is_taken
+    play->throttle.started += play->job[i].is_taken
                             && play->job[i].begins_ms > play->now_ms - STEP_MS
                             && play->job[i].begins_ms <= play->now_ms;
 }
@@ -203,7 +203,7 @@
   mux_throttle_reset (&throttle, 1000);
   for (int64_t now_ms = 1000; now_ms < 6000; now_ms += 250)
     mux_throttle_update (&throttle, now_ms, 2500);
-  assert_int_equal (throttle.share_milli, MUX_THROTTLE_ALL);
+  assert_int_equal (throttle.share_milli, MUX_THROTTLE_FULL_MILLI);
 }
 
 /* Guards against callers who are refused together and come again together. */
@@ -213,7 +213,7 @@
   uint32_t before = 0;
 
   (void) state;
-  for (uint64_t spread = 0; spread < MUX_THROTTLE_ALL; spread++)
+  for (uint64_t spread = 0; spread < MUX_THROTTLE_FULL_MILLI; spread++)
     {
       uint32_t retry_ms = mux_throttle_retry_ms (250, spread);
 
@@ -221,7 +221,7 @@
       assert_true (retry_ms >= before);
       before = retry_ms;
     }
-  assert_int_equal (mux_throttle_retry_ms (MUX_THROTTLE_ALL, 999), 0);
+  assert_int_equal (mux_throttle_retry_ms (MUX_THROTTLE_FULL_MILLI, 999), 0);
 }
 
 /* Guards against an idle planner that counts as behind for a handful of steps.
@@ -233,8 +233,8 @@
 
   (void) state;
   mux_throttle_reset (&throttle, 1000);
-  assert_int_equal (mux_throttle_turn_ms (&throttle, 8), 0);
-  assert_true (mux_throttle_turn_ms (&throttle, 800) > 1000);
+  assert_int_equal (mux_throttle_scan_wait_ms (&throttle, 8), 0);
+  assert_true (mux_throttle_scan_wait_ms (&throttle, 800) > 1000);
 }
 
 int
