--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -24,7 +24,7 @@
 {
   /* Takes @call over.  True: mux_cell_reply() follows; false: it never will. */
   bool (*call) (MuxCellSink *sink, MuxCellCall *call);
-  void (*answer) (MuxCellSink *sink, const MuxQuestionReply *reply);
+  void (*respond) (MuxCellSink *sink, const MuxQuestionReply *reply);
   bool (*peer_send) (MuxCellSink *sink,
                      const char *addr,
                      const MuxPeerMsg *msg);
@@ -64,10 +64,10 @@
   uint32_t lease_ms;
   uint32_t dead_ms;
   uint32_t strength_milli;
-  uint32_t ended_keep_s;
+  uint32_t ended_retention_s;
   uint32_t revoke_timeout_ms;
   uint32_t quota_overrun_milli;
-  uint32_t unread_max;
+  uint32_t unreadable_max;
 } MuxCellOptions;
 
 /**
@@ -81,14 +81,14 @@
 {
   int64_t now_ms;
   int64_t wall_ms;
-  int64_t heard_ms;
+  int64_t processed_ms;
 } MuxCellTime;
 
 /** mux_cell_new() - NULL with @err set when memory is out */
 MuxCell *mux_cell_new (const MuxCellOptions *options, MuxError *err);
 void mux_cell_free (MuxCell *cell);
 /** mux_cell_question() - takes @question over; one answer follows */
-void mux_cell_question (MuxCell *cell, MuxCellTime time, MuxQuestion *question);
+void mux_cell_request (MuxCell *cell, MuxCellTime time, MuxQuestion *question);
 /** mux_cell_reply() - takes @reply over */
 void mux_cell_reply (MuxCell *cell, MuxCellTime time, MuxCellReply *reply);
 /** mux_cell_peer() - @msg stays the caller's */
--- a/src/cell/admit.c
+++ b/src/cell/admit.c
@@ -121,9 +121,9 @@
     return;
   step.service = stage->service;
   step.priority = stage->job->spec->queue.priority;
-  step.work = work_of (stage, cell_stage_waiting (stage));
+  step.work = work_of (stage, cell_stage_waiting_tasks (stage));
   step.waited_ms = now - stage->ready_ms;
-  step.slack_ms = stage->due_ms - stage->expected_ms - stage->ready_ms;
+  step.slack_ms = stage->deadline_ms - stage->expected_ms - stage->ready_ms;
   mux_admission_add_waiting (&cell->admission, queue_of (stage->job->spec), &step);
 }
 
@@ -273,7 +273,7 @@
     cell_log (cell, "share_taken", "{s:i, s:I, s:I, s:i, s:i}", "milli",
               (int) cell->throttle.share_milli, "behind_ms",
               (json_int_t) behind_ms, "answers_ms",
-              (json_int_t) cell_answers_late_ms (cell), "unlooked",
+              (json_int_t) cell_reply_latency_ms (cell), "unlooked",
               (int) cell->unscanned_steps, "looked_s", (int) cell->throttle.scan_rate);
 }
 
--- a/src/cell/approve.c
+++ b/src/cell/approve.c
@@ -72,7 +72,7 @@
 member_can_ask (const MuxCell *cell, const CellMember *member)
 {
   return member->query_number == 0 && !member->stopping
-         && cell->time.heard_ms - member->last_contact_ms < MEMBER_SILENT_MS
+         && cell->time.processed_ms - member->last_contact_ms < MEMBER_SILENT_MS
          && cell->time.now_ms >= member->no_query_until_ms;
 }
 
@@ -104,7 +104,7 @@
   cell->queriers_with_long_query = 0;
   HASH_ITER (hh, cell->members, member, next)
   {
-    if (cell->time.heard_ms - member->last_contact_ms >= MEMBER_SILENT_MS)
+    if (cell->time.processed_ms - member->last_contact_ms >= MEMBER_SILENT_MS)
       continue;
     cell->queriers_alive++;
     cell->queriers_with_long_query
@@ -167,7 +167,7 @@
             const CellPending *pending,
             const MuxCellReply *reply)
 {
-  cell_approval_query_done (cell, pending->number, reply->status == MUX_CELL_OK,
+  cell_approval_query_done (cell, pending->context, reply->status == MUX_CELL_OK,
                     reply->approval, reply->approval_count, reply->valid_ms);
 }
 
@@ -183,7 +183,7 @@
   if (strcmp (member->name, cell->options.name) == 0)
     {
       CellPending pending
-          = { .done = own_answer, .term = cell->term, .number = number };
+          = { .on_reply = own_answer, .term = cell->term, .context = number };
 
       sent = cell_call (cell, cell_approval_query_call (question), &pending);
       json_decref (question);
@@ -348,7 +348,7 @@
     }
   HASH_ADD (hh, cell->approval_queries, number, sizeof question->number, question);
   mark_asked (stage, question, candidates);
-  cell_step_asks (cell, stage, question);
+  cell_step_query_sent (cell, stage, question);
   stage->query_pending = true;
   stage->queried_ms = cell->time.now_ms;
   cell_member_set_query (cell, member, question->number);
@@ -375,9 +375,9 @@
   approval->stored = approval->stored || cell_worker_is_recorded (stage, worker);
   if (!approval->approved && !approval->stored)
     {
-      cell_job_dirty (cell, stage->job);
+      cell_job_mark_dirty (cell, stage->job);
       if (stage->job->spec->queue.priority == 0)
-        cell->part[stage->job->part].hurry = true;
+        cell->part[stage->job->part].commit_now = true;
     }
   approval->approved = true;
   free (approval->proof);
@@ -438,10 +438,10 @@
   if (task != NULL)
     {
       end_asking (cell, task->stage, question, answered);
-      cell_step_answered (cell, task->stage, question, count);
+      cell_step_query_done (cell, task->stage, question, count);
       for (uint32_t i = 0; i < count; i++)
         take_approval (cell, task->stage, &approvals[i],
-                       cell->time.heard_ms + valid_ms);
+                       cell->time.processed_ms + valid_ms);
     }
   cell_log (cell, "approvals", "{s:s, s:i, s:s, s:b, s:b, s:i, s:i, s:I}",
             "job", question->step.job, "step", (int) question->step.step,
@@ -467,7 +467,7 @@
   CellApprovalQuery *next;
 
   HASH_ITER (hh, cell->approval_queries, question, next)
-  if (cell->time.heard_ms > question->expires_ms)
+  if (cell->time.processed_ms > question->expires_ms)
     cell_approval_query_done (cell, question->number, false, NULL, 0, 0);
 }
 
--- a/src/cell/approve_peer.c
+++ b/src/cell/approve_peer.c
@@ -67,7 +67,7 @@
     (void) json_array_append_new (list,
                                   json_pack ("[ss]", reply->approval[i].worker,
                                              reply->approval[i].proof));
-  tell (cell, pending->peer, pending->peer_addr, pending->number,
+  tell (cell, pending->peer, pending->peer_addr, pending->context,
         json_pack ("{s:i, s:o}", "valid_ms", (int) reply->valid_ms, "approved",
                    list),
         reply->status == MUX_CELL_OK);
@@ -77,7 +77,7 @@
 ask_for_planner (MuxCell *cell, const MuxPeerMsg *msg)
 {
   json_t *question = cell_json_from_blob (msg->body);
-  CellPending pending = { .done = asked_answer, .number = msg->call };
+  CellPending pending = { .on_reply = asked_answer, .context = msg->call };
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
   snprintf (pending.peer_addr, sizeof pending.peer_addr, "%s", msg->from_addr);
--- a/src/cell/approve_record.c
+++ b/src/cell/approve_record.c
@@ -202,12 +202,12 @@
 {
   const MuxQueueSpec *queue = &stage->job->spec->queue;
 
-  if (!stage->job->old)
+  if (!stage->job->predates_term)
     return true;
   if (!queue->approval.needed)
     return cell_all_workers_confirmed (cell) && cell_late_starts_are_over (cell);
   /* Where it may run stood in what can't be read. */
-  if (stage->job->progress_lost)
+  if (stage->job->progress_unreadable)
     return cell_all_workers_confirmed (cell);
   return all_heard (cell, stage->recorded, stage->recorded_count)
          && all_heard (cell, stage->spec->named, stage->spec->named_count);
--- a/src/cell/ask_ahead.c
+++ b/src/cell/ask_ahead.c
@@ -34,9 +34,9 @@
     {
       const CellStage *before = job->stage[first + i];
 
-      if ((stage->spec->after >> i & 1) == 0 || before->left == 0)
+      if ((stage->spec->after >> i & 1) == 0 || before->tasks_left == 0)
         continue;
-      if (cell_stage_waiting (before) > 0)
+      if (cell_stage_waiting_tasks (before) > 0)
         return -1;
       if (before->expected_ms > longest_ms)
         longest_ms = before->expected_ms;
@@ -49,7 +49,7 @@
 {
   int64_t longest_ms = longest_before_ms (stage);
 
-  return stage->left > 0 && !stage->ready && !stage->query_pending
+  return stage->tasks_left > 0 && !stage->ready && !stage->query_pending
          && !stage->spec->gang && stage->approval_count == 0 && longest_ms > 0
          && longest_ms + OVERRUN_MS
                 <= (int64_t) stage->job->spec->queue.approval.valid_ms;
--- a/src/cell/authorize.c
+++ b/src/cell/authorize.c
@@ -123,13 +123,13 @@
     cell_log (cell, proved ? "keys_proved" : "keys_unproved", "{s:I, s:I, s:b}",
               "version", (json_int_t) cell->config->version, "proof_age_ms",
               (json_int_t) cell_config_age_ms (cell), "unread",
-              (int) cell->config_unread);
+              (int) cell->config_unreadable);
 }
 
 /* A configuration that can't be read may have taken keys away. */
 void
 cell_config_confirmed (MuxCell *cell, int64_t at_ms)
 {
-  if (at_ms > cell->config_confirmed_ms && !cell->config_unread)
+  if (at_ms > cell->config_confirmed_ms && !cell->config_unreadable)
     cell->config_confirmed_ms = at_ms;
 }
--- a/src/cell/call.c
+++ b/src/cell/call.c
@@ -201,7 +201,7 @@
       /* What belongs to an earlier term speaks of state that is gone. */
       cell->reply_clock_ms = reply->store_clock_ms;
       if (entry->term == 0 || entry->term == cell->term)
-        entry->done (cell, entry, reply);
+        entry->on_reply (cell, entry, reply);
       cell->reply_clock_ms = 0;
       free (entry);
     }
--- a/src/cell/candidate.c
+++ b/src/cell/candidate.c
@@ -276,7 +276,7 @@
                  CellWorker *worker[CELL_CANDIDATES_MAX])
 {
   Candidate *candidate = candidates_new (cell, stage);
-  uint32_t waiting = cell_stage_waiting (stage);
+  uint32_t waiting = cell_stage_waiting_tasks (stage);
   uint32_t count;
 
   if (candidate == NULL)
--- a/src/cell/carry.c
+++ b/src/cell/carry.c
@@ -43,7 +43,7 @@
 can_carry (const MuxCell *cell, const CellMember *member, int64_t silent_ms)
 {
   return !member->stopping && member->cpu_share_milli >= CARRIER_MILLI
-         && cell->time.heard_ms - member->last_contact_ms < silent_ms
+         && cell->time.processed_ms - member->last_contact_ms < silent_ms
          && strcmp (member->name, cell->options.name) != 0;
 }
 
@@ -183,7 +183,7 @@
 static int64_t
 answers_late_ms (const MuxCell *cell)
 {
-  int64_t late_ms = cell_answers_late_ms (cell);
+  int64_t late_ms = cell_reply_latency_ms (cell);
 
   return late_ms < LATENESS_MAX_MS ? late_ms : LATENESS_MAX_MS;
 }
@@ -203,7 +203,7 @@
 cell_proxy_tick (MuxCell *cell)
 {
   uint64_t overdue[OVERDUE_MAX] = { 0 };
-  int64_t heard_ms = cell->time.heard_ms - answers_late_ms (cell);
+  int64_t heard_ms = cell->time.processed_ms - answers_late_ms (cell);
   uint32_t count = 0;
   CellPending *entry;
   CellPending *next;
@@ -232,7 +232,7 @@
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_CARRY_TOLD, pending->peer);
 
   msg.found = true;
-  msg.call = pending->number;
+  msg.call = pending->context;
   msg.body = cell_proxied_reply_encode (reply);
   if (msg.body != NULL)
     (void) cell->options.sink->peer_send (cell->options.sink,
@@ -243,7 +243,7 @@
 static void
 carry (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  CellPending pending = { .done = carried, .number = msg->call };
+  CellPending pending = { .on_reply = carried, .context = msg->call };
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
   snprintf (pending.peer_addr, sizeof pending.peer_addr, "%s", msg->from_addr);
--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -22,20 +22,20 @@
   if (row->config == NULL)
     {
       /* The one in force stays: callers of its queues are served on. */
-      cell->config_unread = true;
+      cell->config_unreadable = true;
       cell_report_bad_row (cell, row,
                     row->wrong != NULL ? CELL_ROW_FIELD : CELL_ROW_VALUE,
                     row->wrong != NULL ? row->wrong : "value");
       return;
     }
-  cell->config_unread = false;
+  cell->config_unreadable = false;
   if ((cell->config != NULL && row->config->version <= cell->config->version))
     return;
   config = mux_queue_config_copy (row->config);
   if (config == NULL)
     {
       cell_log (cell, "config_dropped", "{s:s}", "why", "memory is out");
-      cell->config_unread = true;
+      cell->config_unreadable = true;
       return;
     }
   mux_queue_config_free (cell->config);
@@ -112,7 +112,7 @@
     return;
   cell_step_down (cell, "end");
   cell_submit_free (cell);
-  cell_inquiry_free (cell);
+  cell_job_queries_free (cell);
   HASH_ITER (hh, cell->pending, entry, next)
   {
     HASH_DEL (cell->pending, entry);
@@ -139,7 +139,7 @@
       break;
     case MUX_PEER_JOB_ASK:
     case MUX_PEER_JOB_TOLD:
-      cell_inquiry_peer (cell, msg);
+      cell_job_query_peer (cell, msg);
       break;
     case MUX_PEER_APPROVAL_ASK:
     case MUX_PEER_APPROVAL_TOLD:
@@ -166,18 +166,18 @@
     return;
   cell_progress_tick (cell);
   cell_proxy_tick (cell);
-  if (cell->time.now_ms >= cell->next_look_ms)
+  if (cell->time.now_ms >= cell->next_periodic_ms)
     {
-      cell->next_look_ms = cell->time.now_ms + LOOK_MS;
+      cell->next_periodic_ms = cell->time.now_ms + LOOK_MS;
       cell_late_tick (cell);
       cell_quota_tick (cell);
       cell_admission_tick (cell);
       cell_roster_tick (cell);
       cell_losses_tick (cell);
       cell_jobs_tick (cell);
-      cell_unread_tick (cell);
+      cell_unreadable_tick (cell);
       cell_approvals_tick (cell);
-      cell_waits_tick (cell);
+      cell_wait_log_tick (cell);
       cell_run_times_tick (cell);
       cell_load_log_tick (cell);
       cell_sweep_tick (cell);
@@ -198,7 +198,7 @@
     cell_follow_tick (cell, &cell->follow[i]);
   cell_keys_tick (cell);
   cell_submit_tick (cell);
-  cell_inquiry_tick (cell);
+  cell_job_queries_tick (cell);
   if (cell->role != CELL_FOLLOWER)
     planner_tick (cell);
   if (cell->role != CELL_FOLLOWER)
@@ -228,7 +228,7 @@
 bool
 mux_cell_stopped (const MuxCell *cell)
 {
-  if (!cell->claim_released || cell->inquiries != NULL)
+  if (!cell->claim_released || cell->job_queries != NULL)
     return false;
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     if (cell->part[i].submissions != NULL)
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -94,7 +94,7 @@
 
 /* service.c: pools of workers that queues have named */
 void cell_service_add (MuxCell *cell, const char *name);
-bool cell_service_named (const MuxCell *cell, uint64_t hash);
+bool cell_service_is_known (const MuxCell *cell, uint64_t hash);
 void cell_services_free (MuxCell *cell);
 
 /* follow.c */
@@ -105,16 +105,16 @@
 
 /* late.c: a planner that has more to do than its processor bears */
 /** cell_answer_heard() - a worker has answered a call */
-void cell_answer_heard (MuxCell *cell, const CellPending *pending);
+void cell_reply_latency_record (MuxCell *cell, const CellPending *pending);
 /** cell_answers_late_ms() - how long answers of workers take in these moments,
  * in the mean */
-int64_t cell_answers_late_ms (const MuxCell *cell);
+int64_t cell_reply_latency_ms (const MuxCell *cell);
 /** cell_late_ms() - how long what arrives here waits until it is taken */
 int64_t cell_late_ms (const MuxCell *cell);
 /** cell_planner_late_ms() - the same of the planner; 0: it is not heard */
 int64_t cell_planner_late_ms (const MuxCell *cell);
 /** cell_takes_jobs() - what is accepted now can start in time */
-bool cell_takes_jobs (const MuxCell *cell);
+bool cell_accepts_jobs (const MuxCell *cell);
 /** cell_late_tick() - the planner tells how late it is */
 void cell_late_tick (MuxCell *cell);
 
@@ -192,9 +192,9 @@
 /* submit.c, inquiry.c: callers */
 void cell_submit (MuxCell *cell, MuxQuestion *question);
 /** cell_submission_queue() - takes @submission over */
-void cell_submission_queue (MuxCell *cell, CellSubmission *submission);
+void cell_submission_enqueue (MuxCell *cell, CellSubmission *submission);
 /** cell_submit_direct() - by this daemon's own commit */
-void cell_submit_direct (MuxCell *cell, CellPart *part);
+void cell_submissions_commit (MuxCell *cell, CellPart *part);
 /** cell_submission_end() - answer and forget it */
 void cell_submission_end (MuxCell *cell,
                           CellPart *part,
@@ -203,19 +203,19 @@
                           const char *why);
 void cell_submit_tick (MuxCell *cell);
 void cell_submit_free (MuxCell *cell);
-void cell_inquire (MuxCell *cell,
+void cell_job_query_begin (MuxCell *cell,
                    const MuxQuestion *question,
                    const CellCaller *caller,
                    const MuxQueueSpec *queue,
                    const char *id);
-void cell_inquiry_tick (MuxCell *cell);
-void cell_inquiry_free (MuxCell *cell);
-void cell_inquiry_peer (MuxCell *cell, const MuxPeerMsg *msg);
-void cell_answer (MuxCell *cell, uint64_t call, MuxOutcome outcome);
-void cell_answer_state (MuxCell *cell, uint64_t call, MuxJobState state);
+void cell_job_queries_tick (MuxCell *cell);
+void cell_job_queries_free (MuxCell *cell);
+void cell_job_query_peer (MuxCell *cell, const MuxPeerMsg *msg);
+void cell_respond (MuxCell *cell, uint64_t call, MuxOutcome outcome);
+void cell_respond_state (MuxCell *cell, uint64_t call, MuxJobState state);
 /** cell_state_of() - what the planner says of one of its jobs; false: nothing
  * to that caller */
-bool cell_state_of (MuxCell *cell,
+bool cell_job_state (MuxCell *cell,
                     const CellCaller *caller,
                     const char *id,
                     MuxJobState *state);
@@ -223,11 +223,11 @@
 /* queue_count.c */
 /** cell_queue_update() - the job waits, or no longer; only of one in the table
  */
-void cell_queue_update (MuxCell *cell, CellJob *job);
+void cell_queue_count_update (MuxCell *cell, CellJob *job);
 /** cell_queue_uncount() - the job goes */
-void cell_queue_uncount (MuxCell *cell, CellJob *job);
+void cell_queue_count_remove (MuxCell *cell, CellJob *job);
 /** cell_pending_of() - jobs of the queue that wait */
-uint32_t cell_pending_of (const MuxCell *cell, const char *queue);
+uint32_t cell_queue_waiting (const MuxCell *cell, const char *queue);
 
 /* relay.c: jobs handed to the planner */
 /** cell_planner_is_near() - another daemon plans and answers */
@@ -255,7 +255,7 @@
 void cell_step_down (MuxCell *cell, const char *why);
 /** cell_write_claim() - the row that says who plans, on condition that it is
  * the one known; takes @value over; @done finds the term in its number */
-bool cell_write_claim (MuxCell *cell, json_t *value, CellDone done);
+bool cell_write_claim (MuxCell *cell, json_t *value, CellReplyHandler done);
 
 /* proof.c: what proves a planner's term */
 /** cell_proof_begin() - a term begins */
@@ -318,9 +318,9 @@
 CellJob *cell_job_find (MuxCell *cell, const char *id);
 /** cell_job_slack_ms() - how long it may wait in all and still end in time */
 int64_t cell_job_slack_ms (const MuxCell *cell, const MuxJobSpec *spec);
-void cell_job_free (MuxCell *cell, CellJob *job);
+void cell_job_remove (MuxCell *cell, CellJob *job);
 /** cell_known_as_ended() - it ended while this daemon planned */
-bool cell_known_as_ended (MuxCell *cell, const char *id);
+bool cell_job_ended_recently (MuxCell *cell, const char *id);
 void cell_job_cancel (MuxCell *cell, CellJob *job);
 /** cell_attempts_max() - failed runs of a task after which the job has failed
  */
@@ -329,7 +329,7 @@
 void cell_job_advance (MuxCell *cell, CellJob *job);
 /** cell_job_resume() - go on with a job that was read from the store */
 void cell_job_resume (MuxCell *cell, CellJob *job);
-void cell_job_dirty (MuxCell *cell, CellJob *job);
+void cell_job_mark_dirty (MuxCell *cell, CellJob *job);
 /** cell_job_watch() - time alone may change it from now on */
 void cell_job_watch (MuxCell *cell, CellJob *job);
 void cell_jobs_tick (MuxCell *cell);
@@ -358,45 +358,45 @@
 
 /* job_rows.c: the jobs' table */
 /** cell_jobs_take() - a job that this planner stored itself, as @row */
-void cell_jobs_take (MuxCell *cell, const MuxBlob *row, uint64_t version);
+void cell_job_add_committed (MuxCell *cell, const MuxBlob *row, uint64_t version);
 void cell_jobs_row (MuxCell *cell, const MuxCellRow *row);
 /** cell_is_cancel() - the row of the jobs' table is a job's cancel */
-bool cell_is_cancel (const MuxCellRow *row);
+bool cell_row_is_cancel (const MuxCellRow *row);
 
 /* unread.c: jobs whose row can't be read, and the ends of their tasks */
 /** cell_unread_note() - there is such a job
  * @seen: by its row; else by what stands beside it */
-void cell_unread_note (MuxCell *cell, const char *id, bool seen);
+void cell_unreadable_add (MuxCell *cell, const char *id, bool seen);
 /** cell_unread_mended() - its row can be read
  * Return: true, and @spec is taken over, if it was not before. */
-bool cell_unread_mended (MuxCell *cell, MuxJobSpec *spec, uint64_t version);
+bool cell_unreadable_recover (MuxCell *cell, MuxJobSpec *spec, uint64_t version);
 /** cell_unread_end() - a worker lists an end of a job that is not known
  * Return: false: it can't be kept, and must not be acknowledged. */
-bool cell_unread_end (MuxCell *cell, const MuxRunReport *report);
+bool cell_unreadable_keep_end (MuxCell *cell, const MuxRunReport *report);
 /** cell_unread_row() - while loading: false: it is not a row of such ends */
-bool cell_unread_row (MuxCell *cell, const MuxCellRow *row);
+bool cell_unreadable_load_row (MuxCell *cell, const MuxCellRow *row);
 /** cell_unread_add_rows() - to a commit of the part's progress
  * Return: false when some were left out. */
 bool
-cell_unread_add_rows (MuxCell *cell, const CellPart *part, MuxCellCall *call);
+cell_unreadable_add_rows (MuxCell *cell, const CellPart *part, MuxCellCall *call);
 /** cell_unread_committed() - the end of that commit */
-void cell_unread_committed (MuxCell *cell, CellPart *part, bool stored);
-void cell_unread_tick (MuxCell *cell);
+void cell_unreadable_committed (MuxCell *cell, CellPart *part, bool stored);
+void cell_unreadable_tick (MuxCell *cell);
 /** cell_unread_add_end() - false: it was known before */
-bool cell_unread_add_end (CellUnread *unread, const CellUnreadEnd *end);
+bool cell_unreadable_add_end (CellUnreadable *unread, const CellUnreadableEnd *end);
 
 /* unread_rows.c */
 /** cell_unread_row_of() - the job of such a row; false: it is another one */
-bool cell_unread_row_of (const char *key, char id[MUX_ROW_NAME_LEN]);
-void cell_unread_put_row (const MuxCell *cell,
+bool cell_unreadable_row_job (const char *key, char id[MUX_ROW_NAME_LEN]);
+void cell_unreadable_put_row (const MuxCell *cell,
                           MuxCellCall *call,
-                          CellUnread *unread);
+                          CellUnreadable *unread);
 /** cell_unread_read_row() - beside the ends that @unread has */
 void
-cell_unread_read_row (MuxCell *cell, const MuxCellRow *row, CellUnread *unread);
+cell_unreadable_read_row (MuxCell *cell, const MuxCellRow *row, CellUnreadable *unread);
 /** cell_unread_remove_row() - the job's own progress holds those ends now */
-void cell_unread_remove_row (MuxCellCall *call, const CellJob *job);
-void cell_unread_free (MuxCell *cell);
+void cell_unreadable_remove_row (MuxCellCall *call, const CellJob *job);
+void cell_unreadable_free (MuxCell *cell);
 
 /* stage.c */
 /** cell_stage_new() - @began_ms: when its occurrence was due to begin */
@@ -409,28 +409,28 @@
 /** cell_stage_leave_plan() - and give up what is reserved for it */
 void cell_stage_leave_plan (MuxCell *cell, CellStage *stage);
 void cell_stage_update (MuxCell *cell, CellStage *stage);
-uint32_t cell_stage_waiting (const CellStage *stage);
-bool cell_stage_gang_settled (const CellStage *stage);
+uint32_t cell_stage_waiting_tasks (const CellStage *stage);
+bool cell_stage_gang_has_ended (const CellStage *stage);
 const char *cell_stage_gang_checkpoint (const CellStage *stage);
 /** cell_stage_placed() - the last @tasks that waited were sent to workers */
-void cell_stage_placed (MuxCell *cell, const CellStage *stage, uint32_t tasks);
+void cell_stage_log_placed (MuxCell *cell, const CellStage *stage, uint32_t tasks);
 
 /* step_wait.c: what a step waits for, and what its questions brought */
 /** cell_step_wait_begin() - it has become ready */
 void cell_step_wait_begin (const MuxCell *cell, CellStage *stage);
 /** cell_step_lacks() - from now on it waits for that */
-void cell_step_lacks (const MuxCell *cell, CellStage *stage, CellLack lack);
+void cell_step_blocked_on (const MuxCell *cell, CellStage *stage, CellBlockedOn lack);
 /** cell_step_asks() - @question about it is on its way */
-void cell_step_asks (const MuxCell *cell,
+void cell_step_query_sent (const MuxCell *cell,
                      CellStage *stage,
                      const CellApprovalQuery *question);
 /** cell_step_answered() - or it is lost, with no workers @approved */
-void cell_step_answered (const MuxCell *cell,
+void cell_step_query_done (const MuxCell *cell,
                          CellStage *stage,
                          const CellApprovalQuery *question,
                          uint32_t approved);
 /** cell_step_used() - a start with a proof goes to @worker */
-void cell_step_used (const MuxCell *cell,
+void cell_step_proof_used (const MuxCell *cell,
                      CellStage *stage,
                      const CellWorker *worker);
 /** cell_step_wait_json() - how long it lacked what, in ms; owned by the caller
@@ -443,7 +443,7 @@
 
 /* wait.c */
 /** cell_waits_tick() - tell why the step that waits longest does */
-void cell_waits_tick (MuxCell *cell);
+void cell_wait_log_tick (MuxCell *cell);
 
 /* progress_rows.c */
 json_t *cell_progress_json (MuxCell *cell, const CellJob *job);
@@ -570,10 +570,10 @@
 
 /* late_start.c: starts that a worker's next life may still carry out */
 /** cell_start_may_come() - the booking's start, or a run of it is left */
-bool cell_start_may_come (const MuxCell *cell, const CellBooking *booking);
+bool cell_start_may_arrive_late (const MuxCell *cell, const CellBooking *booking);
 /** cell_late_starts_of_former() - those of former planners at the worker, whose
  * lease is over */
-void cell_late_starts_of_former (MuxCell *cell, const CellWorker *worker);
+void cell_late_starts_of_predecessor (MuxCell *cell, const CellWorker *worker);
 /** cell_late_starts_are_over() - of all former planners at all such workers */
 bool cell_late_starts_are_over (const MuxCell *cell);
 
@@ -610,7 +610,7 @@
 CellBooking *
 cell_book (MuxCell *cell, CellTask *task, CellWorker *worker, uint32_t run);
 void cell_unbook (MuxCell *cell, CellBooking *booking);
-bool cell_start (MuxCell *cell,
+bool cell_start_run (MuxCell *cell,
                  CellTask *task,
                  CellWorker *worker,
                  uint32_t run,
@@ -631,7 +631,7 @@
                      MuxRunEnd end,
                      const char *checkpoint);
 /** cell_stop_stray() - stop a run that no booking stands for */
-void cell_stop_stray (MuxCell *cell,
+void cell_stop_orphan (MuxCell *cell,
                       CellWorker *worker,
                       const MuxTaskRef *task,
                       uint32_t run);
@@ -737,7 +737,7 @@
 
 /* reports.c: what a worker lists */
 void
-cell_reports (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply);
+cell_reports_apply (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply);
 
 /* approval_list.c */
 /** cell_approval() - what is known of the worker; NULL: it was not asked about
@@ -978,7 +978,7 @@
 /** cell_worker_free_for() - with the room that @stage holds there */
 MuxSize cell_worker_free_for (const CellStage *stage, const CellWorker *worker);
 /** cell_size_of() - of @tasks of the stage's tasks */
-MuxSize cell_size_of (const CellStage *stage, uint32_t tasks);
+MuxSize cell_tasks_size (const CellStage *stage, uint32_t tasks);
 uint32_t cell_tasks_that_fit (const CellStage *stage, MuxSize free);
 /** cell_worker_takes() - tasks of the stage that it has room for now */
 uint32_t cell_worker_startable_tasks (const MuxCell *cell,
@@ -990,10 +990,10 @@
 void cell_place_unsettled (MuxCell *cell, CellStage *stage);
 /** cell_hold() - keep room for @tasks of the stage at @worker
  * Return: false when memory is out. */
-bool cell_hold (CellStage *stage, CellWorker *worker, uint32_t tasks);
+bool cell_hold_add (CellStage *stage, CellWorker *worker, uint32_t tasks);
 void cell_holds_release (CellStage *stage);
 /** cell_held() - tasks whose room the stage holds at @worker */
-uint32_t cell_held (const CellStage *stage, const CellWorker *worker);
+uint32_t cell_hold_tasks (const CellStage *stage, const CellWorker *worker);
 void cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations);
 
 #endif
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -18,11 +18,11 @@
  * are looked for in parts where they are not. */
 #define CELL_PARTS 4
 /* Entries of a commit, as many as the store takes. */
-#define CELL_COMMIT_CHANGES 100
+#define CELL_COMMIT_CHANGES_MAX 100
 /* Of these, rows with ends of jobs that can't be read. */
-#define CELL_UNREAD_ROWS 2
+#define CELL_UNREADABLE_ROWS_MAX 2
 /* Most jobs of one commit: a call holds 100 entries, a job takes three. */
-#define CELL_COMMIT_JOBS 30
+#define CELL_COMMIT_JOBS_MAX 30
 /* A commit, scan or worker call without an answer for so long counts as lost;
  * an answer takes some 10 ms, one of a loaded store under 100. */
 #define CELL_STORE_TIMEOUT_MS 1500
@@ -64,11 +64,11 @@
 typedef struct CellBooking CellBooking;
 typedef struct CellApprovalQuery CellApprovalQuery;
 typedef struct CellBadRow CellBadRow;
-typedef struct CellUnread CellUnread;
+typedef struct CellUnreadable CellUnreadable;
 typedef struct CellService CellService;
 typedef struct CellQueueCount CellQueueCount;
 
-typedef void (*CellDone) (MuxCell *cell,
+typedef void (*CellReplyHandler) (MuxCell *cell,
                           const CellPending *pending,
                           const MuxCellReply *reply);
 
@@ -91,11 +91,11 @@
 struct CellPending
 {
   uint64_t call_id;
-  CellDone done;
+  CellReplyHandler on_reply;
   int64_t sent_ms;
   uint64_t term;
   uint32_t part;
-  uint64_t number;
+  uint64_t context;
   char worker[MUX_NAME_LEN];
   MuxTaskRef task;
   uint32_t run;
@@ -180,12 +180,12 @@
 struct CellSubmission
 {
   MuxJobSpec *job;
-  uint64_t call;
+  uint64_t request_id;
   MuxBlob *value;
-  MuxBlob *row;
-  int64_t give_up_ms;
-  bool doubtful;
-  bool sent;
+  MuxBlob *sent_value;
+  int64_t deadline_ms;
+  bool outcome_unknown;
+  bool in_commit;
   bool relayed;
   int64_t relayed_ms;
   uint32_t retry_ms;
@@ -206,19 +206,19 @@
  * @step: how far it is
  * @version: CANCEL: of the job's row as read
  */
-typedef struct CellInquiry CellInquiry;
-struct CellInquiry
+typedef struct CellJobQuery CellJobQuery;
+struct CellJobQuery
 {
-  uint64_t call;
+  uint64_t request_id;
   CellCaller caller;
   MuxQuestionVerb verb;
   char id[MUX_JOB_ID_LEN];
   char queue[MUX_NAME_LEN];
-  int64_t give_up_ms;
+  int64_t deadline_ms;
   int64_t next_ms;
-  uint32_t step;
+  uint32_t phase;
   uint64_t version;
-  bool doubtful;
+  bool outcome_unknown;
   UT_hash_handle hh;
 };
 
@@ -436,13 +436,13 @@
   CellStage *stage;
   uint32_t index;
   CellTaskState state;
-  uint32_t run;
+  uint32_t last_run;
   CellFailures failures;
   uint32_t failed_slot; /* worker of it, by slot + 1; 0: none */
   uint32_t loss_count;
   CellLoss *loss;
   CellBooking *booking;
-  char saved[MUX_TOKEN_LEN];
+  char checkpoint[MUX_TOKEN_LEN];
 };
 
 /**
@@ -465,14 +465,14 @@
   CellTask *task;
   CellWorker *worker;
   uint32_t run;
-  int64_t since_ms;
-  int64_t told_ms;
+  int64_t booked_ms;
+  int64_t first_report_ms;
   uint32_t percent;
   uint32_t usage;
-  int64_t moved_ms;
-  int64_t stop_at_ms;
+  int64_t progressed_ms;
+  int64_t next_stop_ms;
   int64_t stop_clock_ms;
-  int64_t stopped_ms;
+  int64_t stop_since_ms;
   bool resumed;
   bool began;
   bool was_listed;
@@ -549,7 +549,7 @@
 {
   CellNode *parent;
   CellNode *child[2];
-  uint32_t weight;
+  uint32_t priority;
 };
 
 /**
@@ -561,7 +561,7 @@
 {
   CellNode *root;
   bool (*before) (const CellNode *, const CellNode *);
-  uint64_t chance;
+  uint64_t random_state;
 } CellTree;
 
 /**
@@ -603,15 +603,15 @@
  */
 typedef enum
 {
-  CELL_LACKS_TURN,   /* no pass has looked at it */
-  CELL_LACKS_ASKER,  /* no daemon is free to put its question */
-  CELL_LACKS_ANSWER, /* which workers are approved is being asked */
-  CELL_LACKS_PROOF,  /* proofs of approved workers are being renewed */
-  CELL_LACKS_RECORD, /* the approvals are not stored yet */
-  CELL_LACKS_ROOM,
-  CELL_LACKS_QUOTA, /* its workspace has as much running as it may */
-  CELL_LACK_COUNT
-} CellLack;
+  CELL_BLOCKED_ON_TURN,   /* no pass has looked at it */
+  CELL_BLOCKED_ON_QUERIER,  /* no daemon is free to put its question */
+  CELL_BLOCKED_ON_ANSWER, /* which workers are approved is being asked */
+  CELL_BLOCKED_ON_PROOF,  /* proofs of approved workers are being renewed */
+  CELL_BLOCKED_ON_RECORD, /* the approvals are not stored yet */
+  CELL_BLOCKED_ON_ROOM,
+  CELL_BLOCKED_ON_QUOTA, /* its workspace has as much running as it may */
+  CELL_BLOCKED_ON_COUNT
+} CellBlockedOn;
 
 /**
  * struct CellStepWait - what a step has waited for since it became ready
@@ -625,11 +625,11 @@
  */
 typedef struct
 {
-  CellLack lacks;
+  CellBlockedOn blocked_on;
   int64_t since_ms;
-  int64_t lacked_ms[CELL_LACK_COUNT];
-  uint32_t questions;
-  uint32_t names;
+  int64_t blocked_ms[CELL_BLOCKED_ON_COUNT];
+  uint32_t queries;
+  uint32_t candidates;
   uint32_t approved;
   uint32_t used;
 } CellStepWait;
@@ -676,7 +676,7 @@
   uint64_t scan_round;
   int64_t scanned_ms;
   bool is_unscanned;
-  int64_t told_ms;
+  int64_t logged_ms;
   bool is_unvisited;
   uint64_t number;
   int64_t rank_expires_ms;
@@ -690,8 +690,8 @@
   uint64_t service;       /* hash of the pool that runs it */
   uint64_t data_centre;   /* hash of the one that its tasks are placed in */
   int64_t proofs_expire_ms; /* no proof is taken after this */
-  uint32_t left;
-  uint32_t run;
+  uint32_t tasks_left;
+  uint32_t last_run;
   uint32_t expected_ms; /* that a run of it will take */
   CellFailures failures;
   uint32_t loss_changes;
@@ -709,7 +709,7 @@
   uint32_t lost_queries;
   int64_t no_query_until_ms;
   CellStepWait wait;
-  int64_t due_ms;
+  int64_t deadline_ms;
   int64_t worthless_ms;
   int64_t latest_start_ms;
   CellRank rank;
@@ -760,28 +760,28 @@
   MuxBlob *payload;
   uint32_t part;
   uint64_t version;
-  int64_t began_ms;
-  int64_t due_ms;
+  int64_t accepted_ms;
+  int64_t deadline_ms;
   int64_t worthless_ms;
-  bool old;
+  bool predates_term;
   CellOrigin origin;
-  bool early;
+  bool began_early;
   bool started;
   bool cancelled;
   bool failed;
   bool ended;
-  MuxJobState end;
+  MuxJobState end_state;
   bool dirty;
   bool watched;
   bool in_loss_list;
-  bool counted;
+  bool counted_waiting;
   bool in_commit;
   bool end_stored;
   bool dirty_again; /* changed since the commit on its way was made */
   bool progress_stored;
-  bool progress_lost;
-  bool ends_stored;
-  uint32_t bookings;
+  bool progress_unreadable;
+  bool unreadable_ends_stored;
+  uint32_t booking_count;
   uint32_t loss_count; /* of all its tasks */
   uint32_t next_occurrence;
   uint32_t stage_count;
@@ -804,8 +804,8 @@
   MuxTaskRef task;
   uint32_t run;
   MuxRunEnd end;
-  char saved[MUX_TOKEN_LEN];
-} CellUnreadEnd;
+  char checkpoint[MUX_TOKEN_LEN];
+} CellUnreadableEnd;
 
 /**
  * struct CellUnread - a job whose row can't be read
@@ -819,19 +819,19 @@
  * @reading: the call that reads it is on its way
  * @next_ms: no such call before
  */
-struct CellUnread
+struct CellUnreadable
 {
   char id[MUX_JOB_ID_LEN];
   uint32_t part;
-  bool seen;
-  int64_t noted_wall_ms;
+  bool has_row;
+  int64_t stored_wall_ms;
   bool overflow;
   bool dirty;
   bool in_commit;
   bool dirty_again;
   bool expired;
   uint32_t end_count;
-  CellUnreadEnd *end;
+  CellUnreadableEnd *end;
   MuxJobSpec *spec;
   uint64_t version;
   bool reading;
@@ -849,7 +849,7 @@
   MuxJobState state;
   int64_t ended_ms;
   UT_hash_handle hh;
-} CellEnded;
+} CellEndedJob;
 
 /**
  * enum CellRosterState - what the stored roster says of a worker
@@ -928,24 +928,24 @@
   int64_t clock_ms;
   int64_t clock_at_ms;
   int64_t lease_expires_ms;
-  int64_t unanswered_ms;
+  int64_t unanswered_sent_ms;
   int64_t stale_until_ms;
   uint64_t acked;
   uint64_t acked_sent;
-  uint64_t seen;
-  uint64_t store_seq;
+  uint64_t ends_seen;
+  uint64_t ends_change_seq;
   bool renewing;
   int64_t next_renew_ms;
   int64_t avoid_until_ms;
-  int64_t unserved_ms;
+  int64_t backoff_ms;
   int64_t no_fill_until_ms;
   int64_t direct_until_ms; /* no other daemon calls it */
   uint32_t reroutes;        /* decides which daemon calls it */
   int64_t idle_until_ms;   /* it is asked nothing while nothing runs there */
-  uint32_t strikes;
+  uint32_t consecutive_failures;
   MuxSize booked;
-  MuxSize lasting;
-  uint32_t stops;
+  MuxSize long_running;
+  uint32_t stop_count;
   MuxSize held;        /* room kept for gangs about to start */
   uint32_t hold_count; /* stages that hold some of it */
   uint32_t reservation_count;
@@ -982,19 +982,19 @@
   uint64_t fence_version;
   uint64_t term_version;
   bool fenced;
-  bool fence_doubtful;
-  bool term_doubtful;
+  bool fence_version_unknown;
+  bool term_version_unknown;
   bool reading_fence;
   CellJob *dirty;
-  uint32_t unread_dirty;
+  uint32_t unreadable_dirty;
   int64_t dirty_since_ms;
   int64_t next_commit_ms;
-  bool hurry;
+  bool commit_now;
   bool committing;
   int64_t commit_sent_ms;
   uint64_t commit_seq;
   uint64_t stored_seq;
-  MuxCellTable loading; /* MUX_TABLE_COUNT: loaded */
+  MuxCellTable load_table; /* MUX_TABLE_COUNT: loaded */
   bool load_busy;
   char load_from[MUX_ROW_NAME_LEN];
   int64_t load_next_ms;
@@ -1040,13 +1040,13 @@
   CellFollow follow[FOLLOW_COUNT];
   MuxQueueConfig *config;
   int64_t config_confirmed_ms; /* it was the newest then; 0: never */
-  bool config_unread;       /* a newer one can't be read */
+  bool config_unreadable;       /* a newer one can't be read */
   bool keys_confirmed_logged;         /* as told last */
   CellWorkspace *workspaces;
   CellService *services;
   CellBadRow *bad_rows;
   CellPart part[CELL_PARTS];
-  CellInquiry *inquiries;
+  CellJobQuery *job_queries;
 
   /* The store as this daemon sees it. */
   int64_t store_clock_ms;    /* the store's steady clock as last told, */
@@ -1106,7 +1106,7 @@
   bool claim_released;
 
   /* Of the planner alone. */
-  CellAnswers answers;
+  CellReplyLatency reply_latency;
   bool late;     /* it takes no new jobs, as it told last */
   bool has_backlog;  /* new jobs would wait, the same */
   bool pool_has_room; /* some pool is not full, as counted last */
@@ -1117,10 +1117,10 @@
   CellJob *loss_jobs;  /* jobs with lost runs */
   uint32_t loss_job_count;
   CellQueueCount *queue_counts;
-  CellEnded *ended;
-  CellUnread *unread;
-  bool unread_passed;      /* others can't be read, which are not in it */
-  bool unread_ends_passed; /* ends are stored of some of those */
+  CellEndedJob *ended_jobs;
+  CellUnreadable *unreadable;
+  bool unreadable_overflow;      /* others can't be read, which are not in it */
+  bool unreadable_ends_overflow; /* ends are stored of some of those */
   CellSweep sweep;
   CellWorker *workers;
   CellIncarnations *incarnations; /* of each id */
@@ -1146,7 +1146,7 @@
   uint32_t steps_scanned;      /* waiting steps, the same */
   uint64_t scan_round; /* of looks at all stages; several passes may share one */
   bool replan;
-  uint64_t end_seq;
+  uint64_t change_seq;
   bool roster_loaded;
   bool roster_busy;
   uint64_t roster_fence;      /* version that its next commit expects */
@@ -1155,14 +1155,14 @@
   int64_t roster_next_ms;
   uint32_t unscanned_steps; /* steps that wait and no pass has looked at yet */
   int64_t next_plan_ms;
-  int64_t next_look_ms;
+  int64_t next_periodic_ms;
   uint64_t quota_term;   /* all workers were heard in it */
   MuxQuota unconfirmed_room; /* of workers whose runs are not known yet */
   int64_t next_overdue_ms;
   int64_t next_loss_check_ms;
   uint32_t down_next; /* counts them */
   CellDownEvent down[CELL_DOWN_MAX];
-  int64_t next_wait_line_ms;
+  int64_t next_wait_log_ms;
   MuxRunTimes run_times; /* as seen, or as a planner told */
   int64_t next_run_times_log_ms;
   int64_t next_load_log_ms;
--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -33,8 +33,8 @@
 {
   CellJob *job;
   CellJob *next_job;
-  CellEnded *ended;
-  CellEnded *next_ended;
+  CellEndedJob *ended;
+  CellEndedJob *next_ended;
 
   if (cell->role == CELL_FOLLOWER)
     return;
@@ -46,16 +46,16 @@
   cell->follow[FOLLOW_JOBS].enabled = false;
   cell->follow[FOLLOW_WORKERS].enabled = false;
   HASH_ITER (hh, cell->jobs, job, next_job)
-  cell_job_free (cell, job);
-  HASH_ITER (hh, cell->ended, ended, next_ended)
+  cell_job_remove (cell, job);
+  HASH_ITER (hh, cell->ended_jobs, ended, next_ended)
   {
-    HASH_DEL (cell->ended, ended);
+    HASH_DEL (cell->ended_jobs, ended);
     free (ended);
   }
   cell_workers_free (cell);
   cell_members_free (cell);
   cell_approval_queries_free (cell);
-  cell_unread_free (cell);
+  cell_unreadable_free (cell);
   cell->late = false;
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     {
@@ -75,12 +75,12 @@
   cell->role = CELL_LOADING;
   cell->term = cell->claim.version;
   cell->term_began_ms = cell->time.now_ms;
-  cell->answers = (CellAnswers){ .count = 0 };
+  cell->reply_latency = (CellReplyLatency){ .count = 0 };
   cell->late_starts_until_ms = 0;
   cell_heartbeat_begin (cell);
   cell_admission_blob_reset (cell);
   cell_yield_begin (cell);
-  cell->end_seq = 0;
+  cell->change_seq = 0;
   cell->worker_slots = 0;
   cell_log (cell, "planner_began", "{s:I, s:i}", "term",
             (json_int_t) cell->term, "count", (int) cell->claim.term_count);
@@ -221,10 +221,10 @@
 /* The claim stands beside the jobs too: whoever follows the jobs sees a new
  * planner before any job that was accepted after it. */
 bool
-cell_write_claim (MuxCell *cell, json_t *value, CellDone done)
+cell_write_claim (MuxCell *cell, json_t *value, CellReplyHandler done)
 {
   MuxCellCall *call = cell_commit_call ("", 4);
-  CellPending pending = { .done = done, .number = cell->term };
+  CellPending pending = { .on_reply = done, .context = cell->term };
   MuxBlob *blob = cell_blob_from_json (value);
 
   if (call == NULL || blob == NULL)
@@ -318,7 +318,7 @@
 static void
 look_before_claim (MuxCell *cell)
 {
-  CellPending pending = { .done = looked };
+  CellPending pending = { .on_reply = looked };
 
   cell->claiming
       = cell_call (cell, cell_scan_call (MUX_TABLE_CLAIM, ""), &pending);
--- a/src/cell/claim_types.h
+++ b/src/cell/claim_types.h
@@ -60,7 +60,7 @@
   uint32_t count;
   int64_t mean_us;
   int64_t last_ms;
-} CellAnswers;
+} CellReplyLatency;
 
 /**
  * struct CellFormer - the planner before this one
--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -41,7 +41,7 @@
 changed (MuxCell *cell, CellTask *task)
 {
   task->stage->loss_changes++;
-  cell_job_dirty (cell, task->stage->job);
+  cell_job_mark_dirty (cell, task->stage->job);
   if (cell_losses_exceeded (cell, task))
     give_up (cell, task);
 }
@@ -170,7 +170,7 @@
 lasted (const MuxCell *cell, const CellBooking *booking)
 {
   return booking->task->stage->spec->long_running
-         && cell->time.now_ms - booking->since_ms >= LASTED_MS;
+         && cell->time.now_ms - booking->booked_ms >= LASTED_MS;
 }
 
 static void
@@ -230,7 +230,7 @@
   CellBooking *next;
 
   DL_FOREACH_SAFE (worker->bookings, booking, next)
-  if (!cell_start_may_come (cell, booking))
+  if (!cell_start_may_arrive_late (cell, booking))
     lose_run (cell, booking);
 }
 
@@ -253,7 +253,7 @@
     return false;
   changed (cell, task);
   if (task->stage->job->spec->queue.priority == 0)
-    cell->part[task->stage->job->part].hurry = true;
+    cell->part[task->stage->job->part].commit_now = true;
   return false;
 }
 
@@ -433,7 +433,7 @@
   CellJob *next;
 
   HASH_ITER (hh, cell->jobs, job, next)
-  for (uint32_t i = 0; i < job->stage_count && job->old; i++)
+  for (uint32_t i = 0; i < job->stage_count && job->predates_term; i++)
     {
       CellStage *stage = job->stage[i];
 
--- a/src/cell/crash_rows.c
+++ b/src/cell/crash_rows.c
@@ -156,8 +156,8 @@
       = json_integer_value (json_array_get (run, RUN_IN_OUTAGE)) != 0;
   loss->lived_ms = json_integer_value (json_array_get (run, RUN_LIVED_MS));
   loss->from_predecessor = loss->outcome_unknown || (marks & MARK_RECORDED) != 0;
-  if (loss->run > task->run)
-    task->run = loss->run;
+  if (loss->run > task->last_run)
+    task->last_run = loss->run;
 }
 
 void
--- a/src/cell/failure_domain.c
+++ b/src/cell/failure_domain.c
@@ -57,7 +57,7 @@
 sum_up (MuxCell *cell, const CellStage *stage, uint64_t first, Rooms *rooms)
 {
   CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
-  uint32_t most = cell_stage_waiting (stage);
+  uint32_t most = cell_stage_waiting_tasks (stage);
   CellWorker *worker;
 
   while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
@@ -101,7 +101,7 @@
   if (stage->spec->long_running)
     return;
   sum_up (cell, stage, first, &rooms);
-  stage->data_centre = choose (&rooms, first, cell_stage_waiting (stage));
+  stage->data_centre = choose (&rooms, first, cell_stage_waiting_tasks (stage));
 }
 
 bool
--- a/src/cell/follow.c
+++ b/src/cell/follow.c
@@ -61,9 +61,9 @@
 static void
 send_call (MuxCell *cell, CellFollow *follow, MuxCellCall *call)
 {
-  CellPending pending = { .done = followed,
+  CellPending pending = { .on_reply = followed,
                           .term = follow->term,
-                          .number = (uint64_t) (follow - cell->follow) };
+                          .context = (uint64_t) (follow - cell->follow) };
 
   follow->call_id = cell->next_call;
   follow->sent_ms = cell->time.now_ms;
@@ -228,7 +228,7 @@
 static void
 followed (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
 {
-  CellFollow *follow = &cell->follow[pending->number];
+  CellFollow *follow = &cell->follow[pending->context];
 
   follow->busy = false;
   if (reply->status == MUX_CELL_HISTORY)
--- a/src/cell/forecast.c
+++ b/src/cell/forecast.c
@@ -14,11 +14,11 @@
 int64_t
 cell_booking_remaining_ms (const MuxCell *cell, const CellBooking *booking)
 {
-  int64_t ran_ms = booking->moved_ms - booking->since_ms;
-  int64_t ends_ms = booking->since_ms + booking->task->stage->expected_ms;
+  int64_t ran_ms = booking->progressed_ms - booking->booked_ms;
+  int64_t ends_ms = booking->booked_ms + booking->task->stage->expected_ms;
 
   if (booking->percent > 0)
-    ends_ms = booking->moved_ms
+    ends_ms = booking->progressed_ms
               + ran_ms * (PERCENT - booking->percent) / booking->percent;
   return ends_ms > cell->time.now_ms ? ends_ms - cell->time.now_ms : 0;
 }
@@ -28,7 +28,7 @@
 likely_left_ms (const MuxCell *cell, const CellBooking *booking)
 {
   int64_t left_ms = cell_booking_remaining_ms (cell, booking);
-  int64_t ran_ms = cell->time.now_ms - booking->since_ms;
+  int64_t ran_ms = cell->time.now_ms - booking->booked_ms;
 
   return left_ms > 0 ? left_ms : ran_ms * OVERDUE_PERCENT / PERCENT;
 }
--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -207,17 +207,17 @@
 start_all (MuxCell *cell, CellStage *stage, const Place *place, uint32_t count)
 {
   const char *checkpoint = cell_stage_gang_checkpoint (stage);
-  uint32_t run = cell_next_run (cell, stage->run);
+  uint32_t run = cell_next_run (cell, stage->last_run);
   uint32_t member = 0;
 
   for (uint32_t i = 0; i < count && member < stage->spec->count; i++)
     for (uint32_t j = 0;
          place[i].proven && j < place[i].now && member < stage->spec->count;
          j++, member++)
-      if (!cell_start (cell, &stage->task[member], place[i].worker, run,
+      if (!cell_start_run (cell, &stage->task[member], place[i].worker, run,
                        checkpoint))
         return;
-  cell_stage_placed (cell, stage, member);
+  cell_stage_log_placed (cell, stage, member);
 }
 
 static uint32_t
@@ -276,7 +276,7 @@
           || cell_proof_outlasts_query (cell, stage, place[i].worker, CANDIDATES_MAX)
                  != lasts)
         continue;
-      if (!cell_hold (stage, place[i].worker, take))
+      if (!cell_hold_add (stage, place[i].worker, take))
         return left;
       left -= take;
     }
@@ -324,7 +324,7 @@
 
       if ((!place[i].proven && !place[i].near) || take == 0)
         continue;
-      if (!cell_hold (stage, place[i].worker, take))
+      if (!cell_hold_add (stage, place[i].worker, take))
         return;
       left -= take;
     }
@@ -426,14 +426,14 @@
 }
 
 /* Of a gang that nobody was asked about in this look. */
-static CellLack
+static CellBlockedOn
 what_lacks (const CellStage *stage, const Room *room)
 {
   uint32_t need = stage->spec->count;
   bool asks = stage->job->spec->queue.approval.needed
               && (room->yes_now >= need || room->yes_ever < need);
 
-  return asks ? CELL_LACKS_ASKER : CELL_LACKS_ROOM;
+  return asks ? CELL_BLOCKED_ON_QUERIER : CELL_BLOCKED_ON_ROOM;
 }
 
 /* What is left to gangs of its rank, of @reservations of those in time. */
@@ -463,7 +463,7 @@
       if (!starts_are_recorded (cell, stage, place, count))
         {
           hold_near (cell, stage, place, count);
-          cell_step_lacks (cell, stage, CELL_LACKS_RECORD);
+          cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_RECORD);
           return;
         }
       cell_holds_release (stage);
@@ -475,13 +475,13 @@
     {
       count = sort_approved (place, count);
       hold_near (cell, stage, place, count);
-      cell_step_lacks (cell, stage, CELL_LACKS_RECORD);
+      cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_RECORD);
       return;
     }
   if (may_ask)
     ask (cell, stage, place, count, &room);
   if (!stage->query_pending)
-    cell_step_lacks (cell, stage, what_lacks (stage, &room));
+    cell_step_blocked_on (cell, stage, what_lacks (stage, &room));
   reservations = reservations_of (cell, stage, reservations);
   if (*reservations == 0 || room.yes_ever < need || stage->hold_count > 0)
     return;
@@ -532,7 +532,7 @@
     {
       cell_quota_reserve (cell, stage);
       cell_holds_release (stage);
-      cell_step_lacks (cell, stage, CELL_LACKS_QUOTA);
+      cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_QUOTA);
       return;
     }
   if (needed)
--- a/src/cell/hold.c
+++ b/src/cell/hold.c
@@ -9,7 +9,7 @@
  */
 
 MuxSize
-cell_size_of (const CellStage *stage, uint32_t tasks)
+cell_tasks_size (const CellStage *stage, uint32_t tasks)
 {
   MuxSize size = stage->spec->size;
 
@@ -21,7 +21,7 @@
 }
 
 bool
-cell_hold (CellStage *stage, CellWorker *worker, uint32_t tasks)
+cell_hold_add (CellStage *stage, CellWorker *worker, uint32_t tasks)
 {
   CellHold *hold
       = realloc (stage->hold, (stage->hold_count + 1) * sizeof *stage->hold);
@@ -31,7 +31,7 @@
   stage->hold = hold;
   hold[stage->hold_count++] = (CellHold){ worker, tasks };
   worker->hold_count++;
-  worker->held = mux_size_add (worker->held, cell_size_of (stage, tasks));
+  worker->held = mux_size_add (worker->held, cell_tasks_size (stage, tasks));
   return true;
 }
 
@@ -44,7 +44,7 @@
 
       hold->worker->hold_count--;
       hold->worker->held = mux_size_sub (hold->worker->held,
-                                         cell_size_of (stage, hold->tasks));
+                                         cell_tasks_size (stage, hold->tasks));
     }
   stage->hold_count = 0;
 }
@@ -56,7 +56,7 @@
 MuxSize
 cell_worker_free_for (const CellStage *stage, const CellWorker *worker)
 {
-  MuxSize own = cell_size_of (stage, cell_held (stage, worker));
+  MuxSize own = cell_tasks_size (stage, cell_hold_tasks (stage, worker));
   MuxSize others = mux_size_sub (worker->held, own);
 
   return mux_size_sub (worker->info.capacity,
@@ -64,7 +64,7 @@
 }
 
 uint32_t
-cell_held (const CellStage *stage, const CellWorker *worker)
+cell_hold_tasks (const CellStage *stage, const CellWorker *worker)
 {
   for (uint32_t i = 0; i < stage->hold_count; i++)
     if (stage->hold[i].worker == worker)
--- a/src/cell/inquiry.c
+++ b/src/cell/inquiry.c
@@ -21,15 +21,15 @@
   STEP_CANCEL /* write the cancel */
 };
 
-static void act (MuxCell *cell, CellInquiry *inquiry);
+static void act (MuxCell *cell, CellJobQuery *inquiry);
 
 void
-cell_answer_state (MuxCell *cell, uint64_t call, MuxJobState state)
+cell_respond_state (MuxCell *cell, uint64_t call, MuxJobState state)
 {
   MuxQuestionReply reply
       = { .call = call, .outcome = MUX_OUTCOME_STATE, .state = state };
 
-  cell->options.sink->answer (cell->options.sink, &reply);
+  cell->options.sink->respond (cell->options.sink, &reply);
 }
 
 static void
@@ -38,18 +38,18 @@
   MuxQuestionReply reply
       = { .call = call, .outcome = MUX_OUTCOME_PENDING, .pending = pending };
 
-  cell->options.sink->answer (cell->options.sink, &reply);
+  cell->options.sink->respond (cell->options.sink, &reply);
 }
 
 static void
-inquiry_end (MuxCell *cell, CellInquiry *inquiry)
+inquiry_end (MuxCell *cell, CellJobQuery *inquiry)
 {
-  HASH_DEL (cell->inquiries, inquiry);
+  HASH_DEL (cell->job_queries, inquiry);
   free (inquiry);
 }
 
 static void
-end_with (MuxCell *cell, CellInquiry *inquiry, MuxOutcome outcome)
+end_with (MuxCell *cell, CellJobQuery *inquiry, MuxOutcome outcome)
 {
   if (inquiry->verb == MUX_QUESTION_CANCEL)
     cell_log (cell, "cancel", "{s:s, s:i}", "job", inquiry->id, "outcome",
@@ -57,32 +57,32 @@
   else if (outcome != MUX_OUTCOME_ABSENT || inquiry->id[0] != 0)
     cell_log (cell, "state_refused", "{s:s, s:i}", "job", inquiry->id,
               "outcome", (int) outcome);
-  cell_answer (cell, inquiry->call, outcome);
+  cell_respond (cell, inquiry->request_id, outcome);
   inquiry_end (cell, inquiry);
 }
 
-static CellInquiry *
+static CellJobQuery *
 find (MuxCell *cell, uint64_t call)
 {
-  CellInquiry *inquiry;
+  CellJobQuery *inquiry;
 
-  HASH_FIND (hh, cell->inquiries, &call, sizeof call, inquiry);
+  HASH_FIND (hh, cell->job_queries, &call, sizeof call, inquiry);
   return inquiry;
 }
 
 static void
-retry_later (MuxCell *cell, CellInquiry *inquiry, uint32_t step)
+retry_later (MuxCell *cell, CellJobQuery *inquiry, uint32_t step)
 {
-  inquiry->step = step;
+  inquiry->phase = step;
   inquiry->next_ms = cell->time.now_ms + RETRY_MS;
 }
 
 static bool
-scan (MuxCell *cell, CellInquiry *inquiry, MuxCellTable table, CellDone done)
+scan (MuxCell *cell, CellJobQuery *inquiry, MuxCellTable table, CellReplyHandler done)
 {
   MuxCellCall *call
       = cell_scan_call (table, cell->part[cell_part_of (inquiry->id)].name);
-  CellPending pending = { .done = done, .number = inquiry->call };
+  CellPending pending = { .on_reply = done, .context = inquiry->request_id };
 
   if (call == NULL)
     return false;
@@ -96,7 +96,7 @@
                 const CellPending *pending,
                 const MuxCellReply *reply)
 {
-  CellInquiry *inquiry = find (cell, pending->number);
+  CellJobQuery *inquiry = find (cell, pending->context);
 
   if (inquiry == NULL)
     return;
@@ -106,17 +106,17 @@
       return;
     }
   if (reply->status == MUX_CELL_UNKNOWN)
-    inquiry->doubtful = true;
+    inquiry->outcome_unknown = true;
   /* The job ended, or its cancel stands: reading tells which. */
   retry_later (cell, inquiry, STEP_JOB);
 }
 
 static bool
-write_cancel (MuxCell *cell, CellInquiry *inquiry)
+write_cancel (MuxCell *cell, CellJobQuery *inquiry)
 {
   MuxCellCall *call
       = cell_commit_call (cell->part[cell_part_of (inquiry->id)].name, 2);
-  CellPending pending = { .done = cancel_written, .number = inquiry->call };
+  CellPending pending = { .on_reply = cancel_written, .context = inquiry->request_id };
   char key[MUX_ROW_NAME_LEN];
 
   if (call == NULL)
@@ -149,7 +149,7 @@
             const CellPending *pending,
             const MuxCellReply *reply)
 {
-  CellInquiry *inquiry = find (cell, pending->number);
+  CellJobQuery *inquiry = find (cell, pending->context);
   const MuxCellRow *row;
   MuxJobState state = MUX_JOB_ABSENT;
 
@@ -175,7 +175,7 @@
                                                   : MUX_OUTCOME_ABSENT);
   else if (inquiry->verb == MUX_QUESTION_STATE)
     {
-      cell_answer_state (cell, inquiry->call, state);
+      cell_respond_state (cell, inquiry->request_id, state);
       inquiry_end (cell, inquiry);
     }
   else
@@ -185,7 +185,7 @@
 }
 
 static void
-job_found (MuxCell *cell, CellInquiry *inquiry, const MuxCellReply *reply)
+job_found (MuxCell *cell, CellJobQuery *inquiry, const MuxCellReply *reply)
 {
   char cancel[MUX_ROW_NAME_LEN];
   bool cancelled;
@@ -199,7 +199,7 @@
     }
   if (inquiry->verb == MUX_QUESTION_STATE)
     {
-      cell_answer_state (cell, inquiry->call, MUX_JOB_ACTIVE);
+      cell_respond_state (cell, inquiry->request_id, MUX_JOB_ACTIVE);
       inquiry_end (cell, inquiry);
       return;
     }
@@ -209,14 +209,14 @@
       return;
     }
   inquiry->version = reply->row[0].version;
-  inquiry->step = STEP_CANCEL;
+  inquiry->phase = STEP_CANCEL;
   act (cell, inquiry);
 }
 
 static void
 job_read (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
 {
-  CellInquiry *inquiry = find (cell, pending->number);
+  CellJobQuery *inquiry = find (cell, pending->context);
 
   if (inquiry == NULL)
     return;
@@ -226,13 +226,13 @@
     job_found (cell, inquiry, reply);
   else
     {
-      inquiry->step = STEP_ENDED;
+      inquiry->phase = STEP_ENDED;
       act (cell, inquiry);
     }
 }
 
 static json_t *
-ask_json (const CellInquiry *inquiry)
+ask_json (const CellJobQuery *inquiry)
 {
   json_t *json;
 
@@ -246,14 +246,14 @@
 }
 
 static void
-ask_planner (MuxCell *cell, CellInquiry *inquiry)
+ask_planner (MuxCell *cell, CellJobQuery *inquiry)
 {
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_JOB_ASK, cell->claim.name);
 
   inquiry->next_ms = cell->time.now_ms + PLANNER_MS;
   if (cell->claim.incarnation == 0 || cell->role == CELL_PLANNING)
     return;
-  msg.call = cell_peer_request_id (cell, inquiry->call);
+  msg.call = cell_peer_request_id (cell, inquiry->request_id);
   msg.body = cell_blob_from_json (ask_json (inquiry));
   (void) cell->options.sink->peer_send (cell->options.sink, cell->claim.addr,
                                         &msg);
@@ -262,28 +262,28 @@
 
 /* Its claim was in doubt, or it has become the planner since. */
 static bool
-count_here (MuxCell *cell, CellInquiry *inquiry)
+count_here (MuxCell *cell, CellJobQuery *inquiry)
 {
   if (inquiry->id[0] != 0 || !cell_is_active_planner (cell))
     return false;
-  answer_pending (cell, inquiry->call, cell_pending_of (cell, inquiry->queue));
+  answer_pending (cell, inquiry->request_id, cell_queue_waiting (cell, inquiry->queue));
   inquiry_end (cell, inquiry);
   return true;
 }
 
 static void
-act (MuxCell *cell, CellInquiry *inquiry)
+act (MuxCell *cell, CellJobQuery *inquiry)
 {
   bool sent = true;
 
   if (count_here (cell, inquiry))
     return;
-  inquiry->next_ms = inquiry->give_up_ms;
-  if (inquiry->step == STEP_PLANNER)
+  inquiry->next_ms = inquiry->deadline_ms;
+  if (inquiry->phase == STEP_PLANNER)
     ask_planner (cell, inquiry);
-  else if (inquiry->step == STEP_JOB)
+  else if (inquiry->phase == STEP_JOB)
     sent = scan (cell, inquiry, MUX_TABLE_JOBS, job_read);
-  else if (inquiry->step == STEP_ENDED)
+  else if (inquiry->phase == STEP_ENDED)
     sent = scan (cell, inquiry, MUX_TABLE_ENDED, ended_read);
   else
     sent = write_cancel (cell, inquiry);
@@ -312,73 +312,73 @@
     {
       if (!cell_is_active_planner (cell))
         return false;
-      answer_pending (cell, question->call, cell_pending_of (cell, queue));
+      answer_pending (cell, question->call, cell_queue_waiting (cell, queue));
       return true;
     }
-  if (!cell_state_of (cell, caller, id, &state))
+  if (!cell_job_state (cell, caller, id, &state))
     return false;
-  cell_answer_state (cell, question->call, state);
+  cell_respond_state (cell, question->call, state);
   return true;
 }
 
 void
-cell_inquire (MuxCell *cell,
+cell_job_query_begin (MuxCell *cell,
               const MuxQuestion *question,
               const CellCaller *caller,
               const MuxQueueSpec *queue,
               const char *id)
 {
-  CellInquiry *inquiry;
+  CellJobQuery *inquiry;
 
   if (answer_here (cell, question, caller, id, queue->name))
     return;
   inquiry = calloc (1, sizeof *inquiry);
   if (inquiry == NULL)
     {
-      cell_answer (cell, question->call, MUX_OUTCOME_REFUSED);
+      cell_respond (cell, question->call, MUX_OUTCOME_REFUSED);
       return;
     }
-  inquiry->call = question->call;
+  inquiry->request_id = question->call;
   inquiry->caller = *caller;
   inquiry->verb = question->verb;
-  inquiry->give_up_ms = cell->time.now_ms + question->give_up_ms - ANSWER_MS;
+  inquiry->deadline_ms = cell->time.now_ms + question->give_up_ms - ANSWER_MS;
   snprintf (inquiry->id, sizeof inquiry->id, "%s", id);
   snprintf (inquiry->queue, sizeof inquiry->queue, "%s", queue->name);
   if (question->verb == MUX_QUESTION_CANCEL
       || (cell->role == CELL_PLANNING && id[0] != 0))
-    inquiry->step = STEP_JOB;
-  HASH_ADD (hh, cell->inquiries, call, sizeof inquiry->call, inquiry);
+    inquiry->phase = STEP_JOB;
+  HASH_ADD (hh, cell->job_queries, request_id, sizeof inquiry->request_id, inquiry);
   act (cell, inquiry);
 }
 
 static void
-overdue (MuxCell *cell, CellInquiry *inquiry)
+overdue (MuxCell *cell, CellJobQuery *inquiry)
 {
   bool job = inquiry->id[0] != 0;
 
-  if (cell->time.now_ms >= inquiry->give_up_ms)
+  if (cell->time.now_ms >= inquiry->deadline_ms)
     end_with (cell, inquiry,
-              inquiry->doubtful ? MUX_OUTCOME_UNKNOWN : MUX_OUTCOME_REFUSED);
-  else if (!cell_store_available (cell) && !inquiry->doubtful
-           && inquiry->step != STEP_PLANNER)
+              inquiry->outcome_unknown ? MUX_OUTCOME_UNKNOWN : MUX_OUTCOME_REFUSED);
+  else if (!cell_store_available (cell) && !inquiry->outcome_unknown
+           && inquiry->phase != STEP_PLANNER)
     end_with (cell, inquiry, MUX_OUTCOME_REFUSED);
   else
     {
-      if (inquiry->step == STEP_PLANNER && job)
-        inquiry->step = STEP_JOB;
+      if (inquiry->phase == STEP_PLANNER && job)
+        inquiry->phase = STEP_JOB;
       act (cell, inquiry);
     }
 }
 
 void
-cell_inquiry_tick (MuxCell *cell)
+cell_job_queries_tick (MuxCell *cell)
 {
-  CellInquiry *inquiry;
-  CellInquiry *next;
+  CellJobQuery *inquiry;
+  CellJobQuery *next;
 
-  HASH_ITER (hh, cell->inquiries, inquiry, next)
+  HASH_ITER (hh, cell->job_queries, inquiry, next)
   if (cell->time.now_ms >= inquiry->next_ms
-      || cell->time.now_ms >= inquiry->give_up_ms)
+      || cell->time.now_ms >= inquiry->deadline_ms)
     overdue (cell, inquiry);
 }
 
@@ -406,11 +406,11 @@
 
   told.call = msg->call;
   if (id != NULL)
-    told.found = cell_state_of (cell, &caller, id, &state);
+    told.found = cell_job_state (cell, &caller, id, &state);
   else if (queue != NULL)
     {
       told.found = true;
-      told.queued = cell_pending_of (cell, queue);
+      told.queued = cell_queue_waiting (cell, queue);
     }
   told.job_state = state;
   json_decref (json);
@@ -423,25 +423,25 @@
 static void
 take (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  CellInquiry *inquiry = find (cell, cell_peer_request_caller (cell, msg->call));
+  CellJobQuery *inquiry = find (cell, cell_peer_request_caller (cell, msg->call));
 
-  if (inquiry == NULL || inquiry->step != STEP_PLANNER)
+  if (inquiry == NULL || inquiry->phase != STEP_PLANNER)
     return;
   if (!msg->found)
     {
-      inquiry->step = STEP_JOB;
+      inquiry->phase = STEP_JOB;
       act (cell, inquiry);
       return;
     }
   if (inquiry->id[0] == 0)
-    answer_pending (cell, inquiry->call, msg->queued);
+    answer_pending (cell, inquiry->request_id, msg->queued);
   else
-    cell_answer_state (cell, inquiry->call, (MuxJobState) msg->job_state);
+    cell_respond_state (cell, inquiry->request_id, (MuxJobState) msg->job_state);
   inquiry_end (cell, inquiry);
 }
 
 void
-cell_inquiry_peer (MuxCell *cell, const MuxPeerMsg *msg)
+cell_job_query_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
   if (msg->verb == MUX_PEER_JOB_TOLD)
     take (cell, msg);
@@ -450,11 +450,11 @@
 }
 
 void
-cell_inquiry_free (MuxCell *cell)
+cell_job_queries_free (MuxCell *cell)
 {
-  CellInquiry *inquiry;
-  CellInquiry *next;
+  CellJobQuery *inquiry;
+  CellJobQuery *next;
 
-  HASH_ITER (hh, cell->inquiries, inquiry, next)
+  HASH_ITER (hh, cell->job_queries, inquiry, next)
   inquiry_end (cell, inquiry);
 }
--- a/src/cell/job_rows.c
+++ b/src/cell/job_rows.c
@@ -24,31 +24,31 @@
   json_decref (json);
   if (spec == NULL)
     {
-      cell_unread_note (cell, row->key, true);
+      cell_unreadable_add (cell, row->key, true);
       return;
     }
   if (strcmp (spec->id, row->key) != 0)
     {
       cell_report_bad_row (cell, row, CELL_ROW_FIELD, "id");
-      cell_unread_note (cell, row->key, true);
+      cell_unreadable_add (cell, row->key, true);
       mux_job_free (spec);
       return;
     }
-  if (cell_unread_mended (cell, spec, row->version))
+  if (cell_unreadable_recover (cell, spec, row->version))
     return;
   job = cell_job_add (cell, spec, row->version);
   if (job == NULL)
     {
       cell_log (cell, "job_dropped", "{s:s, s:s}", "key", row->key, "why",
                 "memory is out");
-      cell_unread_note (cell, row->key, true);
+      cell_unreadable_add (cell, row->key, true);
     }
   else if (cell->role == CELL_PLANNING)
     cell_job_advance (cell, job);
 }
 
 void
-cell_jobs_take (MuxCell *cell, const MuxBlob *row, uint64_t version)
+cell_job_add_committed (MuxCell *cell, const MuxBlob *row, uint64_t version)
 {
   MuxFindings findings = { .count = 0, .dropped = 0 };
   json_t *json = cell_json_from_blob (row);
@@ -57,7 +57,7 @@
 
   if (spec != NULL
       && (cell_job_find (cell, spec->id) != NULL
-          || cell_known_as_ended (cell, spec->id)))
+          || cell_job_ended_recently (cell, spec->id)))
     mux_job_free (spec);
   else if (spec != NULL)
     job = cell_job_add (cell, spec, version);
@@ -92,7 +92,7 @@
 }
 
 bool
-cell_is_cancel (const MuxCellRow *row)
+cell_row_is_cancel (const MuxCellRow *row)
 {
   size_t len = strlen (row->key);
 
@@ -102,7 +102,7 @@
 void
 cell_jobs_row (MuxCell *cell, const MuxCellRow *row)
 {
-  bool is_cancel = cell_is_cancel (row);
+  bool is_cancel = cell_row_is_cancel (row);
   size_t len = strlen (row->key);
   char id[MUX_ROW_NAME_LEN];
 
@@ -119,6 +119,6 @@
   else if (is_cancel)
     cancel_row (cell, id);
   else if (cell_job_find (cell, row->key) == NULL
-           && !cell_known_as_ended (cell, row->key))
+           && !cell_job_ended_recently (cell, row->key))
     job_row (cell, row);
 }
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -77,9 +77,9 @@
 
   if (age_ms < 0)
     age_ms = 0;
-  job->began_ms = cell->time.now_ms - age_ms;
-  job->due_ms = job->began_ms + promised;
-  job->worthless_ms = job->began_ms + WORTHLESS_FACTOR * promised;
+  job->accepted_ms = cell->time.now_ms - age_ms;
+  job->deadline_ms = job->accepted_ms + promised;
+  job->worthless_ms = job->accepted_ms + WORTHLESS_FACTOR * promised;
 }
 
 CellJob *
@@ -106,7 +106,7 @@
     }
   if (job->payload != NULL
       && (spec->repetitions > 0
-          || cell_occurrence_add (cell, job, 0, job->began_ms)))
+          || cell_occurrence_add (cell, job, 0, job->accepted_ms)))
     return job;
   cell_job_delete (cell, job);
   return NULL;
@@ -122,12 +122,12 @@
   job->version = version;
   /* Not than the claim: until its part was fenced a former planner that did
    * not know of the claim could still store jobs, and start them. */
-  job->old = version < cell->part[job->part].term_version;
+  job->predates_term = version < cell->part[job->part].term_version;
   job->origin
       = cell->role == CELL_PLANNING ? CELL_ORIGIN_FEED : CELL_ORIGIN_LOAD;
   cell_service_add (cell, job->spec->queue.service);
   HASH_ADD_STR (cell->jobs, id, job);
-  cell_queue_update (cell, job);
+  cell_queue_count_update (cell, job);
   cell->throttle.accepted += cell->role == CELL_PLANNING;
   if (cell_occurrences_left (job))
     cell_job_watch (cell, job);
@@ -153,10 +153,10 @@
 }
 
 void
-cell_job_free (MuxCell *cell, CellJob *job)
+cell_job_remove (MuxCell *cell, CellJob *job)
 {
   HASH_DEL (cell->jobs, job);
-  cell_queue_uncount (cell, job);
+  cell_queue_count_remove (cell, job);
   if (job->dirty)
     DL_DELETE2 (cell->part[job->part].dirty, job, dirty_prev, dirty_next);
   cell_job_delete (cell, job);
@@ -178,11 +178,11 @@
 }
 
 bool
-cell_known_as_ended (MuxCell *cell, const char *id)
+cell_job_ended_recently (MuxCell *cell, const char *id)
 {
-  CellEnded *ended;
+  CellEndedJob *ended;
 
-  HASH_FIND_STR (cell->ended, id, ended);
+  HASH_FIND_STR (cell->ended_jobs, id, ended);
   return ended != NULL;
 }
 
@@ -204,10 +204,10 @@
   if (job->cancelled || job->ended)
     return;
   job->cancelled = true;
-  cell_queue_update (cell, job);
+  cell_queue_count_update (cell, job);
   cell_job_watch (cell, job);
   cell_log (cell, "cancelling", "{s:s, s:i}", "job", job->id, "running",
-            (int) job->bookings);
+            (int) job->booking_count);
   if (cell->role != CELL_PLANNING)
     return;
   stop_all (cell, job);
@@ -227,18 +227,18 @@
 }
 
 void
-cell_job_dirty (MuxCell *cell, CellJob *job)
+cell_job_mark_dirty (MuxCell *cell, CellJob *job)
 {
   CellPart *part = &cell->part[job->part];
 
-  cell->end_seq++;
+  cell->change_seq++;
   if (job->dirty)
     {
       job->dirty_again = job->in_commit;
       return;
     }
   job->dirty = true;
-  if (part->dirty == NULL && part->unread_dirty == 0)
+  if (part->dirty == NULL && part->unreadable_dirty == 0)
     part->dirty_since_ms = cell->time.now_ms;
   DL_APPEND2 (part->dirty, job, dirty_prev, dirty_next);
 }
@@ -247,25 +247,25 @@
 end_job (MuxCell *cell, CellJob *job, MuxJobState state)
 {
   job->ended = true;
-  cell_queue_update (cell, job);
-  job->end = state;
+  cell_queue_count_update (cell, job);
+  job->end_state = state;
   for (uint32_t i = 0; i < job->stage_count; i++)
     cell_stage_leave_plan (cell, job->stage[i]);
   mux_count (cell->options.counters, MUX_COUNT_JOBS_DONE, 1);
   mux_observe (cell->options.counters, MUX_HIST_JOB_TIME,
-               cell->time.now_ms - job->began_ms);
+               cell->time.now_ms - job->accepted_ms);
   cell_log (cell, "job_ended", "{s:s, s:s, s:I, s:I}", "job", job->id, "state",
             mux_job_state_name (state), "took_ms",
-            (json_int_t) (cell->time.now_ms - job->began_ms), "due_ms",
-            (json_int_t) (job->due_ms - job->began_ms));
-  cell_job_dirty (cell, job);
+            (json_int_t) (cell->time.now_ms - job->accepted_ms), "due_ms",
+            (json_int_t) (job->deadline_ms - job->accepted_ms));
+  cell_job_mark_dirty (cell, job);
 }
 
 static bool
 all_done (const CellJob *job)
 {
   for (uint32_t i = 0; i < job->stage_count; i++)
-    if (job->stage[i]->left > 0)
+    if (job->stage[i]->tasks_left > 0)
       return false;
   return !cell_occurrences_left (job);
 }
@@ -277,7 +277,7 @@
     return;
   if (job->cancelled || job->failed)
     {
-      if (job->bookings == 0 && cell_all_workers_confirmed (cell))
+      if (job->booking_count == 0 && cell_all_workers_confirmed (cell))
         end_job (cell, job,
                  job->cancelled ? MUX_JOB_CANCELLED : MUX_JOB_FAILED);
       return;
@@ -335,7 +335,7 @@
 static bool
 may_repeat (const CellJob *job)
 {
-  if (!job->progress_lost)
+  if (!job->progress_unreadable)
     return false;
   for (uint32_t i = 0; i < job->spec->step_count; i++)
     if (!job->spec->step[i].long_running)
@@ -357,15 +357,15 @@
 static void
 forget_ended (MuxCell *cell)
 {
-  CellEnded *ended;
-  CellEnded *next;
+  CellEndedJob *ended;
+  CellEndedJob *next;
 
   /* In the order in which they ended. */
-  HASH_ITER (hh, cell->ended, ended, next)
+  HASH_ITER (hh, cell->ended_jobs, ended, next)
   {
     if (cell->time.now_ms - ended->ended_ms < ENDED_KEEP_MS)
       return;
-    HASH_DEL (cell->ended, ended);
+    HASH_DEL (cell->ended_jobs, ended);
     free (ended);
   }
 }
@@ -374,24 +374,24 @@
 static void
 remember_ended (MuxCell *cell, CellJob *job)
 {
-  CellEnded *ended = calloc (1, sizeof *ended);
+  CellEndedJob *ended = calloc (1, sizeof *ended);
 
   if (ended != NULL)
     {
       snprintf (ended->id, sizeof ended->id, "%s", job->id);
       (void) mux_name_copy (ended->workspace, job->spec->workspace);
-      ended->state = job->end;
+      ended->state = job->end_state;
       ended->ended_ms = cell->time.now_ms;
-      HASH_ADD_STR (cell->ended, id, ended);
+      HASH_ADD_STR (cell->ended_jobs, id, ended);
     }
-  cell_job_free (cell, job);
+  cell_job_remove (cell, job);
 }
 
 /* Time alone may bring it on. */
 static bool
 needs_look (const CellJob *job)
 {
-  return cell_occurrences_left (job) || job->early || job->cancelled
+  return cell_occurrences_left (job) || job->began_early || job->cancelled
          || job->failed;
 }
 
@@ -399,13 +399,13 @@
 look_at (MuxCell *cell, CellJob *job)
 {
   mux_count (cell->options.counters, MUX_COUNT_JOB_LOOKS, 1);
-  if (job->end_stored && job->bookings == 0)
+  if (job->end_stored && job->booking_count == 0)
     remember_ended (cell, job);
   else if (!needs_look (job) && !job->end_stored)
     unwatch (cell, job);
   else if (!job->ended)
     {
-      job->early = job->early && cell_occurrence_is_early (cell, job);
+      job->began_early = job->began_early && cell_occurrence_is_early (cell, job);
       cell_job_advance (cell, job);
     }
 }
@@ -422,25 +422,25 @@
 }
 
 bool
-cell_state_of (MuxCell *cell,
+cell_job_state (MuxCell *cell,
                const CellCaller *caller,
                const char *id,
                MuxJobState *state)
 {
   CellJob *job = cell_job_find (cell, id);
-  CellEnded *ended;
+  CellEndedJob *ended;
 
   if (job != NULL)
     {
       if (!cell_caller_may_see (caller, job->spec->workspace))
         return false;
-      *state = job->end_stored  ? job->end
+      *state = job->end_stored  ? job->end_state
                : job->cancelled ? MUX_JOB_CANCELLED
                : job->started   ? MUX_JOB_ACTIVE
                                 : MUX_JOB_QUEUED;
       return true;
     }
-  HASH_FIND_STR (cell->ended, id, ended);
+  HASH_FIND_STR (cell->ended_jobs, id, ended);
   if (ended == NULL || !cell_caller_may_see (caller, ended->workspace))
     return false;
   *state = ended->state;
--- a/src/cell/late.c
+++ b/src/cell/late.c
@@ -29,10 +29,10 @@
 }
 
 void
-cell_answer_heard (MuxCell *cell, const CellPending *pending)
+cell_reply_latency_record (MuxCell *cell, const CellPending *pending)
 {
-  CellAnswers *answers = &cell->answers;
-  int64_t took_ms = cell->time.heard_ms - pending->sent_ms - pending->wait_ms;
+  CellReplyLatency *answers = &cell->reply_latency;
+  int64_t took_ms = cell->time.processed_ms - pending->sent_ms - pending->wait_ms;
 
   /* One that came before its wait was over may have come at any time. */
   if (!is_carried (pending) || took_ms < 0)
@@ -49,9 +49,9 @@
 }
 
 int64_t
-cell_answers_late_ms (const MuxCell *cell)
+cell_reply_latency_ms (const MuxCell *cell)
 {
-  const CellAnswers *answers = &cell->answers;
+  const CellReplyLatency *answers = &cell->reply_latency;
 
   if (cell->role != CELL_PLANNING || !cell_uses_proxies (cell)
       || answers->count < ANSWERS_LEAST
@@ -66,8 +66,8 @@
 int64_t
 cell_late_ms (const MuxCell *cell)
 {
-  int64_t late_ms = cell->time.now_ms - cell->time.heard_ms;
-  int64_t answers_ms = cell->pool_has_room ? cell_answers_late_ms (cell) : 0;
+  int64_t late_ms = cell->time.now_ms - cell->time.processed_ms;
+  int64_t answers_ms = cell->pool_has_room ? cell_reply_latency_ms (cell) : 0;
 
   if (late_ms < answers_ms)
     late_ms = answers_ms;
@@ -91,7 +91,7 @@
  * answered is whatever the planner can't take, of jobs, workers or calls alike.
  */
 bool
-cell_takes_jobs (const MuxCell *cell)
+cell_accepts_jobs (const MuxCell *cell)
 {
   return cell_planner_late_ms (cell) <= LATE_MAX_MS;
 }
@@ -99,7 +99,7 @@
 void
 cell_late_tick (MuxCell *cell)
 {
-  bool late = !cell_takes_jobs (cell);
+  bool late = !cell_accepts_jobs (cell);
 
   mux_observe (cell->options.counters, MUX_HIST_PLANNER_LATE,
                cell_late_ms (cell));
--- a/src/cell/late_start.c
+++ b/src/cell/late_start.c
@@ -24,17 +24,17 @@
 }
 
 bool
-cell_start_may_come (const MuxCell *cell, const CellBooking *booking)
+cell_start_may_arrive_late (const MuxCell *cell, const CellBooking *booking)
 {
   const MuxQueueSpec *queue = &booking->task->stage->job->spec->queue;
 
   return booking->worker->started_ms != 0 && !booking->began && !booking->was_listed
          && !queue->approval.needed
-         && cell->time.now_ms < booking->since_ms + over_ms ();
+         && cell->time.now_ms < booking->booked_ms + over_ms ();
 }
 
 void
-cell_late_starts_of_former (MuxCell *cell, const CellWorker *worker)
+cell_late_starts_of_predecessor (MuxCell *cell, const CellWorker *worker)
 {
   int64_t until_ms = cell->predecessor.until_ms + over_ms ();
 
--- a/src/cell/learn.c
+++ b/src/cell/learn.c
@@ -51,7 +51,7 @@
     return;
   mux_run_time_record (&cell->run_times, queue_of (stage->job->spec),
                      stage->spec->estimate_ms,
-                     cell->time.now_ms - booking->since_ms);
+                     cell->time.now_ms - booking->booked_ms);
 }
 
 static json_int_t
--- a/src/cell/leave.c
+++ b/src/cell/leave.c
@@ -18,7 +18,7 @@
 may_inherit (const MuxCell *cell, const CellMember *member)
 {
   return member->store_available && !member->stopping
-         && cell->time.heard_ms - member->last_contact_ms < HEARD_MS;
+         && cell->time.processed_ms - member->last_contact_ms < HEARD_MS;
 }
 
 /* The strongest member, and of these the youngest: where daemons are restarted
@@ -46,7 +46,7 @@
 /* Write that nobody plans, and who should.  From here on nothing is ordered:
  * the next planner takes the row as a sign of that. */
 static bool
-leave_claim (MuxCell *cell, const CellMember *heir, CellDone done)
+leave_claim (MuxCell *cell, const CellMember *heir, CellReplyHandler done)
 {
   json_t *row = json_pack (
       "{s:s, s:s, s:s, s:I, s:I, s:i}", "name", "", "addr", "", "heir",
@@ -73,7 +73,7 @@
             mux_cell_status_name (reply->status));
   /* Late, it would end a newer term of the same process, whose claim would go
    * on to stand in the store with nobody who plans. */
-  if (pending->number != cell->term)
+  if (pending->context != cell->term)
     return;
   cell_yield_begin (cell);
   /* It may still be carried out, unless another claim comes before it. */
--- a/src/cell/life.c
+++ b/src/cell/life.c
@@ -97,7 +97,7 @@
   const CellStage *stage = booking->task->stage;
 
   DL_DELETE (from->bookings, booking);
-  from->stops -= booking->stop_at_ms != 0;
+  from->stop_count -= booking->next_stop_ms != 0;
   cell_room_release (from, stage);
   if (booking->previous_incarnation == NULL)
     {
@@ -108,7 +108,7 @@
   booking->stop_clock_ms = 0;
   booking->listed = false;
   DL_APPEND (to->bookings, booking);
-  to->stops += booking->stop_at_ms != 0;
+  to->stop_count += booking->next_stop_ms != 0;
   cell_room_book (to, stage);
 }
 
@@ -123,7 +123,7 @@
     {
       move_booking (cell, booking, to);
       /* A next planner looks for it there. */
-      cell_job_dirty (cell, booking->task->stage->job);
+      cell_job_mark_dirty (cell, booking->task->stage->job);
     }
 }
 
@@ -156,15 +156,15 @@
   CellWorker *worker = cell_worker_find (cell, life);
 
   if (worker != NULL)
-    worker->store_seq = cell->end_seq;
+    worker->ends_change_seq = cell->change_seq;
 }
 
 static void
 end_life (MuxCell *cell, CellWorker *former, CellWorker *next)
 {
-  if (former->unanswered_ms != 0
-      && former->unanswered_ms + CELL_LATE_ORDERS_MS > next->stale_until_ms)
-    next->stale_until_ms = former->unanswered_ms + CELL_LATE_ORDERS_MS;
+  if (former->unanswered_sent_ms != 0
+      && former->unanswered_sent_ms + CELL_LATE_ORDERS_MS > next->stale_until_ms)
+    next->stale_until_ms = former->unanswered_sent_ms + CELL_LATE_ORDERS_MS;
   move_bookings (cell, former, next);
   cell_worker_replaced (cell, former);
 }
--- a/src/cell/load.c
+++ b/src/cell/load.c
@@ -15,15 +15,15 @@
       CellPart *part = &cell->part[i];
 
       part->fenced = false;
-      part->fence_doubtful = false;
-      part->term_doubtful = false;
+      part->fence_version_unknown = false;
+      part->term_version_unknown = false;
       part->reading_fence = false;
       part->dirty = NULL;
-      part->unread_dirty = 0;
+      part->unreadable_dirty = 0;
       part->committing = false;
       part->stored_seq = 0;
       part->commit_seq = 0;
-      part->loading = MUX_TABLE_JOBS;
+      part->load_table = MUX_TABLE_JOBS;
       part->load_busy = false;
       part->load_from[0] = 0;
       part->load_next_ms = 0;
@@ -37,9 +37,9 @@
 }
 
 static CellPending
-of_part (const MuxCell *cell, const CellPart *part, CellDone done)
+of_part (const MuxCell *cell, const CellPart *part, CellReplyHandler done)
 {
-  return (CellPending){ .done = done,
+  return (CellPending){ .on_reply = done,
                         .term = cell->term,
                         .part = (uint32_t) (part - cell->part) };
 }
@@ -148,8 +148,8 @@
       return;
     }
   part->fence_version = fence != NULL ? fence->version : 0;
-  part->fence_doubtful = false;
-  part->term_doubtful = false;
+  part->fence_version_unknown = false;
+  part->term_version_unknown = false;
   if (term < cell->term || !is_own_term (cell, term_row))
     {
       write_fence (cell, part);
@@ -178,7 +178,7 @@
 static void
 job_read (MuxCell *cell, const CellPart *part, const MuxCellRow *row)
 {
-  if (row->version < part->term_version || cell_is_cancel (row))
+  if (row->version < part->term_version || cell_row_is_cancel (row))
     cell_jobs_row (cell, row);
 }
 
@@ -187,12 +187,12 @@
 static void
 progress_read (MuxCell *cell, const MuxCellRow *row)
 {
-  if (cell_unread_row (cell, row))
+  if (cell_unreadable_load_row (cell, row))
     return;
   if (cell_job_find (cell, row->key) != NULL)
     cell_progress_row (cell, row);
   else if (mux_job_id_valid (row->key))
-    cell_unread_note (cell, row->key, false);
+    cell_unreadable_add (cell, row->key, false);
 }
 
 static void
@@ -207,12 +207,12 @@
       return;
     }
   for (uint32_t i = 0; i < reply->row_count; i++)
-    if (part->loading == MUX_TABLE_JOBS)
+    if (part->load_table == MUX_TABLE_JOBS)
       job_read (cell, part, &reply->row[i]);
     else
       progress_read (cell, &reply->row[i]);
   if (!cell_next_page (part->load_from, reply))
-    part->loading = part->loading == MUX_TABLE_JOBS ? MUX_TABLE_PROGRESS
+    part->load_table = part->load_table == MUX_TABLE_JOBS ? MUX_TABLE_PROGRESS
                                                     : MUX_TABLE_COUNT;
   part_tick (cell, part);
 }
@@ -220,7 +220,7 @@
 static void
 read_part (MuxCell *cell, CellPart *part)
 {
-  MuxCellCall *call = cell_scan_call (part->loading, part->name);
+  MuxCellCall *call = cell_scan_call (part->load_table, part->name);
   CellPending pending = of_part (cell, part, part_read);
 
   if (call == NULL)
@@ -237,7 +237,7 @@
 {
   if (part->reading_fence || part->load_busy
       || cell->time.now_ms < part->load_next_ms
-      || part->loading == MUX_TABLE_COUNT)
+      || part->load_table == MUX_TABLE_COUNT)
     return;
   if (!part->fenced)
     cell_fence_read (cell, part);
@@ -249,7 +249,7 @@
 all_loaded (const MuxCell *cell)
 {
   for (uint32_t i = 0; i < CELL_PARTS; i++)
-    if (cell->part[i].loading != MUX_TABLE_COUNT)
+    if (cell->part[i].load_table != MUX_TABLE_COUNT)
       return false;
   return cell->roster_loaded;
 }
--- a/src/cell/member.c
+++ b/src/cell/member.c
@@ -79,7 +79,7 @@
   snprintf (member->addr, sizeof member->addr, "%s", msg->from_addr);
   member->incarnation = msg->from_incarnation;
   member->hello_number = msg->call;
-  member->last_contact_ms = cell->time.heard_ms;
+  member->last_contact_ms = cell->time.processed_ms;
   member->store_available = msg->table_ok;
   member->cpu_share_milli = msg->strength_milli;
   member->stopping = msg->stopping;
--- a/src/cell/occurrence.c
+++ b/src/cell/occurrence.c
@@ -67,7 +67,7 @@
   uint32_t unfinished = 0;
 
   for (uint32_t i = 0; i < job->stage_count; i++)
-    unfinished += job->stage[i]->left > 0;
+    unfinished += job->stage[i]->tasks_left > 0;
   return unfinished >= UNFINISHED_STAGES_MAX;
 }
 
@@ -115,8 +115,8 @@
   while (cell_occurrences_left (job) && job->next_occurrence < count
          && add_next (cell, job))
     ;
-  job->early = cell_occurrence_is_early (cell, job);
-  if (job->early)
+  job->began_early = cell_occurrence_is_early (cell, job);
+  if (job->began_early)
     cell_job_watch (cell, job);
 }
 
--- a/src/cell/outage.c
+++ b/src/cell/outage.c
@@ -78,9 +78,9 @@
 {
   const CellWorker *worker = booking->worker;
 
-  return !booking->began && worker->clock_at_ms < booking->since_ms
+  return !booking->began && worker->clock_at_ms < booking->booked_ms
              ? worker->clock_at_ms
-             : booking->since_ms;
+             : booking->booked_ms;
 }
 
 CellLossSpan
@@ -192,9 +192,9 @@
 int64_t
 cell_run_lived_ms (const CellBooking *booking)
 {
-  int64_t ms = booking->worker->clock_at_ms - booking->told_ms;
+  int64_t ms = booking->worker->clock_at_ms - booking->first_report_ms;
 
-  return booking->listed && booking->told_ms != 0 && ms > 0 ? ms : 0;
+  return booking->listed && booking->first_report_ms != 0 && ms > 0 ? ms : 0;
 }
 
 bool
--- a/src/cell/place.c
+++ b/src/cell/place.c
@@ -166,7 +166,7 @@
           || (!stage->query_pending && !cell_approval_is_being_recorded (cell, approval))
           || cell_worker_startable_tasks (cell, stage, worker) == 0)
         continue;
-      if (!cell_hold (stage, worker, 1))
+      if (!cell_hold_add (stage, worker, 1))
         return;
       left--;
     }
@@ -213,17 +213,17 @@
 } Placing;
 
 /* Of a step that nobody was asked about in this look. */
-static CellLack
+static CellBlockedOn
 what_lacks (MuxCell *cell, const CellStage *stage, const Placing *placing)
 {
   if (placing->over_quota)
-    return CELL_LACKS_QUOTA;
+    return CELL_BLOCKED_ON_QUOTA;
   if (!placing->short_of_workers)
-    return CELL_LACKS_RECORD;
+    return CELL_BLOCKED_ON_RECORD;
   return !stage->job->spec->queue.approval.needed
                  || cell_can_query (cell, stage, CELL_CANDIDATES_MIN)
-             ? CELL_LACKS_ROOM
-             : CELL_LACKS_ASKER;
+             ? CELL_BLOCKED_ON_ROOM
+             : CELL_BLOCKED_ON_QUERIER;
 }
 
 /* Return: false when its start can't be made: memory or a ring is out. */
@@ -240,8 +240,8 @@
   if (cell_start_needs_record (cell, task)
       && !cell_start_is_recorded (cell, task, best.worker))
     return true;
-  if (!cell_start (cell, task, best.worker, cell_next_run (cell, task->run),
-                   task->saved))
+  if (!cell_start_run (cell, task, best.worker, cell_next_run (cell, task->last_run),
+                   task->checkpoint))
     return false;
   placing->sent++;
   return true;
@@ -279,22 +279,22 @@
 
   if (placing.over_quota)
     {
-      cell_step_lacks (cell, stage, CELL_LACKS_QUOTA);
+      cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_QUOTA);
       return;
     }
   if (!needed)
     cell_choose_data_centre (cell, stage);
   if (!place_all (cell, stage, &placing))
     return;
-  if (placing.sent > 0 && cell_stage_waiting (stage) == 0)
+  if (placing.sent > 0 && cell_stage_waiting_tasks (stage) == 0)
     {
-      cell_stage_placed (cell, stage, placing.sent);
+      cell_stage_log_placed (cell, stage, placing.sent);
       cell_query_ahead (cell, stage);
     }
   if (placing.short_of_workers && needed)
     ask (cell, stage);
-  if (!stage->query_pending && cell_stage_waiting (stage) > 0)
-    cell_step_lacks (cell, stage, what_lacks (cell, stage, &placing));
+  if (!stage->query_pending && cell_stage_waiting_tasks (stage) > 0)
+    cell_step_blocked_on (cell, stage, what_lacks (cell, stage, &placing));
   if (stage->rank == CELL_RANK_STARVED)
     hold_approved (cell, stage);
   cell_stage_update (cell, stage);
--- a/src/cell/progress.c
+++ b/src/cell/progress.c
@@ -14,19 +14,19 @@
  * or five, beside the two of the fence; two are left for ends of jobs that
  * can't be read. */
 #define ENDS_MAX 24
-#define CHANGES_MAX (CELL_COMMIT_CHANGES - CELL_UNREAD_ROWS)
+#define CHANGES_MAX (CELL_COMMIT_CHANGES_MAX - CELL_UNREADABLE_ROWS_MAX)
 #define CHANGES_PER_JOB 5
 
 uint64_t
 cell_stored_seq (const MuxCell *cell)
 {
-  uint64_t least = cell->end_seq;
+  uint64_t least = cell->change_seq;
 
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     {
       const CellPart *part = &cell->part[i];
 
-      if ((part->dirty != NULL || part->unread_dirty > 0 || part->committing)
+      if ((part->dirty != NULL || part->unreadable_dirty > 0 || part->committing)
           && part->stored_seq < least)
         least = part->stored_seq;
     }
@@ -46,7 +46,7 @@
         continue;
       job->in_commit = false;
       job->progress_stored = true;
-      job->ends_stored = false;
+      job->unreadable_ends_stored = false;
       if (job->dirty_again)
         {
           job->dirty_again = false;
@@ -73,7 +73,7 @@
 {
   CellJob *job;
 
-  cell_unread_committed (cell, part, false);
+  cell_unreadable_committed (cell, part, false);
   for (job = part->dirty; job != NULL; job = job->dirty_next)
     {
       job->in_commit = false;
@@ -98,16 +98,16 @@
   if (reply->status == MUX_CELL_OK)
     {
       part->fence_version = reply->version;
-      part->stored_seq = pending->number;
+      part->stored_seq = pending->context;
       take_stored (cell, part);
-      cell_unread_committed (cell, part, true);
+      cell_unreadable_committed (cell, part, true);
       part->dirty_since_ms = cell->time.now_ms;
       return;
     }
   put_back (cell, part);
   part->next_commit_ms = cell->time.now_ms + RETRY_MS;
   if (reply->status == MUX_CELL_UNKNOWN || reply->status == MUX_CELL_CONFLICT)
-    part->fence_doubtful = true;
+    part->fence_version_unknown = true;
   if (reply->status == MUX_CELL_CONFLICT)
     part->next_commit_ms = cell->time.now_ms;
 }
@@ -117,7 +117,7 @@
 {
   const char *workspace = job->spec->workspace;
   json_t *json
-      = json_pack ("{s:s, s:I}", "state", mux_job_state_name (job->end),
+      = json_pack ("{s:s, s:I}", "state", mux_job_state_name (job->end_state),
                    "ended_ms", (json_int_t) cell->time.wall_ms);
 
   if (workspace[0] != 0)
@@ -131,8 +131,8 @@
   char cancel[MUX_ROW_NAME_LEN];
 
   job->in_commit = true;
-  if (job->ends_stored)
-    cell_unread_remove_row (call, job);
+  if (job->unreadable_ends_stored)
+    cell_unreadable_remove_row (call, job);
   if (!job->ended)
     {
       cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, job->id)->value
@@ -157,18 +157,18 @@
 static void
 commit (MuxCell *cell, CellPart *part)
 {
-  MuxCellCall *call = cell_commit_call (part->name, CELL_COMMIT_CHANGES);
-  CellPending pending = { .done = committed,
+  MuxCellCall *call = cell_commit_call (part->name, CELL_COMMIT_CHANGES_MAX);
+  CellPending pending = { .on_reply = committed,
                           .term = cell->term,
                           .part = (uint32_t) (part - cell->part),
-                          .number = cell->end_seq };
+                          .context = cell->change_seq };
   uint32_t jobs = 0;
   bool whole;
   CellJob *job;
 
   if (call == NULL)
     return;
-  part->hurry = false;
+  part->commit_now = false;
   part->commit_sent_ms = cell->time.now_ms;
   cell_fence_add (cell, part, call);
   for (job = part->dirty; job != NULL; job = job->dirty_next)
@@ -178,9 +178,9 @@
         break;
       add_job (cell, call, job);
     }
-  whole = cell_unread_add_rows (cell, part, call) && job == NULL;
+  whole = cell_unreadable_add_rows (cell, part, call) && job == NULL;
   if (!whole)
-    pending.number = part->stored_seq;
+    pending.context = part->stored_seq;
   part->committing = cell_call (cell, call, &pending);
   if (part->committing)
     return;
@@ -193,11 +193,11 @@
 {
   int64_t now = cell->time.now_ms;
 
-  if ((part->dirty == NULL && part->unread_dirty == 0) || part->committing
+  if ((part->dirty == NULL && part->unreadable_dirty == 0) || part->committing
       || now < part->next_commit_ms
-      || (now - part->dirty_since_ms < WINDOW_MS && !part->hurry))
+      || (now - part->dirty_since_ms < WINDOW_MS && !part->commit_now))
     return;
-  if (part->fence_doubtful)
+  if (part->fence_version_unknown)
     {
       if (!part->reading_fence)
         cell_fence_read (cell, part);
--- a/src/cell/progress_rows.c
+++ b/src/cell/progress_rows.c
@@ -47,7 +47,7 @@
           || stage->task[i].state == CELL_TASK_DONE)
         continue;
       stage->task[i].state = CELL_TASK_DONE;
-      stage->left--;
+      stage->tasks_left--;
     }
 }
 
@@ -103,9 +103,9 @@
   json_t *list = json_array ();
 
   for (uint32_t i = 0; i < stage->spec->count; i++)
-    if (stage->task[i].saved[0] != 0 && stage->task[i].state != CELL_TASK_DONE)
+    if (stage->task[i].checkpoint[0] != 0 && stage->task[i].state != CELL_TASK_DONE)
       (void) json_array_append_new (
-          list, json_pack ("[is]", (int) i, stage->task[i].saved));
+          list, json_pack ("[is]", (int) i, stage->task[i].checkpoint));
   return list;
 }
 
@@ -134,7 +134,7 @@
 {
   uint32_t done = 0;
 
-  while (done < job->stage_count && job->stage[done]->left == 0)
+  while (done < job->stage_count && job->stage[done]->tasks_left == 0)
     done++;
   return done - done % job->spec->step_count;
 }
@@ -165,7 +165,7 @@
 
     if (index < 0 || index >= stage->spec->count)
       continue;
-    runs_apply (&stage->task[index].failures, &stage->task[index].run,
+    runs_apply (&stage->task[index].failures, &stage->task[index].last_run,
                 json_array_get (pair, 1));
   }
   json_array_foreach (saved, i, pair)
@@ -174,7 +174,7 @@
     const char *text = json_string_value (json_array_get (pair, 1));
 
     if (index >= 0 && index < stage->spec->count && text != NULL)
-      snprintf (stage->task[index].saved, sizeof stage->task[index].saved, "%s",
+      snprintf (stage->task[index].checkpoint, sizeof stage->task[index].checkpoint, "%s",
                 text);
   }
 }
@@ -192,7 +192,7 @@
     return;
   stage = job->stage[at];
   bitmap_apply (stage, done);
-  runs_apply (&stage->failures, &stage->run,
+  runs_apply (&stage->failures, &stage->last_run,
               json_object_get (json, "gang_failures"));
   cell_approvals_apply (stage, json_object_get (json, "workers"));
   apply_pairs (stage, json_object_get (json, "failures"),
@@ -279,7 +279,7 @@
 
       for (uint32_t j = 0; j < stage->spec->count; j++)
         stage->task[j].state = CELL_TASK_DONE;
-      stage->left = 0;
+      stage->tasks_left = 0;
     }
 }
 
@@ -351,7 +351,7 @@
     wrong = cell_progress_apply (cell, job, json);
   if (wrong != NULL)
     cell_report_bad_row (cell, row, CELL_ROW_FIELD, wrong);
-  job->progress_lost = json == NULL || wrong != NULL;
-  cell_queue_update (cell, job);
+  job->progress_unreadable = json == NULL || wrong != NULL;
+  cell_queue_count_update (cell, job);
   json_decref (json);
 }
--- a/src/cell/proof.c
+++ b/src/cell/proof.c
@@ -87,7 +87,7 @@
   cell->claim_recheck_busy = false;
   claim_checked (cell, pending, reply);
   if (reply->status != MUX_CELL_OK || cell->term != pending->term
-      || pending->number != cell->jobs_reread_count || cell->jobs_rereading)
+      || pending->context != cell->jobs_reread_count || cell->jobs_rereading)
     return;
   cell->jobs_unverified = false;
   cell->replan = true;
@@ -105,7 +105,7 @@
 confirm (MuxCell *cell)
 {
   CellPending pending
-      = { .done = confirmed, .term = cell->term, .number = cell->jobs_reread_count };
+      = { .on_reply = confirmed, .term = cell->term, .context = cell->jobs_reread_count };
 
   cell->claim_recheck_busy
       = cell_call (cell, cell_scan_call (MUX_TABLE_CLAIM, ""), &pending);
@@ -141,7 +141,7 @@
 beat (MuxCell *cell)
 {
   MuxCellCall *call = cell_commit_call ("", 2);
-  CellPending pending = { .done = beaten, .term = cell->term };
+  CellPending pending = { .on_reply = beaten, .term = cell->term };
 
   cell->next_heartbeat_ms = cell->time.now_ms + BEAT_MS;
   if (call == NULL)
@@ -155,7 +155,7 @@
 static void
 verify (MuxCell *cell)
 {
-  CellPending pending = { .done = claim_checked, .term = cell->term };
+  CellPending pending = { .on_reply = claim_checked, .term = cell->term };
 
   cell->claim_verify_busy
       = cell_call (cell, cell_scan_call (MUX_TABLE_CLAIM, ""), &pending);
--- a/src/cell/question.c
+++ b/src/cell/question.c
@@ -17,11 +17,11 @@
   snprintf (question->job->id, sizeof question->job->id, "%s", id);
   (void) mux_name_copy (question->job->workspace, caller->workspace);
   if (!mux_job_check (question->job, &findings))
-    cell_answer (cell, question->call, MUX_OUTCOME_BAD);
+    cell_respond (cell, question->call, MUX_OUTCOME_BAD);
   else if (cell_quota_never_fits (cell, question->job))
     {
       mux_count_refused (cell->options.counters, MUX_REASON_QUOTA);
-      cell_answer (cell, question->call, MUX_OUTCOME_TOO_LARGE);
+      cell_respond (cell, question->call, MUX_OUTCOME_TOO_LARGE);
     }
   else
     cell_submit (cell, question);
@@ -50,15 +50,15 @@
   if (question->verb == MUX_QUESTION_SUBMIT && question->job != NULL)
     submit (cell, question, caller, queue, id);
   else if (id[0] != 0 && !mux_job_id_valid (id))
-    cell_answer (cell, question->call, MUX_OUTCOME_ABSENT);
+    cell_respond (cell, question->call, MUX_OUTCOME_ABSENT);
   else if (id[0] == 0 && question->verb != MUX_QUESTION_STATE)
-    cell_answer (cell, question->call, MUX_OUTCOME_BAD);
+    cell_respond (cell, question->call, MUX_OUTCOME_BAD);
   else
-    cell_inquire (cell, question, caller, queue, id);
+    cell_job_query_begin (cell, question, caller, queue, id);
 }
 
 void
-mux_cell_question (MuxCell *cell, MuxCellTime time, MuxQuestion *question)
+mux_cell_request (MuxCell *cell, MuxCellTime time, MuxQuestion *question)
 {
   const MuxQueueSpec *queue = NULL;
   const char *id = NULL;
@@ -76,6 +76,6 @@
   if (outcome == MUX_OUTCOME_ACCEPTED)
     answer_caller (cell, question, &caller, queue, id);
   else
-    cell_answer (cell, question->call, outcome);
+    cell_respond (cell, question->call, outcome);
   mux_question_free (question);
 }
--- a/src/cell/queue_count.c
+++ b/src/cell/queue_count.c
@@ -45,17 +45,17 @@
   if (kept == NULL)
     return;
   kept->waiting++;
-  job->counted = true;
+  job->counted_waiting = true;
 }
 
 void
-cell_queue_uncount (MuxCell *cell, CellJob *job)
+cell_queue_count_remove (MuxCell *cell, CellJob *job)
 {
   CellQueueCount *kept;
 
-  if (!job->counted)
+  if (!job->counted_waiting)
     return;
-  job->counted = false;
+  job->counted_waiting = false;
   HASH_FIND_STR (cell->queue_counts, job->spec->queue.name, kept);
   if (kept == NULL || --kept->waiting > 0)
     return;
@@ -64,20 +64,20 @@
 }
 
 void
-cell_queue_update (MuxCell *cell, CellJob *job)
+cell_queue_count_update (MuxCell *cell, CellJob *job)
 {
   bool waits = !job->started && !job->cancelled && !job->ended;
 
-  if (waits == job->counted)
+  if (waits == job->counted_waiting)
     return;
   if (waits)
     count (cell, job);
   else
-    cell_queue_uncount (cell, job);
+    cell_queue_count_remove (cell, job);
 }
 
 uint32_t
-cell_pending_of (const MuxCell *cell, const char *queue)
+cell_queue_waiting (const MuxCell *cell, const char *queue)
 {
   CellQueueCount *kept;
 
--- a/src/cell/quota.c
+++ b/src/cell/quota.c
@@ -199,10 +199,10 @@
 {
   CellWorkspace *workspace = job->workspace;
 
-  if (workspace == NULL || !job->old)
+  if (workspace == NULL || !job->predates_term)
     return;
   for (uint32_t i = 0; i < job->stage_count; i++)
-    if (job->stage[i]->left > 0 && !cell_stage_is_settled (cell, job->stage[i]))
+    if (job->stage[i]->tasks_left > 0 && !cell_stage_is_settled (cell, job->stage[i]))
       workspace->unsettled
           = mux_quota_add (workspace->unsettled, job->stage[i]->spec->size,
                            unbooked (job->stage[i]));
--- a/src/cell/rank.c
+++ b/src/cell/rank.c
@@ -33,7 +33,7 @@
 {
   if (stage->spec->long_running)
     return rank_of_lasting (stage, now_ms);
-  if (now_ms < stage->due_ms - stage->expected_ms)
+  if (now_ms < stage->deadline_ms - stage->expected_ms)
     return CELL_RANK_IN_TIME;
   return now_ms < stage->worthless_ms ? CELL_RANK_LATE : CELL_RANK_WORTHLESS;
 }
@@ -41,7 +41,7 @@
 int64_t
 cell_stage_rank_expires_ms (const CellStage *stage, int64_t now_ms)
 {
-  int64_t late_ms = stage->due_ms - stage->expected_ms;
+  int64_t late_ms = stage->deadline_ms - stage->expected_ms;
 
   if (stage->spec->long_running)
     return now_ms < stage->ready_ms + OWED_AFTER_MS
--- a/src/cell/relay.c
+++ b/src/cell/relay.c
@@ -31,7 +31,7 @@
   if (cell->role != CELL_FOLLOWER || cell->claim.incarnation == 0
       || !cell_planner_is_reachable (cell))
     return false;
-  msg.call = cell_peer_request_id (cell, submission->call);
+  msg.call = cell_peer_request_id (cell, submission->request_id);
   msg.body = submission->value;
   submission->relayed = cell->options.sink->peer_send (cell->options.sink,
                                                        cell->claim.addr, &msg);
@@ -45,7 +45,7 @@
 take_back (CellSubmission *submission, bool doubtful)
 {
   submission->relayed = false;
-  submission->doubtful = submission->doubtful || doubtful;
+  submission->outcome_unknown = submission->outcome_unknown || doubtful;
 }
 
 void
@@ -57,7 +57,7 @@
 
   DL_FOREACH_SAFE (part->submissions, submission, next)
   if (submission->relayed
-      && (!near || cell->time.now_ms >= submission->give_up_ms))
+      && (!near || cell->time.now_ms >= submission->deadline_ms))
     take_back (submission, true);
 }
 
@@ -73,7 +73,7 @@
   cell_log (cell, "submission_told", "{s:s, s:s, s:s, s:i, s:I}", "job",
             submission->job->id, "to", submission->peer, "why", why, "outcome",
             (int) outcome, "commit_ms", (json_int_t) part->submit_took_ms);
-  msg.call = submission->call;
+  msg.call = submission->request_id;
   msg.outcome = outcome;
   msg.retry_ms = submission->retry_ms;
   msg.table_ok = cell_store_available (cell);
@@ -97,12 +97,12 @@
       return;
     }
   submission->job = spec;
-  submission->call = msg->call;
+  submission->request_id = msg->call;
   submission->value = mux_blob_ref (msg->body);
   snprintf (submission->peer, sizeof submission->peer, "%s", msg->from);
   snprintf (submission->peer_addr, sizeof submission->peer_addr, "%s",
             msg->from_addr);
-  cell_submission_queue (cell, submission);
+  cell_submission_enqueue (cell, submission);
 }
 
 static CellSubmission *
@@ -112,7 +112,7 @@
 
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     DL_FOREACH (cell->part[i].submissions, submission)
-  if (submission->relayed && submission->call == call)
+  if (submission->relayed && submission->request_id == call)
     {
       *part = &cell->part[i];
       return submission;
@@ -145,7 +145,7 @@
       return;
     }
   take_back (submission, msg->outcome != MUX_OUTCOME_REFUSED);
-  cell_submit_direct (cell, part);
+  cell_submissions_commit (cell, part);
 }
 
 void
--- a/src/cell/renew.c
+++ b/src/cell/renew.c
@@ -33,7 +33,7 @@
 static bool
 knows_acks (const CellWorker *worker)
 {
-  return worker->acked == worker->seen && worker->acked_sent == worker->acked;
+  return worker->acked == worker->ends_seen && worker->acked_sent == worker->acked;
 }
 
 static bool
@@ -90,7 +90,7 @@
   if (reply->clock_ms >= worker->clock_ms)
     {
       worker->clock_ms = reply->clock_ms;
-      worker->clock_at_ms = cell->time.heard_ms;
+      worker->clock_at_ms = cell->time.processed_ms;
     }
   if (first)
     cell_incarnations_end_earlier (cell, worker);
@@ -102,9 +102,9 @@
    * once again, a worker got 250 renewals a second. */
   worker->next_renew_ms
       = cell->time.now_ms
-        + (worker->acked == worker->seen ? 0 : CELL_RENEW_PAUSE_MS);
+        + (worker->acked == worker->ends_seen ? 0 : CELL_RENEW_PAUSE_MS);
   worker->idle_until_ms = cell->time.now_ms + idle_pause_ms (cell);
-  cell_reports (cell, worker, reply);
+  cell_reports_apply (cell, worker, reply);
   if (first)
     {
       cell_incarnation_runs_listed (cell, worker);
@@ -139,7 +139,7 @@
   MuxCellStatus status;
 
   if (reply->status == MUX_CELL_OK)
-    cell_answer_heard (cell, pending);
+    cell_reply_latency_record (cell, pending);
   if (worker == NULL)
     return;
   /* Also of a dead worker: it may be revived, and is then asked again. */
@@ -155,7 +155,7 @@
   if (status == MUX_CELL_FENCED)
     cell_claim_doubt (cell, "worker_fenced");
   if (status == MUX_CELL_UNKNOWN)
-    worker->unanswered_ms = pending->sent_ms;
+    worker->unanswered_sent_ms = pending->sent_ms;
   if (status != MUX_CELL_OK)
     {
       not_renewed (cell, worker, pending, status);
@@ -168,8 +168,8 @@
       take_other_life (cell, worker, reply);
       return;
     }
-  if (pending->number > worker->acked_sent)
-    worker->acked_sent = pending->number;
+  if (pending->context > worker->acked_sent)
+    worker->acked_sent = pending->context;
   take_answer (cell, worker, reply);
 }
 
@@ -192,12 +192,12 @@
 renew (MuxCell *cell, CellWorker *worker)
 {
   MuxCellCall *call = mux_cell_call_new (MUX_CELL_RENEW);
-  CellPending pending = { .done = renewed,
+  CellPending pending = { .on_reply = renewed,
                           .term = cell->term,
-                          .number = acks_to_tell (cell, worker) };
+                          .context = acks_to_tell (cell, worker) };
   bool waits = worker->confirmed && worker->reachable
-               && worker->acked == worker->seen
-               && (worker->acked_sent == worker->acked || pending.number != 0);
+               && worker->acked == worker->ends_seen
+               && (worker->acked_sent == worker->acked || pending.context != 0);
 
   if (call == NULL)
     return;
@@ -205,7 +205,7 @@
   snprintf (call->worker, sizeof call->worker, "%s", worker->info.id);
   snprintf (call->addr, sizeof call->addr, "%s", worker->info.addr);
   call->fence = cell->term;
-  call->acked = pending.number;
+  call->acked = pending.context;
   call->wait_ms = waits ? WAIT_MS : 0;
   pending.wait_ms = call->wait_ms;
   call->timeout_ms = CELL_WORKER_TIMEOUT_MS + call->wait_ms;
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -39,21 +39,21 @@
 
   booking->listed = true;
   booking->began = true;
-  if (booking->told_ms == 0)
-    booking->told_ms = cell->time.heard_ms;
+  if (booking->first_report_ms == 0)
+    booking->first_report_ms = cell->time.processed_ms;
   cell_loss_run_listed (cell, booking);
   booking->was_listed = true;
   booking->usage = report->usage;
   task->stage->job->started = true;
-  cell_queue_update (cell, task->stage->job);
+  cell_queue_count_update (cell, task->stage->job);
   if (task->state == CELL_TASK_STARTING)
     task->state = CELL_TASK_RUNNING;
   if (report->checkpoint[0] != 0)
-    snprintf (task->saved, sizeof task->saved, "%s", report->checkpoint);
+    snprintf (task->checkpoint, sizeof task->checkpoint, "%s", report->checkpoint);
   if (report->percent != booking->percent)
     {
       booking->percent = report->percent;
-      booking->moved_ms = cell->time.now_ms;
+      booking->progressed_ms = cell->time.now_ms;
     }
 }
 
@@ -65,7 +65,7 @@
             (int) report->task.index, "run", (int) report->run, "worker",
             worker->info.id);
   worker->avoid_until_ms = cell->time.now_ms + STRAY_AVOID_MS;
-  cell_stop_stray (cell, worker, &report->task, report->run);
+  cell_stop_orphan (cell, worker, &report->task, report->run);
 }
 
 /*
@@ -139,10 +139,10 @@
 
   if (report->number <= seen_before)
     return true;
-  if (report->number > worker->seen)
-    worker->seen = report->number;
+  if (report->number > worker->ends_seen)
+    worker->ends_seen = report->number;
   if (task == NULL)
-    return cell_unread_end (cell, report);
+    return cell_unreadable_keep_end (cell, report);
   if (!is_ours (task, worker, report->run))
     {
       take_other_end (cell, worker, task, report);
@@ -165,7 +165,7 @@
 static bool
 take_ends (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply)
 {
-  uint64_t seen_before = worker->seen;
+  uint64_t seen_before = worker->ends_seen;
   uint64_t least_left = UINT64_MAX;
 
   for (uint32_t i = 0; i < reply->report_count; i++)
@@ -176,8 +176,8 @@
           && report->number < least_left)
         least_left = report->number;
     }
-  if (worker->seen >= least_left)
-    worker->seen = least_left - 1;
+  if (worker->ends_seen >= least_left)
+    worker->ends_seen = least_left - 1;
   return least_left != UINT64_MAX;
 }
 
@@ -225,7 +225,7 @@
 stands_still (const MuxCell *cell, const CellBooking *booking)
 {
   const MuxStepSpec *spec = booking->task->stage->spec;
-  int64_t still_ms = cell->time.now_ms - booking->moved_ms;
+  int64_t still_ms = cell->time.now_ms - booking->progressed_ms;
 
   /* At its end a gang's member waits for the others. */
   if (spec->long_running || booking->task->state != CELL_TASK_RUNNING
@@ -242,7 +242,7 @@
                int64_t clock_ms,
                bool whole)
 {
-  int64_t age_ms = cell->time.now_ms - booking->since_ms;
+  int64_t age_ms = cell->time.now_ms - booking->booked_ms;
 
   if (!booking->listed && booking->stop_clock_ms != 0
       && clock_ms > booking->stop_clock_ms && whole)
@@ -283,9 +283,9 @@
 }
 
 void
-cell_reports (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply)
+cell_reports_apply (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply)
 {
-  uint64_t seen = worker->seen;
+  uint64_t seen = worker->ends_seen;
   uint32_t ends = 0;
   bool left;
   CellBooking *booking;
@@ -304,9 +304,9 @@
   protect_serving (cell, worker);
   DL_FOREACH_SAFE (worker->bookings, booking, next)
   check_booking (cell, worker, booking, reply->clock_ms, ends < ENDS_PER_LIST);
-  if (worker->seen != seen)
-    worker->store_seq = cell->end_seq;
+  if (worker->ends_seen != seen)
+    worker->ends_change_seq = cell->change_seq;
   /* What waits at the worker is listed at once. */
-  if (worker->seen != seen || left)
+  if (worker->ends_seen != seen || left)
     worker->next_renew_ms = cell->time.now_ms + ENDS_PAUSE_MS;
 }
--- a/src/cell/reserve.c
+++ b/src/cell/reserve.c
@@ -50,7 +50,7 @@
               int64_t at_ms)
 {
   CellReservation *reservation = find (worker, stage);
-  MuxSize size = cell_size_of (stage, tasks);
+  MuxSize size = cell_tasks_size (stage, tasks);
 
   if (reservation == NULL)
     {
--- a/src/cell/room.c
+++ b/src/cell/room.c
@@ -7,7 +7,7 @@
 {
   worker->booked = mux_size_add (worker->booked, stage->spec->size);
   if (stage->spec->long_running)
-    worker->lasting = mux_size_add (worker->lasting, stage->spec->size);
+    worker->long_running = mux_size_add (worker->long_running, stage->spec->size);
   cell_quota_charge (stage);
 }
 
@@ -16,7 +16,7 @@
 {
   worker->booked = mux_size_sub (worker->booked, stage->spec->size);
   if (stage->spec->long_running)
-    worker->lasting = mux_size_sub (worker->lasting, stage->spec->size);
+    worker->long_running = mux_size_sub (worker->long_running, stage->spec->size);
   cell_quota_release (stage);
 }
 
@@ -27,5 +27,5 @@
 MuxSize
 cell_room_eventual (const CellWorker *worker)
 {
-  return mux_size_sub (worker->info.capacity, worker->lasting);
+  return mux_size_sub (worker->info.capacity, worker->long_running);
 }
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -102,7 +102,7 @@
 void
 cell_roster_load (MuxCell *cell)
 {
-  CellPending pending = { .done = roster_read, .term = cell->term };
+  CellPending pending = { .on_reply = roster_read, .term = cell->term };
   MuxCellCall *call;
 
   if (cell->time.now_ms < cell->roster_next_ms)
@@ -149,7 +149,7 @@
 {
   /* Until what was lost there is stored a next planner asks it, too. */
   if (worker->dead)
-    return cell_stored_seq (cell) >= worker->store_seq
+    return cell_stored_seq (cell) >= worker->ends_change_seq
                    && !cell_incarnation_is_unresolved (worker)
                    && worker->bookings == NULL
                    && (worker->confirmed || cell_late_starts_are_over (cell))
@@ -278,7 +278,7 @@
 commit (MuxCell *cell)
 {
   MuxCellCall *call = cell_commit_call ("", GROUP + FENCE_ENTRIES);
-  CellPending pending = { .done = roster_written, .term = cell->term };
+  CellPending pending = { .on_reply = roster_written, .term = cell->term };
 
   if (call == NULL)
     return;
@@ -307,7 +307,7 @@
 read_fence (MuxCell *cell)
 {
   MuxCellCall *call = cell_scan_call (MUX_TABLE_ROSTER, "");
-  CellPending pending = { .done = fence_read, .term = cell->term };
+  CellPending pending = { .on_reply = fence_read, .term = cell->term };
 
   if (call == NULL)
     return;
--- a/src/cell/run.c
+++ b/src/cell/run.c
@@ -40,14 +40,14 @@
   booking->task = task;
   booking->worker = worker;
   booking->run = run;
-  booking->since_ms = cell->time.now_ms;
-  booking->moved_ms = cell->time.now_ms;
+  booking->booked_ms = cell->time.now_ms;
+  booking->progressed_ms = cell->time.now_ms;
   task->booking = booking;
-  if (run > task->run)
-    task->run = run;
-  if (run > task->stage->run)
-    task->stage->run = run;
-  task->stage->job->bookings++;
+  if (run > task->last_run)
+    task->last_run = run;
+  if (run > task->stage->last_run)
+    task->stage->last_run = run;
+  task->stage->job->booking_count++;
   cell_room_book (worker, task->stage);
   DL_APPEND (worker->bookings, booking);
   return booking;
@@ -60,9 +60,9 @@
   CellTask *task = booking->task;
 
   DL_DELETE (worker->bookings, booking);
-  worker->stops -= booking->stop_at_ms != 0;
+  worker->stop_count -= booking->next_stop_ms != 0;
   cell_room_release (worker, task->stage);
-  task->stage->job->bookings--;
+  task->stage->job->booking_count--;
   task->booking = NULL;
   cell->replan = true;
   free (booking->previous_incarnation);
@@ -85,8 +85,8 @@
 static void
 stop_at (CellBooking *booking, int64_t at_ms)
 {
-  booking->worker->stops += booking->stop_at_ms == 0;
-  booking->stop_at_ms = at_ms;
+  booking->worker->stop_count += booking->next_stop_ms == 0;
+  booking->next_stop_ms = at_ms;
 }
 
 static void
@@ -120,7 +120,7 @@
 {
   MuxCellCall *call = mux_cell_call_new (MUX_CELL_STOP);
   CellPending pending = {
-    .done = stop_answered, .term = cell->term, .task = *task, .run = run
+    .on_reply = stop_answered, .term = cell->term, .task = *task, .run = run
   };
 
   if (call == NULL)
@@ -136,7 +136,7 @@
 }
 
 void
-cell_stop_stray (MuxCell *cell,
+cell_stop_orphan (MuxCell *cell,
                  CellWorker *worker,
                  const MuxTaskRef *task,
                  uint32_t run)
@@ -148,12 +148,12 @@
 void
 cell_stop_booking (MuxCell *cell, CellBooking *booking)
 {
-  if (booking->stop_at_ms != 0 || booking->stop_clock_ms != 0)
+  if (booking->next_stop_ms != 0 || booking->stop_clock_ms != 0)
     return;
   if (booking->task->state != CELL_TASK_DONE)
     booking->task->state = CELL_TASK_STOPPING;
   stop_at (booking, cell->time.now_ms);
-  booking->stopped_ms = cell->time.now_ms;
+  booking->stop_since_ms = cell->time.now_ms;
   cell_stops_tick (cell, booking->worker);
 }
 
@@ -164,17 +164,17 @@
 
   /* Each 4 ms for each worker: a look at all bookings of 350 of them took 7 %
    * of the planner's processor. */
-  if (worker->stops == 0 || !cell_is_active_planner (cell))
+  if (worker->stop_count == 0 || !cell_is_active_planner (cell))
     return;
   DL_FOREACH (worker->bookings, booking)
   {
     MuxTaskRef ref;
 
-    if (booking->stop_at_ms == 0 || cell->time.now_ms < booking->stop_at_ms)
+    if (booking->next_stop_ms == 0 || cell->time.now_ms < booking->next_stop_ms)
       continue;
     ref = cell_task_ref (booking->task);
     /* Not again while its answer is awaited. */
-    booking->stop_at_ms
+    booking->next_stop_ms
         = cell->time.now_ms + CELL_WORKER_TIMEOUT_MS + STOP_RETRY_MS;
     send_stop (cell, worker, &ref, booking->run);
   }
@@ -209,15 +209,15 @@
 static void
 leave_alone (const MuxCell *cell, CellWorker *worker)
 {
-  int64_t ms = worker->unserved_ms * 2;
+  int64_t ms = worker->backoff_ms * 2;
 
   /* Starts of one moment count once. */
   if (ms > 0 && cell->time.now_ms < worker->avoid_until_ms)
     return;
   if (ms < UNHEALTHY_MS)
     ms = UNHEALTHY_MS;
-  worker->unserved_ms = ms < UNHEALTHY_MAX_MS ? ms : UNHEALTHY_MAX_MS;
-  worker->avoid_until_ms = cell->time.now_ms + worker->unserved_ms;
+  worker->backoff_ms = ms < UNHEALTHY_MAX_MS ? ms : UNHEALTHY_MAX_MS;
+  worker->avoid_until_ms = cell->time.now_ms + worker->backoff_ms;
 }
 
 static void
@@ -233,13 +233,13 @@
   else if (status == MUX_CELL_NO_ROOM)
     worker->avoid_until_ms = cell->time.now_ms + NO_ROOM_MS;
   else if (status == MUX_CELL_OLD_RUN)
-    task->run += OLD_RUN_STEP;
+    task->last_run += OLD_RUN_STEP;
   else if (status == MUX_CELL_FENCED)
     cell_claim_doubt (cell, "start_fenced");
   else if (status == MUX_CELL_UNPROVEN && approval != NULL)
     approval->proof_expires_ms = 0;
-  if (task->run > task->stage->run)
-    task->stage->run = task->run;
+  if (task->last_run > task->stage->last_run)
+    task->stage->last_run = task->last_run;
 }
 
 static void
@@ -251,7 +251,7 @@
   CellTask *task = pending_task (cell, pending);
 
   if (reply->status != MUX_CELL_UNKNOWN)
-    cell_answer_heard (cell, pending);
+    cell_reply_latency_record (cell, pending);
   if (reply->status != MUX_CELL_OK)
     cell_log (cell, "start_refused", "{s:s, s:i, s:i, s:i, s:s, s:s}", "job",
               pending->task.job, "step", (int) pending->task.step, "task",
@@ -266,10 +266,10 @@
     return;
   if (reply->status == MUX_CELL_OK)
     {
-      worker->unserved_ms = 0;
+      worker->backoff_ms = 0;
       task->booking->began = true;
-      if (task->booking->told_ms == 0)
-        task->booking->told_ms = cell->time.heard_ms;
+      if (task->booking->first_report_ms == 0)
+        task->booking->first_report_ms = cell->time.processed_ms;
       cell_loss_run_began (cell, task);
       if (task->state == CELL_TASK_STARTING)
         task->state = CELL_TASK_RUNNING;
@@ -277,17 +277,17 @@
         {
           cell->throttle.started++;
           mux_observe (cell->options.counters, MUX_HIST_JOB_WAIT,
-                       cell->time.now_ms - task->stage->job->began_ms);
+                       cell->time.now_ms - task->stage->job->accepted_ms);
         }
       task->stage->job->started = true;
-      cell_queue_update (cell, task->stage->job);
+      cell_queue_count_update (cell, task->stage->job);
       return;
     }
   /* It may still be carried out: its room stays booked until a stop of this
    * run has been answered and a later list shows that it is not there. */
   if (reply->status == MUX_CELL_UNKNOWN)
     {
-      worker->unanswered_ms = pending->sent_ms;
+      worker->unanswered_sent_ms = pending->sent_ms;
       leave_alone (cell, worker);
       if (task->stage->spec->gang)
         break_gang (cell, task->stage);
@@ -300,7 +300,7 @@
 }
 
 bool
-cell_start (MuxCell *cell,
+cell_start_run (MuxCell *cell,
             CellTask *task,
             CellWorker *worker,
             uint32_t run,
@@ -308,7 +308,7 @@
 {
   const char *proof = cell_approval_proof (cell, task->stage, worker);
   MuxCellCall *call = mux_cell_call_new (MUX_CELL_START);
-  CellPending pending = { .done = start_answered,
+  CellPending pending = { .on_reply = start_answered,
                           .term = cell->term,
                           .task = cell_task_ref (task),
                           .run = run };
@@ -335,7 +335,7 @@
   if (cell_worker_call (cell, worker, call, &pending))
     {
       if (proof != NULL)
-        cell_step_used (cell, task->stage, worker);
+        cell_step_proof_used (cell, task->stage, worker);
       cell_admission_placed (cell, task->stage);
       return true;
     }
@@ -349,7 +349,7 @@
   if (task->state == CELL_TASK_DONE)
     return;
   task->state = CELL_TASK_DONE;
-  task->stage->left--;
+  task->stage->tasks_left--;
   (void) cell;
 }
 
@@ -382,12 +382,12 @@
 {
   CellStage *stage = task->stage;
 
-  if (run > task->run)
-    task->run = run;
-  if (run > stage->run)
-    stage->run = run;
+  if (run > task->last_run)
+    task->last_run = run;
+  if (run > stage->last_run)
+    stage->last_run = run;
   if (checkpoint[0] != 0)
-    snprintf (task->saved, sizeof task->saved, "%s", checkpoint);
+    snprintf (task->checkpoint, sizeof task->checkpoint, "%s", checkpoint);
   if (end == MUX_RUN_DONE && stage->spec->gang)
     gang_done (cell, stage);
   else if (end == MUX_RUN_DONE && !stage->spec->long_running)
@@ -405,12 +405,12 @@
   CellFailures *failures = gang ? &stage->failures : &task->failures;
 
   task->failed_slot = worker->slot + 1;
-  worker->strikes++;
-  if (worker->strikes >= STRIKES_MAX)
+  worker->consecutive_failures++;
+  if (worker->consecutive_failures >= STRIKES_MAX)
     {
       worker->avoid_until_ms = cell->time.now_ms + STRIKES_AVOID_MS;
       cell_log (cell, "worker_avoided", "{s:s, s:i}", "worker", worker->info.id,
-                "strikes", (int) worker->strikes);
+                "strikes", (int) worker->consecutive_failures);
     }
   if (stage->spec->long_running || !add_failure (failures, run))
     return;
@@ -431,11 +431,11 @@
 
   if (end != MUX_RUN_LAPSED)
     {
-      cell_job_dirty (cell, job);
+      cell_job_mark_dirty (cell, job);
       cell_loss_run_ended (cell, task);
     }
   if (checkpoint[0] != 0)
-    snprintf (task->saved, sizeof task->saved, "%s", checkpoint);
+    snprintf (task->checkpoint, sizeof task->checkpoint, "%s", checkpoint);
   if (end != MUX_RUN_DONE)
     cell_log (cell, "run_ended", "{s:s, s:i, s:i, s:i, s:s, s:s}", "job",
               job->id, "step", (int) stage->step, "task", (int) task->index,
@@ -449,7 +449,7 @@
     mux_count (cell->options.counters, MUX_COUNT_RUNS_LOST, 1);
   if (end == MUX_RUN_DONE && !stage->spec->long_running)
     {
-      worker->strikes = 0;
+      worker->consecutive_failures = 0;
       if (stage->spec->gang)
         gang_done (cell, stage);
       else
--- a/src/cell/service.c
+++ b/src/cell/service.c
@@ -16,7 +16,7 @@
 };
 
 bool
-cell_service_named (const MuxCell *cell, uint64_t hash)
+cell_service_is_known (const MuxCell *cell, uint64_t hash)
 {
   const CellService *service;
 
@@ -30,7 +30,7 @@
   uint64_t hash = mux_hash_name (name, 0);
   CellService *service;
 
-  if (name[0] == 0 || cell_service_named (cell, hash))
+  if (name[0] == 0 || cell_service_is_known (cell, hash))
     return;
   service = calloc (1, sizeof *service);
   if (service == NULL)
--- a/src/cell/stage.c
+++ b/src/cell/stage.c
@@ -23,11 +23,11 @@
   stage->occurrence = occurrence;
   stage->step = step;
   stage->service = mux_hash_name (job->spec->queue.service, 0);
-  stage->left = stage->spec->count;
-  stage->due_ms = job->due_ms + (began_ms - job->began_ms);
-  stage->worthless_ms = job->worthless_ms + (began_ms - job->began_ms);
+  stage->tasks_left = stage->spec->count;
+  stage->deadline_ms = job->deadline_ms + (began_ms - job->accepted_ms);
+  stage->worthless_ms = job->worthless_ms + (began_ms - job->accepted_ms);
   stage->expected_ms = cell_expected_ms (cell, job->spec, stage->spec);
-  stage->latest_start_ms = stage->due_ms - stage->expected_ms;
+  stage->latest_start_ms = stage->deadline_ms - stage->expected_ms;
   if (stage->spec->gang)
     stage->latest_start_ms -= (int64_t) stage->spec->count * GATHER_MS_PER_TASK;
   stage->task = calloc (stage->spec->count, sizeof *stage->task);
@@ -72,7 +72,7 @@
 }
 
 uint32_t
-cell_stage_waiting (const CellStage *stage)
+cell_stage_waiting_tasks (const CellStage *stage)
 {
   uint32_t n = 0;
 
@@ -84,7 +84,7 @@
 
 /* No member of the last run is left anywhere. */
 bool
-cell_stage_gang_settled (const CellStage *stage)
+cell_stage_gang_has_ended (const CellStage *stage)
 {
   for (uint32_t i = 0; i < stage->spec->count; i++)
     if (stage->task[i].booking != NULL)
@@ -97,8 +97,8 @@
 cell_stage_gang_checkpoint (const CellStage *stage)
 {
   for (uint32_t i = 0; i < stage->spec->count; i++)
-    if (stage->task[i].saved[0] != 0)
-      return stage->task[i].saved;
+    if (stage->task[i].checkpoint[0] != 0)
+      return stage->task[i].checkpoint;
   return "";
 }
 
@@ -109,7 +109,7 @@
   uint32_t first = stage->occurrence * job->spec->step_count;
 
   for (uint32_t i = 0; i < stage->step; i++)
-    if ((stage->spec->after >> i & 1) != 0 && job->stage[first + i]->left > 0)
+    if ((stage->spec->after >> i & 1) != 0 && job->stage[first + i]->tasks_left > 0)
       return false;
   return true;
 }
@@ -117,14 +117,14 @@
 void
 cell_stage_update (MuxCell *cell, CellStage *stage)
 {
-  bool ready = stage->left > 0 && !stage->job->cancelled && !stage->job->failed
+  bool ready = stage->tasks_left > 0 && !stage->job->cancelled && !stage->job->failed
                && !stage->job->ended && steps_before_done (stage)
                && cell_occurrence_is_due (cell, stage->job, stage->occurrence);
 
   if (ready && stage->spec->gang)
-    ready = cell_stage_gang_settled (stage);
+    ready = cell_stage_gang_has_ended (stage);
   if (ready)
-    ready = cell_stage_waiting (stage) > 0;
+    ready = cell_stage_waiting_tasks (stage) > 0;
   if (ready)
     cell_plan_add (cell, stage);
   else
@@ -145,10 +145,10 @@
 
 /* A line for a step, not for a task, to save processor time. */
 void
-cell_stage_placed (MuxCell *cell, const CellStage *stage, uint32_t tasks)
+cell_stage_log_placed (MuxCell *cell, const CellStage *stage, uint32_t tasks)
 {
   int64_t now = cell->time.now_ms;
-  int64_t latest_ms = stage->due_ms - stage->expected_ms;
+  int64_t latest_ms = stage->deadline_ms - stage->expected_ms;
 
   /* Version and term tell whether the job is younger than the claim under which
    * it is started, and so what its planner had to wait for. */
@@ -156,13 +156,13 @@
             "{s:s, s:i, s:i, s:i, s:I, s:I, s:I, s:I, s:s, s:o, s:i, s:i, s:i, "
             "s:i}",
             "job", stage->job->id, "step", (int) stage->step, "tasks",
-            (int) tasks, "run", (int) stage->run, "waited_ms",
+            (int) tasks, "run", (int) stage->last_run, "waited_ms",
             (json_int_t) (now - stage->ready_ms), "late_ms",
             (json_int_t) (now - latest_ms), "version",
             (json_int_t) stage->job->version, "term", (json_int_t) cell->term,
             "known_by", known_by (stage->job->origin), "lacked_ms",
             cell_step_wait_json (cell, stage), "questions",
-            (int) stage->wait.questions, "names", (int) stage->wait.names,
+            (int) stage->wait.queries, "names", (int) stage->wait.candidates,
             "approved", (int) stage->wait.approved, "used",
             (int) stage->wait.used);
 }
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -29,7 +29,7 @@
   MuxQuestionReply reply
       = { .call = call, .outcome = outcome, .retry_ms = retry_ms };
 
-  cell->options.sink->answer (cell->options.sink, &reply);
+  cell->options.sink->respond (cell->options.sink, &reply);
 }
 
 /* A planner that is late has so much to work off before it takes more. */
@@ -40,7 +40,7 @@
 }
 
 void
-cell_answer (MuxCell *cell, uint64_t call, MuxOutcome outcome)
+cell_respond (MuxCell *cell, uint64_t call, MuxOutcome outcome)
 {
   answer (cell, call, outcome, usual_retry_ms (cell));
 }
@@ -48,7 +48,7 @@
 static void
 submission_free (CellSubmission *submission)
 {
-  mux_blob_unref (submission->row);
+  mux_blob_unref (submission->sent_value);
   mux_job_free (submission->job);
   mux_blob_unref (submission->value);
   free (submission);
@@ -89,7 +89,7 @@
     mux_count (cell->options.counters, MUX_COUNT_JOBS_ACCEPTED, 1);
   else
     mux_count_refused (cell->options.counters, reason_of (submission, outcome));
-  answer (cell, submission->call, outcome, retry_ms);
+  answer (cell, submission->request_id, outcome, retry_ms);
 }
 
 void
@@ -124,7 +124,7 @@
     return false;
   commits = HOLD_MS / part->submit_took_ms;
   DL_COUNT (part->submissions, submission, waiting);
-  return waiting > CELL_COMMIT_JOBS * (commits > 1 ? commits : 1);
+  return waiting > CELL_COMMIT_JOBS_MAX * (commits > 1 ? commits : 1);
 }
 
 /* It was accepted before, or is about to be. */
@@ -134,7 +134,7 @@
   const char *id = submission->job->id;
   const CellSubmission *other;
 
-  if (cell_job_find (cell, id) != NULL || cell_known_as_ended (cell, id))
+  if (cell_job_find (cell, id) != NULL || cell_job_ended_recently (cell, id))
     return true;
   DL_FOREACH (cell->part[cell_part_of (id)].submissions, other)
   if (other != submission && strcmp (other->job->id, id) == 0)
@@ -154,20 +154,20 @@
   submission->retry_ms = cell_throttle_retry_ms (cell, submission->job);
   if (submission->retry_ms != 0)
     return "planner_overload";
-  if (cell_takes_jobs (cell) && !cell_planner_is_overloaded (cell))
+  if (cell_accepts_jobs (cell) && !cell_planner_is_overloaded (cell))
     return NULL;
   submission->retry_ms = usual_retry_ms (cell);
-  return cell_takes_jobs (cell) ? "planner_busy" : "planner_late";
+  return cell_accepts_jobs (cell) ? "planner_busy" : "planner_late";
 }
 
 void
-cell_submission_queue (MuxCell *cell, CellSubmission *submission)
+cell_submission_enqueue (MuxCell *cell, CellSubmission *submission)
 {
   CellPart *part = &cell->part[cell_part_of (submission->job->id)];
   const char *why = overload (cell, submission);
 
-  if (submission->give_up_ms == 0)
-    submission->give_up_ms = cell->time.now_ms + HOLD_MS;
+  if (submission->deadline_ms == 0)
+    submission->deadline_ms = cell->time.now_ms + HOLD_MS;
   DL_APPEND (part->submissions, submission);
   if (why != NULL)
     {
@@ -183,7 +183,7 @@
   else if (is_behind (part))
     cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED, "behind");
   else
-    cell_submit_direct (cell, part);
+    cell_submissions_commit (cell, part);
 }
 
 void
@@ -201,15 +201,15 @@
     {
       free (submission);
       mux_job_free (job);
-      cell_answer (cell, question->call, MUX_OUTCOME_REFUSED);
+      cell_respond (cell, question->call, MUX_OUTCOME_REFUSED);
       return;
     }
   submission->job = job;
-  submission->call = question->call;
+  submission->request_id = question->call;
   if (question->give_up_ms < HOLD_MS + ANSWER_MS)
-    submission->give_up_ms
+    submission->deadline_ms
         = cell->time.now_ms + question->give_up_ms - ANSWER_MS;
-  cell_submission_queue (cell, submission);
+  cell_submission_enqueue (cell, submission);
 }
 
 static const MuxCellRow *
@@ -254,7 +254,7 @@
 static void
 hand_over (MuxCell *cell, const CellSubmission *submission, uint64_t version)
 {
-  cell_jobs_take (cell, submission->row, version);
+  cell_job_add_committed (cell, submission->sent_value, version);
 }
 
 static void
@@ -268,7 +268,7 @@
                               ? standing (reply, submission)
                               : NULL;
 
-  submission->sent = false;
+  submission->in_commit = false;
   if (reply->status == MUX_CELL_OK && fenced_term != 0
       && fenced_term == cell->term)
     hand_over (cell, submission, reply->version);
@@ -281,7 +281,7 @@
   else if (row != NULL)
     cell_submission_end (cell, part, submission, MUX_OUTCOME_ACCEPTED, "known");
   else if (reply->status == MUX_CELL_UNKNOWN)
-    submission->doubtful = true;
+    submission->outcome_unknown = true;
 }
 
 /*
@@ -299,13 +299,13 @@
 
   DL_FOREACH_SAFE (part->submissions, submission, next)
   {
-    if (submission->sent || submission->relayed)
+    if (submission->in_commit || submission->relayed)
       continue;
-    if (submission->doubtful && now >= submission->give_up_ms)
+    if (submission->outcome_unknown && now >= submission->deadline_ms)
       cell_submission_end (cell, part, submission, MUX_OUTCOME_UNKNOWN,
                            "no_answer");
-    else if (!submission->doubtful
-             && (now >= submission->give_up_ms || !cell_store_available (cell)
+    else if (!submission->outcome_unknown
+             && (now >= submission->deadline_ms || !cell_store_available (cell)
                  || (cell->store_failing_ms != 0
                      && now - cell->store_failing_ms >= GIVE_UP_MS)))
       cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED,
@@ -330,7 +330,7 @@
             const MuxCellReply *reply)
 {
   CellPart *part = &cell->part[pending->part];
-  bool replaced = pending->number != 0 && reply->status == MUX_CELL_CONFLICT
+  bool replaced = pending->context != 0 && reply->status == MUX_CELL_CONFLICT
                   && !same_term (part, reply);
   CellSubmission *submission;
   CellSubmission *next;
@@ -339,13 +339,13 @@
   part->submit_took_ms = cell->time.now_ms - part->submit_sent_ms;
   cell->commit_took_ms = part->submit_took_ms;
   DL_FOREACH_SAFE (part->submissions, submission, next)
-  if (submission->sent)
-    settle (cell, part, submission, reply, pending->number);
+  if (submission->in_commit)
+    settle (cell, part, submission, reply, pending->context);
   if (reply->status == MUX_CELL_BAD)
     cell_log (cell, "commit_bad", "{s:s}", "part", part->name);
   if (replaced)
     {
-      part->term_doubtful = true;
+      part->term_version_unknown = true;
       cell_claim_doubt (cell, "submit_fenced");
     }
   part->next_submit_ms
@@ -355,7 +355,7 @@
             : cell->time.now_ms + RETRY_MS;
   give_up_overdue (cell, part);
   if (cell->time.now_ms >= part->next_submit_ms)
-    cell_submit_direct (cell, part);
+    cell_submissions_commit (cell, part);
 }
 
 /* The workers named may be others than at an earlier try. */
@@ -366,8 +366,8 @@
                        ? cell_row_with_candidates (cell, submission->value)
                        : NULL;
 
-  mux_blob_unref (submission->row);
-  submission->row = named != NULL ? named : mux_blob_ref (submission->value);
+  mux_blob_unref (submission->sent_value);
+  submission->sent_value = named != NULL ? named : mux_blob_ref (submission->value);
 }
 
 static void
@@ -379,8 +379,8 @@
   cell_call_expect (call, MUX_TABLE_ENDED, id, 0);
   name_workers (cell, submission);
   cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, id)->value
-      = mux_blob_ref (submission->row);
-  submission->sent = true;
+      = mux_blob_ref (submission->sent_value);
+  submission->in_commit = true;
 }
 
 static bool
@@ -389,7 +389,7 @@
   const CellSubmission *other;
 
   DL_FOREACH (part->submissions, other)
-  if (other->sent && strcmp (other->job->id, submission->job->id) == 0)
+  if (other->in_commit && strcmp (other->job->id, submission->job->id) == 0)
     return true;
   return false;
 }
@@ -406,34 +406,34 @@
 
 /* One commit of a part at a time: those that come meanwhile share the next. */
 void
-cell_submit_direct (MuxCell *cell, CellPart *part)
+cell_submissions_commit (MuxCell *cell, CellPart *part)
 {
   MuxCellCall *call;
   CellPending pending
-      = { .done = group_done, .part = (uint32_t) (part - cell->part) };
+      = { .on_reply = group_done, .part = (uint32_t) (part - cell->part) };
   CellSubmission *submission;
   uint32_t jobs = 0;
 
   if (part->submissions == NULL || part->submitting)
     return;
-  if (cell->role == CELL_PLANNING && part->term_doubtful)
+  if (cell->role == CELL_PLANNING && part->term_version_unknown)
     {
       read_term (cell, part);
       return;
     }
-  call = cell_commit_call (part->name, 3 * CELL_COMMIT_JOBS + 1);
+  call = cell_commit_call (part->name, 3 * CELL_COMMIT_JOBS_MAX + 1);
   if (call == NULL)
     return;
   if (cell->role == CELL_PLANNING)
     {
       cell_call_expect (call, MUX_TABLE_FENCE, CELL_TERM_KEY, part->term_version);
-      pending.number = cell->term;
+      pending.context = cell->term;
     }
   call->timeout_ms = TIMEOUT_MS;
   part->submit_sent_ms = cell->time.now_ms;
   DL_FOREACH (part->submissions, submission)
   {
-    if (jobs == CELL_COMMIT_JOBS)
+    if (jobs == CELL_COMMIT_JOBS_MAX)
       break;
     if (submission->relayed || twice_in_group (part, submission))
       continue;
@@ -449,7 +449,7 @@
   if (part->submitting)
     return;
   DL_FOREACH (part->submissions, submission)
-  submission->sent = false;
+  submission->in_commit = false;
   part->next_submit_ms = cell->time.now_ms + RETRY_MS;
 }
 
@@ -469,7 +469,7 @@
       cell_relay_tick (cell, part);
       give_up_overdue (cell, part);
       if (!part->submitting && cell->time.now_ms >= part->next_submit_ms)
-        cell_submit_direct (cell, part);
+        cell_submissions_commit (cell, part);
     }
 }
 
--- a/src/cell/suspect.c
+++ b/src/cell/suspect.c
@@ -66,7 +66,7 @@
 is_on_trial (const MuxCell *cell, const CellBooking *booking)
 {
   return cell_suspected_crashes (cell, booking->task) > 0
-         && (cell->time.now_ms - booking->since_ms < TRIAL_MS
+         && (cell->time.now_ms - booking->booked_ms < TRIAL_MS
              || !booking->worker->reachable);
 }
 
--- a/src/cell/sweep.c
+++ b/src/cell/sweep.c
@@ -23,7 +23,7 @@
 static int64_t
 keep_ms (const MuxCell *cell)
 {
-  return (int64_t) cell->options.ended_keep_s * MS_PER_S;
+  return (int64_t) cell->options.ended_retention_s * MS_PER_S;
 }
 
 static void
@@ -93,7 +93,7 @@
 static void
 page_read (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
 {
-  CellPending removal = { .done = removed, .term = cell->term };
+  CellPending removal = { .on_reply = removed, .term = cell->term };
   CellSweep *sweep = &cell->sweep;
 
   (void) pending;
@@ -115,7 +115,7 @@
 cell_sweep_tick (MuxCell *cell)
 {
   CellSweep *sweep = &cell->sweep;
-  CellPending pending = { .done = page_read, .term = cell->term };
+  CellPending pending = { .on_reply = page_read, .term = cell->term };
   MuxCellCall *call;
 
   if (!cell_is_active_planner (cell) || sweep->busy
--- a/src/cell/time_of_day.c
+++ b/src/cell/time_of_day.c
@@ -47,7 +47,7 @@
 static bool
 says (const MuxCell *cell, const CellMember *member)
 {
-  return member->wall_known && cell->time.heard_ms - member->last_contact_ms < HEARD_MS;
+  return member->wall_known && cell->time.processed_ms - member->last_contact_ms < HEARD_MS;
 }
 
 /* Return: false when no other daemon has said anything. */
--- a/src/cell/tree.c
+++ b/src/cell/tree.c
@@ -8,9 +8,9 @@
 static uint32_t
 draw (CellTree *tree)
 {
-  tree->chance = tree->chance * UINT64_C (6364136223846793005)
+  tree->random_state = tree->random_state * UINT64_C (6364136223846793005)
                  + UINT64_C (1442695040888963407);
-  return (uint32_t) (tree->chance >> 32);
+  return (uint32_t) (tree->random_state >> 32);
 }
 
 static void
@@ -54,9 +54,9 @@
       parent = *at;
       at = &parent->child[!tree->before (node, parent)];
     }
-  *node = (CellNode){ .parent = parent, .weight = draw (tree) };
+  *node = (CellNode){ .parent = parent, .priority = draw (tree) };
   *at = node;
-  while (node->parent != NULL && node->parent->weight < node->weight)
+  while (node->parent != NULL && node->parent->priority < node->priority)
     rotate_up (tree, node);
 }
 
@@ -65,7 +65,7 @@
 {
   while (node->child[0] != NULL && node->child[1] != NULL)
     rotate_up (tree,
-               node->child[node->child[1]->weight > node->child[0]->weight]);
+               node->child[node->child[1]->priority > node->child[0]->priority]);
   replace_child (tree, node->parent, node, node->child[node->child[0] == NULL]);
 }
 
--- a/src/cell/unread.c
+++ b/src/cell/unread.c
@@ -28,100 +28,100 @@
 #define RETRY_MS 100
 #define MS_PER_S 1000
 
-static CellUnread *
+static CellUnreadable *
 find (MuxCell *cell, const char *id)
 {
-  CellUnread *unread;
+  CellUnreadable *unread;
 
-  HASH_FIND_STR (cell->unread, id, unread);
+  HASH_FIND_STR (cell->unreadable, id, unread);
   return unread;
 }
 
 static uint32_t
 noted_max (const MuxCell *cell)
 {
-  return cell->options.unread_max != 0 ? cell->options.unread_max : UNREAD_MAX;
+  return cell->options.unreadable_max != 0 ? cell->options.unreadable_max : UNREAD_MAX;
 }
 
 /* NULL: there are @max, or memory is out. */
-static CellUnread *
+static CellUnreadable *
 find_or_add (MuxCell *cell, const char *id, uint32_t max)
 {
-  CellUnread *unread = find (cell, id);
+  CellUnreadable *unread = find (cell, id);
 
   if (unread != NULL)
     return unread;
-  unread = HASH_COUNT (cell->unread) < max ? calloc (1, sizeof *unread) : NULL;
+  unread = HASH_COUNT (cell->unreadable) < max ? calloc (1, sizeof *unread) : NULL;
   if (unread == NULL)
     return NULL;
   snprintf (unread->id, sizeof unread->id, "%s", id);
   unread->part = cell_part_of (unread->id);
-  HASH_ADD_STR (cell->unread, id, unread);
+  HASH_ADD_STR (cell->unreadable, id, unread);
   return unread;
 }
 
 static void
-unread_free (MuxCell *cell, CellUnread *unread)
+unread_free (MuxCell *cell, CellUnreadable *unread)
 {
   if (unread->dirty)
-    cell->part[unread->part].unread_dirty--;
-  HASH_DEL (cell->unread, unread);
+    cell->part[unread->part].unreadable_dirty--;
+  HASH_DEL (cell->unreadable, unread);
   mux_job_free (unread->spec);
   free (unread->end);
   free (unread);
 }
 
 void
-cell_unread_free (MuxCell *cell)
+cell_unreadable_free (MuxCell *cell)
 {
-  CellUnread *unread;
-  CellUnread *next;
+  CellUnreadable *unread;
+  CellUnreadable *next;
 
-  HASH_ITER (hh, cell->unread, unread, next)
+  HASH_ITER (hh, cell->unreadable, unread, next)
   unread_free (cell, unread);
-  cell->unread_passed = false;
-  cell->unread_ends_passed = false;
+  cell->unreadable_overflow = false;
+  cell->unreadable_ends_overflow = false;
 }
 
 void
-cell_unread_note (MuxCell *cell, const char *id, bool seen)
+cell_unreadable_add (MuxCell *cell, const char *id, bool seen)
 {
-  CellUnread *unread = find_or_add (cell, id, noted_max (cell));
+  CellUnreadable *unread = find_or_add (cell, id, noted_max (cell));
 
   if (unread == NULL)
     {
-      cell->unread_passed = true;
+      cell->unreadable_overflow = true;
       cell_log (cell, "unread_job_passed", "{s:s, s:i}", "job", id, "kept",
-                (int) HASH_COUNT (cell->unread));
+                (int) HASH_COUNT (cell->unreadable));
       return;
     }
-  unread->seen = unread->seen || seen;
+  unread->has_row = unread->has_row || seen;
   /* It could be read for a moment. */
   mux_job_free (unread->spec);
   unread->spec = NULL;
 }
 
 static void
-mark_dirty (MuxCell *cell, CellUnread *unread)
+mark_dirty (MuxCell *cell, CellUnreadable *unread)
 {
   CellPart *part = &cell->part[unread->part];
 
-  cell->end_seq++;
+  cell->change_seq++;
   if (unread->dirty)
     {
       unread->dirty_again = unread->in_commit;
       return;
     }
   unread->dirty = true;
-  if (part->dirty == NULL && part->unread_dirty == 0)
+  if (part->dirty == NULL && part->unreadable_dirty == 0)
     part->dirty_since_ms = cell->time.now_ms;
-  part->unread_dirty++;
+  part->unreadable_dirty++;
 }
 
 bool
-cell_unread_add_end (CellUnread *unread, const CellUnreadEnd *end)
+cell_unreadable_add_end (CellUnreadable *unread, const CellUnreadableEnd *end)
 {
-  CellUnreadEnd *list;
+  CellUnreadableEnd *list;
 
   for (uint32_t i = 0; i < unread->end_count; i++)
     if (unread->end[i].run == end->run
@@ -162,22 +162,22 @@
  *   be.
  */
 static bool
-take_unread (MuxCell *cell, const char *id, CellUnread **unread)
+take_unread (MuxCell *cell, const char *id, CellUnreadable **unread)
 {
   *unread = find (cell, id);
-  if (*unread != NULL || !cell->unread_passed || cell_known_as_ended (cell, id)
+  if (*unread != NULL || !cell->unreadable_overflow || cell_job_ended_recently (cell, id)
       || cell_job_find (cell, id) != NULL)
     return true;
-  if (!cell->unread_ends_passed)
+  if (!cell->unreadable_ends_overflow)
     *unread = find_or_add (cell, id, noted_max (cell) * ENDED_FACTOR);
   return *unread != NULL;
 }
 
 bool
-cell_unread_end (MuxCell *cell, const MuxRunReport *report)
+cell_unreadable_keep_end (MuxCell *cell, const MuxRunReport *report)
 {
-  CellUnread *unread;
-  CellUnreadEnd end
+  CellUnreadable *unread;
+  CellUnreadableEnd end
       = { .task = report->task, .run = report->run, .end = report->end };
 
   if (!counts (report))
@@ -190,8 +190,8 @@
     }
   if (unread == NULL)
     return true;
-  snprintf (end.saved, sizeof end.saved, "%s", report->checkpoint);
-  if (!cell_unread_add_end (unread, &end))
+  snprintf (end.checkpoint, sizeof end.checkpoint, "%s", report->checkpoint);
+  if (!cell_unreadable_add_end (unread, &end))
     return true;
   cell_log (cell, "unread_job_end", "{s:s, s:i, s:i, s:i, s:s}", "job",
             unread->id, "step", (int) end.task.step, "task",
@@ -202,33 +202,33 @@
 }
 
 bool
-cell_unread_add_rows (MuxCell *cell, const CellPart *part, MuxCellCall *call)
+cell_unreadable_add_rows (MuxCell *cell, const CellPart *part, MuxCellCall *call)
 {
   uint32_t rows = 0;
-  CellUnread *unread;
-  CellUnread *next;
+  CellUnreadable *unread;
+  CellUnreadable *next;
 
-  if (part->unread_dirty == 0)
+  if (part->unreadable_dirty == 0)
     return true;
-  HASH_ITER (hh, cell->unread, unread, next)
+  HASH_ITER (hh, cell->unreadable, unread, next)
   {
     if (!unread->dirty || &cell->part[unread->part] != part)
       continue;
-    if (rows == CELL_UNREAD_ROWS)
+    if (rows == CELL_UNREADABLE_ROWS_MAX)
       return false;
-    cell_unread_put_row (cell, call, unread);
+    cell_unreadable_put_row (cell, call, unread);
     rows++;
   }
   return true;
 }
 
 void
-cell_unread_committed (MuxCell *cell, CellPart *part, bool stored)
+cell_unreadable_committed (MuxCell *cell, CellPart *part, bool stored)
 {
-  CellUnread *unread;
-  CellUnread *next;
+  CellUnreadable *unread;
+  CellUnreadable *next;
 
-  HASH_ITER (hh, cell->unread, unread, next)
+  HASH_ITER (hh, cell->unreadable, unread, next)
   {
     if (!unread->in_commit || &cell->part[unread->part] != part)
       continue;
@@ -239,8 +239,8 @@
         continue;
       }
     unread->dirty = false;
-    part->unread_dirty--;
-    unread->noted_wall_ms = cell->time.wall_ms;
+    part->unreadable_dirty--;
+    unread->stored_wall_ms = cell->time.wall_ms;
     if (unread->expired)
       unread_free (cell, unread);
   }
@@ -248,7 +248,7 @@
 
 /* What is left of the task once that run has ended so. */
 static void
-apply_end (MuxCell *cell, CellJob *job, const CellUnreadEnd *end)
+apply_end (MuxCell *cell, CellJob *job, const CellUnreadableEnd *end)
 {
   MuxTaskRef ref = end->task;
   CellTask *task;
@@ -261,53 +261,53 @@
   if (task == NULL)
     return;
   job->started = true;
-  cell_queue_update (cell, job);
-  cell_end_apply (cell, task, end->run, end->end, end->saved);
+  cell_queue_count_update (cell, job);
+  cell_end_apply (cell, task, end->run, end->end, end->checkpoint);
 }
 
 /* Ends that are missing may be good ones: none of its tasks may run again. */
 static void
-apply (MuxCell *cell, CellJob *job, const CellUnread *unread)
+apply (MuxCell *cell, CellJob *job, const CellUnreadable *unread)
 {
   for (uint32_t i = 0; i < unread->end_count; i++)
     apply_end (cell, job, &unread->end[i]);
-  job->progress_lost = job->progress_lost || unread->overflow;
-  job->ends_stored = unread->noted_wall_ms != 0;
-  cell_job_dirty (cell, job);
+  job->progress_unreadable = job->progress_unreadable || unread->overflow;
+  job->unreadable_ends_stored = unread->stored_wall_ms != 0;
+  cell_job_mark_dirty (cell, job);
 }
 
 bool
-cell_unread_row (MuxCell *cell, const MuxCellRow *row)
+cell_unreadable_load_row (MuxCell *cell, const MuxCellRow *row)
 {
   char id[MUX_ROW_NAME_LEN];
-  CellUnread *unread;
-  CellUnread own = { .end_count = 0 };
+  CellUnreadable *unread;
+  CellUnreadable own = { .end_count = 0 };
   CellJob *job;
 
-  if (!cell_unread_row_of (row->key, id))
+  if (!cell_unreadable_row_job (row->key, id))
     return false;
   if (!mux_job_id_valid (id))
     return true;
   job = cell_job_find (cell, id);
   if (job != NULL)
     {
-      cell_unread_read_row (cell, row, &own);
+      cell_unreadable_read_row (cell, row, &own);
       apply (cell, job, &own);
       free (own.end);
       return true;
     }
   unread = find_or_add (cell, id, noted_max (cell) * ENDED_FACTOR);
   if (unread != NULL)
-    cell_unread_read_row (cell, row, unread);
+    cell_unreadable_read_row (cell, row, unread);
   else
-    cell->unread_passed = cell->unread_ends_passed = true;
+    cell->unreadable_overflow = cell->unreadable_ends_overflow = true;
   return true;
 }
 
 /* The rows beside the job, its progress before its ends. */
 static void
 take_rows (MuxCell *cell,
-           CellUnread *unread,
+           CellUnreadable *unread,
            CellJob *job,
            const MuxCellReply *reply)
 {
@@ -316,9 +316,9 @@
   for (uint32_t i = 0; i < reply->row_count; i++)
     if (strcmp (reply->row[i].key, job->id) == 0)
       cell_progress_row (cell, &reply->row[i]);
-    else if (cell_unread_row_of (reply->row[i].key, id)
+    else if (cell_unreadable_row_job (reply->row[i].key, id)
              && strcmp (id, job->id) == 0)
-      cell_unread_read_row (cell, &reply->row[i], unread);
+      cell_unreadable_read_row (cell, &reply->row[i], unread);
   apply (cell, job, unread);
 }
 
@@ -327,7 +327,7 @@
              const CellPending *pending,
              const MuxCellReply *reply)
 {
-  CellUnread *unread = find (cell, pending->task.job);
+  CellUnreadable *unread = find (cell, pending->task.job);
   CellJob *job;
 
   if (unread == NULL)
@@ -342,7 +342,7 @@
   unread->spec = NULL;
   if (job == NULL)
     return;
-  job->old = true;
+  job->predates_term = true;
   take_rows (cell, unread, job, reply);
   cell_log (cell, "unread_job_back", "{s:s, s:i}", "job", job->id, "ends",
             (int) unread->end_count);
@@ -351,12 +351,12 @@
 }
 
 static void
-read_beside (MuxCell *cell, CellUnread *unread)
+read_beside (MuxCell *cell, CellUnreadable *unread)
 {
   MuxCellCall *call
       = cell_scan_call (MUX_TABLE_PROGRESS, cell->part[unread->part].name);
   CellPending pending
-      = { .done = beside_read, .term = cell->term, .part = unread->part };
+      = { .on_reply = beside_read, .term = cell->term, .part = unread->part };
 
   unread->next_ms = cell->time.now_ms + RETRY_MS;
   if (call == NULL)
@@ -373,11 +373,11 @@
  * has run.
  */
 bool
-cell_unread_mended (MuxCell *cell, MuxJobSpec *spec, uint64_t version)
+cell_unreadable_recover (MuxCell *cell, MuxJobSpec *spec, uint64_t version)
 {
-  CellUnread *unread = find (cell, spec->id);
+  CellUnreadable *unread = find (cell, spec->id);
 
-  if (cell->role != CELL_PLANNING || (unread == NULL && !cell->unread_passed))
+  if (cell->role != CELL_PLANNING || (unread == NULL && !cell->unreadable_overflow))
     return false;
   unread = find_or_add (cell, spec->id, noted_max (cell) * ENDED_FACTOR);
   if (unread == NULL)
@@ -398,22 +398,22 @@
 /* Nothing else would ever remove ends whose job's row is gone.  Where not all
  * rows are remembered it may stand. */
 static bool
-is_abandoned (const MuxCell *cell, const CellUnread *unread)
+is_abandoned (const MuxCell *cell, const CellUnreadable *unread)
 {
-  int64_t keep_ms = (int64_t) cell->options.ended_keep_s * MS_PER_S;
+  int64_t keep_ms = (int64_t) cell->options.ended_retention_s * MS_PER_S;
 
-  return !cell->unread_passed && !unread->seen && unread->spec == NULL
-         && unread->noted_wall_ms != 0
-         && cell->time.wall_ms - unread->noted_wall_ms > keep_ms;
+  return !cell->unreadable_overflow && !unread->has_row && unread->spec == NULL
+         && unread->stored_wall_ms != 0
+         && cell->time.wall_ms - unread->stored_wall_ms > keep_ms;
 }
 
 void
-cell_unread_tick (MuxCell *cell)
+cell_unreadable_tick (MuxCell *cell)
 {
-  CellUnread *unread;
-  CellUnread *next;
+  CellUnreadable *unread;
+  CellUnreadable *next;
 
-  HASH_ITER (hh, cell->unread, unread, next)
+  HASH_ITER (hh, cell->unreadable, unread, next)
   {
     if (unread->spec != NULL && !unread->reading
         && cell->time.now_ms >= unread->next_ms)
--- a/src/cell/unread_rows.c
+++ b/src/cell/unread_rows.c
@@ -9,7 +9,7 @@
 #define ENDS_MARK "+"
 
 bool
-cell_unread_row_of (const char *key, char id[MUX_ROW_NAME_LEN])
+cell_unreadable_row_job (const char *key, char id[MUX_ROW_NAME_LEN])
 {
   size_t len = strlen (key);
 
@@ -20,18 +20,18 @@
 }
 
 static json_t *
-ends_json (const MuxCell *cell, const CellUnread *unread)
+ends_json (const MuxCell *cell, const CellUnreadable *unread)
 {
   json_t *list = json_array ();
 
   for (uint32_t i = 0; i < unread->end_count; i++)
     {
-      const CellUnreadEnd *end = &unread->end[i];
+      const CellUnreadableEnd *end = &unread->end[i];
 
       (void) json_array_append_new (
           list, json_pack ("[iiiiis]", (int) end->task.occurrence,
                            (int) end->task.step, (int) end->task.index,
-                           (int) end->run, (int) end->end, end->saved));
+                           (int) end->run, (int) end->end, end->checkpoint));
     }
   return json_pack ("{s:I, s:b, s:o}", "noted_ms",
                     (json_int_t) cell->time.wall_ms, "overflow",
@@ -39,7 +39,7 @@
 }
 
 void
-cell_unread_put_row (const MuxCell *cell, MuxCellCall *call, CellUnread *unread)
+cell_unreadable_put_row (const MuxCell *cell, MuxCellCall *call, CellUnreadable *unread)
 {
   char key[MUX_ROW_NAME_LEN];
 
@@ -53,7 +53,7 @@
 }
 
 void
-cell_unread_remove_row (MuxCellCall *call, const CellJob *job)
+cell_unreadable_remove_row (MuxCellCall *call, const CellJob *job)
 {
   char key[MUX_ROW_NAME_LEN];
 
@@ -63,7 +63,7 @@
 
 /* Return: whether @json is one end, which @end then holds. */
 static bool
-end_from_json (const json_t *json, CellUnreadEnd *end)
+end_from_json (const json_t *json, CellUnreadableEnd *end)
 {
   int numbers[5];
   const char *saved;
@@ -82,28 +82,28 @@
   end->task.index = (uint32_t) numbers[2];
   end->run = (uint32_t) numbers[3];
   end->end = (MuxRunEnd) numbers[4];
-  snprintf (end->saved, sizeof end->saved, "%s", saved);
+  snprintf (end->checkpoint, sizeof end->checkpoint, "%s", saved);
   return true;
 }
 
 void
-cell_unread_read_row (MuxCell *cell, const MuxCellRow *row, CellUnread *unread)
+cell_unreadable_read_row (MuxCell *cell, const MuxCellRow *row, CellUnreadable *unread)
 {
   json_t *json = cell_row_json (cell, row);
   const json_t *list = json_object_get (json, "ends");
   const json_t *item;
   size_t i;
 
-  unread->noted_wall_ms
+  unread->stored_wall_ms
       = (int64_t) json_integer_value (json_object_get (json, "noted_ms"));
   unread->overflow = unread->overflow || !json_is_array (list)
                      || json_is_true (json_object_get (json, "overflow"));
   json_array_foreach (list, i, item)
   {
-    CellUnreadEnd end = { .run = 0 };
+    CellUnreadableEnd end = { .run = 0 };
 
     if (end_from_json (item, &end))
-      (void) cell_unread_add_end (unread, &end);
+      (void) cell_unreadable_add_end (unread, &end);
     else
       unread->overflow = true;
   }
--- a/src/cell/wait.c
+++ b/src/cell/wait.c
@@ -50,7 +50,7 @@
       = cell_stage_cap_per_worker (stage, cell_worker_spare_tasks (cell, stage, worker));
 
   lack->kept += cell_delays_gang (cell, stage, worker);
-  lack->held += worker->hold_count > 0 && cell_held (stage, worker) == 0;
+  lack->held += worker->hold_count > 0 && cell_hold_tasks (stage, worker) == 0;
   lack->unasked += needed && (approval == NULL || !approval->queried);
   lack->room += now;
   if (needed && (approval == NULL || !approval->approved))
@@ -152,13 +152,13 @@
   int64_t now = cell->time.now_ms;
   Lack lack = lack_of (cell, stage);
 
-  stage->told_ms = now;
+  stage->logged_ms = now;
   cell_log (
       cell, "step_waits",
       "{s:s, s:i, s:i, s:I, s:s, s:i, s:I, s:I, s:i, s:i, s:i, s:i, s:i, s:i, "
       "s:i, s:i, s:i, s:i, s:i}",
       "job", stage->job->id, "step", (int) stage->step, "tasks",
-      (int) cell_stage_waiting (stage), "waited_ms",
+      (int) cell_stage_waiting_tasks (stage), "waited_ms",
       (json_int_t) (now - since_ms), "lacks", what_lacks (cell, stage, &lack),
       "stopping", (int) stopping (stage), "asking_ms",
       (json_int_t) (stage->query_pending ? now - stage->queried_ms : 0), "unseen_ms",
@@ -178,7 +178,7 @@
 
   if (stage->ready)
     return stage->ready_ms;
-  if (stage->left == 0 || stage->job->ended)
+  if (stage->tasks_left == 0 || stage->job->ended)
     return 0;
   for (uint32_t i = 0; i < stage->spec->count; i++)
     {
@@ -186,8 +186,8 @@
 
       if (task->booking == NULL || task->state != CELL_TASK_STOPPING)
         continue;
-      if (since_ms == 0 || task->booking->stopped_ms < since_ms)
-        since_ms = task->booking->stopped_ms;
+      if (since_ms == 0 || task->booking->stop_since_ms < since_ms)
+        since_ms = task->booking->stop_since_ms;
     }
   return since_ms;
 }
@@ -206,8 +206,8 @@
       int64_t since = waits_since (stage);
 
       if (since == 0 || cell->time.now_ms - since < TOLD_AFTER_MS
-          || (stage->told_ms != 0
-              && cell->time.now_ms - stage->told_ms < TOLD_AGAIN_MS)
+          || (stage->logged_ms != 0
+              && cell->time.now_ms - stage->logged_ms < TOLD_AGAIN_MS)
           || (best != NULL && since >= *since_ms))
         continue;
       best = stage;
@@ -217,14 +217,14 @@
 }
 
 void
-cell_waits_tick (MuxCell *cell)
+cell_wait_log_tick (MuxCell *cell)
 {
   int64_t since_ms = 0;
   CellStage *stage;
 
-  if (cell->time.now_ms < cell->next_wait_line_ms)
+  if (cell->time.now_ms < cell->next_wait_log_ms)
     return;
-  cell->next_wait_line_ms = cell->time.now_ms + LINE_MS;
+  cell->next_wait_log_ms = cell->time.now_ms + LINE_MS;
   stage = longest (cell, &since_ms);
   if (stage != NULL)
     tell (cell, stage, since_ms);
--- a/src/cell/worker.c
+++ b/src/cell/worker.c
@@ -144,10 +144,10 @@
             why);
   if (worker->replaced && !worker->info.draining)
     cell_log_crash (cell, worker);
-  cell_late_starts_of_former (cell, worker);
+  cell_late_starts_of_predecessor (cell, worker);
   cell_lose_runs (cell, worker);
   cell_losses_worker_dead (cell, worker);
-  worker->store_seq = cell->end_seq;
+  worker->ends_change_seq = cell->change_seq;
 }
 
 void
@@ -214,7 +214,7 @@
 tell_useless (MuxCell *cell, CellWorker *worker)
 {
   if (worker->no_queue_logged || cell->config == NULL
-      || cell_service_named (cell, worker->service))
+      || cell_service_is_known (cell, worker->service))
     return;
   worker->no_queue_logged = true;
   mux_count (cell->options.counters, MUX_COUNT_WORKERS_OF_NO_QUEUE, 1);
@@ -320,10 +320,10 @@
 static void
 take_acks (MuxCell *cell, CellWorker *worker)
 {
-  if (worker->acked == worker->seen
-      || cell_stored_seq (cell) < worker->store_seq)
+  if (worker->acked == worker->ends_seen
+      || cell_stored_seq (cell) < worker->ends_change_seq)
     return;
-  worker->acked = worker->seen;
+  worker->acked = worker->ends_seen;
   worker->next_renew_ms = cell->time.now_ms;
 }
 
@@ -348,7 +348,7 @@
   if (worker->bookings == NULL)
     return;
   cell_lose_runs (cell, worker);
-  worker->store_seq = cell->end_seq;
+  worker->ends_change_seq = cell->change_seq;
 }
 
 /* Something of ours runs there, or may. */
@@ -356,7 +356,7 @@
 is_of_use (const MuxCell *cell, const CellWorker *worker)
 {
   return cell_in_roster (worker) || worker->bookings != NULL
-         || cell_service_named (cell, worker->service);
+         || cell_service_is_known (cell, worker->service);
 }
 
 static void
--- a/src/daemon/cell_run.c
+++ b/src/daemon/cell_run.c
@@ -72,7 +72,7 @@
       .strength_milli = given->strength_milli,
       .revoke_timeout_ms = given->revoke_timeout_ms,
       .quota_overrun_milli = given->quota_overrun_milli,
-      .ended_keep_s = given->key_keep_s,
+      .ended_retention_s = given->key_keep_s,
     },
   };
 
--- a/src/daemon/cell_thread.c
+++ b/src/daemon/cell_thread.c
@@ -252,7 +252,7 @@
   thread->heard_ms = event->arrived_ms;
   time = read_time (thread);
   if (event->kind == EVENT_QUESTION)
-    mux_cell_question (thread->cell, time, event->question);
+    mux_cell_request (thread->cell, time, event->question);
   else if (event->kind == EVENT_REPLY)
     mux_cell_reply (thread->cell, time, event->reply);
   else
--- a/test/support/cell_world.c
+++ b/test/support/cell_world.c
@@ -26,7 +26,7 @@
   return (MuxCellTime){
     .now_ms = world->now_ms,
     .wall_ms = WORLD_WALL_MS + world->now_ms + world->cell[cell].wall_ms,
-    .heard_ms = world->now_ms - world->cell[cell].late_ms,
+    .processed_ms = world->now_ms - world->cell[cell].late_ms,
   };
 }
 
@@ -752,8 +752,8 @@
     .seed = number,
     .lease_ms = world->lease_ms != 0 ? world->lease_ms : LEASE_MS,
     .dead_ms = DEAD_MS,
-    .ended_keep_s = world->keep_s != 0 ? world->keep_s : KEEP_S,
-    .unread_max = world->unread_max,
+    .ended_retention_s = world->keep_s != 0 ? world->keep_s : KEEP_S,
+    .unreadable_max = world->unread_max,
     .revoke_timeout_ms = world->revoke_timeout_ms,
     .quota_overrun_milli = world->quota_overrun_milli,
     .strength_milli
@@ -1137,7 +1137,7 @@
 
   note_job (world, job, id);
   question->job = job;
-  mux_cell_question (world->cell[cell].cell, time_of (world, cell), question);
+  mux_cell_request (world->cell[cell].cell, time_of (world, cell), question);
   return number;
 }
 
@@ -1147,7 +1147,7 @@
   MuxQuestion *question = question_new (world, verb, id);
   uint64_t number = question->call;
 
-  mux_cell_question (world->cell[cell].cell, time_of (world, cell), question);
+  mux_cell_request (world->cell[cell].cell, time_of (world, cell), question);
   return number;
 }
 
--- a/test/support/sched_cell.c
+++ b/test/support/sched_cell.c
@@ -131,7 +131,7 @@
 }
 
 MuxPlacement
-cell_start (Cell *cell, const char *class_name)
+cell_start_run (Cell *cell, const char *class_name)
 {
   cell_ask (cell, class_name);
   return cell_place (cell);
--- a/test/support/sched_cell.h
+++ b/test/support/sched_cell.h
@@ -36,7 +36,7 @@
 /** cell_place() - the next decision; asserts that it is a placement */
 MuxPlacement cell_place (Cell *cell);
 /** cell_start() - ask for one task and place it */
-MuxPlacement cell_start (Cell *cell, const char *class_name);
+MuxPlacement cell_start_run (Cell *cell, const char *class_name);
 /** cell_idle() - asserts that nothing can be decided now */
 void cell_idle (Cell *cell);
 /** cell_end() - it ran well for @ran_ms */
--- a/test/unit/test_cell.c
+++ b/test/unit/test_cell.c
@@ -799,7 +799,7 @@
   question->call = 200;
   snprintf (question->host, sizeof question->host, "other.example");
   snprintf (question->path, sizeof question->path, "/batch/x");
-  mux_cell_question (
+  mux_cell_request (
       world->cell[0].cell,
       (MuxCellTime){ world->now_ms, 1700000000000, world->now_ms }, question);
   assert_true (world->answered[200]);
--- a/test/unit/test_cell_feeds.c
+++ b/test/unit/test_cell_feeds.c
@@ -187,7 +187,7 @@
   question->call = call;
   snprintf (question->host, sizeof question->host, "cell.example");
   snprintf (question->path, sizeof question->path, "/unheard-of/x");
-  mux_cell_question (
+  mux_cell_request (
       world->cell[0].cell,
       (MuxCellTime){ world->now_ms, world->now_ms, world->now_ms }, question);
   assert_true (world->answered[call]);
@@ -365,7 +365,7 @@
                              .lease_ms = 4000,
                              .dead_ms = 60000,
                              .strength_milli = 1000,
-                             .ended_keep_s = 60 };
+                             .ended_retention_s = 60 };
   MuxCellCall *call;
   MuxCellReply *reply;
 
--- a/test/unit/test_sched_faults.c
+++ b/test/unit/test_sched_faults.c
@@ -16,7 +16,7 @@
     {
       MuxPlacement placed;
 
-      placed = cell_start (cell, class_name);
+      placed = cell_start_run (cell, class_name);
       cell->now_ms += 10;
       failed += placed.worker == broken;
       if (placed.worker == broken || bad)
@@ -77,7 +77,7 @@
   run_tasks (cell, "urgent-b", 200, MUX_NO_WORKER, true);
   for (int i = 0; i < 8; i++)
     {
-      placed = cell_start (cell, "urgent-a");
+      placed = cell_start_run (cell, "urgent-a");
       assert_int_equal (placed.worker,
                         mux_sched_booked_on (cell->sched, placed.task));
     }
@@ -107,7 +107,7 @@
   cell->now_ms += 120000;
   for (int i = 0; i < 5; i++)
     {
-      placed[i] = cell_start (cell, "urgent-a");
+      placed[i] = cell_start_run (cell, "urgent-a");
       probes += placed[i].worker == 0;
     }
   assert_int_equal (probes, 1);
@@ -115,7 +115,7 @@
     cell_end (cell, placed[i].task, 1000);
   for (int i = 0; i < 8; i++)
     {
-      cell_start (cell, "urgent-a");
+      cell_start_run (cell, "urgent-a");
     }
 }
 
@@ -136,7 +136,7 @@
   cell_set (cell, &spec);
   for (int i = 0; i < 2; i++)
     {
-      placed = cell_start (cell, "batch");
+      placed = cell_start_run (cell, "batch");
       assert_int_equal (placed.size.mem_mib, 1024);
       mux_sched_used (cell->sched, placed.task, used);
     }
@@ -145,7 +145,7 @@
   for (int i = 0; i < 64; i++)
     mux_sched_used (cell->sched, placed.task, used);
   cell->now_ms += 200;
-  placed = cell_start (cell, "batch");
+  placed = cell_start_run (cell, "batch");
   assert_in_range (placed.size.mem_mib, 4096, 4096 * 9 / 8);
 }
 
@@ -166,7 +166,7 @@
   cell_set (cell, &spec);
   for (int i = 0; i < 200; i++)
     {
-      placed = cell_start (cell, "batch");
+      placed = cell_start_run (cell, "batch");
       cell->now_ms += 10;
       assert_true (mux_sched_ended (cell->sched, placed.task, MUX_END_OK, 1000,
                                     used, cell->now_ms));
--- a/test/unit/test_sched_gang.c
+++ b/test/unit/test_sched_gang.c
@@ -44,7 +44,7 @@
   open_gang (cell, 2);
   for (int i = 0; i < 4; i++)
     {
-      busy[i] = cell_start (cell, "batch").task;
+      busy[i] = cell_start_run (cell, "batch").task;
     }
   gang = cell_gang (cell, "gang", 4);
   for (int i = 0; i < 4; i++)
@@ -112,7 +112,7 @@
   open_gang (cell, 2);
   for (int i = 0; i < 8; i++)
     {
-      running[tail++ % 64] = cell_start (cell, "batch").task;
+      running[tail++ % 64] = cell_start_run (cell, "batch").task;
     }
   gang = cell_gang (cell, "gang", 4);
   for (int i = 0; i < 200 && members == 0; i++)
@@ -145,7 +145,7 @@
   uint32_t placed_first, placed_second;
 
   open_gang (cell, 2);
-  cell_start (cell, "batch");
+  cell_start_run (cell, "batch");
   first = cell_gang (cell, "gang", 4);
   cell->now_ms += 1;
   second = cell_gang (cell, "gang", 4);
@@ -178,7 +178,7 @@
   open_gang (cell, 3);
   for (int i = 0; i < 12; i++)
     {
-      busy[i] = cell_start (cell, "batch").task;
+      busy[i] = cell_start_run (cell, "batch").task;
     }
   gang = cell_gang (cell, "gang", 2);
   cell->now_ms += 200;
--- a/test/unit/test_sched_order.c
+++ b/test/unit/test_sched_order.c
@@ -57,7 +57,7 @@
   open_two (cell, 2);
   for (; count < 8; count++)
     {
-      running[count] = cell_start (cell, "urgent").task;
+      running[count] = cell_start_run (cell, "urgent").task;
     }
   batch = cell_ask (cell, "batch");
   for (int i = 0; i < 4000 && !started; i++)
@@ -138,7 +138,7 @@
 
   open_two (cell, 1);
   for (int i = 0; i < 4; i++)
-    cell_start (cell, "batch");
+    cell_start_run (cell, "batch");
   for (int i = 0; i < 100; i++)
     {
       cell_ask_for (cell, "batch", 400000, &verdict);
@@ -173,7 +173,7 @@
   open_two (cell, 1);
   for (int i = 0; i < 4; i++)
     {
-      cell_start (cell, "urgent");
+      cell_start_run (cell, "urgent");
     }
   late = cell_ask_for (cell, "urgent", 300, &verdict);
   assert_int_equal (verdict.reason, MUX_REASON_NONE);
@@ -243,7 +243,7 @@
   cell_set (cell, &c);
   for (int i = 0; i < 4; i++)
     {
-      lent[i] = cell_start (cell, "urgent-b").task;
+      lent[i] = cell_start_run (cell, "urgent-b").task;
     }
   cell_ask (cell, "urgent-b");
   back = cell_ask (cell, "urgent-a");
--- a/test/unit/test_sched_risk.c
+++ b/test/unit/test_sched_risk.c
@@ -100,7 +100,7 @@
   cell_open (cell, 2);
   assert_true (mux_sched_product_set (cell->sched, &product));
   cell_set (cell, &spec);
-  cell_start (cell, "lasting");
+  cell_start_run (cell, "lasting");
   cell_ask (cell, "lasting");
   cell->now_ms += 11000;
   cell_idle (cell);
@@ -126,7 +126,7 @@
   cell_open (cell, 1);
   cell_set (cell, &spec);
   for (int i = 0; i < 4; i++)
-    cell_start (cell, "batch");
+    cell_start_run (cell, "batch");
   assert_false (risk_of (cell, "batch").at_risk);
   while (cell->now_ms < 5000)
     {
