--- a/bench/bench_policy.c
+++ b/bench/bench_policy.c
@@ -21,11 +21,11 @@
 static const Candidate candidates[] = {
   { .name = "cuminmux" },
   { .name = "no_reservation", .tuning.no_reservation = true },
-  { .name = "no_spread", .tuning.no_spread = true },
+  { .name = "no_spread", .tuning.no_rack_spread = true },
   { .name = "no_reserve", .tuning.no_reserve = true },
   { .name = "no_learning", .tuning.no_learning = true },
   { .name = "no_tiers", .tuning.no_tiers = true },
-  { .name = "no_late", .tuning.no_late = true },
+  { .name = "no_late", .tuning.no_late_queue = true },
   { .name = "no_forecast", .tuning.no_forecast = true },
   { .name = "pick_first", .tuning.first_fit = true },
   { .name = "below", .tuning.below_declared = true },
--- a/bench/bench_sched.c
+++ b/bench/bench_sched.c
@@ -113,10 +113,10 @@
 submit (Bench *b)
 {
   char name[MUX_NAME_LEN];
-  MuxTaskAsk ask = { .task = { 1, ++b->next_id },
+  MuxTaskRequest ask = { .task = { 1, ++b->next_id },
                      .class_name = name,
                      .start_by_ms = b->now_ms + 100,
-                     .give_up_ms = b->now_ms + 600000,
+                     .expires_ms = b->now_ms + 600000,
                      .avoid = MUX_NO_WORKER };
 
   class_name (name, draw (b, CLASSES));
--- a/include/model/job.h
+++ b/include/model/job.h
@@ -35,7 +35,7 @@
  */
 typedef struct
 {
-  bool needed;
+  bool required;
   uint32_t base_us;
   uint32_t per_worker_us;
   uint32_t valid_ms;
@@ -118,7 +118,7 @@
   bool rack_sensitive;
   bool copies_allowed;
   bool long_running;
-  bool fills;
+  bool best_effort;
   char label[MUX_NAME_LEN];
   char data_rack[MUX_NAME_LEN];
   uint32_t per_worker_max;
--- a/include/model/workspace.h
+++ b/include/model/workspace.h
@@ -84,15 +84,15 @@
 MuxQuota mux_quota_add (MuxQuota sum, MuxSize size, uint32_t tasks);
 MuxQuota mux_quota_sub (MuxQuota sum, MuxSize size, uint32_t tasks);
 /** mux_quota_least() - the smaller of both in each dimension */
-MuxQuota mux_quota_least (MuxQuota a, MuxQuota b);
+MuxQuota mux_quota_min (MuxQuota a, MuxQuota b);
 /** mux_quota_sum() - of both in each dimension */
 MuxQuota mux_quota_sum (MuxQuota a, MuxQuota b);
 /** mux_quota_widen() - a limit and so many thousandths more */
-MuxQuota mux_quota_widen (MuxQuota limit, uint32_t milli);
+MuxQuota mux_quota_raise (MuxQuota limit, uint32_t milli);
 /** mux_quota_fits() - tasks of @size that stay within @limit beside @used
  * Return: UINT32_MAX: any number. */
-uint32_t mux_quota_fits (MuxQuota limit, MuxQuota used, MuxSize size);
+uint32_t mux_quota_tasks_left (MuxQuota limit, MuxQuota used, MuxSize size);
 /** mux_quota_share_ppm() - of the dimension that is used most of its limit */
-uint32_t mux_quota_share_ppm (MuxQuota limit, MuxQuota used);
+uint32_t mux_quota_dominant_share_ppm (MuxQuota limit, MuxQuota used);
 
 #endif
--- a/include/policy/sched.h
+++ b/include/policy/sched.h
@@ -57,7 +57,7 @@
 void
 mux_sched_worker_resize (MuxSched *sched, uint32_t worker, MuxSize capacity);
 /** mux_sched_worker_usable() - false: no new work (leaving, not claimed) */
-void mux_sched_worker_usable (MuxSched *sched, uint32_t worker, bool usable);
+void mux_sched_worker_set_usable (MuxSched *sched, uint32_t worker, bool usable);
 /** mux_sched_worker_remove() - drops its bookings too; the index is reused */
 void mux_sched_worker_remove (MuxSched *sched, uint32_t worker);
 
@@ -79,9 +79,9 @@
   uint32_t group_count;
   const char *class_name;
   int64_t start_by_ms;
-  int64_t give_up_ms;
+  int64_t expires_ms;
   uint32_t avoid;
-} MuxTaskAsk;
+} MuxTaskRequest;
 
 /**
  * struct MuxVerdict - answer of the admission
@@ -94,10 +94,10 @@
 {
   MuxReason reason;
   uint32_t retry_ms;
-} MuxVerdict;
+} MuxAdmitResult;
 
-MuxVerdict
-mux_sched_submit (MuxSched *sched, const MuxTaskAsk *ask, int64_t now_ms);
+MuxAdmitResult
+mux_sched_submit (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms);
 /** mux_sched_cancel() - true when it waited and is dropped, without a word */
 bool mux_sched_cancel (MuxSched *sched, MuxId task);
 
@@ -148,7 +148,7 @@
 void mux_sched_started (MuxSched *sched, MuxId task, int64_t now_ms);
 /** mux_sched_used() - usage report of a booked task that runs on: learned
  * from, and its booking grows to it when it uses more than was booked */
-void mux_sched_used (MuxSched *sched, MuxId task, MuxSize used);
+void mux_sched_report_usage (MuxSched *sched, MuxId task, MuxSize used);
 /** mux_sched_ended() - unbook; false: it was not booked
  * @used: as reported; all 0 when not known */
 bool mux_sched_ended (MuxSched *sched,
@@ -173,10 +173,10 @@
 {
   MuxSize total;
   MuxSize free;
-  MuxSize room;
+  MuxSize available;
   uint32_t queued;
   uint32_t booked;
-  uint32_t oldest_ms;
+  uint32_t oldest_wait_ms;
 } MuxSchedStats;
 
 MuxSchedStats mux_sched_stats (const MuxSched *sched, int64_t now_ms);
@@ -219,7 +219,7 @@
   uint32_t forecast_ppm;
   bool at_risk;
   MuxRiskCause cause;
-  MuxSize cure;
+  MuxSize shortfall;
   uint32_t queued;
   uint32_t p99_wait_ms;
 } MuxRisk;
--- a/include/policy/tuning.h
+++ b/include/policy/tuning.h
@@ -23,10 +23,10 @@
   bool no_reservation;
   bool no_breaker;
   bool no_learning;
-  bool no_spread;
+  bool no_rack_spread;
   bool no_forecast;
   bool no_tiers;
-  bool no_late;
+  bool no_late_queue;
   bool below_declared;
   bool first_fit;
 } MuxTuning;
--- a/src/cell/approve_record.c
+++ b/src/cell/approve_record.c
@@ -204,7 +204,7 @@
 
   if (!stage->job->predates_term)
     return true;
-  if (!queue->approval.needed)
+  if (!queue->approval.required)
     return cell_all_workers_confirmed (cell) && cell_late_starts_are_over (cell);
   /* Where it may run stood in what can't be read. */
   if (stage->job->progress_unreadable)
--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -438,7 +438,7 @@
       CellStage *stage = job->stage[i];
 
       if (stage->ready && !stage->predecessor_runs_lost
-          && (!job->spec->queue.approval.needed
+          && (!job->spec->queue.approval.required
               || cell_worker_is_recorded (stage, worker)))
         lose_former_runs (cell, stage, worker);
     }
--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -42,7 +42,7 @@
          uint64_t hash,
          Place *p)
 {
-  bool needed = stage->job->spec->queue.approval.needed;
+  bool needed = stage->job->spec->queue.approval.required;
 
   if (!cell_worker_is_eligible (cell, stage, worker))
     return 0;
@@ -97,7 +97,7 @@
               const CellWorker *worker,
               const CellApproval *approval)
 {
-  return stage->job->spec->queue.approval.needed
+  return stage->job->spec->queue.approval.required
              ? approval != NULL && approval->approved
              : cell_was_reserved (stage, worker);
 }
@@ -126,7 +126,7 @@
 static uint32_t
 collect (MuxCell *cell, CellStage *stage, bool may_ask, Place *place)
 {
-  bool needed = stage->job->spec->queue.approval.needed;
+  bool needed = stage->job->spec->queue.approval.required;
   uint64_t hash = mux_hash_name (stage->job->id, stage->step);
   uint32_t n = needed ? collect_approved (cell, stage, hash, place)
                       : collect_reserved (cell, stage, hash, place);
@@ -430,7 +430,7 @@
 what_lacks (const CellStage *stage, const Room *room)
 {
   uint32_t need = stage->spec->count;
-  bool asks = stage->job->spec->queue.approval.needed
+  bool asks = stage->job->spec->queue.approval.required
               && (room->yes_now >= need || room->yes_ever < need);
 
   return asks ? CELL_BLOCKED_ON_QUERIER : CELL_BLOCKED_ON_ROOM;
@@ -516,7 +516,7 @@
 void
 cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations)
 {
-  bool needed = stage->job->spec->queue.approval.needed;
+  bool needed = stage->job->spec->queue.approval.required;
   Place *place;
   uint32_t count;
   bool may_ask;
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -27,7 +27,7 @@
 static uint32_t
 approval_ms (const MuxApprovalSpec *approval)
 {
-  if (!approval->needed)
+  if (!approval->required)
     return 0;
   return (approval->base_us + PROMISED_CANDIDATES * approval->per_worker_us)
          / US_PER_MS;
--- a/src/cell/named_row.c
+++ b/src/cell/named_row.c
@@ -26,7 +26,7 @@
 static bool
 is_worth_naming (const MuxJobSpec *spec, const MuxStepSpec *step)
 {
-  return spec->queue.approval.needed && spec->repetitions == 0 && !step->gang
+  return spec->queue.approval.required && spec->repetitions == 0 && !step->gang
          && !step->long_running;
 }
 
--- a/src/cell/place.c
+++ b/src/cell/place.c
@@ -123,7 +123,7 @@
   CellWorkerScan sample;
   CellWorker *worker;
 
-  if (task->stage->job->spec->queue.approval.needed)
+  if (task->stage->job->spec->queue.approval.required)
     return best_approved (cell, task);
   sample = cell_worker_scan_begin (cell, task->stage);
   while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
@@ -190,7 +190,7 @@
   int64_t wait_ms;
 
   if (stage->spec->gang || stage->query_pending
-      || !stage->job->spec->queue.approval.needed)
+      || !stage->job->spec->queue.approval.required)
     return;
   wait_ms = cell_stage_settles_in_ms (cell, stage);
   if (wait_ms > ASK_BEFORE_MS
@@ -220,7 +220,7 @@
     return CELL_BLOCKED_ON_QUOTA;
   if (!placing->short_of_workers)
     return CELL_BLOCKED_ON_RECORD;
-  return !stage->job->spec->queue.approval.needed
+  return !stage->job->spec->queue.approval.required
                  || cell_can_query (cell, stage, CELL_CANDIDATES_MIN)
              ? CELL_BLOCKED_ON_ROOM
              : CELL_BLOCKED_ON_QUERIER;
@@ -270,7 +270,7 @@
 void
 cell_place_tasks (MuxCell *cell, CellStage *stage)
 {
-  bool needed = stage->job->spec->queue.approval.needed;
+  bool needed = stage->job->spec->queue.approval.required;
   Placing placing = {
     .over_quota = cell_quota_tasks_allowed (cell, stage) == 0,
     /* Without a proof that is taken now no worker needs to be looked at. */
--- a/src/cell/plan.c
+++ b/src/cell/plan.c
@@ -47,7 +47,7 @@
   MuxSize need = stage->spec->size;
   uint32_t n = UINT32_MAX;
 
-  if (need.cpu_milli > 0 && !stage->spec->fills)
+  if (need.cpu_milli > 0 && !stage->spec->best_effort)
     n = free.cpu_milli / need.cpu_milli;
   if (need.mem_mib > 0 && free.mem_mib / need.mem_mib < n)
     n = free.mem_mib / need.mem_mib;
@@ -81,7 +81,7 @@
                   const CellWorker *worker)
 {
   return cell_worker_matches (stage, worker) && cell_worker_usable (cell, worker)
-         && (!stage->spec->fills
+         && (!stage->spec->best_effort
              || cell->time.now_ms >= worker->no_fill_until_ms);
 }
 
--- a/src/cell/quota.c
+++ b/src/cell/quota.c
@@ -107,9 +107,9 @@
   MuxQuota quota = stage->job->workspace->spec.quota;
   uint32_t whole = stage->spec->gang ? stage->spec->count : 1;
 
-  if (mux_quota_fits (quota, (MuxQuota){ 0 }, stage->spec->size) >= whole)
+  if (mux_quota_tasks_left (quota, (MuxQuota){ 0 }, stage->spec->size) >= whole)
     return quota;
-  return mux_quota_widen (quota, cell->options.quota_overrun_milli);
+  return mux_quota_raise (quota, cell->options.quota_overrun_milli);
 }
 
 uint32_t
@@ -120,10 +120,10 @@
 
   if (workspace == NULL)
     return UINT32_MAX;
-  used = mux_quota_least (workspace->unsettled, cell->unconfirmed_room);
+  used = mux_quota_min (workspace->unsettled, cell->unconfirmed_room);
   used = mux_quota_sum (used, workspace->booked);
   used = mux_quota_sum (used, claimed_by_gang (cell, workspace, stage));
-  return mux_quota_fits (limit_for (cell, stage), used, stage->spec->size);
+  return mux_quota_tasks_left (limit_for (cell, stage), used, stage->spec->size);
 }
 
 void
@@ -243,13 +243,13 @@
   HASH_FIND_STR (cell->workspaces, spec->workspace, workspace);
   if (workspace == NULL)
     return false;
-  limit = mux_quota_widen (workspace->spec.quota,
+  limit = mux_quota_raise (workspace->spec.quota,
                            cell->options.quota_overrun_milli);
   for (uint32_t i = 0; i < spec->step_count; i++)
     {
       const MuxStepSpec *step = &spec->step[i];
 
-      if (mux_quota_fits (limit, (MuxQuota){ 0 }, step->size)
+      if (mux_quota_tasks_left (limit, (MuxQuota){ 0 }, step->size)
           < (step->gang ? step->count : 1))
         return true;
     }
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -217,7 +217,7 @@
     return;
   worker->no_fill_until_ms = cell->time.now_ms + NO_FILL_MS;
   DL_FOREACH (worker->bookings, booking)
-  if (booking->task->stage->spec->fills)
+  if (booking->task->stage->spec->best_effort)
     cell_stop_booking (cell, booking);
 }
 
--- a/src/cell/wait.c
+++ b/src/cell/wait.c
@@ -45,7 +45,7 @@
             Lack *lack)
 {
   const CellApproval *approval = cell_approval_find (stage, worker);
-  bool needed = stage->job->spec->queue.approval.needed;
+  bool needed = stage->job->spec->queue.approval.required;
   uint32_t now
       = cell_stage_cap_per_worker (stage, cell_worker_spare_tasks (cell, stage, worker));
 
--- a/src/core/jobs_gang.c
+++ b/src/core/jobs_gang.c
@@ -102,7 +102,7 @@
     .name = core->name,
     .near = true,
     .could = bounded (job, core->name, count_fitting (one, stats.total)),
-    .now = count_fitting (one, stats.room),
+    .now = count_fitting (one, stats.available),
   };
   for (const Member *m = core->members; m != NULL && count < GANG_PARTS_MAX;
        m = m->hh.next)
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -102,11 +102,11 @@
   snprintf (msg->from_addr, sizeof msg->from_addr, "%s", core->peer_addr);
   msg->revision = config_revision (core);
   msg->stopping = core->stopping;
-  msg->free = stats.room;
+  msg->free = stats.available;
   msg->total = stats.total;
   msg->largest = workers_largest (core);
   msg->queued = stats.queued;
-  msg->oldest_ms = stats.oldest_ms;
+  msg->oldest_ms = stats.oldest_wait_ms;
 }
 
 static bool
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -136,14 +136,14 @@
 owner_ask (MuxCore *core, const MuxPeerMsg *ask)
 {
   Grant *grant = grant_find (core, ask->task);
-  MuxTaskAsk task = { .task = ask->task,
+  MuxTaskRequest task = { .task = ask->task,
                       .group = ask->group,
                       .group_count = ask->group_count,
                       .class_name = ask->class_name,
                       .start_by_ms = core->now_ms + ask->start_within_ms,
-                      .give_up_ms = core->now_ms + ask->give_up_ms,
+                      .expires_ms = core->now_ms + ask->give_up_ms,
                       .avoid = MUX_NO_WORKER };
-  MuxVerdict verdict;
+  MuxAdmitResult verdict;
 
   /* The cancel of an ask in another group was lost: that gang is void. */
   if (grant != NULL && !grant->placed
@@ -306,7 +306,7 @@
       grant->seen = true;
       mux_name_copy (grant->ask.from, report->home);
       mux_sched_started (core->sched, report->task, core->now_ms);
-      mux_sched_used (core->sched, report->task, report->used);
+      mux_sched_report_usage (core->sched, report->task, report->used);
       return;
     }
   /* Waiting for a second place while it runs here: this is a late start of
--- a/src/core/task_ask.c
+++ b/src/core/task_ask.c
@@ -105,7 +105,7 @@
   if (task->keyed && task->idempotent && commit_store_down (core))
     return choose_by_key (core, task);
   if (!core->stopping)
-    best = weigh (task, core->name, NULL, stats.room, stats.total, stats.queued,
+    best = weigh (task, core->name, NULL, stats.available, stats.total, stats.queued,
                   1);
   /* With room here there is no better place: no message, no delay. */
   if (best.usable && best.room)
--- a/src/core/worker.c
+++ b/src/core/worker.c
@@ -52,7 +52,7 @@
 
   worker->usable = worker->index != MUX_NO_WORKER && usable (core, worker);
   if (worker->index != MUX_NO_WORKER)
-    mux_sched_worker_usable (core->sched, worker->index, worker->usable);
+    mux_sched_worker_set_usable (core->sched, worker->index, worker->usable);
   if (was && !worker->usable)
     owner_recheck_later (core);
 }
--- a/src/model/job_json.c
+++ b/src/model/job_json.c
@@ -57,7 +57,7 @@
             && put_number (json, "rack_sensitive", step->rack_sensitive)
             && put_number (json, "copies_allowed", step->copies_allowed)
             && put_number (json, "long_running", step->long_running)
-            && put_number (json, "fills", step->fills)
+            && put_number (json, "fills", step->best_effort)
             && put_text (json, "label", step->label)
             && put_text (json, "data_rack", step->data_rack)
             && put_number (json, "per_worker_max", step->per_worker_max)
@@ -83,7 +83,7 @@
         && put_number (json, "attempts_max", queue->attempts_max)
         && put_number (json, "slack_milli", queue->slack_milli)
         && put_number (json, "target_ms", queue->target_ms)
-        && put_number (json, "approval", approval->needed)
+        && put_number (json, "approval", approval->required)
         && put_number (json, "approval_base_us", approval->base_us)
         && put_number (json, "approval_per_worker_us", approval->per_worker_us)
         && put_number (json, "approval_valid_ms", approval->valid_ms);
@@ -227,7 +227,7 @@
   step->rack_sensitive = get_flag (json, "rack_sensitive", findings);
   step->copies_allowed = get_flag (json, "copies_allowed", findings);
   step->long_running = get_flag (json, "long_running", findings);
-  step->fills = get_flag (json, "fills", findings);
+  step->best_effort = get_flag (json, "fills", findings);
   get_name (json, "label", step->label, findings);
   get_name (json, "data_rack", step->data_rack, findings);
   step->per_worker_max = get_u32 (json, "per_worker_max", findings);
@@ -245,7 +245,7 @@
   queue->attempts_max = get_u32 (json, "attempts_max", findings);
   queue->slack_milli = get_u32 (json, "slack_milli", findings);
   queue->target_ms = get_u32 (json, "target_ms", findings);
-  queue->approval.needed = get_flag (json, "approval", findings);
+  queue->approval.required = get_flag (json, "approval", findings);
   queue->approval.base_us = get_u32 (json, "approval_base_us", findings);
   queue->approval.per_worker_us
       = get_u32 (json, "approval_per_worker_us", findings);
--- a/src/model/workspace.c
+++ b/src/model/workspace.c
@@ -110,7 +110,7 @@
 }
 
 MuxQuota
-mux_quota_least (MuxQuota a, MuxQuota b)
+mux_quota_min (MuxQuota a, MuxQuota b)
 {
   return (MuxQuota){ least (a.cpu_milli, b.cpu_milli),
                      least (a.mem_mib, b.mem_mib), least (a.accels, b.accels) };
@@ -130,7 +130,7 @@
 }
 
 MuxQuota
-mux_quota_widen (MuxQuota limit, uint32_t milli)
+mux_quota_raise (MuxQuota limit, uint32_t milli)
 {
   return (MuxQuota){ widened (limit.cpu_milli, milli),
                      widened (limit.mem_mib, milli),
@@ -149,7 +149,7 @@
 }
 
 uint32_t
-mux_quota_fits (MuxQuota limit, MuxQuota used, MuxSize size)
+mux_quota_tasks_left (MuxQuota limit, MuxQuota used, MuxSize size)
 {
   uint32_t cpu = fits (limit.cpu_milli, used.cpu_milli, size.cpu_milli);
   uint32_t mem = fits (limit.mem_mib, used.mem_mib, size.mem_mib);
@@ -165,7 +165,7 @@
 }
 
 uint32_t
-mux_quota_share_ppm (MuxQuota limit, MuxQuota used)
+mux_quota_dominant_share_ppm (MuxQuota limit, MuxQuota used)
 {
   uint64_t share = share_ppm (limit.cpu_milli, used.cpu_milli);
   uint64_t mem = share_ppm (limit.mem_mib, used.mem_mib);
--- a/src/policy/admit.c
+++ b/src/policy/admit.c
@@ -31,7 +31,7 @@
 }
 
 static uint32_t
-members_missing (const MuxSched *sched, const MuxTaskAsk *ask, uint32_t count)
+members_missing (const MuxSched *sched, const MuxTaskRequest *ask, uint32_t count)
 {
   uint32_t g = mux_idmap_get (&sched->gang_ids, ask->group);
 
@@ -59,29 +59,29 @@
     return false;
   if (wait <= (class->shedding ? within / 2 : within))
     {
-      if (!class->shedding || now_ms - class->shed_ms > CALM_MS)
+      if (!class->shedding || now_ms - class->last_shed_ms > CALM_MS)
         {
           class->shedding = false;
-          class->calm_ms = now_ms;
+          class->last_on_target_ms = now_ms;
         }
       return false;
     }
-  class->shedding = class->shedding || now_ms - class->calm_ms > STANDING_MS;
+  class->shedding = class->shedding || now_ms - class->last_on_target_ms > STANDING_MS;
   if (class->shedding)
-    class->shed_ms = now_ms;
+    class->last_shed_ms = now_ms;
   return class->shedding;
 }
 
 static MuxReason
 why_late (const MuxSched *sched, const MuxClass *class)
 {
-  if (!mux_product_allows (sched, class, 1))
+  if (!mux_product_within_quota (sched, class, 1))
     return MUX_REASON_QUOTA;
   return class->urgent ? MUX_REASON_DEADLINE : MUX_REASON_OVERLOAD;
 }
 
 static MuxReason
-refusal (MuxSched *sched, const MuxTaskAsk *ask, int64_t now_ms)
+refusal (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
 {
   MuxClass *class = mux_class_find (sched, ask->class_name);
   bool gang = !mux_id_is_none (ask->group);
@@ -97,20 +97,20 @@
     return MUX_REASON_NEVER_FITS;
   if (sched->usable == 0)
     return MUX_REASON_NO_WORKERS;
-  if (ask->give_up_ms <= now_ms)
+  if (ask->expires_ms <= now_ms)
     return MUX_REASON_DEADLINE;
   if (!has_place (sched, class, gang ? members_missing (sched, ask, count) : 1))
-    return mux_product_allows (sched, class, 1) ? MUX_REASON_QUEUE_FULL
+    return mux_product_within_quota (sched, class, 1) ? MUX_REASON_QUEUE_FULL
                                                 : MUX_REASON_QUOTA;
   if (!sched->tuning.no_forecast
-      && (ask->give_up_ms - now_ms < mux_forecast_wait_ms (sched, class, now_ms)
+      && (ask->expires_ms - now_ms < mux_forecast_wait_ms (sched, class, now_ms)
           || sheds (sched, class, now_ms)))
     return why_late (sched, class);
   return MUX_REASON_NONE;
 }
 
 static bool
-join_gang (MuxSched *sched, uint32_t t, const MuxTaskAsk *ask)
+join_gang (MuxSched *sched, uint32_t t, const MuxTaskRequest *ask)
 {
   MuxTask *task = &sched->task[t];
   uint32_t wanted = ask->group_count > 0 ? ask->group_count : 1;
@@ -123,8 +123,8 @@
 
   MuxGang *gang = &sched->gang[g];
 
-  if (gang->class_id != task->class_id || gang->wanted != wanted
-      || gang->members.count >= gang->wanted)
+  if (gang->class_id != task->class_id || gang->task_count != wanted
+      || gang->members.count >= gang->task_count)
     return false;
   task->gang = g;
   task->state = MUX_TASK_GATHERING;
@@ -138,18 +138,18 @@
 {
   MuxGang *gang = &sched->gang[g];
 
-  if (gang->members.count < gang->wanted)
+  if (gang->members.count < gang->task_count)
     return true;
   for (uint32_t m = gang->members.head; m != MUX_NONE;
        m = sched->task[m].link[MUX_LINK_MEMBER].next)
     sched->task[m].state = MUX_TASK_WAITING;
   gang->queued = true;
-  gang->tried = 0;
+  gang->tried_gen = 0;
   return mux_queue_add (sched, gang->members.head);
 }
 
 static bool
-enter (MuxSched *sched, const MuxTaskAsk *ask, int64_t now_ms)
+enter (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
 {
   uint32_t t = mux_task_new (sched, ask->task);
 
@@ -162,25 +162,25 @@
   task->class_id = class->id;
   task->state = MUX_TASK_WAITING;
   task->start_by_ms = ask->start_by_ms;
-  task->give_up_ms = ask->give_up_ms;
-  task->asked_ms = now_ms;
+  task->expires_ms = ask->expires_ms;
+  task->submitted_ms = now_ms;
   task->avoid = ask->avoid;
   if (!mux_id_is_none (ask->group) && !join_gang (sched, t, ask))
     {
       mux_task_free (sched, t);
       return false;
     }
-  mux_list_add (sched, &sched->age, MUX_LINK_AGE, t);
+  mux_list_add (sched, &sched->waiting_by_age, MUX_LINK_AGE, t);
   class->waiting++;
   sched->waiting++;
 
-  MuxHeapNode node = { task->give_up_ms, task->seq, t };
+  MuxHeapNode node = { task->expires_ms, task->seq, t };
   bool queued = task->gang == MUX_NONE ? mux_queue_add (sched, t)
                                        : complete_gang (sched, task->gang);
 
   if (queued && mux_heap_push (&sched->expire, sched->expire_pos, node))
     return true;
-  mux_queue_leave (sched, t);
+  mux_queue_remove (sched, t);
   mux_task_free (sched, t);
   return false;
 }
@@ -195,8 +195,8 @@
          || reason == MUX_REASON_QUOTA || reason == MUX_REASON_QUEUE_FULL;
 }
 
-MuxVerdict
-mux_sched_submit (MuxSched *sched, const MuxTaskAsk *ask, int64_t now_ms)
+MuxAdmitResult
+mux_sched_submit (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
 {
   MuxReason reason = refusal (sched, ask, now_ms);
   MuxClass *class = mux_class_find (sched, ask->class_name);
@@ -205,13 +205,13 @@
     reason = MUX_REASON_INTERNAL;
   /* What is refused is demand all the same, for the reserve and forecasts. */
   if (class != NULL && reason != MUX_REASON_KEY_IN_USE)
-    class->arrivals.ticked++;
+    class->arrivals.count++;
   if (class != NULL && refused_for_load (reason))
-    class->starts.ticked++;
+    class->starts.count++;
   if (reason == MUX_REASON_NONE || reason == MUX_REASON_UNKNOWN_CLASS
       || reason == MUX_REASON_NEVER_FITS)
-    return (MuxVerdict){ .reason = reason };
-  return (MuxVerdict){ .reason = reason,
+    return (MuxAdmitResult){ .reason = reason };
+  return (MuxAdmitResult){ .reason = reason,
                        .retry_ms
                        = mux_forecast_retry_ms (sched, class, now_ms) };
 }
--- a/src/policy/books.c
+++ b/src/policy/books.c
@@ -94,16 +94,16 @@
 {
   MuxTask *task = &sched->task[t];
 
-  mux_breaker_forget_probe (sched, task);
+  mux_breaker_cancel_probe (sched, task);
   change_booked (sched, task, -1);
   mux_list_drop (sched, &sched->worker[task->worker].tasks, MUX_LINK_WORKER, t);
   sched->class_at[task->class_id]->booked--;
   sched->booked--;
   sched->room_gen++;
   task->worker = MUX_NONE;
-  if (task->emitting)
-    mux_list_drop (sched, &sched->emission, MUX_LINK_MEMBER, t);
-  task->emitting = false;
+  if (task->unreported)
+    mux_list_drop (sched, &sched->placed, MUX_LINK_MEMBER, t);
+  task->unreported = false;
 }
 
 void
@@ -117,12 +117,12 @@
 static bool
 grow_racks (MuxSched *sched)
 {
-  uint32_t room = sched->rack_room * 2;
+  uint32_t room = sched->racks_allocated * 2;
 
   for (uint32_t i = 0; i < sched->classes; i++)
-    if (!mux_class_racks_grow (sched->class_at[i], sched->rack_room, room))
+    if (!mux_class_racks_grow (sched->class_at[i], sched->racks_allocated, room))
       return false;
-  sched->rack_room = room;
+  sched->racks_allocated = room;
   return true;
 }
 
@@ -132,17 +132,17 @@
 {
   MuxRack *rack = NULL;
 
-  HASH_FIND_STR (sched->rack_names, name, rack);
+  HASH_FIND_STR (sched->racks_by_name, name, rack);
   if (rack != NULL)
     return rack;
-  if (sched->rack_ids == sched->rack_room && !grow_racks (sched))
+  if (sched->rack_ids == sched->racks_allocated && !grow_racks (sched))
     return NULL;
   rack = calloc (1, sizeof *rack);
   if (rack == NULL)
     return NULL;
   mux_name_copy (rack->name, name);
   rack->id = sched->rack_ids++;
-  HASH_ADD_STR (sched->rack_names, name, rack);
+  HASH_ADD_STR (sched->racks_by_name, name, rack);
   return rack;
 }
 
@@ -151,9 +151,9 @@
 {
   MuxRack *rack, *next;
 
-  HASH_ITER (hh, sched->rack_names, rack, next)
+  HASH_ITER (hh, sched->racks_by_name, rack, next)
   {
-    HASH_DEL (sched->rack_names, rack);
+    HASH_DEL (sched->racks_by_name, rack);
     free (rack);
   }
 }
@@ -165,15 +165,15 @@
        w++)
     if (!sched->worker[w].present)
       return w;
-  if (sched->workers == sched->worker_room)
+  if (sched->workers == sched->workers_allocated)
     {
-      uint32_t room = sched->worker_room < 64 ? 64 : sched->worker_room * 2;
+      uint32_t room = sched->workers_allocated < 64 ? 64 : sched->workers_allocated * 2;
       MuxWorker *worker = realloc (sched->worker, room * sizeof *worker);
 
       if (worker == NULL)
         return MUX_NO_WORKER;
       sched->worker = worker;
-      sched->worker_room = room;
+      sched->workers_allocated = room;
       if (!mux_index_grow (sched, room))
         return MUX_NO_WORKER;
     }
@@ -207,7 +207,7 @@
   sched->room_gen++;
   enter_totals (sched, worker);
   mux_index_update (sched, w);
-  mux_reserve_resize (sched);
+  mux_reserve_recompute (sched);
   return w;
 }
 
@@ -235,7 +235,7 @@
 }
 
 void
-mux_sched_worker_usable (MuxSched *sched, uint32_t w, bool usable)
+mux_sched_worker_set_usable (MuxSched *sched, uint32_t w, bool usable)
 {
   MuxWorker *worker = worker_at (sched, w);
 
@@ -263,18 +263,18 @@
       mux_unbook (sched, t);
       mux_task_free (sched, t);
     }
-  mux_sched_worker_usable (sched, w, false);
+  mux_sched_worker_set_usable (sched, w, false);
   mux_breaker_reset (sched, w);
   /* No part of a reservation outlives its worker: the index may mean another.
    */
-  if (worker->held)
+  if (worker->reserved)
     mux_reservation_drop (sched);
   worker->present = false;
   sched->racks -= --worker->rack->workers == 0;
   sched->present--;
   sched->worker_gen++;
   /* The index is reused: "avoid" of who still waits meant the old worker. */
-  for (uint32_t t = sched->age.head; t != MUX_NONE;
+  for (uint32_t t = sched->waiting_by_age.head; t != MUX_NONE;
        t = sched->task[t].link[MUX_LINK_AGE].next)
     if (sched->task[t].avoid == w)
       sched->task[t].avoid = MUX_NONE;
--- a/src/policy/breaker.c
+++ b/src/policy/breaker.c
@@ -29,13 +29,13 @@
 static double
 failing_share (const MuxClass *class)
 {
-  return class->failed / (class->judged + 1);
+  return class->failures / (class->outcomes + 1);
 }
 
 static bool
 class_at_fault (const MuxClass *class)
 {
-  return class->judged >= VERDICTS_MIN
+  return class->outcomes >= VERDICTS_MIN
          && failing_share (class) >= CLASS_AT_FAULT;
 }
 
@@ -44,12 +44,12 @@
 static double
 blame_for (const MuxClass *class, uint32_t ran_ms)
 {
-  uint32_t usual = mux_learn_run_ms (class, 500000);
+  uint32_t usual = mux_learn_run_quantile_ms (class, 500000);
   double blame = 1 - failing_share (class);
 
   if (class_at_fault (class))
     return 0;
-  if (class->judged < VERDICTS_MIN)
+  if (class->outcomes < VERDICTS_MIN)
     return BLAME_UNKNOWN;
   return ran_ms < usual / 2 ? blame : blame / 2;
 }
@@ -59,23 +59,23 @@
 static void
 judge_class (MuxClass *class, MuxBreaker *breaker, bool failed, int64_t now_ms)
 {
-  bool again = (breaker->failing & class_bit (class)) != 0;
+  bool again = (breaker->failing_classes & class_bit (class)) != 0;
 
   if (failed)
     {
-      breaker->failing |= class_bit (class);
-      breaker->failing_ms = now_ms;
+      breaker->failing_classes |= class_bit (class);
+      breaker->last_failure_ms = now_ms;
     }
   else
-    breaker->failing &= ~class_bit (class);
+    breaker->failing_classes &= ~class_bit (class);
   if (failed && again)
     return;
-  class->judged += 1;
-  class->failed += failed ? 1 : 0;
-  if (class->judged < JUDGED_MAX)
+  class->outcomes += 1;
+  class->failures += failed ? 1 : 0;
+  if (class->outcomes < JUDGED_MAX)
     return;
-  class->judged /= 2;
-  class->failed /= 2;
+  class->outcomes /= 2;
+  class->failures /= 2;
 }
 
 static void
@@ -87,11 +87,11 @@
   if (breaker->state == MUX_BREAKER_CLOSED)
     {
       sched->tripped++;
-      if (!breaker->on_trial)
+      if (!breaker->closed_unprobed)
         backoff = BACKOFF_FIRST_MS;
     }
   breaker->state = MUX_BREAKER_OPEN;
-  breaker->on_trial = false;
+  breaker->closed_unprobed = false;
   breaker->backoff_ms = backoff < BACKOFF_MAX_MS ? backoff : BACKOFF_MAX_MS;
   breaker->open_until_ms = now_ms + mux_jitter (sched, breaker->backoff_ms);
   if (breaker->open_until_ms < sched->next_probe_ms)
@@ -107,7 +107,7 @@
   if (breaker->state != MUX_BREAKER_CLOSED)
     sched->tripped--;
   breaker->state = MUX_BREAKER_CLOSED;
-  breaker->blame = 0;
+  breaker->failure_score = 0;
   sched->room_gen++;
   mux_index_update (sched, w);
 }
@@ -136,7 +136,7 @@
 }
 
 void
-mux_breaker_end (MuxSched *sched,
+mux_breaker_task_ended (MuxSched *sched,
                  const MuxTask *task,
                  MuxTaskEnd end,
                  uint32_t ran_ms,
@@ -144,7 +144,7 @@
 {
   MuxClass *class = sched->class_at[task->class_id];
   MuxBreaker *breaker = &sched->worker[task->worker].breaker;
-  bool probe = breaker->state == MUX_BREAKER_PROBING
+  bool probe = breaker->state == MUX_BREAKER_HALF_OPEN
                && mux_id_equal (breaker->probe, task->id);
 
   if (end == MUX_END_OK || end == MUX_END_FAILED)
@@ -156,20 +156,20 @@
     }
   if (end == MUX_END_OK)
     {
-      breaker->blame /= 2;
-      breaker->on_trial = false;
+      breaker->failure_score /= 2;
+      breaker->closed_unprobed = false;
     }
   if (end != MUX_END_FAILED)
     return;
-  breaker->blame += blame_for (class, ran_ms);
+  breaker->failure_score += blame_for (class, ran_ms);
   if (sched->tuning.no_breaker)
     return;
-  if (breaker->blame >= BLAME_OPEN && breaker->state == MUX_BREAKER_CLOSED)
+  if (breaker->failure_score >= BLAME_OPEN && breaker->state == MUX_BREAKER_CLOSED)
     trip (sched, task->worker, now_ms);
 }
 
 static bool
-probes (const MuxSched *sched, const MuxSeek *seek, uint32_t w)
+probes (const MuxSched *sched, const MuxWorkerQuery *seek, uint32_t w)
 {
   const MuxWorker *worker = &sched->worker[w];
 
@@ -182,15 +182,15 @@
 }
 
 void
-mux_breaker_forget_probe (MuxSched *sched, const MuxTask *task)
+mux_breaker_cancel_probe (MuxSched *sched, const MuxTask *task)
 {
   MuxBreaker *breaker = &sched->worker[task->worker].breaker;
 
-  if (breaker->state != MUX_BREAKER_PROBING
+  if (breaker->state != MUX_BREAKER_HALF_OPEN
       || !mux_id_equal (breaker->probe, task->id))
     return;
   breaker->state = MUX_BREAKER_OPEN;
-  breaker->on_trial = false;
+  breaker->closed_unprobed = false;
   if (breaker->open_until_ms < sched->next_probe_ms)
     sched->next_probe_ms = breaker->open_until_ms;
 }
@@ -198,7 +198,7 @@
 /* A probe may fail, so a class that can be run again is used for it, unless
  * none has come for long. */
 uint32_t
-mux_breaker_probe (MuxSched *sched, const MuxSeek *seek)
+mux_breaker_find_probe (MuxSched *sched, const MuxWorkerQuery *seek)
 {
   int64_t next = INT64_MAX;
 
@@ -239,8 +239,8 @@
           || now_ms - breaker->open_until_ms < UNPROBED_MS)
         continue;
       close_breaker (sched, w);
-      breaker->blame = BLAME_OPEN - BLAME_UNKNOWN;
-      breaker->on_trial = true;
+      breaker->failure_score = BLAME_OPEN - BLAME_UNKNOWN;
+      breaker->closed_unprobed = true;
     }
 }
 
@@ -253,6 +253,6 @@
   const MuxBreaker *breaker = &sched->worker[w].breaker;
 
   return !sched->tuning.no_breaker
-         && (breaker->failing & class_bit (class)) != 0
-         && now_ms - breaker->failing_ms < AVOID_MS;
+         && (breaker->failing_classes & class_bit (class)) != 0
+         && now_ms - breaker->last_failure_ms < AVOID_MS;
 }
--- a/src/policy/classes.c
+++ b/src/policy/classes.c
@@ -14,7 +14,7 @@
 {
   MuxClass *class = NULL;
 
-  HASH_FIND_STR (sched->class_names, name, class);
+  HASH_FIND_STR (sched->classes_by_name, name, class);
   return class;
 }
 
@@ -23,38 +23,38 @@
 {
   MuxProduct *product = NULL;
 
-  HASH_FIND_STR (sched->product_names, name, product);
+  HASH_FIND_STR (sched->products_by_name, name, product);
   if (product != NULL)
     return product;
   product = calloc (1, sizeof *product);
   if (product == NULL)
     return NULL;
   mux_name_copy (product->spec.name, name);
-  HASH_ADD_STR (sched->product_names, spec.name, product);
+  HASH_ADD_STR (sched->products_by_name, spec.name, product);
   return product;
 }
 
 static bool
 grow_classes (MuxSched *sched)
 {
-  uint32_t room = sched->class_room < 16 ? 16 : sched->class_room * 2;
+  uint32_t room = sched->classes_allocated < 16 ? 16 : sched->classes_allocated * 2;
   MuxClass **at = realloc (sched->class_at, room * sizeof (MuxClass *));
 
   if (at == NULL)
     return false;
   sched->class_at = at;
-  sched->class_room = room;
+  sched->classes_allocated = room;
   return true;
 }
 
 MuxClass *
-mux_class_ghost (MuxSched *sched, const char *name)
+mux_class_find_or_add (MuxSched *sched, const char *name)
 {
   MuxClass *class = mux_class_find (sched, name);
 
   if (class != NULL)
     return class;
-  if (sched->classes == sched->class_room && !grow_classes (sched))
+  if (sched->classes == sched->classes_allocated && !grow_classes (sched))
     return NULL;
   class = calloc (1, sizeof *class);
   if (class == NULL)
@@ -62,13 +62,13 @@
   mux_name_copy (class->spec.name, name);
   class->id = sched->classes;
   class->shape = MUX_NONE;
-  if (!mux_class_racks_grow (class, 0, sched->rack_room))
+  if (!mux_class_racks_grow (class, 0, sched->racks_allocated))
     {
       free (class);
       return NULL;
     }
   sched->class_at[sched->classes++] = class;
-  HASH_ADD_STR (sched->class_names, spec.name, class);
+  HASH_ADD_STR (sched->classes_by_name, spec.name, class);
   return class;
 }
 
@@ -97,7 +97,7 @@
   class->shape = shape;
   class->size = size;
   class->fit_gen = 0;
-  mux_reserve_resize (sched);
+  mux_reserve_recompute (sched);
   return true;
 }
 
@@ -152,9 +152,9 @@
 }
 
 bool
-mux_class_borrows (const MuxClass *class)
+mux_class_may_borrow (const MuxClass *class)
 {
-  uint32_t run = mux_learn_run_ms (class, 900000);
+  uint32_t run = mux_learn_run_quantile_ms (class, 900000);
 
   return run <= BORROW_RUN_MAX_MS;
 }
@@ -170,7 +170,7 @@
 mux_sched_class_set (MuxSched *sched, const MuxClassSpec *spec)
 {
   MuxProduct *product = product_get (sched, spec->product);
-  MuxClass *class = mux_class_ghost (sched, spec->name);
+  MuxClass *class = mux_class_find_or_add (sched, spec->name);
   MuxSize size = spec->size;
 
   if (product == NULL || class == NULL)
@@ -184,9 +184,9 @@
     move_booked (sched, class, product, mux_class_urgent (spec));
   class->spec = *spec;
   if (anew)
-    mux_learn_declared (class);
+    mux_learn_reset (class);
   class->configured = true;
-  mux_reserve_resize (sched);
+  mux_reserve_recompute (sched);
   sched->room_gen++;
   return true;
 }
@@ -226,7 +226,7 @@
 {
   MuxProduct *product = NULL;
 
-  HASH_FIND_STR (sched->product_names, name, product);
+  HASH_FIND_STR (sched->products_by_name, name, product);
   if (product == NULL)
     return;
   product->configured = false;
@@ -239,18 +239,18 @@
 {
   MuxProduct *product, *next;
 
-  HASH_CLEAR (hh, sched->class_names);
+  HASH_CLEAR (hh, sched->classes_by_name);
   for (uint32_t i = 0; i < sched->classes; i++)
     {
-      for (uint32_t lane = 0; lane < MUX_LANES; lane++)
+      for (uint32_t lane = 0; lane < MUX_QUEUES; lane++)
         mux_heap_clear (&sched->class_at[i]->queue[lane]);
       free (sched->class_at[i]->rack_count);
       free (sched->class_at[i]);
     }
   free (sched->class_at);
-  HASH_ITER (hh, sched->product_names, product, next)
+  HASH_ITER (hh, sched->products_by_name, product, next)
   {
-    HASH_DEL (sched->product_names, product);
+    HASH_DEL (sched->products_by_name, product);
     free (product);
   }
 }
@@ -265,12 +265,12 @@
   for (uint32_t w = 0; w < sched->workers; w++)
     if (sched->worker[w].present)
       class->fit_count
-          += mux_size_times (class->size, sched->worker[w].capacity);
+          += mux_size_fit_count (class->size, sched->worker[w].capacity);
   return class->fit_count;
 }
 
 bool
-mux_product_allows (const MuxSched *sched, const MuxClass *class, uint32_t n)
+mux_product_within_quota (const MuxSched *sched, const MuxClass *class, uint32_t n)
 {
   const MuxProduct *product = class->product;
 
--- a/src/policy/decide.c
+++ b/src/policy/decide.c
@@ -19,7 +19,7 @@
 static bool
 emit_drop (MuxSched *sched, int64_t now_ms, MuxPlacement *out)
 {
-  uint32_t t = sched->drops.head;
+  uint32_t t = sched->dropped.head;
 
   if (t == MUX_NONE)
     return false;
@@ -29,7 +29,7 @@
   if (out->reason == MUX_REASON_DEADLINE)
     out->retry_ms = mux_forecast_retry_ms (
         sched, sched->class_at[sched->task[t].class_id], now_ms);
-  mux_list_drop (sched, &sched->drops, MUX_LINK_MEMBER, t);
+  mux_list_drop (sched, &sched->dropped, MUX_LINK_MEMBER, t);
   mux_task_free (sched, t);
   return true;
 }
@@ -37,7 +37,7 @@
 static bool
 emit_placed (MuxSched *sched, MuxPlacement *out)
 {
-  uint32_t t = sched->emission.head;
+  uint32_t t = sched->placed.head;
 
   if (t == MUX_NONE)
     return false;
@@ -48,8 +48,8 @@
                          .worker = task->worker,
                          .size = task->size,
                          .reason = MUX_REASON_NONE };
-  mux_list_drop (sched, &sched->emission, MUX_LINK_MEMBER, t);
-  task->emitting = false;
+  mux_list_drop (sched, &sched->placed, MUX_LINK_MEMBER, t);
+  task->unreported = false;
   return true;
 }
 
@@ -65,28 +65,28 @@
 {
   MuxTask *task = &sched->task[t];
   MuxClass *class = sched->class_at[task->class_id];
-  int64_t wait = now_ms - task->asked_ms;
+  int64_t wait = now_ms - task->submitted_ms;
 
-  if (mux_reservation_owned (sched, t))
+  if (mux_reservation_is_for (sched, t))
     mux_reservation_drop (sched);
-  mux_late_count (sched, class, task->lane);
-  mux_queue_leave (sched, t);
+  mux_late_count_start (sched, class, task->queue_kind);
+  mux_queue_remove (sched, t);
   mux_book (sched, t, w, class->size);
   task->booked_ms = now_ms;
-  task->emitting = true;
-  mux_list_add (sched, &sched->emission, MUX_LINK_MEMBER, t);
-  class->starts.ticked++;
-  class->inside.ticked += now_ms <= task->start_by_ms;
+  task->unreported = true;
+  mux_list_add (sched, &sched->placed, MUX_LINK_MEMBER, t);
+  class->starts.count++;
+  class->on_time.count += now_ms <= task->start_by_ms;
   mux_hist_add (&class->wait_hist, wait > 0 ? (uint32_t) wait : 0, 1);
 }
 
 static Tier
 tier_of (const MuxSched *sched, const MuxClass *class, uint32_t n)
 {
-  if (mux_product_allows (sched, class, n))
+  if (mux_product_within_quota (sched, class, n))
     return class->urgent || sched->tuning.no_tiers ? TIER_URGENT
                                                    : TIER_DEFERRABLE;
-  return mux_class_borrows (class) ? TIER_BORROW : TIER_NONE;
+  return mux_class_may_borrow (class) ? TIER_BORROW : TIER_NONE;
 }
 
 /* Urgent work within quota may take everything; all others leave the reserve
@@ -100,35 +100,35 @@
 {
   if (tier_of (sched, class, n) == TIER_URGENT)
     return true;
-  return mux_reservation_owned (sched, t)
+  return mux_reservation_is_for (sched, t)
          && now_ms >= sched->task[t].start_by_ms
-         && mux_reserve_floor (sched, class, n);
+         && mux_reserve_below_floor (sched, class, n);
 }
 
-static MuxSeek
+static MuxWorkerQuery
 seek_for (const MuxSched *sched,
           const MuxClass *class,
           uint32_t t,
           int64_t now_ms)
 {
-  return (MuxSeek){ .class = class,
+  return (MuxWorkerQuery){ .class = class,
                     .avoid = sched->task[t].avoid,
-                    .into_reservation
-                    = mux_reservation_owned (sched, t)
-                      || mux_reservation_backfills (sched, class, now_ms),
+                    .may_use_reserved
+                    = mux_reservation_is_for (sched, t)
+                      || mux_reservation_may_backfill (sched, class, now_ms),
                     .now_ms = now_ms };
 }
 
 static bool
-probe_with (MuxSched *sched, const MuxSeek *seek, uint32_t t)
+probe_with (MuxSched *sched, const MuxWorkerQuery *seek, uint32_t t)
 {
-  uint32_t w = mux_breaker_probe (sched, seek);
+  uint32_t w = mux_breaker_find_probe (sched, seek);
   MuxBreaker *breaker;
 
   if (w == MUX_NONE)
     return false;
   breaker = &sched->worker[w].breaker;
-  breaker->state = MUX_BREAKER_PROBING;
+  breaker->state = MUX_BREAKER_HALF_OPEN;
   breaker->probe = sched->task[t].id;
   emit_later (sched, t, w, seek->now_ms);
   return true;
@@ -137,7 +137,7 @@
 static bool
 place_task (MuxSched *sched, MuxClass *class, uint32_t t, int64_t now_ms)
 {
-  MuxSeek seek = seek_for (sched, class, t, now_ms);
+  MuxWorkerQuery seek = seek_for (sched, class, t, now_ms);
   uint32_t w;
 
   if (probe_with (sched, &seek, t))
@@ -151,8 +151,8 @@
     }
   if (w == MUX_NONE
       || (!ignores_reserve (sched, class, t, 1, now_ms)
-          && !mux_reserve_spares (sched, class, w,
-                                  mux_reservation_owned (sched, t))))
+          && !mux_reserve_allows (sched, class, w,
+                                  mux_reservation_is_for (sched, t))))
     return false;
   emit_later (sched, t, w, now_ms);
   return true;
@@ -163,7 +163,7 @@
 place_alone (MuxSched *sched, MuxClass *class, uint32_t t, int64_t now_ms)
 {
   uint32_t avoid = sched->task[t].avoid;
-  const MuxHeap *queue = &class->queue[sched->task[t].lane];
+  const MuxHeap *queue = &class->queue[sched->task[t].queue_kind];
 
   if (place_task (sched, class, t, now_ms))
     return true;
@@ -185,18 +185,18 @@
 place_gang (MuxSched *sched, MuxClass *class, uint32_t t, int64_t now_ms)
 {
   MuxGang *gang = &sched->gang[sched->task[t].gang];
-  uint32_t n = gang->wanted;
-  MuxSeek seek = seek_for (sched, class, t, now_ms);
+  uint32_t n = gang->task_count;
+  MuxWorkerQuery seek = seek_for (sched, class, t, now_ms);
   uint64_t loss;
 
-  if (gang->tried == sched->room_gen)
+  if (gang->tried_gen == sched->room_gen)
     return false;
-  gang->tried = sched->room_gen;
+  gang->tried_gen = sched->room_gen;
   seek.avoid = MUX_NONE;
-  if (!mux_index_holds (sched, &seek, n, &loss)
+  if (!mux_index_fits_together (sched, &seek, n, &loss)
       || (!ignores_reserve (sched, class, t, n, now_ms)
-          && !mux_reserve_leaves (sched, loss,
-                                  mux_reservation_owned (sched, t))))
+          && !mux_reserve_allows_loss (sched, loss,
+                                  mux_reservation_is_for (sched, t))))
     return false;
   /* All fit together and have one size, so that no search can fail now. */
   while (n-- > 0)
@@ -219,10 +219,10 @@
   MuxReservation *res = &sched->reservation;
   uint32_t t = res->task;
 
-  if (t == MUX_NONE || res->tried == sched->room_gen)
+  if (t == MUX_NONE || res->tried_gen == sched->room_gen)
     return false;
-  res->tried = sched->room_gen;
-  if (!mux_reservation_owned (sched, t) || sched->queue_pos[t] == MUX_NONE)
+  res->tried_gen = sched->room_gen;
+  if (!mux_reservation_is_for (sched, t) || sched->queue_pos[t] == MUX_NONE)
     {
       mux_reservation_drop (sched);
       return false;
@@ -235,17 +235,17 @@
 {
   uint32_t g = sched->task[t].gang;
 
-  return g == MUX_NONE ? 1 : sched->gang[g].wanted;
+  return g == MUX_NONE ? 1 : sched->gang[g].task_count;
 }
 
 /* A class whose size fits nowhere needs no search, unless it may probe. */
 static bool
 worth_trying (const MuxSched *sched,
               const MuxClass *class,
-              MuxLane lane,
+              MuxQueueKind lane,
               int64_t now_ms)
 {
-  return class->queue[lane].count > 0 && class->tried[lane] != sched->decisions
+  return class->queue[lane].count > 0 && class->blocked_decision[lane] != sched->decisions
          && (sched->index.shape[class->shape].fits.count > 0
              || now_ms >= sched->next_probe_ms);
 }
@@ -257,7 +257,7 @@
 typedef struct
 {
   MuxClass *class;
-  MuxLane lane;
+  MuxQueueKind lane;
   Tier tier;
   bool yields;
   int64_t key;
@@ -276,13 +276,13 @@
 static Pick
 first_pick (const MuxSched *sched, int64_t now_ms)
 {
-  MuxLane yielding = mux_late_first (sched) ? MUX_LANE_TIMELY : MUX_LANE_LATE;
+  MuxQueueKind yielding = mux_late_share_due (sched) ? MUX_QUEUE_ON_TIME : MUX_QUEUE_LATE;
   Pick best = { .tier = TIER_NONE };
 
-  for (uint32_t i = 0; i < sched->classes * MUX_LANES; i++)
+  for (uint32_t i = 0; i < sched->classes * MUX_QUEUES; i++)
     {
-      MuxClass *class = sched->class_at[i / MUX_LANES];
-      MuxLane lane = i % MUX_LANES;
+      MuxClass *class = sched->class_at[i / MUX_QUEUES];
+      MuxQueueKind lane = i % MUX_QUEUES;
       Pick pick = { .class = class, .lane = lane, .yields = lane == yielding };
 
       if (!worth_trying (sched, class, lane, now_ms))
@@ -307,7 +307,7 @@
       if (place (sched, pick.class, pick.class->queue[pick.lane].node->item,
                  now_ms))
         return true;
-      pick.class->tried[pick.lane] = sched->decisions;
+      pick.class->blocked_decision[pick.lane] = sched->decisions;
     }
   return false;
 }
@@ -339,7 +339,7 @@
 static void
 drop_hopeless (MuxSched *sched, MuxClass *class)
 {
-  for (uint32_t lane = 0; lane < MUX_LANES; lane++)
+  for (uint32_t lane = 0; lane < MUX_QUEUES; lane++)
     while (class->queue[lane].count > 0
            && mux_class_fit_count (sched, class)
                   < unit_count (sched, class->queue[lane].node->item))
@@ -350,19 +350,19 @@
 void
 mux_sched_tick (MuxSched *sched, int64_t now_ms)
 {
-  double dt = sched->tick_ms == INT64_MIN
+  double dt = sched->next_tick_ms == INT64_MIN
                   ? TICK_MS
-                  : (double) (now_ms - sched->tick_ms + TICK_MS);
+                  : (double) (now_ms - sched->next_tick_ms + TICK_MS);
 
   for (uint32_t i = 0; i < sched->classes; i++)
     {
-      mux_flow_tick (&sched->class_at[i]->arrivals, dt);
-      mux_flow_tick (&sched->class_at[i]->starts, dt);
-      mux_flow_tick (&sched->class_at[i]->inside, dt);
+      mux_rate_update (&sched->class_at[i]->arrivals, dt);
+      mux_rate_update (&sched->class_at[i]->starts, dt);
+      mux_rate_update (&sched->class_at[i]->on_time, dt);
     }
   for (uint32_t i = 0; i < sched->classes; i++)
     mux_late_move (sched, sched->class_at[i], now_ms);
-  mux_flow_tick (&sched->ends, dt);
+  mux_rate_update (&sched->ends, dt);
   learn_sizes (sched);
   for (uint32_t i = 0; i < sched->classes && sched->present > 0; i++)
     if (sched->class_at[i]->configured)
@@ -370,7 +370,7 @@
   mux_breaker_tick (sched, now_ms);
   mux_reserve_update (sched);
   mux_reservation_tick (sched, now_ms);
-  sched->tick_ms = now_ms + TICK_MS;
+  sched->next_tick_ms = now_ms + TICK_MS;
   /* The reserve may have shrunk, so that what did not fit may do so now. */
   sched->room_gen++;
 }
@@ -380,7 +380,7 @@
 {
   if (emit_placed (sched, out))
     return true;
-  if (now_ms >= sched->tick_ms)
+  if (now_ms >= sched->next_tick_ms)
     mux_sched_tick (sched, now_ms);
   drop_expired (sched, now_ms);
   if (emit_drop (sched, now_ms, out))
@@ -394,12 +394,12 @@
 {
   int64_t wake = INT64_MAX;
 
-  if (sched->emission.count > 0 || sched->drops.count > 0
-      || (sched->waiting > 0 && sched->tick_ms == INT64_MIN))
+  if (sched->placed.count > 0 || sched->dropped.count > 0
+      || (sched->waiting > 0 && sched->next_tick_ms == INT64_MIN))
     return 0;
   if (sched->expire.count > 0)
     wake = sched->expire.node[0].key;
-  if (sched->waiting > 0 && sched->tick_ms < wake)
-    wake = sched->tick_ms;
+  if (sched->waiting > 0 && sched->next_tick_ms < wake)
+    wake = sched->next_tick_ms;
   return wake;
 }
--- a/src/policy/forecast.c
+++ b/src/policy/forecast.c
@@ -13,18 +13,18 @@
 {
   uint64_t quarter = ms / 4;
 
-  sched->random ^= sched->random << 13;
-  sched->random ^= sched->random >> 7;
-  sched->random ^= sched->random << 17;
-  return (uint32_t) (ms - quarter + sched->random % (2 * quarter + 1));
+  sched->rng_state ^= sched->rng_state << 13;
+  sched->rng_state ^= sched->rng_state >> 7;
+  sched->rng_state ^= sched->rng_state << 17;
+  return (uint32_t) (ms - quarter + sched->rng_state % (2 * quarter + 1));
 }
 
 /* Tasks of @class in its late lane, gangs counted by their members. */
 static double
 late_tasks (const MuxClass *class)
 {
-  double late = class->queue[MUX_LANE_LATE].count;
-  double all = late + class->queue[MUX_LANE_TIMELY].count;
+  double late = class->queue[MUX_QUEUE_LATE].count;
+  double all = late + class->queue[MUX_QUEUE_ON_TIME].count;
 
   return late > 0 ? class->waiting * late / all : 0;
 }
@@ -36,7 +36,7 @@
 {
   double mine = class->spec.start_within_ms;
   double last = other->spec.start_within_ms;
-  const MuxHeapNode *first = mux_queue_head (other, MUX_LANE_TIMELY);
+  const MuxHeapNode *first = mux_queue_head (other, MUX_QUEUE_ON_TIME);
   double head;
 
   if (other->urgent != class->urgent)
@@ -82,7 +82,7 @@
   for (uint32_t i = 0; i < sched->classes; i++)
     late += late_tasks (sched->class_at[i]);
   timely_rate = late > 0 ? rate * (1 - MUX_LATE_SHARE) : rate;
-  if (before <= within * timely_rate || !mux_late_yields (sched, class))
+  if (before <= within * timely_rate || !mux_late_applies (sched, class))
     return before / timely_rate;
   late += before - within * timely_rate;
   return fmax (within, late / (rate * MUX_LATE_SHARE));
--- a/src/policy/heap.c
+++ b/src/policy/heap.c
@@ -14,10 +14,10 @@
 bool
 mux_heap_reserve (MuxHeap *heap, uint32_t count)
 {
-  if (count <= heap->room)
+  if (count <= heap->allocated)
     return true;
 
-  uint32_t room = heap->room < 16 ? 16 : heap->room;
+  uint32_t room = heap->allocated < 16 ? 16 : heap->allocated;
 
   while (room < count)
     room *= 2;
@@ -27,7 +27,7 @@
   if (node == NULL)
     return false;
   heap->node = node;
-  heap->room = room;
+  heap->allocated = room;
   return true;
 }
 
--- a/src/policy/heap.h
+++ b/src/policy/heap.h
@@ -24,7 +24,7 @@
 {
   MuxHeapNode *node;
   uint32_t count;
-  uint32_t room;
+  uint32_t allocated;
 } MuxHeap;
 
 void mux_heap_clear (MuxHeap *heap);
--- a/src/policy/hist.c
+++ b/src/policy/hist.c
@@ -44,8 +44,8 @@
 {
   hist->bucket[bucket_of (value)] += times;
   hist->count += times;
-  if (value > hist->most)
-    hist->most = value;
+  if (value > hist->max)
+    hist->max = value;
   if (hist->count >= FORGET_AT)
     forget_half (hist);
 }
@@ -60,7 +60,7 @@
     {
       seen += hist->bucket[i];
       if (seen >= want && seen > 0)
-        return upper_edge (i) < hist->most ? upper_edge (i) : hist->most;
+        return upper_edge (i) < hist->max ? upper_edge (i) : hist->max;
     }
   return 0;
 }
--- a/src/policy/hist.h
+++ b/src/policy/hist.h
@@ -14,7 +14,7 @@
  */
 typedef struct
 {
-  uint32_t most;
+  uint32_t max;
   uint32_t count;
   uint32_t bucket[MUX_HIST_BUCKETS];
 } MuxHist;
--- a/src/policy/index.c
+++ b/src/policy/index.c
@@ -71,7 +71,7 @@
     if (index->shape[i].refs > 0
         && !bits_grow (&index->shape[i].fits, index->words, words))
       return false;
-  if (!bits_grow (&index->held, index->words, words))
+  if (!bits_grow (&index->reserved, index->words, words))
     return false;
   index->words = words;
   return true;
@@ -84,7 +84,7 @@
     free (index->level[i].word);
   for (uint32_t i = 0; i < index->shapes; i++)
     free (index->shape[i].fits.word);
-  free (index->held.word);
+  free (index->reserved.word);
   free (index->shape);
 }
 
@@ -136,7 +136,7 @@
         bits_set (&index->level[level], w, true);
       worker->level = level;
     }
-  mux_reserve_count (sched, w);
+  mux_reserve_update_worker (sched, w);
   for (uint32_t i = 0; i < index->shapes; i++)
     if (index->shape[i].refs > 0)
       bits_set (&index->shape[i].fits, w,
@@ -156,15 +156,15 @@
   for (uint32_t i = 0; i < index->shapes; i++)
     if (index->shape[i].refs == 0)
       return i;
-  if (index->shapes == index->shape_room)
+  if (index->shapes == index->shapes_allocated)
     {
-      uint32_t room = index->shape_room < 16 ? 16 : index->shape_room * 2;
+      uint32_t room = index->shapes_allocated < 16 ? 16 : index->shapes_allocated * 2;
       MuxShape *shape = realloc (index->shape, room * sizeof *shape);
 
       if (shape == NULL)
         return MUX_NONE;
       index->shape = shape;
-      index->shape_room = room;
+      index->shapes_allocated = room;
     }
   index->shape[index->shapes] = (MuxShape){ 0 };
   return index->shapes++;
@@ -212,7 +212,7 @@
 typedef struct
 {
   const MuxSched *sched;
-  const MuxSeek *seek;
+  const MuxWorkerQuery *seek;
   bool spare_reservation;
   uint32_t rack_limit;
   uint32_t seen;
@@ -240,7 +240,7 @@
       = level->word[k] & index->shape[search->seek->class->shape].fits.word[k];
 
   if (search->spare_reservation)
-    word &= ~index->held.word[k];
+    word &= ~index->reserved.word[k];
   if (search->seek->avoid / WORD_BITS == k)
     word &= ~(UINT64_C (1) << (search->seek->avoid % WORD_BITS));
   return word;
@@ -282,7 +282,7 @@
 {
   uint32_t racks = sched->racks > 0 ? sched->racks : 1;
 
-  if (sched->tuning.no_spread)
+  if (sched->tuning.no_rack_spread)
     return 0;
   if (class->spec.kind == MUX_KIND_LONG_RUNNING)
     return 1 + class->booked / racks;
@@ -291,13 +291,13 @@
 }
 
 uint32_t
-mux_index_find (const MuxSched *sched, const MuxSeek *seek)
+mux_index_find (const MuxSched *sched, const MuxWorkerQuery *seek)
 {
   const MuxIndex *index = &sched->index;
   Search search
       = { .sched = sched,
           .seek = seek,
-          .spare_reservation = !seek->into_reservation && index->held.count > 0,
+          .spare_reservation = !seek->may_use_reserved && index->reserved.count > 0,
           .rack_limit = rack_limit (sched, seek->class),
           .first = MUX_NONE };
 
@@ -329,12 +329,12 @@
   left.mem_mib -= size.mem_mib * n;
   left.accels -= size.accels * n;
   left.slots -= size.slots * n;
-  return worker->urgent_room - mux_size_times (sched->urgent_size, left);
+  return worker->urgent_room - mux_size_fit_count (sched->urgent_size, left);
 }
 
 bool
-mux_index_holds (const MuxSched *sched,
-                 const MuxSeek *seek,
+mux_index_fits_together (const MuxSched *sched,
+                 const MuxWorkerQuery *seek,
                  uint32_t n,
                  uint64_t *loss)
 {
@@ -347,12 +347,12 @@
     {
       uint64_t word = want->fits.word[k];
 
-      if (!seek->into_reservation)
-        word &= ~index->held.word[k];
+      if (!seek->may_use_reserved)
+        word &= ~index->reserved.word[k];
       for (; word != 0 && missing > 0; word &= word - 1)
         {
           uint32_t w = k * WORD_BITS + (uint32_t) __builtin_ctzll (word);
-          uint32_t times = mux_size_times (want->size, sched->worker[w].free);
+          uint32_t times = mux_size_fit_count (want->size, sched->worker[w].free);
 
           times = times < missing ? times : missing;
           missing -= times;
@@ -363,10 +363,10 @@
 }
 
 void
-mux_index_reserve (MuxSched *sched, uint32_t w, bool held)
+mux_index_set_reserved (MuxSched *sched, uint32_t w, bool held)
 {
-  sched->worker[w].held = held;
-  bits_set (&sched->index.held, w, held);
+  sched->worker[w].reserved = held;
+  bits_set (&sched->index.reserved, w, held);
 }
 
 uint32_t
@@ -386,7 +386,7 @@
         {
           uint32_t w = k * WORD_BITS + (uint32_t) __builtin_ctzll (word);
           uint32_t times
-              = mux_size_times (class->size, sched->worker[w].capacity);
+              = mux_size_fit_count (class->size, sched->worker[w].capacity);
 
           if (times == 0)
             continue;
--- a/src/policy/internal.h
+++ b/src/policy/internal.h
@@ -28,7 +28,7 @@
 
 /** mux_size_times() - how many of @size fit into @room together */
 static inline uint32_t
-mux_size_times (MuxSize size, MuxSize room)
+mux_size_fit_count (MuxSize size, MuxSize room)
 {
   uint32_t n = UINT32_MAX;
 
@@ -57,7 +57,7 @@
 /* classes.c: classes and products */
 MuxClass *mux_class_find (MuxSched *sched, const char *name);
 /** mux_class_ghost() - the class, or one not configured to book under */
-MuxClass *mux_class_ghost (MuxSched *sched, const char *name);
+MuxClass *mux_class_find_or_add (MuxSched *sched, const char *name);
 void mux_classes_clear (MuxSched *sched);
 /** mux_class_urgent() - others yield to work of @spec */
 bool mux_class_urgent (const MuxClassSpec *spec);
@@ -68,10 +68,10 @@
 /** mux_class_racks_grow() - count in @racks racks; false: no memory */
 bool mux_class_racks_grow (MuxClass *class, uint32_t old, uint32_t racks);
 /** mux_class_borrows() - its tasks end soon enough to use idle quota */
-bool mux_class_borrows (const MuxClass *class);
+bool mux_class_may_borrow (const MuxClass *class);
 /** mux_product_allows() - @n more tasks of @class are within the quota */
 bool
-mux_product_allows (const MuxSched *sched, const MuxClass *class, uint32_t n);
+mux_product_within_quota (const MuxSched *sched, const MuxClass *class, uint32_t n);
 
 /* books.c: workers and what is booked on them */
 void mux_book (MuxSched *sched, uint32_t t, uint32_t w, MuxSize size);
@@ -90,15 +90,15 @@
 uint32_t mux_index_shape_ref (MuxSched *sched, MuxSize size);
 void mux_index_shape_unref (MuxSched *sched, uint32_t shape);
 /** mux_index_find() - best fit, or MUX_NONE */
-uint32_t mux_index_find (const MuxSched *sched, const MuxSeek *seek);
+uint32_t mux_index_find (const MuxSched *sched, const MuxWorkerQuery *seek);
 /** mux_index_holds() - @n tasks fit together now
  * @loss: room for urgent tasks that they would take, about */
-bool mux_index_holds (const MuxSched *sched,
-                      const MuxSeek *seek,
+bool mux_index_fits_together (const MuxSched *sched,
+                      const MuxWorkerQuery *seek,
                       uint32_t n,
                       uint64_t *loss);
 /** mux_index_reserve() - @w joins or leaves the workers of the reservation */
-void mux_index_reserve (MuxSched *sched, uint32_t w, bool held);
+void mux_index_set_reserved (MuxSched *sched, uint32_t w, bool held);
 /** mux_index_emptiest() - up to @cap workers that can hold tasks of @class
  * when empty, those with most room first; stops when they hold @n together
  * Return: how many. */
@@ -109,9 +109,9 @@
                              uint32_t cap);
 
 /* learn.c: what is known of a class from its reports */
-void mux_flow_tick (MuxFlow *flow, double dt_ms);
-double mux_flow_rate (const MuxFlow *flow);
-void mux_learn_declared (MuxClass *class);
+void mux_rate_update (MuxRate *flow, double dt_ms);
+double mux_rate_estimate (const MuxRate *flow);
+void mux_learn_reset (MuxClass *class);
 /** mux_learn_usage() - a task of it uses @used */
 void mux_learn_usage (MuxClass *class, MuxSize used);
 /** mux_learn_end() - a task of it ran @ran_ms and used @used */
@@ -121,53 +121,53 @@
 MuxSize mux_learn_size (const MuxSched *sched, const MuxClass *class);
 /** mux_learn_run_ms() - run time that @ppm of its tasks don't exceed;
  * UINT32_MAX: they run until stopped */
-uint32_t mux_learn_run_ms (const MuxClass *class, uint32_t ppm);
+uint32_t mux_learn_run_quantile_ms (const MuxClass *class, uint32_t ppm);
 
 /* reserve.c: room kept for the urgent work that is forecast */
 void mux_reserve_update (MuxSched *sched);
 /** mux_wait_chance() - chance that a task waits at all with @beta standard
  * deviations of room above the mean (Halfin and Whitt) */
-double mux_wait_chance (double beta);
+double mux_wait_probability (double beta);
 /** mux_reserve_floor() - others than urgent hold so little that the reserve
  * must not keep @n tasks of @class out */
 bool
-mux_reserve_floor (const MuxSched *sched, const MuxClass *class, uint32_t n);
+mux_reserve_below_floor (const MuxSched *sched, const MuxClass *class, uint32_t n);
 /** mux_reserve_count() - count anew what worker @w has for urgent tasks */
-void mux_reserve_count (MuxSched *sched, uint32_t w);
+void mux_reserve_update_worker (MuxSched *sched, uint32_t w);
 /** mux_reserve_resize() - after a change of urgent classes or of workers */
-void mux_reserve_resize (MuxSched *sched);
+void mux_reserve_recompute (MuxSched *sched);
 /** mux_reserve_spares() - a task of @class may go to worker @w without eating
  * into the reserve */
-bool mux_reserve_spares (const MuxSched *sched,
+bool mux_reserve_allows (const MuxSched *sched,
                          const MuxClass *class,
                          uint32_t w,
                          bool holder);
 /** mux_reserve_leaves() - the reserve allows to lose @loss of the room for
  * urgent tasks */
-bool mux_reserve_leaves (const MuxSched *sched, uint64_t loss, bool holder);
+bool mux_reserve_allows_loss (const MuxSched *sched, uint64_t loss, bool holder);
 
 /* reservation.c: the reservation of a blocked gang or large task */
 void mux_reservation_tick (MuxSched *sched, int64_t now_ms);
 void mux_reservation_drop (MuxSched *sched);
 /** mux_reservation_owned() - @t is who the reservation is for */
-bool mux_reservation_owned (const MuxSched *sched, uint32_t t);
+bool mux_reservation_is_for (const MuxSched *sched, uint32_t t);
 /** mux_reservation_backfills() - a task of @class started now is forecast to
  * end before the reservation needs its workers */
-bool mux_reservation_backfills (const MuxSched *sched,
+bool mux_reservation_may_backfill (const MuxSched *sched,
                                 const MuxClass *class,
                                 int64_t now_ms);
 
 /* breaker.c: workers that fail what they start */
-void mux_breaker_end (MuxSched *sched,
+void mux_breaker_task_ended (MuxSched *sched,
                       const MuxTask *task,
                       MuxTaskEnd end,
                       uint32_t ran_ms,
                       int64_t now_ms);
 /** mux_breaker_forget_probe() - @task is unbooked and tells nothing */
-void mux_breaker_forget_probe (MuxSched *sched, const MuxTask *task);
+void mux_breaker_cancel_probe (MuxSched *sched, const MuxTask *task);
 /** mux_breaker_probe() - tripped worker that a task of @class may probe now,
  * or MUX_NONE */
-uint32_t mux_breaker_probe (MuxSched *sched, const MuxSeek *seek);
+uint32_t mux_breaker_find_probe (MuxSched *sched, const MuxWorkerQuery *seek);
 /** mux_breaker_tick() - close what could not be probed for long */
 void mux_breaker_tick (MuxSched *sched, int64_t now_ms);
 /** mux_breaker_avoids() - @class failed lately on worker @w: others are tried
@@ -199,19 +199,19 @@
 #define MUX_LATE_SHARE 0.1
 /** mux_late_yields() - tasks of @class past their deadline go behind those
  * that can start in time */
-bool mux_late_yields (const MuxSched *sched, const MuxClass *class);
+bool mux_late_applies (const MuxSched *sched, const MuxClass *class);
 /** mux_late_move() - to the late lane with whom is past the deadline */
 void mux_late_move (MuxSched *sched, MuxClass *class, int64_t now_ms);
 /** mux_late_first() - the share of the starts that is kept for late tasks is
  * due: they go before the timely ones */
-bool mux_late_first (const MuxSched *sched);
+bool mux_late_share_due (const MuxSched *sched);
 /** mux_late_count() - a task of lane @lane starts */
-void mux_late_count (MuxSched *sched, const MuxClass *class, MuxLane lane);
+void mux_late_count_start (MuxSched *sched, const MuxClass *class, MuxQueueKind lane);
 
 /* queue.c: what waits */
 /** mux_queue_head() - the earliest deadline of a lane; NULL: it is empty */
 static inline const MuxHeapNode *
-mux_queue_head (const MuxClass *class, MuxLane lane)
+mux_queue_head (const MuxClass *class, MuxQueueKind lane)
 {
   return class->queue[lane].count > 0 ? class->queue[lane].node : NULL;
 }
@@ -220,7 +220,7 @@
 bool mux_queue_add (MuxSched *sched, uint32_t t);
 /** mux_queue_leave() - take a waiting task out of all queues; its gang, if
  * it was complete, gathers again */
-void mux_queue_leave (MuxSched *sched, uint32_t t);
+void mux_queue_remove (MuxSched *sched, uint32_t t);
 /** mux_queue_drop() - put a waiting task, and its gang, among the drops */
 void mux_queue_drop (MuxSched *sched, uint32_t t, MuxReason reason);
 
--- a/src/policy/late.c
+++ b/src/policy/late.c
@@ -20,24 +20,24 @@
 late_waiting (const MuxSched *sched)
 {
   for (uint32_t i = 0; i < sched->classes; i++)
-    if (sched->class_at[i]->queue[MUX_LANE_LATE].count > 0)
+    if (sched->class_at[i]->queue[MUX_QUEUE_LATE].count > 0)
       return true;
   return false;
 }
 
 bool
-mux_late_yields (const MuxSched *sched, const MuxClass *class)
+mux_late_applies (const MuxSched *sched, const MuxClass *class)
 {
-  return !class->urgent && !sched->tuning.no_late && !sched->tuning.no_tiers;
+  return !class->urgent && !sched->tuning.no_late_queue && !sched->tuning.no_tiers;
 }
 
 void
 mux_late_move (MuxSched *sched, MuxClass *class, int64_t now_ms)
 {
-  MuxHeap *timely = &class->queue[MUX_LANE_TIMELY];
-  MuxHeap *late = &class->queue[MUX_LANE_LATE];
+  MuxHeap *timely = &class->queue[MUX_QUEUE_ON_TIME];
+  MuxHeap *late = &class->queue[MUX_QUEUE_LATE];
 
-  if (!mux_late_yields (sched, class))
+  if (!mux_late_applies (sched, class))
     return;
   for (uint32_t i = 0;
        i < MOVES_MAX && timely->count > 0 && timely->node->key < now_ms; i++)
@@ -48,23 +48,23 @@
       if (!mux_heap_reserve (late, late->count + 1))
         return;
       mux_heap_remove (timely, sched->queue_pos, 0);
-      sched->task[node.item].lane = MUX_LANE_LATE;
+      sched->task[node.item].queue_kind = MUX_QUEUE_LATE;
       mux_heap_push (late, sched->queue_pos, node);
     }
 }
 
 bool
-mux_late_first (const MuxSched *sched)
+mux_late_share_due (const MuxSched *sched)
 {
   return sched->late_credit >= 1;
 }
 
 void
-mux_late_count (MuxSched *sched, const MuxClass *class, MuxLane lane)
+mux_late_count_start (MuxSched *sched, const MuxClass *class, MuxQueueKind lane)
 {
   if (class->urgent)
     return;
-  if (lane == MUX_LANE_LATE)
+  if (lane == MUX_QUEUE_LATE)
     sched->late_credit
         = fmax (-CREDIT_MAX, sched->late_credit - 1 + MUX_LATE_SHARE);
   else if (late_waiting (sched))
--- a/src/policy/learn.c
+++ b/src/policy/learn.c
@@ -18,23 +18,23 @@
 #define MEAN_WEIGHT_MAX 4096.0
 
 void
-mux_flow_tick (MuxFlow *flow, double dt_ms)
+mux_rate_update (MuxRate *flow, double dt_ms)
 {
-  double rate = flow->ticked / dt_ms;
+  double rate = flow->count / dt_ms;
 
-  flow->ticked = 0;
+  flow->count = 0;
   flow->fast += (rate - flow->fast) * (1 - exp (-dt_ms / FAST_MS));
   flow->slow += (rate - flow->slow) * (1 - exp (-dt_ms / SLOW_MS));
 }
 
 double
-mux_flow_rate (const MuxFlow *flow)
+mux_rate_estimate (const MuxRate *flow)
 {
   return flow->fast > flow->slow ? flow->fast : flow->slow;
 }
 
 void
-mux_learn_declared (MuxClass *class)
+mux_learn_reset (MuxClass *class)
 {
   class->run_hist = (MuxHist){ 0 };
   class->cpu_hist = (MuxHist){ 0 };
@@ -112,7 +112,7 @@
 }
 
 uint32_t
-mux_learn_run_ms (const MuxClass *class, uint32_t ppm)
+mux_learn_run_quantile_ms (const MuxClass *class, uint32_t ppm)
 {
   if (class->run_hist.count == 0 || class->spec.kind == MUX_KIND_LONG_RUNNING)
     return UINT32_MAX;
--- a/src/policy/queue.c
+++ b/src/policy/queue.c
@@ -6,16 +6,16 @@
   MuxTask *task = &sched->task[t];
   MuxHeapNode node = { task->start_by_ms, task->seq, t };
 
-  return mux_heap_push (&sched->class_at[task->class_id]->queue[task->lane],
+  return mux_heap_push (&sched->class_at[task->class_id]->queue[task->queue_kind],
                         sched->queue_pos, node);
 }
 
 const MuxHeapNode *
 mux_queue_earliest (const MuxClass *class)
 {
-  const MuxHeapNode *late = mux_queue_head (class, MUX_LANE_LATE);
+  const MuxHeapNode *late = mux_queue_head (class, MUX_QUEUE_LATE);
 
-  return late != NULL ? late : mux_queue_head (class, MUX_LANE_TIMELY);
+  return late != NULL ? late : mux_queue_head (class, MUX_QUEUE_ON_TIME);
 }
 
 static void
@@ -25,7 +25,7 @@
   MuxClass *class = sched->class_at[task->class_id];
 
   if (sched->queue_pos[t] != MUX_NONE)
-    mux_heap_remove (&class->queue[task->lane], sched->queue_pos,
+    mux_heap_remove (&class->queue[task->queue_kind], sched->queue_pos,
                      sched->queue_pos[t]);
 }
 
@@ -55,7 +55,7 @@
 }
 
 void
-mux_queue_leave (MuxSched *sched, uint32_t t)
+mux_queue_remove (MuxSched *sched, uint32_t t)
 {
   MuxTask *task = &sched->task[t];
 
@@ -64,7 +64,7 @@
   unqueue (sched, t);
   if (sched->expire_pos[t] != MUX_NONE)
     mux_heap_remove (&sched->expire, sched->expire_pos, sched->expire_pos[t]);
-  mux_list_drop (sched, &sched->age, MUX_LINK_AGE, t);
+  mux_list_drop (sched, &sched->waiting_by_age, MUX_LINK_AGE, t);
   sched->class_at[task->class_id]->waiting--;
   sched->waiting--;
 }
@@ -72,10 +72,10 @@
 static void
 drop_one (MuxSched *sched, uint32_t t, MuxReason reason)
 {
-  mux_queue_leave (sched, t);
+  mux_queue_remove (sched, t);
   sched->task[t].state = MUX_TASK_DROPPING;
   sched->task[t].reason = (uint8_t) reason;
-  mux_list_add (sched, &sched->drops, MUX_LINK_MEMBER, t);
+  mux_list_add (sched, &sched->dropped, MUX_LINK_MEMBER, t);
 }
 
 void
@@ -89,7 +89,7 @@
       return;
     }
   /* Without one member the others can never start. */
-  while (sched->gang[g].used && sched->gang[g].members.head != MUX_NONE)
+  while (sched->gang[g].in_use && sched->gang[g].members.head != MUX_NONE)
     drop_one (sched, sched->gang[g].members.head, reason);
 }
 
@@ -101,9 +101,9 @@
   if (t == MUX_NONE || sched->task[t].state == MUX_TASK_BOOKED)
     return false;
   if (sched->task[t].state == MUX_TASK_DROPPING)
-    mux_list_drop (sched, &sched->drops, MUX_LINK_MEMBER, t);
+    mux_list_drop (sched, &sched->dropped, MUX_LINK_MEMBER, t);
   else
-    mux_queue_leave (sched, t);
+    mux_queue_remove (sched, t);
   mux_task_free (sched, t);
   return true;
 }
--- a/src/policy/reservation.c
+++ b/src/policy/reservation.c
@@ -30,7 +30,7 @@
 static int64_t
 forecast_end (const MuxSched *sched, const MuxTask *task, int64_t now_ms)
 {
-  uint32_t run = mux_learn_run_ms (sched->class_at[task->class_id], 900000);
+  uint32_t run = mux_learn_run_quantile_ms (sched->class_at[task->class_id], 900000);
   int64_t ran = now_ms - task->booked_ms;
 
   if (run == UINT32_MAX)
@@ -41,7 +41,7 @@
 }
 
 bool
-mux_reservation_owned (const MuxSched *sched, uint32_t t)
+mux_reservation_is_for (const MuxSched *sched, uint32_t t)
 {
   return sched->reservation.task != MUX_NONE && sched->reservation.task == t
          && mux_id_equal (sched->reservation.task_id, sched->task[t].id);
@@ -53,9 +53,9 @@
   MuxReservation *res = &sched->reservation;
 
   for (uint32_t i = 0; i < res->count; i++)
-    mux_index_reserve (sched, res->workers[i], false);
+    mux_index_set_reserved (sched, res->workers[i], false);
   res->count = 0;
-  res->need = 0;
+  res->urgent_room_taken = 0;
   res->task = MUX_NONE;
 }
 
@@ -103,17 +103,17 @@
   uint32_t *workers;
   MuxSize *left;
 
-  if (count <= res->room)
+  if (count <= res->workers_allocated)
     return true;
   workers = realloc (res->workers, count * sizeof *workers);
   if (workers == NULL)
     return false;
   res->workers = workers;
-  left = realloc (res->left, count * sizeof *left);
+  left = realloc (res->free_when_ready, count * sizeof *left);
   if (left == NULL)
     return false;
-  res->left = left;
-  res->room = count;
+  res->free_when_ready = left;
+  res->workers_allocated = count;
   return true;
 }
 
@@ -123,13 +123,13 @@
   MuxRelease *release;
   uint32_t room = 2 * (count + 1);
 
-  if (count <= res->release_room && res->release != NULL)
-    return res->release;
-  release = realloc (res->release, (size_t) room * sizeof *release);
+  if (count <= res->releases_allocated && res->releases != NULL)
+    return res->releases;
+  release = realloc (res->releases, (size_t) room * sizeof *release);
   if (release == NULL)
     return NULL;
-  res->release = release;
-  res->release_room = room;
+  res->releases = release;
+  res->releases_allocated = room;
   return release;
 }
 
@@ -148,7 +148,7 @@
   MuxReservation *res = &sched->reservation;
   const uint32_t *workers = res->workers;
   MuxRelease *release = release_room (res, tasks_on (sched, workers, count));
-  MuxSize *room = res->left;
+  MuxSize *room = res->free_when_ready;
   int64_t ready = now_ms;
   uint64_t fit = 0;
   uint32_t releases;
@@ -160,15 +160,15 @@
     {
       room[i] = open_worker (sched, workers[i]) ? sched->worker[workers[i]].free
                                                 : (MuxSize){ 0 };
-      fit += mux_size_times (class->size, room[i]);
+      fit += mux_size_fit_count (class->size, room[i]);
     }
   for (uint32_t i = 0; i < releases && fit < n; i++)
     {
       uint32_t k = release[i].worker;
 
-      fit -= mux_size_times (class->size, room[k]);
+      fit -= mux_size_fit_count (class->size, room[k]);
       room[k] = mux_size_add (room[k], release[i].size);
-      fit += mux_size_times (class->size, room[k]);
+      fit += mux_size_fit_count (class->size, room[k]);
       ready = release[i].end_ms;
     }
   return fit >= n ? ready : INT64_MAX;
@@ -179,7 +179,7 @@
 {
   uint32_t g = sched->task[t].gang;
 
-  return g == MUX_NONE ? 1 : sched->gang[g].wanted;
+  return g == MUX_NONE ? 1 : sched->gang[g].task_count;
 }
 
 /* Room for urgent tasks that @n tasks of @class take of @room. */
@@ -192,8 +192,8 @@
     return 0;
   for (uint32_t i = 0; i < n; i++)
     left = mux_size_sub (left, class->size);
-  return mux_size_times (sched->urgent_size, room)
-         - mux_size_times (sched->urgent_size, left);
+  return mux_size_fit_count (sched->urgent_size, room)
+         - mux_size_fit_count (sched->urgent_size, left);
 }
 
 /* Keep of the workers looked at those that take part, the roomiest first. */
@@ -202,16 +202,16 @@
 {
   MuxReservation *res = &sched->reservation;
 
-  res->need = 0;
+  res->urgent_room_taken = 0;
   for (uint32_t i = 0; i < count && n > 0; i++)
     {
-      uint32_t times = mux_size_times (class->size, res->left[i]);
+      uint32_t times = mux_size_fit_count (class->size, res->free_when_ready[i]);
 
       if (times == 0)
         continue;
       times = times < n ? times : n;
       n -= times;
-      res->need += need_of (sched, class, times, res->left[i]);
+      res->urgent_room_taken += need_of (sched, class, times, res->free_when_ready[i]);
       res->workers[res->count++] = res->workers[i];
     }
 }
@@ -238,10 +238,10 @@
   trim (sched, class, n, count);
   res->task = t;
   res->task_id = sched->task[t].id;
-  res->tried = 0;
-  res->until_ms = now_ms + 2 * (res->ready_ms - now_ms) + RESERVATION_MIN_MS;
+  res->tried_gen = 0;
+  res->expires_ms = now_ms + 2 * (res->ready_ms - now_ms) + RESERVATION_MIN_MS;
   for (uint32_t i = 0; i < res->count; i++)
-    mux_index_reserve (sched, res->workers[i], true);
+    mux_index_set_reserved (sched, res->workers[i], true);
 }
 
 /* The end of stragglers is forecast anew, so that backfill stays possible. */
@@ -267,9 +267,9 @@
 {
   const MuxReservation *res = &sched->reservation;
 
-  return res->task != MUX_NONE && mux_reservation_owned (sched, res->task)
+  return res->task != MUX_NONE && mux_reservation_is_for (sched, res->task)
          && sched->task[res->task].state == MUX_TASK_WAITING
-         && sched->queue_pos[res->task] != MUX_NONE && now_ms < res->until_ms;
+         && sched->queue_pos[res->task] != MUX_NONE && now_ms < res->expires_ms;
 }
 
 /* Gangs, tasks too large for any gap, and whoever has used up half of its
@@ -284,7 +284,7 @@
   int64_t half = class->spec.start_within_ms / 2;
 
   if (head == NULL || class->shape == MUX_NONE
-      || !mux_product_allows (sched, class, unit_count (sched, head->item)))
+      || !mux_product_within_quota (sched, class, unit_count (sched, head->item)))
     return false;
   return sched->task[head->item].gang != MUX_NONE
          || sched->index.shape[class->shape].fits.count == 0
@@ -294,7 +294,7 @@
 /* One at a time, the earliest deadline first: reservations can't wait for each
  * other.  One that expired without success goes behind the others. */
 static uint32_t
-choose_in (const MuxSched *sched, MuxLane lane, MuxId expired, int64_t now_ms)
+choose_in (const MuxSched *sched, MuxQueueKind lane, MuxId expired, int64_t now_ms)
 {
   const MuxHeapNode *best = NULL;
   uint32_t again = MUX_NONE;
@@ -319,7 +319,7 @@
 {
   for (uint32_t i = 0; i < sched->classes; i++)
     if (!sched->class_at[i]->urgent
-        && mux_queue_head (sched->class_at[i], MUX_LANE_TIMELY) != NULL)
+        && mux_queue_head (sched->class_at[i], MUX_QUEUE_ON_TIME) != NULL)
       return true;
   return false;
 }
@@ -330,10 +330,10 @@
 {
   uint32_t t = MUX_NONE;
 
-  if (mux_late_first (sched) || !timely_waiting (sched))
-    t = choose_in (sched, MUX_LANE_LATE, expired, now_ms);
+  if (mux_late_share_due (sched) || !timely_waiting (sched))
+    t = choose_in (sched, MUX_QUEUE_LATE, expired, now_ms);
   return t != MUX_NONE ? t
-                       : choose_in (sched, MUX_LANE_TIMELY, expired, now_ms);
+                       : choose_in (sched, MUX_QUEUE_ON_TIME, expired, now_ms);
 }
 
 void
@@ -356,11 +356,11 @@
 }
 
 bool
-mux_reservation_backfills (const MuxSched *sched,
+mux_reservation_may_backfill (const MuxSched *sched,
                            const MuxClass *class,
                            int64_t now_ms)
 {
-  uint32_t run = mux_learn_run_ms (class, 900000);
+  uint32_t run = mux_learn_run_quantile_ms (class, 900000);
 
   return run != UINT32_MAX && now_ms + run <= sched->reservation.ready_ms;
 }
--- a/src/policy/reserve.c
+++ b/src/policy/reserve.c
@@ -36,7 +36,7 @@
   for (uint32_t i = 0; i < sched->classes; i++)
     {
       const MuxClass *class = sched->class_at[i];
-      double rate = mux_flow_rate (&class->arrivals);
+      double rate = mux_rate_estimate (&class->arrivals);
       double miss = (1e6 - class->spec.start_share_ppm) / 1e6;
 
       if (!class->configured || !class->urgent || rate <= 0
@@ -51,7 +51,7 @@
 }
 
 double
-mux_wait_chance (double beta)
+mux_wait_probability (double beta)
 {
   double density = exp (-beta * beta / 2) / sqrt (2 * M_PI);
   double below = erfc (-beta / M_SQRT2) / 2;
@@ -72,7 +72,7 @@
   double beta = BETA_STEP;
 
   while (beta < BETA_MAX
-         && mux_wait_chance (beta) * exp (-beta * spread * turns)
+         && mux_wait_probability (beta) * exp (-beta * spread * turns)
                 > demand->miss / MISS_MARGIN)
     beta += BETA_STEP;
   return beta * spread;
@@ -82,7 +82,7 @@
 mux_reserve_update (MuxSched *sched)
 {
   Demand demand = forecast_demand (sched);
-  double idle = (double) sched->urgent_most * sched->cell.idle_ppm / 1e6;
+  double idle = (double) sched->urgent_room_max * sched->cell.idle_ppm / 1e6;
   double more, want;
 
   if (demand.tasks <= 0)
@@ -121,47 +121,47 @@
 }
 
 void
-mux_reserve_count (MuxSched *sched, uint32_t w)
+mux_reserve_update_worker (MuxSched *sched, uint32_t w)
 {
   MuxWorker *worker = &sched->worker[w];
   bool open = worker->level != MUX_NONE && sched->urgent_size.slots > 0;
-  uint32_t now = open ? mux_size_times (sched->urgent_size, worker->free) : 0;
+  uint32_t now = open ? mux_size_fit_count (sched->urgent_size, worker->free) : 0;
 
   sched->urgent_room = sched->urgent_room - worker->urgent_room + now;
   worker->urgent_room = now;
 }
 
 void
-mux_reserve_resize (MuxSched *sched)
+mux_reserve_recompute (MuxSched *sched)
 {
   sched->urgent_size = largest_urgent (sched);
-  sched->urgent_most = 0;
+  sched->urgent_room_max = 0;
   for (uint32_t w = 0; w < sched->workers; w++)
     {
       const MuxWorker *worker = &sched->worker[w];
 
-      mux_reserve_count (sched, w);
+      mux_reserve_update_worker (sched, w);
       if (worker->present && worker->usable && sched->urgent_size.slots > 0)
-        sched->urgent_most
-            += mux_size_times (sched->urgent_size, worker->capacity);
+        sched->urgent_room_max
+            += mux_size_fit_count (sched->urgent_size, worker->capacity);
     }
 }
 
 bool
-mux_reserve_leaves (const MuxSched *sched, uint64_t loss, bool holder)
+mux_reserve_allows_loss (const MuxSched *sched, uint64_t loss, bool holder)
 {
   double kept = fmax (0, sched->reserve_target - sched->urgent_running);
 
   /* What the holder is going to take is no spare room for anybody else, be
    * it free now or lent to urgent tasks. */
   if (!holder)
-    kept += (double) sched->reservation.need;
+    kept += (double) sched->reservation.urgent_room_taken;
   return sched->tuning.no_reserve || loss == 0
          || (double) sched->urgent_room >= kept + (double) loss;
 }
 
 bool
-mux_reserve_spares (const MuxSched *sched,
+mux_reserve_allows (const MuxSched *sched,
                     const MuxClass *class,
                     uint32_t w,
                     bool holder)
@@ -169,14 +169,14 @@
   const MuxWorker *worker = &sched->worker[w];
   MuxSize then = mux_size_sub (worker->free, class->size);
   uint32_t room = sched->urgent_size.slots > 0
-                      ? mux_size_times (sched->urgent_size, then)
+                      ? mux_size_fit_count (sched->urgent_size, then)
                       : 0;
 
-  return mux_reserve_leaves (sched, worker->urgent_room - room, holder);
+  return mux_reserve_allows_loss (sched, worker->urgent_room - room, holder);
 }
 
 bool
-mux_reserve_floor (const MuxSched *sched, const MuxClass *class, uint32_t n)
+mux_reserve_below_floor (const MuxSched *sched, const MuxClass *class, uint32_t n)
 {
   if (sched->deferrable_booked[MUX_DIM_SLOTS] == 0)
     return true;
--- a/src/policy/risk.c
+++ b/src/policy/risk.c
@@ -43,7 +43,7 @@
 
 /* Arrivals go on rising as they do now. */
 static double
-rate_ahead (const MuxFlow *flow)
+rate_ahead (const MuxRate *flow)
 {
   double rise = flow->fast - flow->slow;
 
@@ -119,7 +119,7 @@
     }
   beta = (out->urgent_capacity - out->urgent_tasks) / sqrt (out->urgent_tasks);
   return 1
-         - mux_wait_chance (beta) * exp (-(served - out->urgent_rate) * within);
+         - mux_wait_probability (beta) * exp (-(served - out->urgent_rate) * within);
 }
 
 static double
@@ -173,7 +173,7 @@
 static bool
 stuck (const MuxSched *sched, const MuxClass *class)
 {
-  if (!mux_product_allows (sched, class, 1) && !mux_class_borrows (class))
+  if (!mux_product_within_quota (sched, class, 1) && !mux_class_may_borrow (class))
     return true;
   return class->spec.kind == MUX_KIND_LONG_RUNNING
          && sched->index.shape[class->shape].fits.count == 0;
@@ -234,10 +234,10 @@
       = sched->usable > 0 ? (double) sched->tripped / sched->usable : 0;
   double tasks = class->waiting > 0 ? class->waiting : 1;
 
-  if (!mux_product_allows (sched, class, 1))
+  if (!mux_product_within_quota (sched, class, 1))
     return MUX_RISK_QUOTA;
-  if (failing > 0 && out->urgent_tasks < sched->urgent_most
-      && (1 - failing) * sched->urgent_most < out->urgent_tasks * 1.1)
+  if (failing > 0 && out->urgent_tasks < sched->urgent_room_max
+      && (1 - failing) * sched->urgent_room_max < out->urgent_tasks * 1.1)
     return MUX_RISK_WORKERS_FAILING;
   if (class->spec.kind == MUX_KIND_GANG && class->size.slots > 0
       && (double) sched->free[dim] >= tasks * mux_size_dim (class->size, dim))
@@ -282,7 +282,7 @@
 {
   if (class->starts.fast < SEEN_RATE_MIN)
     return 1;
-  return fmin (1, class->inside.fast / class->starts.fast);
+  return fmin (1, class->on_time.fast / class->starts.fast);
 }
 
 static MuxRisk
@@ -304,7 +304,7 @@
   if (risk.at_risk)
     {
       risk.cause = cause_of (sched, class, out);
-      risk.cure = cure_of (class, out);
+      risk.shortfall = cure_of (class, out);
     }
   return risk;
 }
--- a/src/policy/sched.c
+++ b/src/policy/sched.c
@@ -16,7 +16,7 @@
   sched->task = calloc (room, sizeof *sched->task);
   sched->queue_pos = calloc (room, sizeof *sched->queue_pos);
   sched->expire_pos = calloc (room, sizeof *sched->expire_pos);
-  sched->task_room = room;
+  sched->tasks_allocated = room;
   return sched->task != NULL && sched->queue_pos != NULL
          && sched->expire_pos != NULL && mux_idmap_init (&sched->task_ids, room)
          && mux_idmap_init (&sched->gang_ids, 0)
@@ -39,15 +39,15 @@
   sched->gang_free = MUX_NONE;
   sched->worker_gen = 1;
   sched->room_gen = 1;
-  sched->rack_room = RACKS_MIN;
+  sched->racks_allocated = RACKS_MIN;
   sched->reservation.task = MUX_NONE;
   sched->next_probe_ms = INT64_MAX;
-  sched->tick_ms = INT64_MIN;
+  sched->next_tick_ms = INT64_MIN;
   /* The generator must not start from 0. */
-  sched->random = options->seed * 2 + 1;
-  mux_list_init (&sched->age);
-  mux_list_init (&sched->drops);
-  mux_list_init (&sched->emission);
+  sched->rng_state = options->seed * 2 + 1;
+  mux_list_init (&sched->waiting_by_age);
+  mux_list_init (&sched->dropped);
+  mux_list_init (&sched->placed);
   if (!init (sched))
     {
       mux_sched_free (sched);
@@ -65,8 +65,8 @@
   mux_racks_clear (sched);
   mux_index_clear (&sched->index);
   free (sched->reservation.workers);
-  free (sched->reservation.left);
-  free (sched->reservation.release);
+  free (sched->reservation.free_when_ready);
+  free (sched->reservation.releases);
   mux_heap_clear (&sched->expire);
   mux_idmap_clear (&sched->task_ids);
   mux_idmap_clear (&sched->gang_ids);
@@ -104,7 +104,7 @@
                  uint32_t w,
                  MuxSize size)
 {
-  MuxClass *class = mux_class_ghost (sched, class_name);
+  MuxClass *class = mux_class_find_or_add (sched, class_name);
   uint32_t t = mux_idmap_get (&sched->task_ids, id);
 
   if (class == NULL || w >= sched->workers || !sched->worker[w].present)
@@ -114,9 +114,9 @@
   else if (sched->task[t].state == MUX_TASK_BOOKED)
     mux_unbook (sched, t);
   else if (sched->task[t].state == MUX_TASK_DROPPING)
-    mux_list_drop (sched, &sched->drops, MUX_LINK_MEMBER, t);
+    mux_list_drop (sched, &sched->dropped, MUX_LINK_MEMBER, t);
   else
-    mux_queue_leave (sched, t);
+    mux_queue_remove (sched, t);
   if (t == MUX_NONE)
     return false;
   size.slots = size.slots == 0 ? 1 : size.slots;
@@ -124,7 +124,7 @@
   mux_book (sched, t, w, size);
   sched->task[t].started = true;
   /* When it started is not told; now is near enough for forecasts. */
-  sched->task[t].booked_ms = sched->tick_ms == INT64_MIN ? 0 : sched->tick_ms;
+  sched->task[t].booked_ms = sched->next_tick_ms == INT64_MIN ? 0 : sched->next_tick_ms;
   return true;
 }
 
@@ -147,7 +147,7 @@
 /* A class that declares too little would overload its workers until its first
  * tasks end; what runs is booked with what it is seen to use. */
 void
-mux_sched_used (MuxSched *sched, MuxId id, MuxSize used)
+mux_sched_report_usage (MuxSched *sched, MuxId id, MuxSize used)
 {
   uint32_t t = mux_idmap_get (&sched->task_ids, id);
   MuxTask *task;
@@ -179,8 +179,8 @@
     return false;
   if (end == MUX_END_OK)
     mux_learn_end (sched->class_at[sched->task[t].class_id], ran_ms, used);
-  mux_breaker_end (sched, &sched->task[t], end, ran_ms, now_ms);
-  sched->ends.ticked++;
+  mux_breaker_task_ended (sched, &sched->task[t], end, ran_ms, now_ms);
+  sched->ends.count++;
   mux_unbook (sched, t);
   mux_task_free (sched, t);
   return true;
@@ -237,15 +237,15 @@
 {
   MuxSchedStats stats = { .total = size_of (sched->total),
                           .free = size_of (sched->free),
-                          .room = trusted_free (sched),
+                          .available = trusted_free (sched),
                           .queued = sched->waiting,
                           .booked = sched->booked };
 
-  if (sched->age.head != MUX_NONE)
+  if (sched->waiting_by_age.head != MUX_NONE)
     {
-      int64_t wait = now_ms - sched->task[sched->age.head].asked_ms;
+      int64_t wait = now_ms - sched->task[sched->waiting_by_age.head].submitted_ms;
 
-      stats.oldest_ms = wait > 0 ? cut ((uint64_t) wait) : 0;
+      stats.oldest_wait_ms = wait > 0 ? cut ((uint64_t) wait) : 0;
     }
   return stats;
 }
--- a/src/policy/tasks.c
+++ b/src/policy/tasks.c
@@ -5,7 +5,7 @@
 static bool
 grow_tasks (MuxSched *sched)
 {
-  uint32_t room = sched->task_room * 2;
+  uint32_t room = sched->tasks_allocated * 2;
   MuxTask *task = realloc (sched->task, room * sizeof *task);
 
   if (task == NULL)
@@ -21,7 +21,7 @@
   if (pos == NULL)
     return false;
   sched->expire_pos = pos;
-  sched->task_room = room;
+  sched->tasks_allocated = room;
   return true;
 }
 
@@ -30,7 +30,7 @@
 {
   uint32_t t = sched->task_free;
 
-  if (t == MUX_NONE && sched->tasks == sched->task_room && !grow_tasks (sched))
+  if (t == MUX_NONE && sched->tasks == sched->tasks_allocated && !grow_tasks (sched))
     return MUX_NONE;
   if (t == MUX_NONE)
     t = sched->tasks;
@@ -98,13 +98,13 @@
 static bool
 grow_gangs (MuxSched *sched)
 {
-  uint32_t room = sched->gang_room < 16 ? 16 : sched->gang_room * 2;
+  uint32_t room = sched->gangs_allocated < 16 ? 16 : sched->gangs_allocated * 2;
   MuxGang *gang = realloc (sched->gang, room * sizeof *gang);
 
   if (gang == NULL)
     return false;
   sched->gang = gang;
-  sched->gang_room = room;
+  sched->gangs_allocated = room;
   return true;
 }
 
@@ -113,7 +113,7 @@
 {
   uint32_t g = sched->gang_free;
 
-  if (g == MUX_NONE && sched->gangs == sched->gang_room && !grow_gangs (sched))
+  if (g == MUX_NONE && sched->gangs == sched->gangs_allocated && !grow_gangs (sched))
     return MUX_NONE;
   if (g == MUX_NONE)
     g = sched->gangs;
@@ -122,9 +122,9 @@
   if (g == sched->gangs)
     sched->gangs++;
   else
-    sched->gang_free = sched->gang[g].wanted;
+    sched->gang_free = sched->gang[g].task_count;
   sched->gang[g] = (MuxGang){
-    .group = group, .wanted = wanted, .class_id = class_id, .used = true
+    .group = group, .task_count = wanted, .class_id = class_id, .in_use = true
   };
   mux_list_init (&sched->gang[g].members);
   return g;
@@ -134,7 +134,7 @@
 mux_gang_free (MuxSched *sched, uint32_t g)
 {
   mux_idmap_drop (&sched->gang_ids, sched->gang[g].group);
-  sched->gang[g].used = false;
-  sched->gang[g].wanted = sched->gang_free;
+  sched->gang[g].in_use = false;
+  sched->gang[g].task_count = sched->gang_free;
   sched->gang_free = g;
 }
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -51,10 +51,10 @@
 /* Queues of a class; within each the earliest start deadline goes first. */
 typedef enum
 {
-  MUX_LANE_TIMELY, /* can start in time still */
-  MUX_LANE_LATE,   /* deferrable and past the deadline of its start */
-  MUX_LANES
-} MuxLane;
+  MUX_QUEUE_ON_TIME, /* can start in time still */
+  MUX_QUEUE_LATE,   /* deferrable and past the deadline of its start */
+  MUX_QUEUES
+} MuxQueueKind;
 
 typedef enum
 {
@@ -89,8 +89,8 @@
   MuxId id;
   uint64_t seq;
   int64_t start_by_ms;
-  int64_t give_up_ms;
-  int64_t asked_ms;
+  int64_t expires_ms;
+  int64_t submitted_ms;
   int64_t booked_ms;
   MuxSize size;
   uint32_t class_id;
@@ -99,9 +99,9 @@
   uint32_t avoid;
   MuxLink link[MUX_LINKS];
   uint8_t state;
-  uint8_t lane;
+  uint8_t queue_kind;
   uint8_t reason;
-  bool emitting;
+  bool unreported;
   bool started;
 } MuxTask;
 
@@ -118,11 +118,11 @@
 {
   MuxId group;
   MuxList members;
-  uint32_t wanted;
+  uint32_t task_count;
   uint32_t class_id;
-  bool used;
+  bool in_use;
   bool queued;
-  uint64_t tried;
+  uint64_t tried_gen;
 } MuxGang;
 
 /**
@@ -147,10 +147,10 @@
  */
 typedef struct
 {
-  uint32_t ticked;
+  uint32_t count;
   double fast;
   double slow;
-} MuxFlow;
+} MuxRate;
 
 /**
  * struct MuxClass - a class, its queue and its part of the books
@@ -190,25 +190,25 @@
   MuxSize size;
   uint32_t shape;
   MuxProduct *product;
-  MuxHeap queue[MUX_LANES];
+  MuxHeap queue[MUX_QUEUES];
   uint32_t waiting;
   uint32_t booked;
-  uint64_t tried[MUX_LANES];
+  uint64_t blocked_decision[MUX_QUEUES];
   bool urgent;
-  MuxFlow arrivals;
-  MuxFlow starts;
-  MuxFlow inside;
+  MuxRate arrivals;
+  MuxRate starts;
+  MuxRate on_time;
   MuxHist run_hist;
   double run_mean_ms;
   MuxHist cpu_hist;
   MuxHist mem_hist;
   MuxHist wait_hist;
   bool shedding;
-  int64_t calm_ms;
-  int64_t shed_ms;
+  int64_t last_on_target_ms;
+  int64_t last_shed_ms;
   uint32_t reports;
-  double failed;
-  double judged;
+  double failures;
+  double outcomes;
   uint32_t *rack_count;
   uint64_t fit_gen;
   uint64_t fit_count;
@@ -219,7 +219,7 @@
 {
   MUX_BREAKER_CLOSED,
   MUX_BREAKER_OPEN,    /* no work until open_until_ms, then one probe */
-  MUX_BREAKER_PROBING, /* its probe runs */
+  MUX_BREAKER_HALF_OPEN, /* its probe runs */
 } MuxBreakerState;
 
 /**
@@ -236,13 +236,13 @@
 typedef struct
 {
   MuxBreakerState state;
-  double blame;
+  double failure_score;
   uint32_t backoff_ms;
   int64_t open_until_ms;
-  bool on_trial;
+  bool closed_unprobed;
   MuxId probe;
-  uint64_t failing;
-  int64_t failing_ms;
+  uint64_t failing_classes;
+  int64_t last_failure_ms;
 } MuxBreaker;
 
 /**
@@ -277,7 +277,7 @@
   MuxList tasks;
   bool present;
   bool usable;
-  bool held;
+  bool reserved;
   uint32_t urgent_room;
   uint32_t level;
   MuxBreaker breaker;
@@ -311,14 +311,14 @@
   MuxId task_id;
   uint32_t *workers;
   uint32_t count;
-  uint32_t room;
+  uint32_t workers_allocated;
   int64_t ready_ms;
-  int64_t until_ms;
-  uint64_t tried;
-  uint64_t need;
-  MuxSize *left;
-  MuxRelease *release;
-  uint32_t release_room;
+  int64_t expires_ms;
+  uint64_t tried_gen;
+  uint64_t urgent_room_taken;
+  MuxSize *free_when_ready;
+  MuxRelease *releases;
+  uint32_t releases_allocated;
 } MuxReservation;
 
 /**
@@ -332,9 +332,9 @@
 {
   const MuxClass *class;
   uint32_t avoid;
-  bool into_reservation;
+  bool may_use_reserved;
   int64_t now_ms;
-} MuxSeek;
+} MuxWorkerQuery;
 
 /**
  * struct MuxBits - set of workers with a summary of its non-zero words
@@ -370,10 +370,10 @@
 {
   uint32_t words;
   MuxBits level[MUX_LEVELS];
-  MuxBits held;
+  MuxBits reserved;
   MuxShape *shape;
   uint32_t shapes;
-  uint32_t shape_room;
+  uint32_t shapes_allocated;
 } MuxIndex;
 
 struct MuxSched
@@ -387,25 +387,25 @@
   uint32_t *queue_pos;
   uint32_t *expire_pos;
   uint32_t tasks;
-  uint32_t task_room;
+  uint32_t tasks_allocated;
   uint32_t task_free;
   uint64_t seq;
 
   MuxIdMap gang_ids;
   MuxGang *gang;
   uint32_t gangs;
-  uint32_t gang_room;
+  uint32_t gangs_allocated;
   uint32_t gang_free;
 
   MuxClass **class_at;
   uint32_t classes;
-  uint32_t class_room;
-  MuxClass *class_names;
-  MuxProduct *product_names;
+  uint32_t classes_allocated;
+  MuxClass *classes_by_name;
+  MuxProduct *products_by_name;
 
   MuxWorker *worker;
   uint32_t workers;
-  uint32_t worker_room;
+  uint32_t workers_allocated;
   uint32_t present;
   uint32_t usable;
   uint64_t worker_gen;
@@ -413,30 +413,30 @@
   uint64_t total[MUX_DIMS];
   uint64_t free[MUX_DIMS];
 
-  MuxRack *rack_names;
+  MuxRack *racks_by_name;
   uint32_t racks;
   uint32_t rack_ids;
-  uint32_t rack_room;
+  uint32_t racks_allocated;
   uint32_t tripped;
   int64_t next_probe_ms;
-  int64_t tick_ms;
+  int64_t next_tick_ms;
   uint64_t decisions;
-  MuxFlow ends;
+  MuxRate ends;
   double reserve_target;
   MuxSize urgent_size;
   uint64_t urgent_room;
-  uint64_t urgent_most;
+  uint64_t urgent_room_max;
   uint32_t urgent_running;
   uint64_t deferrable_booked[MUX_DIMS];
   MuxTuning tuning;
   MuxReservation reservation;
-  uint64_t random;
+  uint64_t rng_state;
 
   MuxIndex index;
   MuxHeap expire;
-  MuxList age;
-  MuxList drops;
-  MuxList emission;
+  MuxList waiting_by_age;
+  MuxList dropped;
+  MuxList placed;
   uint32_t waiting;
   uint32_t booked;
   double late_credit; /* starts that the late lanes are owed */
--- a/test/support/cell_world.c
+++ b/test/support/cell_world.c
@@ -890,7 +890,7 @@
 {
   MuxQueueConfig *config = change_config (world);
 
-  config->item[0].approval.needed = false;
+  config->item[0].approval.required = false;
   put_config (world, config);
 }
 
--- a/test/support/cell_world_workspaces.c
+++ b/test/support/cell_world_workspaces.c
@@ -120,7 +120,7 @@
            MuxQuota running,
            MuxSize task)
 {
-  MuxQuota limit = mux_quota_widen (spec->quota, world->quota_overrun_milli);
+  MuxQuota limit = mux_quota_raise (spec->quota, world->quota_overrun_milli);
   MuxQuota less = mux_quota_sub (running, task, 1);
 
   return is_under (limit.cpu_milli, less.cpu_milli)
--- a/test/support/sched_cell.c
+++ b/test/support/sched_cell.c
@@ -70,19 +70,19 @@
   return class_name[0] == 'u' ? 100 : 10000;
 }
 
-static MuxVerdict
+static MuxAdmitResult
 submit (Cell *cell,
         const char *class_name,
         int64_t give_up_ms,
         uint64_t group,
         uint32_t count)
 {
-  MuxTaskAsk ask = { .task = { 1, ++cell->next_id },
+  MuxTaskRequest ask = { .task = { 1, ++cell->next_id },
                      .group = { group > 0 ? 2 : 0, group },
                      .group_count = count,
                      .class_name = class_name,
                      .start_by_ms = cell->now_ms + within_of (class_name),
-                     .give_up_ms = cell->now_ms + give_up_ms,
+                     .expires_ms = cell->now_ms + give_up_ms,
                      .avoid = MUX_NO_WORKER };
 
   return mux_sched_submit (cell->sched, &ask, cell->now_ms);
@@ -92,7 +92,7 @@
 cell_ask_for (Cell *cell,
               const char *class_name,
               int64_t give_up_ms,
-              MuxVerdict *verdict)
+              MuxAdmitResult *verdict)
 {
   *verdict = submit (cell, class_name, give_up_ms, 0, 0);
   return (MuxId){ 1, cell->next_id };
@@ -101,7 +101,7 @@
 MuxId
 cell_ask (Cell *cell, const char *class_name)
 {
-  MuxVerdict verdict;
+  MuxAdmitResult verdict;
   MuxId id = cell_ask_for (cell, class_name, 60000, &verdict);
 
   assert_int_equal (verdict.reason, MUX_REASON_NONE);
--- a/test/support/sched_cell.h
+++ b/test/support/sched_cell.h
@@ -29,7 +29,7 @@
 MuxId cell_ask_for (Cell *cell,
                     const char *class_name,
                     int64_t give_up_ms,
-                    MuxVerdict *verdict);
+                    MuxAdmitResult *verdict);
 /** cell_gang() - ask for @count tasks of one gang; returns the first's id, the
  * others follow in order */
 MuxId cell_gang (Cell *cell, const char *class_name, uint32_t count);
--- a/test/unit/test_cell.c
+++ b/test/unit/test_cell.c
@@ -691,7 +691,7 @@
   world->task_ms = 60000;
   serving->step[0].long_running = true;
   serving->step[0].tail_target_ms = 100;
-  filling->step[0].fills = true;
+  filling->step[0].best_effort = true;
   (void) world_submit (world, 0, serving, "job-a");
   (void) world_submit (world, 0, filling, "job-b");
   world_run (world, 3000);
--- a/test/unit/test_job.c
+++ b/test/unit/test_job.c
@@ -33,7 +33,7 @@
   job->step[1].rack_sensitive = true;
   job->step[1].copies_allowed = true;
   job->step[1].long_running = true;
-  job->step[1].fills = true;
+  job->step[1].best_effort = true;
   job->step[1].per_worker_max = 2;
   job->step[1].unavailable_max = 3;
   return job;
--- a/test/unit/test_sched_books.c
+++ b/test/unit/test_sched_books.c
@@ -219,7 +219,7 @@
       break;
     default:
       worker->usable = draw (m, 4) != 0;
-      mux_sched_worker_usable (m->sched, w, worker->usable);
+      mux_sched_worker_set_usable (m->sched, w, worker->usable);
       break;
     }
 }
@@ -227,11 +227,11 @@
 static MuxReason
 submit (Model *m, uint32_t t, uint32_t c, uint32_t gang)
 {
-  MuxTaskAsk ask
+  MuxTaskRequest ask
       = { .task = task_id (t),
           .class_name = class_names[c],
           .start_by_ms = m->now_ms + draw (m, 200),
-          .give_up_ms = m->now_ms + 1 + draw (m, gang != 0 ? 20000 : 2000),
+          .expires_ms = m->now_ms + 1 + draw (m, gang != 0 ? 20000 : 2000),
           .avoid = MUX_NO_WORKER };
 
   if (gang != 0)
@@ -253,7 +253,7 @@
     m->task[t] = (ModelTask){ .state = WAITING,
                               .class_id = c,
                               .gang = gang,
-                              .give_up_ms = ask.give_up_ms };
+                              .give_up_ms = ask.expires_ms };
   return reason;
 }
 
--- a/test/unit/test_sched_faults.c
+++ b/test/unit/test_sched_faults.c
@@ -138,12 +138,12 @@
     {
       placed = cell_start_run (cell, "batch");
       assert_int_equal (placed.size.mem_mib, 1024);
-      mux_sched_used (cell->sched, placed.task, used);
+      mux_sched_report_usage (cell->sched, placed.task, used);
     }
   assert_int_equal (mux_sched_worker_free (cell->sched, 0).mem_mib,
                     16384 - 2 * 4096);
   for (int i = 0; i < 64; i++)
-    mux_sched_used (cell->sched, placed.task, used);
+    mux_sched_report_usage (cell->sched, placed.task, used);
   cell->now_ms += 200;
   placed = cell_start_run (cell, "batch");
   assert_in_range (placed.size.mem_mib, 4096, 4096 * 9 / 8);
--- a/test/unit/test_sched_gang.c
+++ b/test/unit/test_sched_gang.c
@@ -82,11 +82,11 @@
 test_never_fits (void **state)
 {
   Cell *cell = *state;
-  MuxTaskAsk ask = { .task = { 1, 1 },
+  MuxTaskRequest ask = { .task = { 1, 1 },
                      .group = { 2, 1 },
                      .group_count = 5,
                      .class_name = "gang",
-                     .give_up_ms = 100000,
+                     .expires_ms = 100000,
                      .avoid = MUX_NO_WORKER };
 
   open_gang (cell, 2);
@@ -183,8 +183,8 @@
   gang = cell_gang (cell, "gang", 2);
   cell->now_ms += 200;
   cell_idle (cell);
-  mux_sched_worker_usable (cell->sched, 0, false);
-  mux_sched_worker_usable (cell->sched, 1, false);
+  mux_sched_worker_set_usable (cell->sched, 0, false);
+  mux_sched_worker_set_usable (cell->sched, 1, false);
   cell->now_ms += 200;
   for (int i = 0; i < 12; i++)
     cell_end (cell, busy[i], 1000);
--- a/test/unit/test_sched_order.c
+++ b/test/unit/test_sched_order.c
@@ -63,7 +63,7 @@
   for (int i = 0; i < 4000 && !started; i++)
     {
       MuxPlacement placed;
-      MuxVerdict verdict;
+      MuxAdmitResult verdict;
 
       cell->now_ms += 50;
       cell_end (cell, running[first++ % 8], 400);
@@ -134,7 +134,7 @@
 test_refused_behind_late (void **state)
 {
   Cell *cell = *state;
-  MuxVerdict verdict;
+  MuxAdmitResult verdict;
 
   open_two (cell, 1);
   for (int i = 0; i < 4; i++)
@@ -166,7 +166,7 @@
 test_gives_up_at_once (void **state)
 {
   Cell *cell = *state;
-  MuxVerdict verdict;
+  MuxAdmitResult verdict;
   MuxPlacement dropped;
   MuxId late;
 
@@ -195,7 +195,7 @@
 test_places_for_each_class (void **state)
 {
   Cell *cell = *state;
-  MuxVerdict verdict = { 0 };
+  MuxAdmitResult verdict = { 0 };
   uint32_t batch = 0;
 
   open_two (cell, 1);
@@ -265,7 +265,7 @@
 test_job_on_empty_cell (void **state)
 {
   Cell *cell = *state;
-  MuxVerdict verdict;
+  MuxAdmitResult verdict;
 
   open_two (cell, 25);
   for (int i = 0; i < 400; i++)
@@ -290,7 +290,7 @@
 {
   Cell *cell = *state;
   MuxPlacement dropped;
-  MuxVerdict verdict;
+  MuxAdmitResult verdict;
   MuxId runs, waits;
 
   open_two (cell, 1);
@@ -325,7 +325,7 @@
   cell_place (&cell);
   for (int i = 0; i < 10000; i++)
     {
-      MuxVerdict verdict;
+      MuxAdmitResult verdict;
 
       cell_ask_for (&cell, "batch", INT32_MAX, &verdict);
       assert_int_equal (verdict.reason, MUX_REASON_NONE);
--- a/test/unit/test_sched_risk.c
+++ b/test/unit/test_sched_risk.c
@@ -27,7 +27,7 @@
   for (uint32_t i = 0; i < ticks; i++)
     {
       MuxPlacement placed;
-      MuxVerdict verdict;
+      MuxAdmitResult verdict;
 
       cell->now_ms += 100;
       for (uint32_t k = 0; k < count; k++)
@@ -82,7 +82,7 @@
   assert_true (flagged);
   assert_true (risk.forecast_ppm < risk.target_ppm);
   assert_int_equal (risk.cause, MUX_RISK_SLOTS);
-  assert_true (risk.cure.slots > 0);
+  assert_true (risk.shortfall.slots > 0);
   assert_true (risk.p99_wait_ms <= spec.start_within_ms);
 }
 
@@ -120,7 +120,7 @@
 {
   Cell *cell = *state;
   MuxClassSpec spec = cell_class ("batch", MUX_KIND_BATCH, 10000);
-  MuxVerdict verdict;
+  MuxAdmitResult verdict;
   MuxPlacement placed;
 
   cell_open (cell, 1);
--- a/test/unit/test_workspace.c
+++ b/test/unit/test_workspace.c
@@ -68,11 +68,11 @@
   MuxSize task = { .cpu_milli = 1000, .mem_mib = 512, .accels = 1 };
 
   (void) state;
-  assert_int_equal (mux_quota_fits (limit, (MuxQuota){ 0 }, task), 8);
-  assert_int_equal (mux_quota_fits (limit, used, task), 2);
-  assert_int_equal (mux_quota_share_ppm (limit, used), 732421);
+  assert_int_equal (mux_quota_tasks_left (limit, (MuxQuota){ 0 }, task), 8);
+  assert_int_equal (mux_quota_tasks_left (limit, used, task), 2);
+  assert_int_equal (mux_quota_dominant_share_ppm (limit, used), 732421);
   used.mem_mib = 5000;
-  assert_int_equal (mux_quota_fits (limit, used, task), 0);
+  assert_int_equal (mux_quota_tasks_left (limit, used, task), 0);
 }
 
 static void
@@ -82,8 +82,8 @@
   MuxSize task = { .cpu_milli = 1000, .mem_mib = 512, .accels = 1 };
 
   (void) state;
-  assert_int_equal (mux_quota_fits ((MuxQuota){ 0 }, used, task), UINT32_MAX);
-  assert_int_equal (mux_quota_share_ppm ((MuxQuota){ 0 }, used), 0);
+  assert_int_equal (mux_quota_tasks_left ((MuxQuota){ 0 }, used, task), UINT32_MAX);
+  assert_int_equal (mux_quota_dominant_share_ppm ((MuxQuota){ 0 }, used), 0);
 }
 
 static void
@@ -102,7 +102,7 @@
 test_widened_limit (void **state)
 {
   MuxQuota limit
-      = mux_quota_widen ((MuxQuota){ .cpu_milli = 1000, .mem_mib = 50 }, 100);
+      = mux_quota_raise ((MuxQuota){ .cpu_milli = 1000, .mem_mib = 50 }, 100);
 
   (void) state;
   assert_int_equal (limit.cpu_milli, 1100);
