--- a/bench/bench_peer.c
+++ b/bench/bench_peer.c
@@ -106,7 +106,7 @@
 {
   MuxPeerMsg msg;
 
-  peer_sample (MUX_PEER_GRANT_ASK, &msg);
+  peer_sample (MUX_PEER_GRANT_REQUEST, &msg);
   for (uint32_t sent = 0; sent < trips; sent++)
     {
       if (sent >= window)
@@ -139,7 +139,7 @@
   double start;
 
   print_bytes ("peer_heartbeat_bytes", MUX_PEER_HEARTBEAT);
-  print_bytes ("peer_grant_ask_bytes", MUX_PEER_GRANT_ASK);
+  print_bytes ("peer_grant_ask_bytes", MUX_PEER_GRANT_REQUEST);
   print_bytes ("peer_grant_bytes", MUX_PEER_GRANT);
   end_open (&home);
   end_open (&owner);
--- a/bench/slopes_core.c
+++ b/bench/slopes_core.c
@@ -336,7 +336,7 @@
       before = h->cpu_ns;
       for (uint32_t n = 0; n < sizes[i]; n++)
         {
-          MuxPeerMsg ask = { .verb = MUX_PEER_GRANT_ASK,
+          MuxPeerMsg ask = { .verb = MUX_PEER_GRANT_REQUEST,
                              .task = { 5, n + 1 },
                              .class_name = "request-x",
                              .start_within_ms = 2800,
--- a/bench/support/core_harness_sink.c
+++ b/bench/support/core_harness_sink.c
@@ -86,7 +86,7 @@
 
   (void) addr;
   h->sent[msg->verb]++;
-  if (msg->verb == MUX_PEER_GRANT_ASK && h->options.remote)
+  if (msg->verb == MUX_PEER_GRANT_REQUEST && h->options.remote)
     grant (h, msg);
   return true;
 }
--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -24,7 +24,7 @@
 {
   /* Takes @call over.  True: mux_cell_reply() follows; false: it never will. */
   bool (*call) (MuxCellSink *sink, MuxCellCall *call);
-  void (*respond) (MuxCellSink *sink, const MuxQuestionReply *reply);
+  void (*respond) (MuxCellSink *sink, const MuxResponse *reply);
   bool (*peer_send) (MuxCellSink *sink,
                      const char *addr,
                      const MuxPeerMsg *msg);
@@ -88,7 +88,7 @@
 MuxCell *mux_cell_new (const MuxCellOptions *options, MuxError *err);
 void mux_cell_free (MuxCell *cell);
 /** mux_cell_question() - takes @question over; one answer follows */
-void mux_cell_request (MuxCell *cell, MuxCellTime time, MuxQuestion *question);
+void mux_cell_request (MuxCell *cell, MuxCellTime time, MuxRequest *question);
 /** mux_cell_reply() - takes @reply over */
 void mux_cell_reply (MuxCell *cell, MuxCellTime time, MuxCellReply *reply);
 /** mux_cell_peer() - @msg stays the caller's */
--- a/include/port/cell.h
+++ b/include/port/cell.h
@@ -24,14 +24,14 @@
  */
 typedef enum
 {
-  MUX_CELL_COMMIT,  /* store: all changes of one part, if every condition holds
-                     */
-  MUX_CELL_SCAN,    /* store: rows of a table and part, in key order */
-  MUX_CELL_FOLLOW,  /* store: what changed in a table since a version */
-  MUX_CELL_START,   /* worker: start a run of a task */
-  MUX_CELL_STOP,    /* worker: stop a run, or refuse it if it comes later */
-  MUX_CELL_RENEW,   /* worker: extend its lease, list what runs and ended */
-  MUX_CELL_APPROVE, /* policy service: which workers may run a step */
+  MUX_CELL_COMMIT, /* store: all changes of one part, if every condition holds
+                    */
+  MUX_CELL_SCAN,   /* store: rows of a table and part, in key order */
+  MUX_CELL_FEED,   /* store: what changed in a table since a version */
+  MUX_CELL_START,  /* worker: start a run of a task */
+  MUX_CELL_STOP,   /* worker: stop a run, or refuse it if it comes later */
+  MUX_CELL_RENEW,  /* worker: extend its lease, list what runs and ended */
+  MUX_CELL_QUERY_APPROVAL, /* policy service: which workers may run a step */
 } MuxCellVerb;
 
 /**
@@ -133,7 +133,7 @@
   MuxTaskRef task;
   uint32_t run;
   uint64_t fence;
-  int64_t lease_until_ms;
+  int64_t lease_expires_ms;
   MuxBlob *payload;
   char checkpoint[MUX_TOKEN_LEN];
   char proof[MUX_TOKEN_LEN];
@@ -148,17 +148,17 @@
 typedef enum
 {
   MUX_CELL_OK,
-  MUX_CELL_CONFLICT,   /* COMMIT: a condition did not hold, nothing changed */
-  MUX_CELL_NOT_DONE,   /* certainly without effect; may be tried again */
-  MUX_CELL_UNKNOWN,    /* no answer: it may have, or still get, effect */
-  MUX_CELL_HISTORY,    /* FOLLOW: what came after that version is forgotten */
-  MUX_CELL_OTHER_LIFE, /* worker: the life that is meant has ended */
-  MUX_CELL_FENCED,     /* worker: a higher token has been seen */
-  MUX_CELL_OLD_RUN,    /* START: not above a run seen there */
-  MUX_CELL_LATE,       /* START: past its last moment */
-  MUX_CELL_NO_ROOM,    /* START: it would hold too much */
-  MUX_CELL_UNPROVEN,   /* START: the approval's proof is not taken */
-  MUX_CELL_BAD,        /* the other side called the request wrong */
+  MUX_CELL_CONFLICT,     /* COMMIT: a condition did not hold, nothing changed */
+  MUX_CELL_NOT_DONE,     /* certainly without effect; may be tried again */
+  MUX_CELL_UNKNOWN,      /* no answer: it may have, or still get, effect */
+  MUX_CELL_HISTORY_GONE, /* FOLLOW: what came after that version is forgotten */
+  MUX_CELL_OTHER_INCARNATION, /* worker: the life that is meant has ended */
+  MUX_CELL_FENCED,            /* worker: a higher token has been seen */
+  MUX_CELL_OLD_RUN,           /* START: not above a run seen there */
+  MUX_CELL_PAST_DEADLINE,     /* START: past its last moment */
+  MUX_CELL_NO_ROOM,           /* START: it would hold too much */
+  MUX_CELL_PROOF_REFUSED,     /* START: the approval's proof is not taken */
+  MUX_CELL_BAD_REQUEST,       /* the other side called the request wrong */
 } MuxCellStatus;
 
 /**
@@ -167,11 +167,11 @@
 typedef enum
 {
   MUX_RUN_DONE,
-  MUX_RUN_FAILED,  /* through its own fault or the worker's */
-  MUX_RUN_STOPPED, /* on our order */
-  MUX_RUN_LAPSED,  /* the worker's lease ended */
-  MUX_RUN_BROKEN,  /* another member of its gang ended */
-  MUX_RUN_ALONE,   /* the other members of its gang did not come */
+  MUX_RUN_FAILED,          /* through its own fault or the worker's */
+  MUX_RUN_STOPPED,         /* on our order */
+  MUX_RUN_LEASE_EXPIRED,   /* the worker's lease ended */
+  MUX_RUN_GANG_BROKEN,     /* another member of its gang ended */
+  MUX_RUN_GANG_INCOMPLETE, /* the other members of its gang did not come */
 } MuxRunEnd;
 
 /**
@@ -190,7 +190,7 @@
   uint32_t run;
   uint32_t percent;
   uint32_t usage;
-  uint64_t number;
+  uint64_t end_number;
   MuxRunEnd end;
   char checkpoint[MUX_TOKEN_LEN];
 } MuxRunReport;
@@ -211,7 +211,7 @@
 typedef struct
 {
   char id[MUX_NAME_LEN];
-  uint64_t born_ms;
+  uint64_t started_ms;
   char service[MUX_NAME_LEN];
   char addr[MUX_ADDR_LEN];
   char data_centre[MUX_NAME_LEN];
@@ -219,7 +219,7 @@
   char rack[MUX_NAME_LEN];
   MuxSize capacity;
   bool draining;
-  uint32_t leaves_ms;
+  uint32_t drain_left_ms;
 } MuxWorkerInfo;
 
 /**
@@ -243,7 +243,7 @@
   MuxBlob *value;
   MuxQueueConfig *config;
   MuxWorkerInfo *worker;
-  const char *wrong;
+  const char *bad_field;
 } MuxCellRow;
 
 /**
@@ -285,8 +285,8 @@
   bool more;
   uint32_t row_count;
   MuxCellRow *row;
-  int64_t clock_ms;
-  uint64_t born_ms;
+  int64_t worker_clock_ms;
+  uint64_t worker_started_ms;
   uint32_t report_count;
   MuxRunReport *report;
   uint32_t approval_count;
@@ -297,12 +297,12 @@
 /** mux_cell_call_new() - zeroed; NULL: memory is out */
 MuxCellCall *mux_cell_call_new (MuxCellVerb verb);
 /** mux_cell_call_changes() - room for @count changes; false: memory is out */
-bool mux_cell_call_changes (MuxCellCall *call, uint32_t count);
+bool mux_cell_call_alloc_changes (MuxCellCall *call, uint32_t count);
 void mux_cell_call_free (MuxCellCall *call);
 MuxCellReply *mux_cell_reply_new (const MuxCellCall *call,
                                   MuxCellStatus status);
 /** mux_cell_reply_rows() - room for @count rows; false: memory is out */
-bool mux_cell_reply_rows (MuxCellReply *reply, uint32_t count);
+bool mux_cell_reply_alloc_rows (MuxCellReply *reply, uint32_t count);
 void mux_cell_reply_free (MuxCellReply *reply);
 const char *mux_cell_status_name (MuxCellStatus status);
 const char *mux_run_end_name (MuxRunEnd end);
@@ -323,10 +323,10 @@
  */
 typedef enum
 {
-  MUX_QUESTION_SUBMIT,
-  MUX_QUESTION_STATE, /* without an id: how many jobs of the queue wait */
-  MUX_QUESTION_CANCEL,
-} MuxQuestionVerb;
+  MUX_REQUEST_SUBMIT,
+  MUX_REQUEST_QUERY, /* without an id: how many jobs of the queue wait */
+  MUX_REQUEST_CANCEL,
+} MuxRequestVerb;
 
 /**
  * struct MuxQuestion - a caller's question
@@ -341,53 +341,53 @@
  */
 typedef struct
 {
-  MuxQuestionVerb verb;
-  uint64_t call;
+  MuxRequestVerb verb;
+  uint64_t call_id;
   char host[128];
   char path[256];
-  uint32_t give_up_ms;
+  uint32_t timeout_ms;
   bool has_key;
   MuxKeyDigest key;
   MuxJobSpec *job;
-} MuxQuestion;
+} MuxRequest;
 
-void mux_question_free (MuxQuestion *question);
+void mux_request_free (MuxRequest *question);
 
 /**
- * enum MuxOutcome - what a caller is answered
+ * enum MuxResponseOutcome - what a caller is answered
  */
 typedef enum
 {
-  MUX_OUTCOME_ACCEPTED,  /* stored; it will be carried out */
-  MUX_OUTCOME_STATE,     /* see @state */
-  MUX_OUTCOME_PENDING,   /* see @pending */
-  MUX_OUTCOME_CANCELLED, /* the cancel is stored */
-  MUX_OUTCOME_ABSENT,    /* the store knows no such job */
-  MUX_OUTCOME_NO_QUEUE,  /* no queue of that host and path */
-  MUX_OUTCOME_REFUSED,   /* without effect; come back after @retry_ms */
-  MUX_OUTCOME_UNKNOWN,   /* it may have, or still get, effect */
-  MUX_OUTCOME_BAD,       /* the question itself is wrong */
-  MUX_OUTCOME_NO_KEY,    /* the key that it shows, if any, is nobody's */
-  MUX_OUTCOME_TAKEN,     /* the id is that of another workspace's job */
-  MUX_OUTCOME_TOO_LARGE, /* its workspace's quota can never hold it */
-} MuxOutcome;
+  MUX_RESPONSE_ACCEPTED,     /* stored; it will be carried out */
+  MUX_RESPONSE_STATE,        /* see @state */
+  MUX_RESPONSE_PENDING,      /* see @pending */
+  MUX_RESPONSE_CANCELLED,    /* the cancel is stored */
+  MUX_RESPONSE_NO_JOB,       /* the store knows no such job */
+  MUX_RESPONSE_NO_QUEUE,     /* no queue of that host and path */
+  MUX_RESPONSE_REFUSED,      /* without effect; come back after @retry_ms */
+  MUX_RESPONSE_UNKNOWN,      /* it may have, or still get, effect */
+  MUX_RESPONSE_BAD_REQUEST,  /* the question itself is wrong */
+  MUX_RESPONSE_UNAUTHORIZED, /* the key that it shows, if any, is nobody's */
+  MUX_RESPONSE_ID_IN_USE,    /* the id is that of another workspace's job */
+  MUX_RESPONSE_OVER_QUOTA,   /* its workspace's quota can never hold it */
+} MuxResponseOutcome;
 
 /**
  * struct MuxQuestionReply - answer to a caller
  * @call: of the question
- * @outcome: see enum MuxOutcome
+ * @outcome: see enum MuxResponseOutcome
  * @state: STATE
  * @pending: PENDING: jobs of which no task has started
  * @retry_ms: REFUSED
  */
 typedef struct
 {
-  uint64_t call;
-  MuxOutcome outcome;
+  uint64_t call_id;
+  MuxResponseOutcome outcome;
   MuxJobState state;
   uint32_t pending;
   uint32_t retry_ms;
-} MuxQuestionReply;
+} MuxResponse;
 
 /* What the callers' side needs of the rest of the daemon; any thread may call
  * it. */
@@ -395,9 +395,9 @@
 struct MuxCellBackend
 {
   /* Takes @question over, waits for its answer. */
-  void (*ask) (MuxCellBackend *backend,
-               MuxQuestion *question,
-               MuxQuestionReply *reply);
+  void (*handle) (MuxCellBackend *backend,
+                  MuxRequest *question,
+                  MuxResponse *reply);
   /* Callers may be sent here. */
   bool (*ready) (MuxCellBackend *backend);
 };
--- a/include/port/life.h
+++ b/include/port/life.h
@@ -16,12 +16,14 @@
 /** mux_life_name() - of the life of worker @id that began at @born_ms; 0: it
  * does not tell, and the id alone names it Return: false when that is too long
  * for a name. */
-bool mux_life_name (char life[MUX_NAME_LEN], const char *id, uint64_t born_ms);
+bool mux_incarnation_name (char life[MUX_NAME_LEN],
+                           const char *id,
+                           uint64_t born_ms);
 /** mux_life_id() - of the worker whose life that is */
-void mux_life_id (char id[MUX_NAME_LEN], const char *life);
+void mux_incarnation_worker (char id[MUX_NAME_LEN], const char *life);
 /** mux_life_born_ms() - when it began; 0: not told */
-uint64_t mux_life_born_ms (const char *life);
+uint64_t mux_incarnation_started_ms (const char *life);
 /** mux_life_valid() - a worker's name, and a time behind it, if any */
-bool mux_life_valid (const char *life);
+bool mux_incarnation_valid (const char *life);
 
 #endif
--- a/include/port/peer.h
+++ b/include/port/peer.h
@@ -14,30 +14,30 @@
  */
 typedef enum
 {
-  MUX_PEER_HEARTBEAT,     /* I live, this is my state */
-  MUX_PEER_GRANT_ASK,     /* book a place for a task of mine */
-  MUX_PEER_GRANT,         /* booked there */
-  MUX_PEER_GRANT_REFUSED, /* not booked, for this reason */
-  MUX_PEER_GRANT_CANCEL,  /* the asker no longer wants it */
-  MUX_PEER_GRANT_END,     /* the granted task ended, or never will start */
-  MUX_PEER_TASK_ENDED,    /* owner to home: your task ended, as listed */
-  MUX_PEER_HANDOVER,      /* I gave up my claim on this worker: take it */
-  MUX_PEER_CONFIG_HINT,   /* a revision was committed */
-  MUX_PEER_CONFIG_ASK,    /* send me what you have after this revision */
-  MUX_PEER_CONFIG_ROWS,   /* changes, as JSON, in order */
-  MUX_PEER_BYE,           /* I am stopping */
-  MUX_PEER_MEMBERS,       /* addresses of daemons that I know to live */
-  MUX_PEER_JOB_HINT,      /* the row of this job of yours was changed */
-  MUX_PEER_HELLO,         /* to the planner: I live and can work for you */
-  MUX_PEER_WELCOME,       /* from the planner: I live and hold the claim */
-  MUX_PEER_JOB_ASK,       /* to the planner: how is this job, this queue */
-  MUX_PEER_JOB_TOLD,      /* from the planner: so */
-  MUX_PEER_APPROVAL_ASK,  /* from the planner: ask the policy service this */
-  MUX_PEER_APPROVAL_TOLD, /* to the planner: it said so */
-  MUX_PEER_SUBMIT_ASK,    /* to the planner: store this job */
-  MUX_PEER_SUBMIT_TOLD,   /* from the planner: what became of it */
-  MUX_PEER_CARRY_ASK,     /* from the planner: make this call to a worker */
-  MUX_PEER_CARRY_TOLD,    /* to the planner: how it ended */
+  MUX_PEER_HEARTBEAT,      /* I live, this is my state */
+  MUX_PEER_GRANT_REQUEST,  /* book a place for a task of mine */
+  MUX_PEER_GRANT,          /* booked there */
+  MUX_PEER_GRANT_REFUSED,  /* not booked, for this reason */
+  MUX_PEER_GRANT_CANCEL,   /* the asker no longer wants it */
+  MUX_PEER_GRANT_END,      /* the granted task ended, or never will start */
+  MUX_PEER_TASK_ENDED,     /* owner to home: your task ended, as listed */
+  MUX_PEER_HANDOVER,       /* I gave up my claim on this worker: take it */
+  MUX_PEER_CONFIG_HINT,    /* a revision was committed */
+  MUX_PEER_CONFIG_REQUEST, /* send me what you have after this revision */
+  MUX_PEER_CONFIG_ROWS,    /* changes, as JSON, in order */
+  MUX_PEER_BYE,            /* I am stopping */
+  MUX_PEER_MEMBERS,        /* addresses of daemons that I know to live */
+  MUX_PEER_JOB_HINT,       /* the row of this job of yours was changed */
+  MUX_PEER_HELLO,          /* to the planner: I live and can work for you */
+  MUX_PEER_HELLO_REPLY,    /* from the planner: I live and hold the claim */
+  MUX_PEER_JOB_QUERY,      /* to the planner: how is this job, this queue */
+  MUX_PEER_JOB_REPLY,      /* from the planner: so */
+  MUX_PEER_APPROVAL_QUERY, /* from the planner: ask the policy service this */
+  MUX_PEER_APPROVAL_REPLY, /* to the planner: it said so */
+  MUX_PEER_SUBMIT_REQUEST, /* to the planner: store this job */
+  MUX_PEER_SUBMIT_REPLY,   /* from the planner: what became of it */
+  MUX_PEER_PROXY_CALL,     /* from the planner: make this call to a worker */
+  MUX_PEER_PROXY_REPLY,    /* to the planner: how it ended */
   MUX_PEER_VERB_COUNT
 } MuxPeerVerb;
 
@@ -86,7 +86,7 @@
  *   goes by                                            (WELCOME)
  * @late_ms: how long what arrives waits at the sender  (WELCOME)
  * @job_state: a MuxJobState                            (JOB_TOLD)
- * @outcome: a MuxOutcome                               (SUBMIT_TOLD)
+ * @outcome: a MuxResponseOutcome                               (SUBMIT_TOLD)
  * @body: JSON of CONFIG_ROWS, WELCOME, *_ASK and APPROVAL_TOLD, addresses of
  * MEMBERS with blanks between them, or NULL; holds a reference
  */
@@ -121,10 +121,10 @@
   uint32_t retry_ms;
   uint32_t state;
   uint32_t ran_ms;
-  uint64_t call;
+  uint64_t call_id;
   bool found;
   bool table_ok;
-  uint32_t strength_milli;
+  uint32_t cpu_share_milli;
   int64_t wall_ms;
   uint32_t late_ms;
   uint32_t job_state;
--- a/include/port/worker.h
+++ b/include/port/worker.h
@@ -46,7 +46,7 @@
   MUX_WORKER_OK,
   MUX_WORKER_OLD_EPOCH,       /* refused: a higher epoch holds the worker */
   MUX_WORKER_OLD_INCARNATION, /* refused: it restarted since */
-  MUX_WORKER_LATE,            /* refused: past the start's last moment */
+  MUX_WORKER_PAST_DEADLINE,   /* refused: past the start's last moment */
   MUX_WORKER_TOMBSTONE,       /* refused: this start was put down */
   MUX_WORKER_NO_ROOM,         /* refused: it would hold too much */
   MUX_WORKER_IS_LEAVING,      /* refused: it is leaving */
@@ -152,7 +152,7 @@
   uint64_t incarnation;
   uint64_t epoch;
   char owner[MUX_NAME_LEN];
-  int64_t worker_now_ms;
+  int64_t worker_clock_ms;
   MuxSize capacity;
   bool leaving;
   uint64_t cursor;
--- a/src/adapter/peer_fields.c
+++ b/src/adapter/peer_fields.c
@@ -75,10 +75,10 @@
 };
 
 static const MuxPeerField hello_fields[] = {
-  { MUX_FIELD_U32, "strength_milli", offsetof (MuxPeerMsg, strength_milli) },
+  { MUX_FIELD_U32, "strength_milli", offsetof (MuxPeerMsg, cpu_share_milli) },
   { MUX_FIELD_ADDR, "from_addr", offsetof (MuxPeerMsg, from_addr) },
   { MUX_FIELD_U64, "epoch", offsetof (MuxPeerMsg, epoch) },
-  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call) },
+  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BOOL, "table_ok", offsetof (MuxPeerMsg, table_ok) },
   { MUX_FIELD_BOOL, "stopping", offsetof (MuxPeerMsg, stopping) },
   { MUX_FIELD_I64, "wall_ms", offsetof (MuxPeerMsg, wall_ms) },
@@ -86,7 +86,7 @@
 
 static const MuxPeerField welcome_fields[] = {
   { MUX_FIELD_U64, "epoch", offsetof (MuxPeerMsg, epoch) },
-  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call) },
+  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BOOL, "table_ok", offsetof (MuxPeerMsg, table_ok) },
   { MUX_FIELD_I64, "wall_ms", offsetof (MuxPeerMsg, wall_ms) },
   { MUX_FIELD_U32, "late_ms", offsetof (MuxPeerMsg, late_ms) },
@@ -95,25 +95,25 @@
 
 static const MuxPeerField ask_fields[] = {
   { MUX_FIELD_ADDR, "from_addr", offsetof (MuxPeerMsg, from_addr) },
-  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call) },
+  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BODY, "body", offsetof (MuxPeerMsg, body) },
 };
 
 static const MuxPeerField job_told_fields[] = {
-  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call) },
+  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BOOL, "found", offsetof (MuxPeerMsg, found) },
   { MUX_FIELD_U32, "job_state", offsetof (MuxPeerMsg, job_state) },
   { MUX_FIELD_U32, "queued", offsetof (MuxPeerMsg, queued) },
 };
 
 static const MuxPeerField approval_told_fields[] = {
-  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call) },
+  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BOOL, "found", offsetof (MuxPeerMsg, found) },
   { MUX_FIELD_BODY, "body", offsetof (MuxPeerMsg, body) },
 };
 
 static const MuxPeerField submit_told_fields[] = {
-  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call) },
+  { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_U32, "outcome", offsetof (MuxPeerMsg, outcome) },
   { MUX_FIELD_U32, "retry_ms", offsetof (MuxPeerMsg, retry_ms) },
   { MUX_FIELD_BOOL, "table_ok", offsetof (MuxPeerMsg, table_ok) },
@@ -126,7 +126,7 @@
 
 const MuxPeerFieldList mux_peer_verb_fields[MUX_PEER_VERB_COUNT] = {
   [MUX_PEER_HEARTBEAT] = { heartbeat_fields, COUNT (heartbeat_fields) },
-  [MUX_PEER_GRANT_ASK] = { grant_ask_fields, COUNT (grant_ask_fields) },
+  [MUX_PEER_GRANT_REQUEST] = { grant_ask_fields, COUNT (grant_ask_fields) },
   [MUX_PEER_GRANT] = { grant_fields, COUNT (grant_fields) },
   [MUX_PEER_GRANT_REFUSED] = { refused_fields, COUNT (refused_fields) },
   [MUX_PEER_GRANT_CANCEL] = { task_fields, COUNT (task_fields) },
@@ -134,22 +134,22 @@
   [MUX_PEER_TASK_ENDED] = { ended_fields, COUNT (ended_fields) },
   [MUX_PEER_HANDOVER] = { handover_fields, COUNT (handover_fields) },
   [MUX_PEER_CONFIG_HINT] = { revision_fields, COUNT (revision_fields) },
-  [MUX_PEER_CONFIG_ASK] = { revision_fields, COUNT (revision_fields) },
+  [MUX_PEER_CONFIG_REQUEST] = { revision_fields, COUNT (revision_fields) },
   [MUX_PEER_CONFIG_ROWS] = { config_rows_fields, COUNT (config_rows_fields) },
   [MUX_PEER_BYE] = { NULL, 0 },
   [MUX_PEER_MEMBERS] = { members_fields, COUNT (members_fields) },
   [MUX_PEER_JOB_HINT] = { task_fields, COUNT (task_fields) },
   [MUX_PEER_HELLO] = { hello_fields, COUNT (hello_fields) },
-  [MUX_PEER_WELCOME] = { welcome_fields, COUNT (welcome_fields) },
-  [MUX_PEER_JOB_ASK] = { ask_fields, COUNT (ask_fields) },
-  [MUX_PEER_JOB_TOLD] = { job_told_fields, COUNT (job_told_fields) },
-  [MUX_PEER_APPROVAL_ASK] = { ask_fields, COUNT (ask_fields) },
-  [MUX_PEER_CARRY_ASK] = { ask_fields, COUNT (ask_fields) },
-  [MUX_PEER_CARRY_TOLD]
+  [MUX_PEER_HELLO_REPLY] = { welcome_fields, COUNT (welcome_fields) },
+  [MUX_PEER_JOB_QUERY] = { ask_fields, COUNT (ask_fields) },
+  [MUX_PEER_JOB_REPLY] = { job_told_fields, COUNT (job_told_fields) },
+  [MUX_PEER_APPROVAL_QUERY] = { ask_fields, COUNT (ask_fields) },
+  [MUX_PEER_PROXY_CALL] = { ask_fields, COUNT (ask_fields) },
+  [MUX_PEER_PROXY_REPLY]
   = { approval_told_fields, COUNT (approval_told_fields) },
-  [MUX_PEER_SUBMIT_ASK] = { ask_fields, COUNT (ask_fields) },
-  [MUX_PEER_SUBMIT_TOLD] = { submit_told_fields, COUNT (submit_told_fields) },
-  [MUX_PEER_APPROVAL_TOLD]
+  [MUX_PEER_SUBMIT_REQUEST] = { ask_fields, COUNT (ask_fields) },
+  [MUX_PEER_SUBMIT_REPLY] = { submit_told_fields, COUNT (submit_told_fields) },
+  [MUX_PEER_APPROVAL_REPLY]
   = { approval_told_fields, COUNT (approval_told_fields) },
 };
 
--- a/src/adapter/worker_http_wire.c
+++ b/src/adapter/worker_http_wire.c
@@ -19,7 +19,7 @@
   { "ok", MUX_WORKER_OK },
   { "old_epoch", MUX_WORKER_OLD_EPOCH },
   { "old_incarnation", MUX_WORKER_OLD_INCARNATION },
-  { "late", MUX_WORKER_LATE },
+  { "late", MUX_WORKER_PAST_DEADLINE },
   { "tombstone", MUX_WORKER_TOMBSTONE },
   { "no_room", MUX_WORKER_NO_ROOM },
   { "leaving", MUX_WORKER_IS_LEAVING },
@@ -159,7 +159,7 @@
     return false;
   if (owner != NULL && mux_name_valid (owner))
     mux_name_copy (reply->owner, owner);
-  reply->worker_now_ms = (int64_t) now_ms;
+  reply->worker_clock_ms = (int64_t) now_ms;
   reply->leaving = leaving != 0;
   return true;
 }
--- a/src/cell/approve.c
+++ b/src/cell/approve.c
@@ -60,7 +60,8 @@
  * once.
  */
 bool
-cell_approval_is_being_recorded (const MuxCell *cell, const CellApproval *approval)
+cell_approval_is_being_recorded (const MuxCell *cell,
+                                 const CellApproval *approval)
 {
   return approval != NULL && approval->approved && approval->proof != NULL
          && !approval->stored
@@ -167,8 +168,9 @@
             const CellPending *pending,
             const MuxCellReply *reply)
 {
-  cell_approval_query_done (cell, pending->context, reply->status == MUX_CELL_OK,
-                    reply->approval, reply->approval_count, reply->valid_ms);
+  cell_approval_query_done (cell, pending->context,
+                            reply->status == MUX_CELL_OK, reply->approval,
+                            reply->approval_count, reply->valid_ms);
 }
 
 static bool
@@ -177,7 +179,7 @@
                uint64_t number,
                json_t *question)
 {
-  MuxPeerMsg msg = cell_message (cell, MUX_PEER_APPROVAL_ASK, member->name);
+  MuxPeerMsg msg = cell_message (cell, MUX_PEER_APPROVAL_QUERY, member->name);
   bool sent;
 
   if (strcmp (member->name, cell->options.name) == 0)
@@ -189,7 +191,7 @@
       json_decref (question);
       return sent;
     }
-  msg.call = number;
+  msg.call_id = number;
   msg.body = cell_blob_from_json (question);
   sent = msg.body != NULL
          && cell->options.sink->peer_send (cell->options.sink, member->addr,
@@ -245,7 +247,8 @@
 {
   for (uint32_t i = 0; i < question->candidate_count; i++)
     {
-      CellApproval *approval = cell_approval_find_slot (stage, question->slot[i]);
+      CellApproval *approval
+          = cell_approval_find_slot (stage, question->slot[i]);
 
       approval->queried = approval->approved;
     }
@@ -291,31 +294,32 @@
 
 bool
 cell_proof_outlasts_query (const MuxCell *cell,
-                     const CellStage *stage,
-                     const CellWorker *worker,
-                     uint32_t count)
+                           const CellStage *stage,
+                           const CellWorker *worker,
+                           uint32_t count)
 {
   int64_t answered_ms
       = cell->time.now_ms + cell_approval_query_ms (stage, count) + OVERDUE_MS;
 
   return cell_approval_proof (cell, stage, worker) != NULL
-         && answered_ms
-                <= cell_approval_find (stage, worker)->proof_expires_ms - PROOF_MARGIN_MS;
+         && answered_ms <= cell_approval_find (stage, worker)->proof_expires_ms
+                               - PROOF_MARGIN_MS;
 }
 
 bool
 cell_can_query (MuxCell *cell, const CellStage *stage, uint32_t count)
 {
   return !stage->query_pending && cell->time.now_ms >= stage->no_query_until_ms
-         && choose_member (cell, cell_approval_query_ms (stage, count) > LONG_MS)
+         && choose_member (cell,
+                           cell_approval_query_ms (stage, count) > LONG_MS)
                 != NULL;
 }
 
 bool
 cell_approval_query_send (MuxCell *cell,
-                   CellStage *stage,
-                   CellWorker *const *candidates,
-                   uint32_t count)
+                          CellStage *stage,
+                          CellWorker *const *candidates,
+                          uint32_t count)
 {
   uint32_t cost_ms = cell_approval_query_ms (stage, count);
   uint32_t timeout_ms = cost_ms + overdue_ms_of (stage);
@@ -346,7 +350,8 @@
       question_free (question);
       return false;
     }
-  HASH_ADD (hh, cell->approval_queries, number, sizeof question->number, question);
+  HASH_ADD (hh, cell->approval_queries, number, sizeof question->number,
+            question);
   mark_asked (stage, question, candidates);
   cell_step_query_sent (cell, stage, question);
   stage->query_pending = true;
@@ -372,7 +377,8 @@
   approval = cell_approval_find (stage, worker);
   if (approval == NULL)
     return;
-  approval->stored = approval->stored || cell_worker_is_recorded (stage, worker);
+  approval->stored
+      = approval->stored || cell_worker_is_recorded (stage, worker);
   if (!approval->approved && !approval->stored)
     {
       cell_job_mark_dirty (cell, stage->job);
@@ -421,11 +427,11 @@
 
 void
 cell_approval_query_done (MuxCell *cell,
-                  uint64_t number,
-                  bool answered,
-                  const MuxApproval *approvals,
-                  uint32_t count,
-                  uint32_t valid_ms)
+                          uint64_t number,
+                          bool answered,
+                          const MuxApproval *approvals,
+                          uint32_t count,
+                          uint32_t valid_ms)
 {
   CellApprovalQuery *question;
   CellTask *task;
--- a/src/cell/approve_peer.c
+++ b/src/cell/approve_peer.c
@@ -11,7 +11,7 @@
 {
   const json_t *workers = json_object_get (question, "workers");
   const char *job = json_string_value (json_object_get (question, "job"));
-  MuxCellCall *call = mux_cell_call_new (MUX_CELL_APPROVE);
+  MuxCellCall *call = mux_cell_call_new (MUX_CELL_QUERY_APPROVAL);
   size_t count = json_array_size (workers);
 
   if (call == NULL)
@@ -47,9 +47,9 @@
       json_t *body,
       bool answered)
 {
-  MuxPeerMsg msg = cell_message (cell, MUX_PEER_APPROVAL_TOLD, name);
+  MuxPeerMsg msg = cell_message (cell, MUX_PEER_APPROVAL_REPLY, name);
 
-  msg.call = number;
+  msg.call_id = number;
   msg.found = answered;
   msg.body = cell_blob_from_json (body);
   (void) cell->options.sink->peer_send (cell->options.sink, addr, &msg);
@@ -77,12 +77,12 @@
 ask_for_planner (MuxCell *cell, const MuxPeerMsg *msg)
 {
   json_t *question = cell_json_from_blob (msg->body);
-  CellPending pending = { .on_reply = asked_answer, .context = msg->call };
+  CellPending pending = { .on_reply = asked_answer, .context = msg->call_id };
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
   snprintf (pending.peer_addr, sizeof pending.peer_addr, "%s", msg->from_addr);
   if (!cell_call (cell, cell_approval_query_call (question), &pending))
-    tell (cell, msg->from, msg->from_addr, msg->call, json_object (), false);
+    tell (cell, msg->from, msg->from_addr, msg->call_id, json_object (), false);
   json_decref (question);
 }
 
@@ -105,7 +105,7 @@
                 proof != NULL ? proof : "");
     }
   cell_approval_query_done (
-      cell, msg->call, msg->found && approvals != NULL, approvals,
+      cell, msg->call_id, msg->found && approvals != NULL, approvals,
       approvals != NULL ? (uint32_t) count : 0,
       (uint32_t) json_integer_value (json_object_get (json, "valid_ms")));
   free (approvals);
@@ -115,7 +115,7 @@
 void
 cell_approval_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  if (msg->verb == MUX_PEER_APPROVAL_ASK)
+  if (msg->verb == MUX_PEER_APPROVAL_QUERY)
     ask_for_planner (cell, msg);
   else
     take_told (cell, msg);
--- a/src/cell/authorize.c
+++ b/src/cell/authorize.c
@@ -48,17 +48,17 @@
 
 /* A key that was added while this daemon heard nothing is not known here; a
  * caller who is told that it is nobody's does not come back. */
-static MuxOutcome
+static MuxResponseOutcome
 unknown_key (const MuxCell *cell)
 {
   return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_CONFIG])
-             ? MUX_OUTCOME_NO_KEY
-             : MUX_OUTCOME_REFUSED;
+             ? MUX_RESPONSE_UNAUTHORIZED
+             : MUX_RESPONSE_REFUSED;
 }
 
-MuxOutcome
+MuxResponseOutcome
 cell_authorize (MuxCell *cell,
-                const MuxQuestion *question,
+                const MuxRequest *question,
                 const MuxQueueSpec *queue,
                 CellCaller *caller)
 {
@@ -67,16 +67,16 @@
 
   *caller = (CellCaller){ .is_restricted = workspaces != NULL };
   if (workspaces == NULL || queue->is_public)
-    return MUX_OUTCOME_ACCEPTED;
+    return MUX_RESPONSE_ACCEPTED;
   if (!question->has_key)
     {
       mux_count_refused (cell->options.counters, MUX_REASON_NO_KEY);
-      return MUX_OUTCOME_NO_KEY;
+      return MUX_RESPONSE_UNAUTHORIZED;
     }
   if (!is_proved (cell))
     {
       mux_count_refused (cell->options.counters, MUX_REASON_KEY_UNPROVEN);
-      return MUX_OUTCOME_REFUSED;
+      return MUX_RESPONSE_REFUSED;
     }
   workspace = mux_workspace_of_key (workspaces, &question->key);
   if (workspace == NULL)
@@ -85,7 +85,7 @@
       return unknown_key (cell);
     }
   (void) mux_name_copy (caller->workspace, workspace->name);
-  return MUX_OUTCOME_ACCEPTED;
+  return MUX_RESPONSE_ACCEPTED;
 }
 
 bool
--- a/src/cell/call.c
+++ b/src/cell/call.c
@@ -17,11 +17,11 @@
   static const MuxCounter counter[] = {
     [MUX_CELL_COMMIT] = MUX_COUNT_TABLE_WRITES,
     [MUX_CELL_SCAN] = MUX_COUNT_TABLE_READS,
-    [MUX_CELL_FOLLOW] = MUX_COUNT_TABLE_READS,
+    [MUX_CELL_FEED] = MUX_COUNT_TABLE_READS,
     [MUX_CELL_START] = MUX_COUNT_WORKER_CALLS,
     [MUX_CELL_STOP] = MUX_COUNT_WORKER_CALLS,
     [MUX_CELL_RENEW] = MUX_COUNT_WORKER_CALLS,
-    [MUX_CELL_APPROVE] = MUX_COUNT_APPROVALS,
+    [MUX_CELL_QUERY_APPROVAL] = MUX_COUNT_APPROVALS,
   };
 
   mux_count (cell->options.counters, counter[verb], 1);
@@ -79,7 +79,7 @@
 of_store (MuxCellVerb verb)
 {
   return verb == MUX_CELL_COMMIT || verb == MUX_CELL_SCAN
-         || verb == MUX_CELL_FOLLOW;
+         || verb == MUX_CELL_FEED;
 }
 
 void
@@ -135,7 +135,7 @@
                   const CellPending *entry,
                   const MuxCellReply *reply)
 {
-  if (reply->store_clock_ms == 0 || reply->verb == MUX_CELL_FOLLOW)
+  if (reply->store_clock_ms == 0 || reply->verb == MUX_CELL_FEED)
     return;
   cell->store_clock_ms = reply->store_clock_ms;
   cell->store_clock_at_ms = entry->sent_ms;
@@ -151,7 +151,7 @@
     mux_observe (counters, MUX_HIST_STORE, took_ms);
   else if (reply->verb == MUX_CELL_START || reply->verb == MUX_CELL_STOP)
     mux_observe (counters, MUX_HIST_WORKER, took_ms);
-  else if (reply->verb == MUX_CELL_APPROVE)
+  else if (reply->verb == MUX_CELL_QUERY_APPROVAL)
     mux_observe (counters, MUX_HIST_APPROVAL, took_ms);
 }
 
@@ -247,9 +247,9 @@
 
 MuxCellChange *
 cell_call_add_change (MuxCellCall *call,
-             MuxChangeKind kind,
-             MuxCellTable table,
-             const char *key)
+                      MuxChangeKind kind,
+                      MuxCellTable table,
+                      const char *key)
 {
   MuxCellChange *change = &call->change[call->change_count++];
 
@@ -277,7 +277,7 @@
 {
   MuxCellCall *call = mux_cell_call_new (MUX_CELL_COMMIT);
 
-  if (call == NULL || !mux_cell_call_changes (call, changes))
+  if (call == NULL || !mux_cell_call_alloc_changes (call, changes))
     {
       mux_cell_call_free (call);
       return NULL;
@@ -289,9 +289,9 @@
 
 void
 cell_call_expect (MuxCellCall *call,
-             MuxCellTable table,
-             const char *key,
-             uint64_t version)
+                  MuxCellTable table,
+                  const char *key,
+                  uint64_t version)
 {
   cell_call_add_change (call, MUX_CHANGE_EXPECT, table, key)->version = version;
 }
--- a/src/cell/carry.c
+++ b/src/cell/carry.c
@@ -80,8 +80,7 @@
 static CellMember *
 carrier_of (MuxCell *cell, CellWorker *worker)
 {
-  if (!cell_uses_proxies (cell)
-      || cell->time.now_ms < worker->direct_until_ms)
+  if (!cell_uses_proxies (cell) || cell->time.now_ms < worker->direct_until_ms)
     return NULL;
   if (worker->proxy != NULL && cell->time.now_ms < worker->proxy_until_ms
       && can_carry (cell, worker->proxy, MEMBER_SILENT_MS))
@@ -106,7 +105,7 @@
 
   if (carrier == NULL || call == NULL)
     return cell_call (cell, call, pending);
-  msg = cell_message (cell, MUX_PEER_CARRY_ASK, carrier->name);
+  msg = cell_message (cell, MUX_PEER_PROXY_CALL, carrier->name);
   entry = cell_pending_add (cell, pending);
   if (entry == NULL)
     {
@@ -115,7 +114,7 @@
     }
   entry->verb = call->verb;
   entry->overdue_ms = cell->time.now_ms + call->timeout_ms + WAY_MS;
-  msg.call = entry->call_id;
+  msg.call_id = entry->call_id;
   msg.body = cell_proxied_call_encode (call);
   sent = msg.body != NULL
          && cell->options.sink->peer_send (cell->options.sink, carrier->addr,
@@ -229,10 +228,10 @@
 static void
 carried (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
 {
-  MuxPeerMsg msg = cell_message (cell, MUX_PEER_CARRY_TOLD, pending->peer);
+  MuxPeerMsg msg = cell_message (cell, MUX_PEER_PROXY_REPLY, pending->peer);
 
   msg.found = true;
-  msg.call = pending->context;
+  msg.call_id = pending->context;
   msg.body = cell_proxied_reply_encode (reply);
   if (msg.body != NULL)
     (void) cell->options.sink->peer_send (cell->options.sink,
@@ -243,7 +242,7 @@
 static void
 carry (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  CellPending pending = { .on_reply = carried, .context = msg->call };
+  CellPending pending = { .on_reply = carried, .context = msg->call_id };
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
   snprintf (pending.peer_addr, sizeof pending.peer_addr, "%s", msg->from_addr);
@@ -253,7 +252,7 @@
 static void
 take (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  MuxCellReply *reply = cell_proxied_reply_decode (msg->body, msg->call);
+  MuxCellReply *reply = cell_proxied_reply_decode (msg->body, msg->call_id);
 
   if (reply != NULL)
     mux_cell_reply (cell, cell->time, reply);
@@ -262,7 +261,7 @@
 void
 cell_proxy_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  if (msg->verb == MUX_PEER_CARRY_ASK)
+  if (msg->verb == MUX_PEER_PROXY_CALL)
     carry (cell, msg);
   else
     take (cell, msg);
--- a/src/cell/carry_wire.c
+++ b/src/cell/carry_wire.c
@@ -170,7 +170,7 @@
   put_task (&writer, &call->task);
   put_number (&writer, call->run);
   put_number (&writer, (int64_t) call->fence);
-  put_number (&writer, call->lease_until_ms);
+  put_number (&writer, call->lease_expires_ms);
   put_number (&writer, (int64_t) call->acked);
   put_number (&writer, call->wait_ms);
   put_text (&writer, call->checkpoint);
@@ -202,7 +202,7 @@
   task_at (list, CALL_TASK, &call->task);
   call->run = (uint32_t) number_at (list, CALL_RUN);
   call->fence = (uint64_t) number_at (list, CALL_FENCE);
-  call->lease_until_ms = number_at (list, CALL_LEASE);
+  call->lease_expires_ms = number_at (list, CALL_LEASE);
   call->acked = (uint64_t) number_at (list, CALL_ACKED);
   call->wait_ms = (uint32_t) number_at (list, CALL_WAIT);
   text_at (list, CALL_CHECKPOINT, call->checkpoint, sizeof call->checkpoint);
@@ -313,7 +313,7 @@
   put_number (writer, report->run);
   put_number (writer, report->percent);
   put_number (writer, report->usage);
-  put_number (writer, (int64_t) report->number);
+  put_number (writer, (int64_t) report->end_number);
   put_number (writer, report->end);
   put_text (writer, report->checkpoint);
 }
@@ -327,9 +327,10 @@
   report->run = (uint32_t) number_at (list, REPORT_RUN);
   report->percent = (uint32_t) number_at (list, REPORT_PERCENT);
   report->usage = (uint32_t) number_at (list, REPORT_USAGE);
-  report->number = (uint64_t) number_at (list, REPORT_NUMBER);
-  report->end
-      = end >= 0 && end <= MUX_RUN_ALONE ? (MuxRunEnd) end : MUX_RUN_LAPSED;
+  report->end_number = (uint64_t) number_at (list, REPORT_NUMBER);
+  report->end = end >= 0 && end <= MUX_RUN_GANG_INCOMPLETE
+                    ? (MuxRunEnd) end
+                    : MUX_RUN_LEASE_EXPIRED;
   text_at (list, REPORT_CHECKPOINT, report->checkpoint,
            sizeof report->checkpoint);
 }
@@ -343,8 +344,8 @@
   put_array (&writer, REPLY_FIELDS);
   put_number (&writer, reply->verb);
   put_number (&writer, reply->status);
-  put_number (&writer, reply->clock_ms);
-  put_number (&writer, (int64_t) reply->born_ms);
+  put_number (&writer, reply->worker_clock_ms);
+  put_number (&writer, (int64_t) reply->worker_started_ms);
   put_array (&writer, reply->report_count);
   for (uint32_t i = 0; i < reply->report_count; i++)
     put_report (&writer, &reply->report[i]);
@@ -377,13 +378,13 @@
   int64_t status = number_at (list, REPLY_STATUS);
   MuxCellReply *reply;
 
-  if (status < 0 || status > MUX_CELL_BAD)
+  if (status < 0 || status > MUX_CELL_BAD_REQUEST)
     return NULL;
   reply = mux_cell_reply_new (&call, (MuxCellStatus) status);
   if (reply == NULL)
     return NULL;
-  reply->clock_ms = number_at (list, REPLY_CLOCK);
-  reply->born_ms = (uint64_t) number_at (list, REPLY_BORN);
+  reply->worker_clock_ms = number_at (list, REPLY_CLOCK);
+  reply->worker_started_ms = (uint64_t) number_at (list, REPLY_BORN);
   if (read_reports (&list->via.array.ptr[REPLY_REPORTS], reply))
     return reply;
   mux_cell_reply_free (reply);
--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -23,9 +23,9 @@
     {
       /* The one in force stays: callers of its queues are served on. */
       cell->config_unreadable = true;
-      cell_report_bad_row (cell, row,
-                    row->wrong != NULL ? CELL_ROW_FIELD : CELL_ROW_VALUE,
-                    row->wrong != NULL ? row->wrong : "value");
+      cell_report_bad_row (
+          cell, row, row->bad_field != NULL ? CELL_ROW_FIELD : CELL_ROW_VALUE,
+          row->bad_field != NULL ? row->bad_field : "value");
       return;
     }
   cell->config_unreadable = false;
@@ -53,18 +53,21 @@
 static void
 set_up_follows (MuxCell *cell)
 {
-  cell->follow[FOLLOW_CONFIG] = (CellFollow){
-    .name = "config", .table = MUX_TABLE_CONFIG, .on_row = config_row, .enabled = true
-  };
-  cell->follow[FOLLOW_CLAIM] = (CellFollow){ .name = "claim",
-                                             .table = MUX_TABLE_CLAIM,
-                                             .on_row = cell_claim_row,
-                                             .on_full_read = cell_claim_full_read,
-                                             .enabled = true };
-  cell->follow[FOLLOW_WORKERS] = (CellFollow){ .name = "workers",
-                                               .table = MUX_TABLE_WORKERS,
-                                               .on_row = cell_worker_row,
-                                               .on_full_read = cell_workers_full_read };
+  cell->follow[FOLLOW_CONFIG] = (CellFollow){ .name = "config",
+                                              .table = MUX_TABLE_CONFIG,
+                                              .on_row = config_row,
+                                              .enabled = true };
+  cell->follow[FOLLOW_CLAIM]
+      = (CellFollow){ .name = "claim",
+                      .table = MUX_TABLE_CLAIM,
+                      .on_row = cell_claim_row,
+                      .on_full_read = cell_claim_full_read,
+                      .enabled = true };
+  cell->follow[FOLLOW_WORKERS]
+      = (CellFollow){ .name = "workers",
+                      .table = MUX_TABLE_WORKERS,
+                      .on_row = cell_worker_row,
+                      .on_full_read = cell_workers_full_read };
   cell->follow[FOLLOW_JOBS] = (CellFollow){ .name = "jobs",
                                             .table = MUX_TABLE_JOBS,
                                             .on_row = cell_jobs_row,
@@ -134,23 +137,23 @@
   switch (msg->verb)
     {
     case MUX_PEER_HELLO:
-    case MUX_PEER_WELCOME:
+    case MUX_PEER_HELLO_REPLY:
       cell_claim_peer (cell, msg);
       break;
-    case MUX_PEER_JOB_ASK:
-    case MUX_PEER_JOB_TOLD:
+    case MUX_PEER_JOB_QUERY:
+    case MUX_PEER_JOB_REPLY:
       cell_job_query_peer (cell, msg);
       break;
-    case MUX_PEER_APPROVAL_ASK:
-    case MUX_PEER_APPROVAL_TOLD:
+    case MUX_PEER_APPROVAL_QUERY:
+    case MUX_PEER_APPROVAL_REPLY:
       cell_approval_peer (cell, msg);
       break;
-    case MUX_PEER_SUBMIT_ASK:
-    case MUX_PEER_SUBMIT_TOLD:
+    case MUX_PEER_SUBMIT_REQUEST:
+    case MUX_PEER_SUBMIT_REPLY:
       cell_relay_peer (cell, msg);
       break;
-    case MUX_PEER_CARRY_ASK:
-    case MUX_PEER_CARRY_TOLD:
+    case MUX_PEER_PROXY_CALL:
+    case MUX_PEER_PROXY_REPLY:
       cell_proxy_peer (cell, msg);
       break;
     default:
@@ -212,7 +215,8 @@
   return cell->config != NULL && cell->claim.known && !cell->stopping
          && cell_keys_are_fresh (cell)
          && (cell_store_available (cell)
-             || (cell->role == CELL_FOLLOWER && cell_planner_is_reachable (cell)));
+             || (cell->role == CELL_FOLLOWER
+                 && cell_planner_is_reachable (cell)));
 }
 
 void
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -23,9 +23,9 @@
 int64_t cell_store_time_ms (const MuxCell *cell, int64_t in_ms);
 uint32_t cell_part_of (const char *id);
 MuxCellChange *cell_call_add_change (MuxCellCall *call,
-                            MuxChangeKind kind,
-                            MuxCellTable table,
-                            const char *key);
+                                     MuxChangeKind kind,
+                                     MuxCellTable table,
+                                     const char *key);
 /** cell_scan_call() - reads a table's part, from its first row on
  * Return: NULL when memory is out; so do cell_commit_call() and cell_call(). */
 MuxCellCall *cell_scan_call (MuxCellTable table, const char *part);
@@ -33,9 +33,9 @@
 MuxCellCall *cell_commit_call (const char *part, uint32_t changes);
 /** cell_expect() - only if the row has that version; 0: if there is none */
 void cell_call_expect (MuxCellCall *call,
-                  MuxCellTable table,
-                  const char *key,
-                  uint64_t version);
+                       MuxCellTable table,
+                       const char *key,
+                       uint64_t version);
 /** cell_key_behind() - the least key behind @key, to read on from */
 void cell_key_after (char next[MUX_ROW_NAME_LEN], const char *key);
 /** cell_json_blob() - takes @json over; NULL: memory is out */
@@ -80,13 +80,14 @@
 /** cell_row_bad() - the row is dropped; told once for each version of it
  * @what: names the field or part of it that is wrong */
 void cell_report_bad_row (MuxCell *cell,
-                   const MuxCellRow *row,
-                   CellRowFault fault,
-                   const char *what);
+                          const MuxCellRow *row,
+                          CellRowFault fault,
+                          const char *what);
 /** cell_row_json() - its value; NULL: removed, or told as unreadable */
 json_t *cell_row_json (MuxCell *cell, const MuxCellRow *row);
 /** cell_reply_row() - the row of that key; NULL: there is none */
-const MuxCellRow *cell_reply_find_row (const MuxCellReply *reply, const char *key);
+const MuxCellRow *cell_reply_find_row (const MuxCellReply *reply,
+                                       const char *key);
 /** cell_next_page() - the first key of the page behind @reply
  * Return: false, and @from empty, when there is none. */
 bool cell_next_page (char from[MUX_ROW_NAME_LEN], const MuxCellReply *reply);
@@ -155,10 +156,10 @@
 void cell_keys_tick (MuxCell *cell);
 /** cell_authorize() - who asks, by the key
  * Return: ACCEPTED: @caller is filled in; else the answer. */
-MuxOutcome cell_authorize (MuxCell *cell,
-                           const MuxQuestion *question,
-                           const MuxQueueSpec *queue,
-                           CellCaller *caller);
+MuxResponseOutcome cell_authorize (MuxCell *cell,
+                                   const MuxRequest *question,
+                                   const MuxQueueSpec *queue,
+                                   CellCaller *caller);
 /** cell_caller_may_know() - of jobs of @workspace; "": of none */
 bool cell_caller_may_see (const CellCaller *caller, const char *workspace);
 /** cell_row_is_of() - the row of a job, or of its end, is not another
@@ -190,7 +191,7 @@
 bool cell_quota_never_fits (const MuxCell *cell, const MuxJobSpec *spec);
 
 /* submit.c, inquiry.c: callers */
-void cell_submit (MuxCell *cell, MuxQuestion *question);
+void cell_submit (MuxCell *cell, MuxRequest *question);
 /** cell_submission_queue() - takes @submission over */
 void cell_submission_enqueue (MuxCell *cell, CellSubmission *submission);
 /** cell_submit_direct() - by this daemon's own commit */
@@ -199,26 +200,26 @@
 void cell_submission_end (MuxCell *cell,
                           CellPart *part,
                           CellSubmission *submission,
-                          MuxOutcome outcome,
+                          MuxResponseOutcome outcome,
                           const char *why);
 void cell_submit_tick (MuxCell *cell);
 void cell_submit_free (MuxCell *cell);
 void cell_job_query_begin (MuxCell *cell,
-                   const MuxQuestion *question,
-                   const CellCaller *caller,
-                   const MuxQueueSpec *queue,
-                   const char *id);
+                           const MuxRequest *question,
+                           const CellCaller *caller,
+                           const MuxQueueSpec *queue,
+                           const char *id);
 void cell_job_queries_tick (MuxCell *cell);
 void cell_job_queries_free (MuxCell *cell);
 void cell_job_query_peer (MuxCell *cell, const MuxPeerMsg *msg);
-void cell_respond (MuxCell *cell, uint64_t call, MuxOutcome outcome);
+void cell_respond (MuxCell *cell, uint64_t call, MuxResponseOutcome outcome);
 void cell_respond_state (MuxCell *cell, uint64_t call, MuxJobState state);
 /** cell_state_of() - what the planner says of one of its jobs; false: nothing
  * to that caller */
 bool cell_job_state (MuxCell *cell,
-                    const CellCaller *caller,
-                    const char *id,
-                    MuxJobState *state);
+                     const CellCaller *caller,
+                     const char *id,
+                     MuxJobState *state);
 
 /* queue_count.c */
 /** cell_queue_update() - the job waits, or no longer; only of one in the table
@@ -234,10 +235,10 @@
 bool cell_planner_is_reachable (const MuxCell *cell);
 bool cell_relay (MuxCell *cell, CellSubmission *submission);
 void cell_relay_reply (MuxCell *cell,
-                      const CellPart *part,
-                      const CellSubmission *submission,
-                      MuxOutcome outcome,
-                      const char *why);
+                       const CellPart *part,
+                       const CellSubmission *submission,
+                       MuxResponseOutcome outcome,
+                       const char *why);
 void cell_relay_tick (MuxCell *cell, CellPart *part);
 void cell_relay_peer (MuxCell *cell, const MuxPeerMsg *msg);
 
@@ -296,7 +297,9 @@
 /** cell_set_time() - of the event that is taken now */
 void cell_set_time (MuxCell *cell, MuxCellTime time);
 /** cell_day_heard() - a member says what time of day it has; 0: it does not */
-void cell_member_set_wall_time (const MuxCell *cell, CellMember *member, int64_t wall_ms);
+void cell_member_set_wall_time (const MuxCell *cell,
+                                CellMember *member,
+                                int64_t wall_ms);
 /** cell_day_told() - the planner says which one the cell goes by */
 void cell_planner_wall_time_received (MuxCell *cell, int64_t wall_ms);
 
@@ -349,7 +352,9 @@
 /** cell_occurrence_is_early() - the last that was begun is not due */
 bool cell_occurrence_is_early (const MuxCell *cell, const CellJob *job);
 /** cell_is_due() - the occurrence's time has come */
-bool cell_occurrence_is_due (const MuxCell *cell, const CellJob *job, uint32_t occurrence);
+bool cell_occurrence_is_due (const MuxCell *cell,
+                             const CellJob *job,
+                             uint32_t occurrence);
 /** cell_occurrences_due() - most that a planner may have begun, its time of day
  * ahead of ours */
 uint32_t cell_occurrences_due (const MuxCell *cell, const CellJob *job);
@@ -358,7 +363,8 @@
 
 /* job_rows.c: the jobs' table */
 /** cell_jobs_take() - a job that this planner stored itself, as @row */
-void cell_job_add_committed (MuxCell *cell, const MuxBlob *row, uint64_t version);
+void
+cell_job_add_committed (MuxCell *cell, const MuxBlob *row, uint64_t version);
 void cell_jobs_row (MuxCell *cell, const MuxCellRow *row);
 /** cell_is_cancel() - the row of the jobs' table is a job's cancel */
 bool cell_row_is_cancel (const MuxCellRow *row);
@@ -369,7 +375,8 @@
 void cell_unreadable_add (MuxCell *cell, const char *id, bool seen);
 /** cell_unread_mended() - its row can be read
  * Return: true, and @spec is taken over, if it was not before. */
-bool cell_unreadable_recover (MuxCell *cell, MuxJobSpec *spec, uint64_t version);
+bool
+cell_unreadable_recover (MuxCell *cell, MuxJobSpec *spec, uint64_t version);
 /** cell_unread_end() - a worker lists an end of a job that is not known
  * Return: false: it can't be kept, and must not be acknowledged. */
 bool cell_unreadable_keep_end (MuxCell *cell, const MuxRunReport *report);
@@ -377,23 +384,26 @@
 bool cell_unreadable_load_row (MuxCell *cell, const MuxCellRow *row);
 /** cell_unread_add_rows() - to a commit of the part's progress
  * Return: false when some were left out. */
-bool
-cell_unreadable_add_rows (MuxCell *cell, const CellPart *part, MuxCellCall *call);
+bool cell_unreadable_add_rows (MuxCell *cell,
+                               const CellPart *part,
+                               MuxCellCall *call);
 /** cell_unread_committed() - the end of that commit */
 void cell_unreadable_committed (MuxCell *cell, CellPart *part, bool stored);
 void cell_unreadable_tick (MuxCell *cell);
 /** cell_unread_add_end() - false: it was known before */
-bool cell_unreadable_add_end (CellUnreadable *unread, const CellUnreadableEnd *end);
+bool cell_unreadable_add_end (CellUnreadable *unread,
+                              const CellUnreadableEnd *end);
 
 /* unread_rows.c */
 /** cell_unread_row_of() - the job of such a row; false: it is another one */
 bool cell_unreadable_row_job (const char *key, char id[MUX_ROW_NAME_LEN]);
 void cell_unreadable_put_row (const MuxCell *cell,
-                          MuxCellCall *call,
-                          CellUnreadable *unread);
+                              MuxCellCall *call,
+                              CellUnreadable *unread);
 /** cell_unread_read_row() - beside the ends that @unread has */
-void
-cell_unreadable_read_row (MuxCell *cell, const MuxCellRow *row, CellUnreadable *unread);
+void cell_unreadable_read_row (MuxCell *cell,
+                               const MuxCellRow *row,
+                               CellUnreadable *unread);
 /** cell_unread_remove_row() - the job's own progress holds those ends now */
 void cell_unreadable_remove_row (MuxCellCall *call, const CellJob *job);
 void cell_unreadable_free (MuxCell *cell);
@@ -413,26 +423,29 @@
 bool cell_stage_gang_has_ended (const CellStage *stage);
 const char *cell_stage_gang_checkpoint (const CellStage *stage);
 /** cell_stage_placed() - the last @tasks that waited were sent to workers */
-void cell_stage_log_placed (MuxCell *cell, const CellStage *stage, uint32_t tasks);
+void
+cell_stage_log_placed (MuxCell *cell, const CellStage *stage, uint32_t tasks);
 
 /* step_wait.c: what a step waits for, and what its questions brought */
 /** cell_step_wait_begin() - it has become ready */
 void cell_step_wait_begin (const MuxCell *cell, CellStage *stage);
 /** cell_step_lacks() - from now on it waits for that */
-void cell_step_blocked_on (const MuxCell *cell, CellStage *stage, CellBlockedOn lack);
+void cell_step_blocked_on (const MuxCell *cell,
+                           CellStage *stage,
+                           CellBlockedOn lack);
 /** cell_step_asks() - @question about it is on its way */
 void cell_step_query_sent (const MuxCell *cell,
-                     CellStage *stage,
-                     const CellApprovalQuery *question);
+                           CellStage *stage,
+                           const CellApprovalQuery *question);
 /** cell_step_answered() - or it is lost, with no workers @approved */
 void cell_step_query_done (const MuxCell *cell,
-                         CellStage *stage,
-                         const CellApprovalQuery *question,
-                         uint32_t approved);
+                           CellStage *stage,
+                           const CellApprovalQuery *question,
+                           uint32_t approved);
 /** cell_step_used() - a start with a proof goes to @worker */
 void cell_step_proof_used (const MuxCell *cell,
-                     CellStage *stage,
-                     const CellWorker *worker);
+                           CellStage *stage,
+                           const CellWorker *worker);
 /** cell_step_wait_json() - how long it lacked what, in ms; owned by the caller
  */
 json_t *cell_step_wait_json (const MuxCell *cell, const CellStage *stage);
@@ -496,13 +509,16 @@
 bool cell_incarnation_add (MuxCell *cell, CellWorker *worker);
 void cell_incarnation_remove (MuxCell *cell, CellWorker *worker);
 /** cell_life_is_outdated() - a later life of that id has answered */
-bool cell_incarnation_is_outdated (MuxCell *cell, const char *id, uint64_t born_ms);
+bool
+cell_incarnation_is_outdated (MuxCell *cell, const char *id, uint64_t born_ms);
 /** cell_lives_unlist() - all lives of that id but one; NULL: all */
-void cell_incarnations_unlist (MuxCell *cell, const char *id, const CellWorker *but);
+void
+cell_incarnations_unlist (MuxCell *cell, const char *id, const CellWorker *but);
 /** cell_life_next() - the life that answered in place of @former
  * Return: NULL when memory is out. */
-CellWorker *
-cell_incarnation_next (MuxCell *cell, const CellWorker *former, uint64_t born_ms);
+CellWorker *cell_incarnation_next (MuxCell *cell,
+                                   const CellWorker *former,
+                                   uint64_t born_ms);
 /** cell_lives_end() - of those before @worker, which has answered */
 void cell_incarnations_end_earlier (MuxCell *cell, CellWorker *worker);
 /** cell_life_is_unsettled() - it is not known of all runs that were sent to the
@@ -531,8 +547,9 @@
 /* former.c: the planners before this one */
 /** cell_claim_former() - what a row of the claim tells of those before its
  * holder; @json: the row; NULL: it can't be read */
-void
-cell_claim_read_predecessors (const MuxCell *cell, CellClaim *claim, const json_t *json);
+void cell_claim_read_predecessors (const MuxCell *cell,
+                                   CellClaim *claim,
+                                   const json_t *json);
 /** cell_sign_read() - the same of the holder's sign of life */
 void cell_heartbeat_read (MuxCell *cell, const MuxCellRow *row);
 /** cell_orders_until_ms() - neither the claim's holder nor any planner before
@@ -543,7 +560,8 @@
 void cell_predecessor_begin (MuxCell *cell);
 /** cell_former_tell() - put into @json that planners before its writer may
  * order for @left_ms more; Return: @json */
-json_t *cell_predecessors_to_json (const MuxCell *cell, json_t *json, int64_t left_ms);
+json_t *
+cell_predecessors_to_json (const MuxCell *cell, json_t *json, int64_t left_ms);
 /** cell_former_left_ms() - for how long planners before this one may order */
 int64_t cell_predecessors_left_ms (const MuxCell *cell);
 /** cell_former_heard() - a daemon greets, maybe the former planner */
@@ -560,7 +578,8 @@
  * at a worker that was not heard is over */
 int64_t cell_predecessor_lease_left (const MuxCell *cell);
 /** cell_unheard_lease_left() - the same at @worker, which may bear a mark */
-int64_t cell_unconfirmed_lease_left (const MuxCell *cell, const CellWorker *worker);
+int64_t cell_unconfirmed_lease_left (const MuxCell *cell,
+                                     const CellWorker *worker);
 /** cell_lease_is_over() - nothing of ours can run there any more */
 bool cell_lease_is_over (MuxCell *cell, CellWorker *worker);
 /** cell_lease_of_stale() - what calls meant for a former life may have asked */
@@ -570,7 +589,8 @@
 
 /* late_start.c: starts that a worker's next life may still carry out */
 /** cell_start_may_come() - the booking's start, or a run of it is left */
-bool cell_start_may_arrive_late (const MuxCell *cell, const CellBooking *booking);
+bool cell_start_may_arrive_late (const MuxCell *cell,
+                                 const CellBooking *booking);
 /** cell_late_starts_of_former() - those of former planners at the worker, whose
  * lease is over */
 void cell_late_starts_of_predecessor (MuxCell *cell, const CellWorker *worker);
@@ -611,10 +631,10 @@
 cell_book (MuxCell *cell, CellTask *task, CellWorker *worker, uint32_t run);
 void cell_unbook (MuxCell *cell, CellBooking *booking);
 bool cell_start_run (MuxCell *cell,
-                 CellTask *task,
-                 CellWorker *worker,
-                 uint32_t run,
-                 const char *checkpoint);
+                     CellTask *task,
+                     CellWorker *worker,
+                     uint32_t run,
+                     const char *checkpoint);
 void cell_stop_booking (MuxCell *cell, CellBooking *booking);
 void cell_stops_tick (MuxCell *cell, CellWorker *worker);
 void cell_run_ended (MuxCell *cell,
@@ -632,9 +652,9 @@
                      const char *checkpoint);
 /** cell_stop_stray() - stop a run that no booking stands for */
 void cell_stop_orphan (MuxCell *cell,
-                      CellWorker *worker,
-                      const MuxTaskRef *task,
-                      uint32_t run);
+                       CellWorker *worker,
+                       const MuxTaskRef *task,
+                       uint32_t run);
 uint32_t cell_next_run (const MuxCell *cell, uint32_t last);
 /* loss.c: what lost runs say of their task */
 /** cell_task_losses() - what became of the workers, as is known now */
@@ -728,21 +748,23 @@
 bool cell_gang_may_start (const MuxCell *cell, const CellStage *stage);
 /** cell_worker_bears() - the task may start there beside what else does */
 bool cell_worker_accepts_suspect (const MuxCell *cell,
-                        const CellTask *task,
-                        const CellWorker *worker);
+                                  const CellTask *task,
+                                  const CellWorker *worker);
 /** cell_suspect_cost() - of a suspect at the worker; smaller is better */
 int64_t cell_suspect_cost (const MuxCell *cell,
                            const CellTask *task,
                            const CellWorker *worker);
 
 /* reports.c: what a worker lists */
-void
-cell_reports_apply (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply);
+void cell_reports_apply (MuxCell *cell,
+                         CellWorker *worker,
+                         const MuxCellReply *reply);
 
 /* approval_list.c */
 /** cell_approval() - what is known of the worker; NULL: it was not asked about
  */
-CellApproval *cell_approval_find (const CellStage *stage, const CellWorker *worker);
+CellApproval *cell_approval_find (const CellStage *stage,
+                                  const CellWorker *worker);
 CellApproval *cell_approval_find_slot (const CellStage *stage, uint32_t slot);
 /** cell_approval_add() - the entry of the worker; NULL: memory is out */
 CellApproval *cell_approval_add (CellStage *stage, const CellWorker *worker);
@@ -756,25 +778,26 @@
 /** cell_can_ask() - some daemon is free to ask about @count workers */
 bool cell_can_query (MuxCell *cell, const CellStage *stage, uint32_t count);
 bool cell_approval_query_send (MuxCell *cell,
-                        CellStage *stage,
-                        CellWorker *const *candidates,
-                        uint32_t count);
+                               CellStage *stage,
+                               CellWorker *const *candidates,
+                               uint32_t count);
 const char *cell_approval_proof (const MuxCell *cell,
                                  const CellStage *stage,
                                  const CellWorker *worker);
 /** cell_proof_taken() - the proof to show now; NULL: there is none, or
  * @approval is NULL */
 const char *cell_usable_proof (const MuxCell *cell,
-                              const CellApproval *approval);
+                               const CellApproval *approval);
 /** cell_approval_is_near() - its proof is taken once the record of the approval
  * is stored, which is on its way; false for NULL */
-bool cell_approval_is_being_recorded (const MuxCell *cell, const CellApproval *approval);
+bool cell_approval_is_being_recorded (const MuxCell *cell,
+                                      const CellApproval *approval);
 /** cell_approval_lasts() - its proof is still taken when a question about
  * @count workers that is sent now was answered */
 bool cell_proof_outlasts_query (const MuxCell *cell,
-                          const CellStage *stage,
-                          const CellWorker *worker,
-                          uint32_t count);
+                                const CellStage *stage,
+                                const CellWorker *worker,
+                                uint32_t count);
 /** cell_approvals_stored() - what was known when the job's progress was
  * written stands in the store */
 void cell_approvals_stored (CellStage *stage);
@@ -796,11 +819,11 @@
 int64_t cell_stage_settles_in_ms (MuxCell *cell, const CellStage *stage);
 /** cell_took_answer() - the question of that number was answered, or is lost */
 void cell_approval_query_done (MuxCell *cell,
-                       uint64_t number,
-                       bool answered,
-                       const MuxApproval *approvals,
-                       uint32_t count,
-                       uint32_t valid_ms);
+                               uint64_t number,
+                               bool answered,
+                               const MuxApproval *approvals,
+                               uint32_t count,
+                               uint32_t valid_ms);
 void cell_approvals_tick (MuxCell *cell);
 void cell_approval_queries_free (MuxCell *cell);
 
@@ -863,7 +886,8 @@
 /** cell_sample_max() - most workers of one look */
 uint32_t cell_worker_scan_max (const MuxCell *cell);
 /** cell_sample_begin() - a look of the stage, behind its last one */
-CellWorkerScan cell_worker_scan_begin (const MuxCell *cell, const CellStage *stage);
+CellWorkerScan cell_worker_scan_begin (const MuxCell *cell,
+                                       const CellStage *stage);
 /** cell_sample_next() - NULL: that was the last */
 CellWorker *cell_worker_scan_next (MuxCell *cell, CellWorkerScan *sample);
 /** cell_sample_end() - the stage's next look begins where this one stands */
@@ -871,7 +895,8 @@
 
 /* forecast.c: when running tasks will have ended */
 /** cell_booking_left_ms() - its run is expected to take so much longer */
-int64_t cell_booking_remaining_ms (const MuxCell *cell, const CellBooking *booking);
+int64_t cell_booking_remaining_ms (const MuxCell *cell,
+                                   const CellBooking *booking);
 /** cell_worker_free_at() - for @stage, if nothing starts there until @at_ms */
 MuxSize cell_worker_free_at (const MuxCell *cell,
                              const CellStage *stage,
@@ -880,19 +905,19 @@
 /** cell_worker_gaps() - for members of @stage there, in the order of time
  * Return: how many, @gap_max at most. */
 uint32_t cell_worker_openings (const MuxCell *cell,
-                           const CellStage *stage,
-                           CellWorker *worker,
-                           CellOpening *gap,
-                           uint32_t gap_max);
+                               const CellStage *stage,
+                               CellWorker *worker,
+                               CellOpening *gap,
+                               uint32_t gap_max);
 
 /* gather.c */
 /** cell_gather() - reserve room at @count approved workers for a gang that has
  * too little now, and ask for proofs if the time has come and it @may_ask */
 void cell_gang_reserve (MuxCell *cell,
-                  CellStage *stage,
-                  CellWorker *const *worker,
-                  uint32_t count,
-                  bool may_ask);
+                        CellStage *stage,
+                        CellWorker *const *worker,
+                        uint32_t count,
+                        bool may_ask);
 
 /* reserve.c: room kept for gangs */
 /** cell_reserve() - for @tasks more members of @stage, from @at_ms on
@@ -919,8 +944,8 @@
 /** cell_worker_spares() - tasks of @stage that may start there now, beside what
  * is kept for another */
 uint32_t cell_worker_spare_tasks (const MuxCell *cell,
-                             const CellStage *stage,
-                             const CellWorker *worker);
+                                  const CellStage *stage,
+                                  const CellWorker *worker);
 /** cell_delays_gang() - a task of @stage that starts there takes room that is
  * kept for another */
 bool cell_delays_gang (const MuxCell *cell,
@@ -935,7 +960,8 @@
 /** cell_choose_data_centre() - for the tasks of the stage that wait */
 void cell_choose_data_centre (MuxCell *cell, CellStage *stage);
 /** cell_is_outside() - of the data centre that the stage's tasks go to */
-bool cell_is_outside_data_centre (const CellStage *stage, const CellWorker *worker);
+bool cell_is_outside_data_centre (const CellStage *stage,
+                                  const CellWorker *worker);
 
 /* candidate.c: workers to ask the policy service about, those of the data
  * centre that is chosen for the stage before others */
@@ -972,8 +998,8 @@
 /** cell_worker_serves() - it is of the stage's service and has its label */
 bool cell_worker_matches (const CellStage *stage, const CellWorker *worker);
 bool cell_worker_is_eligible (const MuxCell *cell,
-                       const CellStage *stage,
-                       const CellWorker *worker);
+                              const CellStage *stage,
+                              const CellWorker *worker);
 MuxSize cell_worker_free (const CellWorker *worker);
 /** cell_worker_free_for() - with the room that @stage holds there */
 MuxSize cell_worker_free_for (const CellStage *stage, const CellWorker *worker);
@@ -982,8 +1008,8 @@
 uint32_t cell_tasks_that_fit (const CellStage *stage, MuxSize free);
 /** cell_worker_takes() - tasks of the stage that it has room for now */
 uint32_t cell_worker_startable_tasks (const MuxCell *cell,
-                            const CellStage *stage,
-                            const CellWorker *worker);
+                                      const CellStage *stage,
+                                      const CellWorker *worker);
 void cell_place_tasks (MuxCell *cell, CellStage *stage);
 /** cell_place_soon() - a former planner may have started tasks of it: ask for
  * what it needs once that is known */
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -69,8 +69,8 @@
 typedef struct CellQueueCount CellQueueCount;
 
 typedef void (*CellReplyHandler) (MuxCell *cell,
-                          const CellPending *pending,
-                          const MuxCellReply *reply);
+                                  const CellPending *pending,
+                                  const MuxCellReply *reply);
 
 /**
  * struct CellPending - a call whose reply is awaited
@@ -211,7 +211,7 @@
 {
   uint64_t request_id;
   CellCaller caller;
-  MuxQuestionVerb verb;
+  MuxRequestVerb verb;
   char id[MUX_JOB_ID_LEN];
   char queue[MUX_NAME_LEN];
   int64_t deadline_ms;
@@ -239,7 +239,7 @@
   bool stopping;
   bool wall_known;
   int64_t wall_offset_ms; /* its time of day over our steady clock */
-  uint64_t query_number;       /* number of the approval question it works on */
+  uint64_t query_number;  /* number of the approval question it works on */
   uint32_t query_cost_ms;
   int64_t no_query_until_ms; /* it is asked nothing before */
   bool is_free;
@@ -603,11 +603,11 @@
  */
 typedef enum
 {
-  CELL_BLOCKED_ON_TURN,   /* no pass has looked at it */
-  CELL_BLOCKED_ON_QUERIER,  /* no daemon is free to put its question */
-  CELL_BLOCKED_ON_ANSWER, /* which workers are approved is being asked */
-  CELL_BLOCKED_ON_PROOF,  /* proofs of approved workers are being renewed */
-  CELL_BLOCKED_ON_RECORD, /* the approvals are not stored yet */
+  CELL_BLOCKED_ON_TURN,    /* no pass has looked at it */
+  CELL_BLOCKED_ON_QUERIER, /* no daemon is free to put its question */
+  CELL_BLOCKED_ON_ANSWER,  /* which workers are approved is being asked */
+  CELL_BLOCKED_ON_PROOF,   /* proofs of approved workers are being renewed */
+  CELL_BLOCKED_ON_RECORD,  /* the approvals are not stored yet */
   CELL_BLOCKED_ON_ROOM,
   CELL_BLOCKED_ON_QUOTA, /* its workspace has as much running as it may */
   CELL_BLOCKED_ON_COUNT
@@ -687,8 +687,8 @@
   bool is_in_reserving; /* among those that room is reserved for */
   int64_t reserving_counted_ms;
   uint32_t scan_slot;
-  uint64_t service;       /* hash of the pool that runs it */
-  uint64_t data_centre;   /* hash of the one that its tasks are placed in */
+  uint64_t service;         /* hash of the pool that runs it */
+  uint64_t data_centre;     /* hash of the one that its tasks are placed in */
   int64_t proofs_expire_ms; /* no proof is taken after this */
   uint32_t tasks_left;
   uint32_t last_run;
@@ -856,8 +856,8 @@
  */
 typedef enum
 {
-  CELL_ROSTER_NONE = 1,   /* nothing: no next planner asks it */
-  CELL_ROSTER_NAMED = 2,  /* where it is: it may run something */
+  CELL_ROSTER_NONE = 1,        /* nothing: no next planner asks it */
+  CELL_ROSTER_NAMED = 2,       /* where it is: it may run something */
   CELL_ROSTER_WITH_EXPIRY = 4, /* and when its lease is surely over */
 } CellRosterState;
 
@@ -916,15 +916,16 @@
   uint32_t roster; /* set of CellRosterState, as the two below */
   uint32_t roster_before;
   uint32_t roster_pending;
-  int64_t unreachable_since_ms;       /* out of reach since; 0: it is not */
+  int64_t unreachable_since_ms; /* out of reach since; 0: it is not */
   int64_t down_before_ms;       /* and went before this */
-  int64_t marked_expiry_ms;       /* as a former planner marked it; 0: not marked */
-  int64_t lease_over_since_ms; /* its lease is over by what we know; 0: it is not */
+  int64_t marked_expiry_ms; /* as a former planner marked it; 0: not marked */
+  int64_t
+      lease_over_since_ms; /* its lease is over by what we know; 0: it is not */
   bool confirmed;
   bool reachable;
   bool dead;
-  bool replaced; /* another life answers at its address */
-  bool no_queue_logged;   /* told that no queue names its service */
+  bool replaced;        /* another life answers at its address */
+  bool no_queue_logged; /* told that no queue names its service */
   int64_t clock_ms;
   int64_t clock_at_ms;
   int64_t lease_expires_ms;
@@ -940,7 +941,7 @@
   int64_t backoff_ms;
   int64_t no_fill_until_ms;
   int64_t direct_until_ms; /* no other daemon calls it */
-  uint32_t reroutes;        /* decides which daemon calls it */
+  uint32_t reroutes;       /* decides which daemon calls it */
   int64_t idle_until_ms;   /* it is asked nothing while nothing runs there */
   uint32_t consecutive_failures;
   MuxSize booked;
@@ -1032,16 +1033,16 @@
   MuxCellOptions options;
   MuxCellTime time; /* of this event; with the cell's time of day */
   int64_t own_wall_ms;
-  int64_t wall_offset_ms; /* of the cell's time of day over @time.now_ms */
-  int64_t wall_received_ms;   /* a planner told it then; 0: none did */
+  int64_t wall_offset_ms;   /* of the cell's time of day over @time.now_ms */
+  int64_t wall_received_ms; /* a planner told it then; 0: none did */
   int64_t next_wall_check_ms;
   uint64_t next_call;
   CellPending *pending;
   CellFollow follow[FOLLOW_COUNT];
   MuxQueueConfig *config;
   int64_t config_confirmed_ms; /* it was the newest then; 0: never */
-  bool config_unreadable;       /* a newer one can't be read */
-  bool keys_confirmed_logged;         /* as told last */
+  bool config_unreadable;      /* a newer one can't be read */
+  bool keys_confirmed_logged;  /* as told last */
   CellWorkspace *workspaces;
   CellService *services;
   CellBadRow *bad_rows;
@@ -1055,12 +1056,13 @@
   int64_t store_served_ms;   /* its last answer that was not a failure */
   int64_t store_failing_ms;  /* first failure since; 0: none */
   int64_t commit_took_ms;    /* the last answered commit of any part */
-  int64_t store_changed_ms;   /* it began to fail, or to serve again, then */
+  int64_t store_changed_ms;  /* it began to fail, or to serve again, then */
 
   /* The claim. */
   CellClaim claim;
   int64_t claim_read_ms; /* it, or its holder's last sign of life, was read */
-  int64_t heartbeat_predecessors_until_ms; /* what that told of planners before it */
+  int64_t heartbeat_predecessors_until_ms; /* what that told of planners before
+                                              it */
   CellHellos hellos;
   CellPredecessor predecessor; /* of the planner */
   CellRole role;
@@ -1068,13 +1070,13 @@
   int64_t term_began_ms;
   int64_t planning_began_ms;    /* all parts were fenced by then */
   int64_t late_starts_until_ms; /* of former planners, at next lives */
-  bool jobs_unverified;    /* jobs were read without the claim beside them */
+  bool jobs_unverified;       /* jobs were read without the claim beside them */
   bool jobs_rereading;        /* they still are */
-  bool claim_recheck_busy;     /* a call that reads the claim is on its way */
-  uint64_t jobs_reread_count;   /* of all jobs, begun so far */
-  int64_t claim_verified_ms; /* the claim was surely ours then */
-  int64_t claim_renewed_ms;  /* the same, and others have seen it; 0: never */
-  int64_t claim_doubted_ms;  /* when it was last in doubt */
+  bool claim_recheck_busy;    /* a call that reads the claim is on its way */
+  uint64_t jobs_reread_count; /* of all jobs, begun so far */
+  int64_t claim_verified_ms;  /* the claim was surely ours then */
+  int64_t claim_renewed_ms;   /* the same, and others have seen it; 0: never */
+  int64_t claim_doubted_ms;   /* when it was last in doubt */
   bool claim_verify_busy;
   int64_t next_verify_ms;
   bool heartbeat_busy;
@@ -1088,8 +1090,8 @@
   int64_t claim_retry_ms;
   bool planner_restarted; /* its process is gone, a younger one answers */
   int64_t planner_last_contact_ms;
-  uint64_t heartbeat_version;        /* of its last sign of life in the store */
-  bool heartbeat_exists;             /* that row was not removed */
+  uint64_t heartbeat_version;       /* of its last sign of life in the store */
+  bool heartbeat_exists;            /* that row was not removed */
   int64_t planner_hello_reply_ms;   /* its last answer to a greeting */
   int64_t planner_store_failing_ms; /* it says so since; 0: it does not */
   int64_t planner_late_ms; /* as it says: what arrives there waits so long */
@@ -1099,7 +1101,7 @@
   MuxBlob *admission_blob; /* both, as the planner tells them; or NULL */
   int64_t admission_blob_ms;
   int64_t only_planner_failing_ms; /* and this daemon is served since; 0: not */
-  int64_t probed_ms;      /* the store answered a look then */
+  int64_t probed_ms;               /* the store answered a look then */
   int64_t next_probe_ms;
   int64_t next_hello_ms;
   bool stopping;
@@ -1107,14 +1109,14 @@
 
   /* Of the planner alone. */
   CellReplyLatency reply_latency;
-  bool late;     /* it takes no new jobs, as it told last */
-  bool has_backlog;  /* new jobs would wait, the same */
+  bool late;          /* it takes no new jobs, as it told last */
+  bool has_backlog;   /* new jobs would wait, the same */
   bool pool_has_room; /* some pool is not full, as counted last */
   int64_t next_backlog_log_ms;
   uint64_t admission_term; /* in which the backlog was counted last */
   CellJob *jobs;
-  CellJob *watched; /* jobs that time alone may change */
-  CellJob *loss_jobs;  /* jobs with lost runs */
+  CellJob *watched;   /* jobs that time alone may change */
+  CellJob *loss_jobs; /* jobs with lost runs */
   uint32_t loss_job_count;
   CellQueueCount *queue_counts;
   CellEndedJob *ended_jobs;
@@ -1125,26 +1127,28 @@
   CellWorker *workers;
   CellIncarnations *incarnations; /* of each id */
   uint32_t worker_slots;
-  uint32_t direct_workers; /* that no other daemon calls, as last counted */
-  CellWorker **worker_at;  /* by slot; NULL: forgotten */
-  int64_t all_confirmed_at_ms;     /* when @all_heard was looked up */
+  uint32_t direct_workers;     /* that no other daemon calls, as last counted */
+  CellWorker **worker_at;      /* by slot; NULL: forgotten */
+  int64_t all_confirmed_at_ms; /* when @all_heard was looked up */
   bool all_confirmed;          /* no worker of the roster is left to be heard */
-  uint32_t worker_scan_slot;    /* slot that the next look at workers begins with */
-  int64_t worker_scanned_ms;  /* when the last one was */
-  CellWorker *reserved;    /* with room reserved for gangs */
+  uint32_t
+      worker_scan_slot; /* slot that the next look at workers begins with */
+  int64_t worker_scanned_ms; /* when the last one was */
+  CellWorker *reserved;      /* with room reserved for gangs */
   CellMember *members;
-  CellMember *free_members;  /* that work on no approval question */
+  CellMember *free_members;    /* that work on no approval question */
   int64_t queriers_counted_ms; /* when the next two were counted */
   uint32_t queriers_alive;
   uint32_t queriers_with_long_query; /* of them, with a long question */
   CellApprovalQuery *approval_queries;
   CellPlanOrder plan_order;
   uint32_t late_reservations_left; /* left to late gangs in this pass */
-  CellStage *reserving_stages;       /* stages that room is reserved for */
-  uint32_t scan_cost;             /* workers looked at in this pass */
-  uint32_t idle_scan_cost;        /* for stages that still wait, the same */
-  uint32_t steps_scanned;      /* waiting steps, the same */
-  uint64_t scan_round; /* of looks at all stages; several passes may share one */
+  CellStage *reserving_stages;     /* stages that room is reserved for */
+  uint32_t scan_cost;              /* workers looked at in this pass */
+  uint32_t idle_scan_cost;         /* for stages that still wait, the same */
+  uint32_t steps_scanned;          /* waiting steps, the same */
+  uint64_t
+      scan_round; /* of looks at all stages; several passes may share one */
   bool replan;
   uint64_t change_seq;
   bool roster_loaded;
@@ -1156,7 +1160,7 @@
   uint32_t unscanned_steps; /* steps that wait and no pass has looked at yet */
   int64_t next_plan_ms;
   int64_t next_periodic_ms;
-  uint64_t quota_term;   /* all workers were heard in it */
+  uint64_t quota_term;       /* all workers were heard in it */
   MuxQuota unconfirmed_room; /* of workers whose runs are not known yet */
   int64_t next_overdue_ms;
   int64_t next_loss_check_ms;
--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -127,7 +127,8 @@
       cell_report_bad_row (cell, row, CELL_ROW_KEY, "part");
       return;
     }
-  if (row->table == MUX_TABLE_CLAIM && strcmp (row->key, CELL_HEARTBEAT_KEY) == 0
+  if (row->table == MUX_TABLE_CLAIM
+      && strcmp (row->key, CELL_HEARTBEAT_KEY) == 0
       && row->version > cell->heartbeat_version)
     {
       cell->heartbeat_version = row->version;
@@ -237,10 +238,12 @@
   /* No later sign of life of the former planner than the one known here. */
   if (cell->role == CELL_FOLLOWER)
     cell_call_expect (call, MUX_TABLE_CLAIM, CELL_HEARTBEAT_KEY,
-                 cell->heartbeat_exists ? cell->heartbeat_version : 0);
-  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_CLAIM, CELL_CLAIM_KEY)->value
+                      cell->heartbeat_exists ? cell->heartbeat_version : 0);
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_CLAIM, CELL_CLAIM_KEY)
+      ->value
       = blob;
-  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, CELL_CLAIM_KEY)->value
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, CELL_CLAIM_KEY)
+      ->value
       = mux_blob_ref (blob);
   return cell_call (cell, call, &pending);
 }
@@ -277,7 +280,8 @@
 
   if (cell->planner_store_failing_ms == 0)
     return false;
-  if (cell->only_planner_failing_ms == 0 || now - cell->probed_ms > PROBES_APART_MS)
+  if (cell->only_planner_failing_ms == 0
+      || now - cell->probed_ms > PROBES_APART_MS)
     cell->only_planner_failing_ms = now;
   cell->probed_ms = now;
   return now - cell->only_planner_failing_ms > STORE_BAD_MS + spread (cell);
@@ -332,8 +336,8 @@
   cell->next_hello_ms = cell->time.now_ms + HELLO_MS;
   msg.table_ok = cell_store_available (cell);
   msg.epoch = cell->claim.version;
-  msg.call = cell_hello_next (cell, msg.table_ok);
-  msg.strength_milli = cell->options.strength_milli;
+  msg.call_id = cell_hello_next (cell, msg.table_ok);
+  msg.cpu_share_milli = cell->options.strength_milli;
   msg.stopping = cell->stopping;
   msg.wall_ms = cell->own_wall_ms;
   (void) cell->options.sink->peer_send (cell->options.sink, cell->claim.addr,
@@ -387,7 +391,8 @@
   else if (cell->planner_restarted)
     claim (cell, "restarted");
   else if (planner_is_silent (cell)
-           || (cell->planner_store_failing_ms != 0 && now >= cell->next_probe_ms))
+           || (cell->planner_store_failing_ms != 0
+               && now >= cell->next_probe_ms))
     look_before_claim (cell);
 }
 
@@ -412,10 +417,10 @@
 static void
 welcome (MuxCell *cell, const MuxPeerMsg *hello, bool taken)
 {
-  MuxPeerMsg msg = cell_message (cell, MUX_PEER_WELCOME, hello->from);
+  MuxPeerMsg msg = cell_message (cell, MUX_PEER_HELLO_REPLY, hello->from);
 
   msg.epoch = cell->term;
-  msg.call = taken ? hello->call : 0;
+  msg.call_id = taken ? hello->call_id : 0;
   msg.table_ok = cell_store_available (cell);
   if (cell->role != CELL_FOLLOWER)
     {
@@ -444,7 +449,7 @@
   cell->planner_last_contact_ms = cell->time.now_ms;
   cell->planner_hello_reply_ms = cell->time.now_ms;
   if (msg->epoch == cell->claim.version)
-    cell_hello_acked (cell, msg->call);
+    cell_hello_acked (cell, msg->call_id);
   cell_admission_receive (cell, msg->body);
   cell->planner_late_ms = msg->late_ms;
   cell_planner_wall_time_received (cell, msg->wall_ms);
@@ -462,7 +467,7 @@
 {
   bool taken = false;
 
-  if (msg->verb == MUX_PEER_WELCOME)
+  if (msg->verb == MUX_PEER_HELLO_REPLY)
     {
       hear_planner (cell, msg);
       return;
--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -184,7 +184,7 @@
 
   snprintf (loss.addr, sizeof loss.addr, "%s", worker->info.addr);
   cell_unbook (cell, booking);
-  cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LAPSED, "");
+  cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LEASE_EXPIRED, "");
   (void) drop_open (task);
   if (bears || cell_run_clears_task (task, loss.lived_ms))
     (void) drop_all (task);
@@ -216,7 +216,7 @@
   loss.span = booking->previous_span;
   snprintf (former, sizeof former, "%s", booking->previous_incarnation);
   cell_unbook (cell, booking);
-  cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LAPSED, "");
+  cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LEASE_EXPIRED, "");
   (void) drop_open (task);
   if (counts)
     lose (cell, task, former, worker->info.addr, loss);
@@ -291,7 +291,8 @@
       || !cell_start_needs_record (cell, task))
     return false;
   open.began = booking->began;
-  life = booking->previous_incarnation != NULL ? booking->previous_incarnation : booking->worker->info.id;
+  life = booking->previous_incarnation != NULL ? booking->previous_incarnation
+                                               : booking->worker->info.id;
   return add (cell, task, life, booking->worker->info.addr, open) != NULL;
 }
 
--- a/src/cell/evacuate.c
+++ b/src/cell/evacuate.c
@@ -26,12 +26,12 @@
 {
   int64_t at_ms;
 
-  if (!worker->info.draining || worker->info.leaves_ms == 0)
+  if (!worker->info.draining || worker->info.drain_left_ms == 0)
     {
       worker->leaves_at_ms = 0;
       return;
     }
-  at_ms = cell->time.now_ms + worker->info.leaves_ms - HEARD_LATE_MS;
+  at_ms = cell->time.now_ms + worker->info.drain_left_ms - HEARD_LATE_MS;
   if (worker->leaves_at_ms == 0 || at_ms < worker->leaves_at_ms)
     worker->leaves_at_ms = at_ms;
 }
--- a/src/cell/follow.c
+++ b/src/cell/follow.c
@@ -88,7 +88,7 @@
 static void
 send_follow (MuxCell *cell, CellFollow *follow)
 {
-  MuxCellCall *call = mux_cell_call_new (MUX_CELL_FOLLOW);
+  MuxCellCall *call = mux_cell_call_new (MUX_CELL_FEED);
 
   if (call == NULL)
     return;
@@ -118,7 +118,8 @@
 {
   if (follow->lost)
     cell_log (cell, "feed_back", "{s:s, s:I}", "feed", follow->name,
-              "behind_ms", (json_int_t) (cell->time.now_ms - follow->known_until_ms));
+              "behind_ms",
+              (json_int_t) (cell->time.now_ms - follow->known_until_ms));
   follow->lost = false;
 }
 
@@ -222,8 +223,8 @@
 
 /*
  * Guards against a store that forgot the changes after the version known
- * (MUX_CELL_HISTORY): they will never be told, so that a follower would go on
- * with what it has for good.  The table is read whole again instead.
+ * (MUX_CELL_HISTORY_GONE): they will never be told, so that a follower would go
+ * on with what it has for good.  The table is read whole again instead.
  */
 static void
 followed (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
@@ -231,7 +232,7 @@
   CellFollow *follow = &cell->follow[pending->context];
 
   follow->busy = false;
-  if (reply->status == MUX_CELL_HISTORY)
+  if (reply->status == MUX_CELL_HISTORY_GONE)
     {
       follow->loaded = false;
       follow->part = 0;
--- a/src/cell/inquiry.c
+++ b/src/cell/inquiry.c
@@ -26,8 +26,8 @@
 void
 cell_respond_state (MuxCell *cell, uint64_t call, MuxJobState state)
 {
-  MuxQuestionReply reply
-      = { .call = call, .outcome = MUX_OUTCOME_STATE, .state = state };
+  MuxResponse reply
+      = { .call_id = call, .outcome = MUX_RESPONSE_STATE, .state = state };
 
   cell->options.sink->respond (cell->options.sink, &reply);
 }
@@ -35,8 +35,9 @@
 static void
 answer_pending (MuxCell *cell, uint64_t call, uint32_t pending)
 {
-  MuxQuestionReply reply
-      = { .call = call, .outcome = MUX_OUTCOME_PENDING, .pending = pending };
+  MuxResponse reply = { .call_id = call,
+                        .outcome = MUX_RESPONSE_PENDING,
+                        .pending = pending };
 
   cell->options.sink->respond (cell->options.sink, &reply);
 }
@@ -49,12 +50,12 @@
 }
 
 static void
-end_with (MuxCell *cell, CellJobQuery *inquiry, MuxOutcome outcome)
+end_with (MuxCell *cell, CellJobQuery *inquiry, MuxResponseOutcome outcome)
 {
-  if (inquiry->verb == MUX_QUESTION_CANCEL)
+  if (inquiry->verb == MUX_REQUEST_CANCEL)
     cell_log (cell, "cancel", "{s:s, s:i}", "job", inquiry->id, "outcome",
               (int) outcome);
-  else if (outcome != MUX_OUTCOME_ABSENT || inquiry->id[0] != 0)
+  else if (outcome != MUX_RESPONSE_NO_JOB || inquiry->id[0] != 0)
     cell_log (cell, "state_refused", "{s:s, s:i}", "job", inquiry->id,
               "outcome", (int) outcome);
   cell_respond (cell, inquiry->request_id, outcome);
@@ -78,7 +79,10 @@
 }
 
 static bool
-scan (MuxCell *cell, CellJobQuery *inquiry, MuxCellTable table, CellReplyHandler done)
+scan (MuxCell *cell,
+      CellJobQuery *inquiry,
+      MuxCellTable table,
+      CellReplyHandler done)
 {
   MuxCellCall *call
       = cell_scan_call (table, cell->part[cell_part_of (inquiry->id)].name);
@@ -102,7 +106,7 @@
     return;
   if (reply->status == MUX_CELL_OK)
     {
-      end_with (cell, inquiry, MUX_OUTCOME_CANCELLED);
+      end_with (cell, inquiry, MUX_RESPONSE_CANCELLED);
       return;
     }
   if (reply->status == MUX_CELL_UNKNOWN)
@@ -116,7 +120,8 @@
 {
   MuxCellCall *call
       = cell_commit_call (cell->part[cell_part_of (inquiry->id)].name, 2);
-  CellPending pending = { .on_reply = cancel_written, .context = inquiry->request_id };
+  CellPending pending
+      = { .on_reply = cancel_written, .context = inquiry->request_id };
   char key[MUX_ROW_NAME_LEN];
 
   if (call == NULL)
@@ -164,24 +169,24 @@
   row = cell_reply_find_row (reply, inquiry->id);
   if (row == NULL || !cell_row_is_visible_to (row, &inquiry->caller))
     {
-      end_with (cell, inquiry, MUX_OUTCOME_ABSENT);
+      end_with (cell, inquiry, MUX_RESPONSE_NO_JOB);
       return;
     }
   if (!read_end (cell, row, &state))
     /* It ended, and how can't be told.  A caller who hears "no such job" would
      * hand it in anew; that it can't be cancelled any more is true. */
     end_with (cell, inquiry,
-              inquiry->verb == MUX_QUESTION_STATE ? MUX_OUTCOME_REFUSED
-                                                  : MUX_OUTCOME_ABSENT);
-  else if (inquiry->verb == MUX_QUESTION_STATE)
+              inquiry->verb == MUX_REQUEST_QUERY ? MUX_RESPONSE_REFUSED
+                                                 : MUX_RESPONSE_NO_JOB);
+  else if (inquiry->verb == MUX_REQUEST_QUERY)
     {
       cell_respond_state (cell, inquiry->request_id, state);
       inquiry_end (cell, inquiry);
     }
   else
     end_with (cell, inquiry,
-              state == MUX_JOB_CANCELLED ? MUX_OUTCOME_CANCELLED
-                                         : MUX_OUTCOME_ABSENT);
+              state == MUX_JOB_CANCELLED ? MUX_RESPONSE_CANCELLED
+                                         : MUX_RESPONSE_NO_JOB);
 }
 
 static void
@@ -194,10 +199,10 @@
   cancelled = cell_reply_find_row (reply, cancel) != NULL;
   if (!cell_row_is_visible_to (&reply->row[0], &inquiry->caller))
     {
-      end_with (cell, inquiry, MUX_OUTCOME_ABSENT);
+      end_with (cell, inquiry, MUX_RESPONSE_NO_JOB);
       return;
     }
-  if (inquiry->verb == MUX_QUESTION_STATE)
+  if (inquiry->verb == MUX_REQUEST_QUERY)
     {
       cell_respond_state (cell, inquiry->request_id, MUX_JOB_ACTIVE);
       inquiry_end (cell, inquiry);
@@ -205,7 +210,7 @@
     }
   if (cancelled)
     {
-      end_with (cell, inquiry, MUX_OUTCOME_CANCELLED);
+      end_with (cell, inquiry, MUX_RESPONSE_CANCELLED);
       return;
     }
   inquiry->version = reply->row[0].version;
@@ -248,12 +253,12 @@
 static void
 ask_planner (MuxCell *cell, CellJobQuery *inquiry)
 {
-  MuxPeerMsg msg = cell_message (cell, MUX_PEER_JOB_ASK, cell->claim.name);
+  MuxPeerMsg msg = cell_message (cell, MUX_PEER_JOB_QUERY, cell->claim.name);
 
   inquiry->next_ms = cell->time.now_ms + PLANNER_MS;
   if (cell->claim.incarnation == 0 || cell->role == CELL_PLANNING)
     return;
-  msg.call = cell_peer_request_id (cell, inquiry->request_id);
+  msg.call_id = cell_peer_request_id (cell, inquiry->request_id);
   msg.body = cell_blob_from_json (ask_json (inquiry));
   (void) cell->options.sink->peer_send (cell->options.sink, cell->claim.addr,
                                         &msg);
@@ -266,7 +271,8 @@
 {
   if (inquiry->id[0] != 0 || !cell_is_active_planner (cell))
     return false;
-  answer_pending (cell, inquiry->request_id, cell_queue_waiting (cell, inquiry->queue));
+  answer_pending (cell, inquiry->request_id,
+                  cell_queue_waiting (cell, inquiry->queue));
   inquiry_end (cell, inquiry);
   return true;
 }
@@ -299,34 +305,35 @@
  */
 static bool
 answer_here (MuxCell *cell,
-             const MuxQuestion *question,
+             const MuxRequest *question,
              const CellCaller *caller,
              const char *id,
              const char *queue)
 {
   MuxJobState state;
 
-  if (cell->role != CELL_PLANNING || question->verb != MUX_QUESTION_STATE)
+  if (cell->role != CELL_PLANNING || question->verb != MUX_REQUEST_QUERY)
     return false;
   if (id[0] == 0)
     {
       if (!cell_is_active_planner (cell))
         return false;
-      answer_pending (cell, question->call, cell_queue_waiting (cell, queue));
+      answer_pending (cell, question->call_id,
+                      cell_queue_waiting (cell, queue));
       return true;
     }
   if (!cell_job_state (cell, caller, id, &state))
     return false;
-  cell_respond_state (cell, question->call, state);
+  cell_respond_state (cell, question->call_id, state);
   return true;
 }
 
 void
 cell_job_query_begin (MuxCell *cell,
-              const MuxQuestion *question,
-              const CellCaller *caller,
-              const MuxQueueSpec *queue,
-              const char *id)
+                      const MuxRequest *question,
+                      const CellCaller *caller,
+                      const MuxQueueSpec *queue,
+                      const char *id)
 {
   CellJobQuery *inquiry;
 
@@ -335,19 +342,20 @@
   inquiry = calloc (1, sizeof *inquiry);
   if (inquiry == NULL)
     {
-      cell_respond (cell, question->call, MUX_OUTCOME_REFUSED);
+      cell_respond (cell, question->call_id, MUX_RESPONSE_REFUSED);
       return;
     }
-  inquiry->request_id = question->call;
+  inquiry->request_id = question->call_id;
   inquiry->caller = *caller;
   inquiry->verb = question->verb;
-  inquiry->deadline_ms = cell->time.now_ms + question->give_up_ms - ANSWER_MS;
+  inquiry->deadline_ms = cell->time.now_ms + question->timeout_ms - ANSWER_MS;
   snprintf (inquiry->id, sizeof inquiry->id, "%s", id);
   snprintf (inquiry->queue, sizeof inquiry->queue, "%s", queue->name);
-  if (question->verb == MUX_QUESTION_CANCEL
+  if (question->verb == MUX_REQUEST_CANCEL
       || (cell->role == CELL_PLANNING && id[0] != 0))
     inquiry->phase = STEP_JOB;
-  HASH_ADD (hh, cell->job_queries, request_id, sizeof inquiry->request_id, inquiry);
+  HASH_ADD (hh, cell->job_queries, request_id, sizeof inquiry->request_id,
+            inquiry);
   act (cell, inquiry);
 }
 
@@ -358,10 +366,11 @@
 
   if (cell->time.now_ms >= inquiry->deadline_ms)
     end_with (cell, inquiry,
-              inquiry->outcome_unknown ? MUX_OUTCOME_UNKNOWN : MUX_OUTCOME_REFUSED);
+              inquiry->outcome_unknown ? MUX_RESPONSE_UNKNOWN
+                                       : MUX_RESPONSE_REFUSED);
   else if (!cell_store_available (cell) && !inquiry->outcome_unknown
            && inquiry->phase != STEP_PLANNER)
-    end_with (cell, inquiry, MUX_OUTCOME_REFUSED);
+    end_with (cell, inquiry, MUX_RESPONSE_REFUSED);
   else
     {
       if (inquiry->phase == STEP_PLANNER && job)
@@ -397,14 +406,14 @@
 static void
 tell (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  MuxPeerMsg told = cell_message (cell, MUX_PEER_JOB_TOLD, msg->from);
+  MuxPeerMsg told = cell_message (cell, MUX_PEER_JOB_REPLY, msg->from);
   json_t *json = cell_json_from_blob (msg->body);
   const char *id = json_string_value (json_object_get (json, "id"));
   const char *queue = json_string_value (json_object_get (json, "queue"));
   CellCaller caller = read_caller (json);
   MuxJobState state = MUX_JOB_ABSENT;
 
-  told.call = msg->call;
+  told.call_id = msg->call_id;
   if (id != NULL)
     told.found = cell_job_state (cell, &caller, id, &state);
   else if (queue != NULL)
@@ -423,7 +432,8 @@
 static void
 take (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  CellJobQuery *inquiry = find (cell, cell_peer_request_caller (cell, msg->call));
+  CellJobQuery *inquiry
+      = find (cell, cell_peer_request_caller (cell, msg->call_id));
 
   if (inquiry == NULL || inquiry->phase != STEP_PLANNER)
     return;
@@ -436,14 +446,15 @@
   if (inquiry->id[0] == 0)
     answer_pending (cell, inquiry->request_id, msg->queued);
   else
-    cell_respond_state (cell, inquiry->request_id, (MuxJobState) msg->job_state);
+    cell_respond_state (cell, inquiry->request_id,
+                        (MuxJobState) msg->job_state);
   inquiry_end (cell, inquiry);
 }
 
 void
 cell_job_query_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  if (msg->verb == MUX_PEER_JOB_TOLD)
+  if (msg->verb == MUX_PEER_JOB_REPLY)
     take (cell, msg);
   else if (cell->role == CELL_PLANNING)
     tell (cell, msg);
--- a/src/cell/life.c
+++ b/src/cell/life.c
@@ -23,7 +23,7 @@
   char id[MUX_NAME_LEN];
   CellIncarnations *lives;
 
-  mux_life_id (id, worker->info.id);
+  mux_incarnation_worker (id, worker->info.id);
   HASH_FIND_STR (cell->incarnations, id, lives);
   if (lives == NULL)
     {
@@ -163,7 +163,8 @@
 end_life (MuxCell *cell, CellWorker *former, CellWorker *next)
 {
   if (former->unanswered_sent_ms != 0
-      && former->unanswered_sent_ms + CELL_LATE_ORDERS_MS > next->stale_until_ms)
+      && former->unanswered_sent_ms + CELL_LATE_ORDERS_MS
+             > next->stale_until_ms)
     next->stale_until_ms = former->unanswered_sent_ms + CELL_LATE_ORDERS_MS;
   move_bookings (cell, former, next);
   cell_worker_replaced (cell, former);
@@ -181,12 +182,14 @@
 }
 
 CellWorker *
-cell_incarnation_next (MuxCell *cell, const CellWorker *former, uint64_t born_ms)
+cell_incarnation_next (MuxCell *cell,
+                       const CellWorker *former,
+                       uint64_t born_ms)
 {
   char life[MUX_NAME_LEN];
   CellWorker *worker;
 
-  if (!mux_life_name (life, former->incarnations->id, born_ms))
+  if (!mux_incarnation_name (life, former->incarnations->id, born_ms))
     return NULL;
   worker = cell_worker_find (cell, life);
   if (worker != NULL)
--- a/src/cell/member.c
+++ b/src/cell/member.c
@@ -69,8 +69,8 @@
     }
   /* One that was overtaken says what is true no more. */
   if (msg->from_incarnation < member->incarnation
-      || (msg->from_incarnation == member->incarnation && msg->call != 0
-          && msg->call <= member->hello_number))
+      || (msg->from_incarnation == member->incarnation && msg->call_id != 0
+          && msg->call_id <= member->hello_number))
     return false;
   /* What its former process asked is lost with it, answer and all: the step
    * asks anew at once. */
@@ -78,10 +78,10 @@
     cell_approval_query_done (cell, member->query_number, false, NULL, 0, 0);
   snprintf (member->addr, sizeof member->addr, "%s", msg->from_addr);
   member->incarnation = msg->from_incarnation;
-  member->hello_number = msg->call;
+  member->hello_number = msg->call_id;
   member->last_contact_ms = cell->time.processed_ms;
   member->store_available = msg->table_ok;
-  member->cpu_share_milli = msg->strength_milli;
+  member->cpu_share_milli = msg->cpu_share_milli;
   member->stopping = msg->stopping;
   cell_member_set_wall_time (cell, member, msg->wall_ms);
   return true;
--- a/src/cell/question.c
+++ b/src/cell/question.c
@@ -6,7 +6,7 @@
 
 static void
 submit (MuxCell *cell,
-        MuxQuestion *question,
+        MuxRequest *question,
         const CellCaller *caller,
         const MuxQueueSpec *queue,
         const char *id)
@@ -17,11 +17,11 @@
   snprintf (question->job->id, sizeof question->job->id, "%s", id);
   (void) mux_name_copy (question->job->workspace, caller->workspace);
   if (!mux_job_check (question->job, &findings))
-    cell_respond (cell, question->call, MUX_OUTCOME_BAD);
+    cell_respond (cell, question->call_id, MUX_RESPONSE_BAD_REQUEST);
   else if (cell_quota_never_fits (cell, question->job))
     {
       mux_count_refused (cell->options.counters, MUX_REASON_QUOTA);
-      cell_respond (cell, question->call, MUX_OUTCOME_TOO_LARGE);
+      cell_respond (cell, question->call_id, MUX_RESPONSE_OVER_QUOTA);
     }
   else
     cell_submit (cell, question);
@@ -32,37 +32,37 @@
  * this daemon heard nothing is not known here, and a caller who is told that
  * there is none does not come back.
  */
-static MuxOutcome
+static MuxResponseOutcome
 no_queue (const MuxCell *cell)
 {
   return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_CONFIG])
-             ? MUX_OUTCOME_NO_QUEUE
-             : MUX_OUTCOME_REFUSED;
+             ? MUX_RESPONSE_NO_QUEUE
+             : MUX_RESPONSE_REFUSED;
 }
 
 static void
 answer_caller (MuxCell *cell,
-               MuxQuestion *question,
+               MuxRequest *question,
                const CellCaller *caller,
                const MuxQueueSpec *queue,
                const char *id)
 {
-  if (question->verb == MUX_QUESTION_SUBMIT && question->job != NULL)
+  if (question->verb == MUX_REQUEST_SUBMIT && question->job != NULL)
     submit (cell, question, caller, queue, id);
   else if (id[0] != 0 && !mux_job_id_valid (id))
-    cell_respond (cell, question->call, MUX_OUTCOME_ABSENT);
-  else if (id[0] == 0 && question->verb != MUX_QUESTION_STATE)
-    cell_respond (cell, question->call, MUX_OUTCOME_BAD);
+    cell_respond (cell, question->call_id, MUX_RESPONSE_NO_JOB);
+  else if (id[0] == 0 && question->verb != MUX_REQUEST_QUERY)
+    cell_respond (cell, question->call_id, MUX_RESPONSE_BAD_REQUEST);
   else
     cell_job_query_begin (cell, question, caller, queue, id);
 }
 
 void
-mux_cell_request (MuxCell *cell, MuxCellTime time, MuxQuestion *question)
+mux_cell_request (MuxCell *cell, MuxCellTime time, MuxRequest *question)
 {
   const MuxQueueSpec *queue = NULL;
   const char *id = NULL;
-  MuxOutcome outcome = MUX_OUTCOME_REFUSED;
+  MuxResponseOutcome outcome = MUX_RESPONSE_REFUSED;
   CellCaller caller;
 
   cell_set_time (cell, time);
@@ -73,9 +73,9 @@
       outcome = queue != NULL ? cell_authorize (cell, question, queue, &caller)
                               : no_queue (cell);
     }
-  if (outcome == MUX_OUTCOME_ACCEPTED)
+  if (outcome == MUX_RESPONSE_ACCEPTED)
     answer_caller (cell, question, &caller, queue, id);
   else
-    cell_respond (cell, question->call, outcome);
-  mux_question_free (question);
+    cell_respond (cell, question->call_id, outcome);
+  mux_request_free (question);
 }
--- a/src/cell/relay.c
+++ b/src/cell/relay.c
@@ -19,19 +19,21 @@
 bool
 cell_planner_is_reachable (const MuxCell *cell)
 {
-  return cell->planner_hello_reply_ms != 0 && cell->planner_store_failing_ms == 0
+  return cell->planner_hello_reply_ms != 0
+         && cell->planner_store_failing_ms == 0
          && cell->time.now_ms - cell->planner_hello_reply_ms < HEARD_MS;
 }
 
 bool
 cell_relay (MuxCell *cell, CellSubmission *submission)
 {
-  MuxPeerMsg msg = cell_message (cell, MUX_PEER_SUBMIT_ASK, cell->claim.name);
+  MuxPeerMsg msg
+      = cell_message (cell, MUX_PEER_SUBMIT_REQUEST, cell->claim.name);
 
   if (cell->role != CELL_FOLLOWER || cell->claim.incarnation == 0
       || !cell_planner_is_reachable (cell))
     return false;
-  msg.call = cell_peer_request_id (cell, submission->request_id);
+  msg.call_id = cell_peer_request_id (cell, submission->request_id);
   msg.body = submission->value;
   submission->relayed = cell->options.sink->peer_send (cell->options.sink,
                                                        cell->claim.addr, &msg);
@@ -63,17 +65,17 @@
 
 void
 cell_relay_reply (MuxCell *cell,
-                 const CellPart *part,
-                 const CellSubmission *submission,
-                 MuxOutcome outcome,
-                 const char *why)
+                  const CellPart *part,
+                  const CellSubmission *submission,
+                  MuxResponseOutcome outcome,
+                  const char *why)
 {
-  MuxPeerMsg msg = cell_message (cell, MUX_PEER_SUBMIT_TOLD, submission->peer);
+  MuxPeerMsg msg = cell_message (cell, MUX_PEER_SUBMIT_REPLY, submission->peer);
 
   cell_log (cell, "submission_told", "{s:s, s:s, s:s, s:i, s:I}", "job",
             submission->job->id, "to", submission->peer, "why", why, "outcome",
             (int) outcome, "commit_ms", (json_int_t) part->submit_took_ms);
-  msg.call = submission->request_id;
+  msg.call_id = submission->request_id;
   msg.outcome = outcome;
   msg.retry_ms = submission->retry_ms;
   msg.table_ok = cell_store_available (cell);
@@ -97,7 +99,7 @@
       return;
     }
   submission->job = spec;
-  submission->request_id = msg->call;
+  submission->request_id = msg->call_id;
   submission->value = mux_blob_ref (msg->body);
   snprintf (submission->peer, sizeof submission->peer, "%s", msg->from);
   snprintf (submission->peer_addr, sizeof submission->peer_addr, "%s",
@@ -125,33 +127,33 @@
 {
   CellPart *part = NULL;
   CellSubmission *submission
-      = find (cell, cell_peer_request_caller (cell, msg->call), &part);
+      = find (cell, cell_peer_request_caller (cell, msg->call_id), &part);
 
   if (submission == NULL)
     return;
-  if (msg->outcome == MUX_OUTCOME_ACCEPTED)
+  if (msg->outcome == MUX_RESPONSE_ACCEPTED)
     {
-      cell_submission_end (cell, part, submission, MUX_OUTCOME_ACCEPTED,
+      cell_submission_end (cell, part, submission, MUX_RESPONSE_ACCEPTED,
                            "planner");
       return;
     }
   /* A planner that the store serves, and that refuses, has more to store than
    * the store can take: another daemon's commit would only come on top. */
-  if (msg->outcome == MUX_OUTCOME_REFUSED && msg->table_ok)
+  if (msg->outcome == MUX_RESPONSE_REFUSED && msg->table_ok)
     {
       submission->retry_ms = msg->retry_ms;
-      cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED,
+      cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED,
                            msg->retry_ms != 0 ? "backlog" : "behind");
       return;
     }
-  take_back (submission, msg->outcome != MUX_OUTCOME_REFUSED);
+  take_back (submission, msg->outcome != MUX_RESPONSE_REFUSED);
   cell_submissions_commit (cell, part);
 }
 
 void
 cell_relay_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  if (msg->verb == MUX_PEER_SUBMIT_TOLD)
+  if (msg->verb == MUX_PEER_SUBMIT_REPLY)
     take_told (cell, msg);
   else
     take_asked (cell, msg);
--- a/src/cell/renew.c
+++ b/src/cell/renew.c
@@ -33,7 +33,8 @@
 static bool
 knows_acks (const CellWorker *worker)
 {
-  return worker->acked == worker->ends_seen && worker->acked_sent == worker->acked;
+  return worker->acked == worker->ends_seen
+         && worker->acked_sent == worker->acked;
 }
 
 static bool
@@ -87,9 +88,9 @@
   /* From when the answer came, not from when it is taken: a planner 2.5 s late
    * asked for leases so much shorter, and 44 of 80 tasks lapsed and ran again.
    */
-  if (reply->clock_ms >= worker->clock_ms)
+  if (reply->worker_clock_ms >= worker->clock_ms)
     {
-      worker->clock_ms = reply->clock_ms;
+      worker->clock_ms = reply->worker_clock_ms;
       worker->clock_at_ms = cell->time.processed_ms;
     }
   if (first)
@@ -117,7 +118,8 @@
 static void
 take_other_life (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply)
 {
-  CellWorker *next = cell_incarnation_next (cell, worker, reply->born_ms);
+  CellWorker *next
+      = cell_incarnation_next (cell, worker, reply->worker_started_ms);
 
   if (next != NULL && !next->dead)
     take_answer (cell, next, reply);
@@ -127,7 +129,8 @@
 static MuxCellStatus
 renewal_status (const CellWorker *worker, const MuxCellReply *reply)
 {
-  return reply->status == MUX_CELL_OK && reply->born_ms < worker->started_ms
+  return reply->status == MUX_CELL_OK
+                 && reply->worker_started_ms < worker->started_ms
              ? MUX_CELL_UNKNOWN
              : reply->status;
 }
@@ -147,7 +150,7 @@
   if (worker->dead)
     return;
   status = renewal_status (worker, reply);
-  if (status == MUX_CELL_OTHER_LIFE)
+  if (status == MUX_CELL_OTHER_INCARNATION)
     {
       cell_worker_replaced (cell, worker);
       return;
@@ -162,8 +165,8 @@
       return;
     }
   if (worker->started_ms == 0)
-    worker->started_ms = reply->born_ms;
-  if (reply->born_ms > worker->started_ms)
+    worker->started_ms = reply->worker_started_ms;
+  if (reply->worker_started_ms > worker->started_ms)
     {
       take_other_life (cell, worker, reply);
       return;
@@ -212,10 +215,11 @@
   /* An unanswered renewal may still arrive: asking for ever longer leases
    * would keep the tasks of a lost worker out of work for good.  None is asked
    * either while the roster may say when the last one ends. */
-  call->lease_until_ms = worker->confirmed && worker->reachable
-                                 && (worker->roster & CELL_ROSTER_WITH_EXPIRY) == 0
-                             ? cell_worker_extend_lease (cell, worker)
-                             : 0;
+  call->lease_expires_ms
+      = worker->confirmed && worker->reachable
+                && (worker->roster & CELL_ROSTER_WITH_EXPIRY) == 0
+            ? cell_worker_extend_lease (cell, worker)
+            : 0;
   worker->renewing = cell_worker_call (cell, worker, call, &pending);
   if (!worker->renewing)
     worker->next_renew_ms = cell->time.now_ms + CELL_RENEW_PAUSE_MS;
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -49,7 +49,8 @@
   if (task->state == CELL_TASK_STARTING)
     task->state = CELL_TASK_RUNNING;
   if (report->checkpoint[0] != 0)
-    snprintf (task->checkpoint, sizeof task->checkpoint, "%s", report->checkpoint);
+    snprintf (task->checkpoint, sizeof task->checkpoint, "%s",
+              report->checkpoint);
   if (report->percent != booking->percent)
     {
       booking->percent = report->percent;
@@ -137,10 +138,10 @@
 {
   CellTask *task = cell_task_find (cell, &report->task);
 
-  if (report->number <= seen_before)
+  if (report->end_number <= seen_before)
     return true;
-  if (report->number > worker->ends_seen)
-    worker->ends_seen = report->number;
+  if (report->end_number > worker->ends_seen)
+    worker->ends_seen = report->end_number;
   if (task == NULL)
     return cell_unreadable_keep_end (cell, report);
   if (!is_ours (task, worker, report->run))
@@ -172,9 +173,10 @@
     {
       const MuxRunReport *report = &reply->report[i];
 
-      if (report->number != 0 && !take_end (cell, worker, report, seen_before)
-          && report->number < least_left)
-        least_left = report->number;
+      if (report->end_number != 0
+          && !take_end (cell, worker, report, seen_before)
+          && report->end_number < least_left)
+        least_left = report->end_number;
     }
   if (worker->ends_seen >= least_left)
     worker->ends_seen = least_left - 1;
@@ -195,7 +197,7 @@
       return;
     }
   cell_unbook (cell, booking);
-  cell_run_ended (cell, task, worker, run, MUX_RUN_LAPSED, "");
+  cell_run_ended (cell, task, worker, run, MUX_RUN_LEASE_EXPIRED, "");
 }
 
 /* Tasks that fill must not push a serving task over its target.  Where one is
@@ -283,7 +285,9 @@
 }
 
 void
-cell_reports_apply (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply)
+cell_reports_apply (MuxCell *cell,
+                    CellWorker *worker,
+                    const MuxCellReply *reply)
 {
   uint64_t seen = worker->ends_seen;
   uint32_t ends = 0;
@@ -296,14 +300,15 @@
   for (uint32_t i = 0; i < reply->report_count; i++)
     begin_listed_occurrence (cell, &reply->report[i].task);
   for (uint32_t i = 0; i < reply->report_count; i++)
-    ends += reply->report[i].number != 0;
+    ends += reply->report[i].end_number != 0;
   left = take_ends (cell, worker, reply);
   for (uint32_t i = 0; i < reply->report_count; i++)
-    if (reply->report[i].number == 0)
+    if (reply->report[i].end_number == 0)
       take_running (cell, worker, &reply->report[i]);
   protect_serving (cell, worker);
   DL_FOREACH_SAFE (worker->bookings, booking, next)
-  check_booking (cell, worker, booking, reply->clock_ms, ends < ENDS_PER_LIST);
+  check_booking (cell, worker, booking, reply->worker_clock_ms,
+                 ends < ENDS_PER_LIST);
   if (worker->ends_seen != seen)
     worker->ends_change_seq = cell->change_seq;
   /* What waits at the worker is listed at once. */
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -70,7 +70,8 @@
       /* Missing from the platform's list since now: it is asked for a while
        * before that counts. */
       worker->unlisted_ms = cell->time.now_ms;
-      worker->roster = over_ms != 0 ? CELL_ROSTER_WITH_EXPIRY : CELL_ROSTER_NAMED;
+      worker->roster
+          = over_ms != 0 ? CELL_ROSTER_WITH_EXPIRY : CELL_ROSTER_NAMED;
       worker->marked_expiry_ms
           = over_ms != 0 ? cell->time.now_ms + (over_ms - store_clock_ms) : 0;
     }
@@ -90,7 +91,7 @@
   for (uint32_t i = 0; i < reply->row_count; i++)
     if (strcmp (reply->row[i].key, CELL_FENCE_KEY) == 0)
       cell->roster_fence = reply->row[i].version;
-    else if (mux_life_valid (reply->row[i].key))
+    else if (mux_incarnation_valid (reply->row[i].key))
       take_row (cell, &reply->row[i], reply->store_clock_ms);
     else
       cell_report_bad_row (cell, &reply->row[i], CELL_ROW_KEY, "key");
@@ -136,7 +137,8 @@
 static bool
 wants_former_mark (const MuxCell *cell, const CellWorker *worker)
 {
-  return (worker->roster & CELL_ROSTER_NAMED) != 0 && worker->unreachable_since_ms != 0
+  return (worker->roster & CELL_ROSTER_NAMED) != 0
+         && worker->unreachable_since_ms != 0
          && cell->time.now_ms - cell->planning_began_ms > MARK_AFTER_MS
          && can_mark (cell, worker);
 }
@@ -216,7 +218,7 @@
 lease_left (const MuxCell *cell, const CellWorker *worker)
 {
   return worker->confirmed ? cell_worker_lease_left (cell, worker)
-                       : cell_predecessor_lease_left (cell);
+                           : cell_predecessor_lease_left (cell);
 }
 
 /* The mark is a time of the store's clock, which all daemons can read. */
@@ -227,8 +229,9 @@
 
   if (worker->roster_pending == CELL_ROSTER_WITH_EXPIRY)
     over_ms = cell_store_time_ms (cell, lease_left (cell, worker));
-  return cell_blob_from_json (json_pack ("{s:s, s:I}", "addr", worker->info.addr,
-                                    "over_ms", (json_int_t) over_ms));
+  return cell_blob_from_json (json_pack ("{s:s, s:I}", "addr",
+                                         worker->info.addr, "over_ms",
+                                         (json_int_t) over_ms));
 }
 
 static void
@@ -238,9 +241,12 @@
   worker->roster_before = worker->roster;
   worker->roster |= worker->roster_pending;
   if (worker->roster_pending == CELL_ROSTER_NONE)
-    cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_ROSTER, worker->info.id);
+    cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_ROSTER,
+                          worker->info.id);
   else
-    cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_ROSTER, worker->info.id)->value
+    cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_ROSTER,
+                          worker->info.id)
+        ->value
         = entry (cell, worker);
 }
 
@@ -270,7 +276,8 @@
 {
   cell_call_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->term);
   cell_call_expect (call, MUX_TABLE_ROSTER, CELL_FENCE_KEY, cell->roster_fence);
-  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_ROSTER, CELL_FENCE_KEY)->value
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_ROSTER, CELL_FENCE_KEY)
+      ->value
       = mux_blob_new ("{}", 2);
 }
 
--- a/src/cell/run.c
+++ b/src/cell/run.c
@@ -97,7 +97,7 @@
   CellTask *task = pending_task (cell, pending);
   CellWorker *worker = cell_worker_find (cell, pending->worker);
 
-  if (reply->status == MUX_CELL_OTHER_LIFE && worker != NULL)
+  if (reply->status == MUX_CELL_OTHER_INCARNATION && worker != NULL)
     {
       cell_worker_replaced (cell, worker);
       return;
@@ -107,7 +107,7 @@
   if (task == NULL)
     return;
   if (reply->status == MUX_CELL_OK)
-    task->booking->stop_clock_ms = reply->clock_ms;
+    task->booking->stop_clock_ms = reply->worker_clock_ms;
   else
     stop_at (task->booking, cell->time.now_ms + STOP_RETRY_MS);
 }
@@ -137,9 +137,9 @@
 
 void
 cell_stop_orphan (MuxCell *cell,
-                 CellWorker *worker,
-                 const MuxTaskRef *task,
-                 uint32_t run)
+                  CellWorker *worker,
+                  const MuxTaskRef *task,
+                  uint32_t run)
 {
   if (cell_is_active_planner (cell))
     send_stop (cell, worker, task, run);
@@ -236,7 +236,7 @@
     task->last_run += OLD_RUN_STEP;
   else if (status == MUX_CELL_FENCED)
     cell_claim_doubt (cell, "start_fenced");
-  else if (status == MUX_CELL_UNPROVEN && approval != NULL)
+  else if (status == MUX_CELL_PROOF_REFUSED && approval != NULL)
     approval->proof_expires_ms = 0;
   if (task->last_run > task->stage->last_run)
     task->stage->last_run = task->last_run;
@@ -257,7 +257,7 @@
               pending->task.job, "step", (int) pending->task.step, "task",
               (int) pending->task.index, "run", (int) pending->run, "worker",
               pending->worker, "status", mux_cell_status_name (reply->status));
-  if (reply->status == MUX_CELL_OTHER_LIFE && worker != NULL)
+  if (reply->status == MUX_CELL_OTHER_INCARNATION && worker != NULL)
     {
       cell_worker_replaced (cell, worker);
       return;
@@ -301,10 +301,10 @@
 
 bool
 cell_start_run (MuxCell *cell,
-            CellTask *task,
-            CellWorker *worker,
-            uint32_t run,
-            const char *checkpoint)
+                CellTask *task,
+                CellWorker *worker,
+                uint32_t run,
+                const char *checkpoint)
 {
   const char *proof = cell_approval_proof (cell, task->stage, worker);
   MuxCellCall *call = mux_cell_call_new (MUX_CELL_START);
@@ -328,7 +328,7 @@
   call->task = pending.task;
   call->run = run;
   call->fence = cell->term;
-  call->lease_until_ms = cell_worker_extend_lease (cell, worker);
+  call->lease_expires_ms = cell_worker_extend_lease (cell, worker);
   call->payload = mux_blob_ref (task->stage->job->payload);
   call->timeout_ms = CELL_WORKER_TIMEOUT_MS;
   mux_count (cell->options.counters, MUX_COUNT_STARTS, 1);
@@ -429,7 +429,7 @@
   CellStage *stage = task->stage;
   CellJob *job = stage->job;
 
-  if (end != MUX_RUN_LAPSED)
+  if (end != MUX_RUN_LEASE_EXPIRED)
     {
       cell_job_mark_dirty (cell, job);
       cell_loss_run_ended (cell, task);
@@ -445,7 +445,7 @@
     mux_count (cell->options.counters, MUX_COUNT_RUNS_FAILED, 1);
   else if (end == MUX_RUN_STOPPED)
     mux_count (cell->options.counters, MUX_COUNT_RUNS_STOPPED, 1);
-  else if (end == MUX_RUN_LAPSED)
+  else if (end == MUX_RUN_LEASE_EXPIRED)
     mux_count (cell->options.counters, MUX_COUNT_RUNS_LOST, 1);
   if (end == MUX_RUN_DONE && !stage->spec->long_running)
     {
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -24,10 +24,13 @@
 #define COME_BACK_MS 500
 
 static void
-answer (MuxCell *cell, uint64_t call, MuxOutcome outcome, uint32_t retry_ms)
+answer (MuxCell *cell,
+        uint64_t call,
+        MuxResponseOutcome outcome,
+        uint32_t retry_ms)
 {
-  MuxQuestionReply reply
-      = { .call = call, .outcome = outcome, .retry_ms = retry_ms };
+  MuxResponse reply
+      = { .call_id = call, .outcome = outcome, .retry_ms = retry_ms };
 
   cell->options.sink->respond (cell->options.sink, &reply);
 }
@@ -40,7 +43,7 @@
 }
 
 void
-cell_respond (MuxCell *cell, uint64_t call, MuxOutcome outcome)
+cell_respond (MuxCell *cell, uint64_t call, MuxResponseOutcome outcome)
 {
   answer (cell, call, outcome, usual_retry_ms (cell));
 }
@@ -55,11 +58,11 @@
 }
 
 static MuxReason
-reason_of (const CellSubmission *submission, MuxOutcome outcome)
+reason_of (const CellSubmission *submission, MuxResponseOutcome outcome)
 {
-  if (outcome == MUX_OUTCOME_UNKNOWN)
+  if (outcome == MUX_RESPONSE_UNKNOWN)
     return MUX_REASON_WRITE_UNKNOWN;
-  if (outcome == MUX_OUTCOME_TAKEN)
+  if (outcome == MUX_RESPONSE_ID_IN_USE)
     return MUX_REASON_OTHER_WORKSPACE;
   return submission->retry_ms != 0 ? MUX_REASON_OVERLOAD
                                    : MUX_REASON_STORE_DOWN;
@@ -71,10 +74,10 @@
 tell_caller (MuxCell *cell,
              const CellPart *part,
              const CellSubmission *submission,
-             MuxOutcome outcome,
+             MuxResponseOutcome outcome,
              const char *why)
 {
-  bool accepted = outcome == MUX_OUTCOME_ACCEPTED;
+  bool accepted = outcome == MUX_RESPONSE_ACCEPTED;
   uint32_t retry_ms = submission->retry_ms != 0 ? submission->retry_ms
                                                 : usual_retry_ms (cell);
 
@@ -96,7 +99,7 @@
 cell_submission_end (MuxCell *cell,
                      CellPart *part,
                      CellSubmission *submission,
-                     MuxOutcome outcome,
+                     MuxResponseOutcome outcome,
                      const char *why)
 {
   if (submission->peer[0] != 0)
@@ -171,23 +174,24 @@
   DL_APPEND (part->submissions, submission);
   if (why != NULL)
     {
-      cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED, why);
+      cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED, why);
       return;
     }
   cell_admission_accepted (cell, submission->job);
   if (submission->peer[0] == 0 && cell_relay (cell, submission))
     return;
   if (!cell_store_available (cell))
-    cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED,
+    cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED,
                          "store_away");
   else if (is_behind (part))
-    cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED, "behind");
+    cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED,
+                         "behind");
   else
     cell_submissions_commit (cell, part);
 }
 
 void
-cell_submit (MuxCell *cell, MuxQuestion *question)
+cell_submit (MuxCell *cell, MuxRequest *question)
 {
   MuxJobSpec *job = question->job;
   CellSubmission *submission = calloc (1, sizeof *submission);
@@ -201,14 +205,14 @@
     {
       free (submission);
       mux_job_free (job);
-      cell_respond (cell, question->call, MUX_OUTCOME_REFUSED);
+      cell_respond (cell, question->call_id, MUX_RESPONSE_REFUSED);
       return;
     }
   submission->job = job;
-  submission->request_id = question->call;
-  if (question->give_up_ms < HOLD_MS + ANSWER_MS)
+  submission->request_id = question->call_id;
+  if (question->timeout_ms < HOLD_MS + ANSWER_MS)
     submission->deadline_ms
-        = cell->time.now_ms + question->give_up_ms - ANSWER_MS;
+        = cell->time.now_ms + question->timeout_ms - ANSWER_MS;
   cell_submission_enqueue (cell, submission);
 }
 
@@ -273,13 +277,14 @@
       && fenced_term == cell->term)
     hand_over (cell, submission, reply->version);
   if (reply->status == MUX_CELL_OK)
-    cell_submission_end (cell, part, submission, MUX_OUTCOME_ACCEPTED,
+    cell_submission_end (cell, part, submission, MUX_RESPONSE_ACCEPTED,
                          "stored");
   else if (row != NULL && is_of_other (row, submission))
-    cell_submission_end (cell, part, submission, MUX_OUTCOME_TAKEN,
+    cell_submission_end (cell, part, submission, MUX_RESPONSE_ID_IN_USE,
                          "other_workspace");
   else if (row != NULL)
-    cell_submission_end (cell, part, submission, MUX_OUTCOME_ACCEPTED, "known");
+    cell_submission_end (cell, part, submission, MUX_RESPONSE_ACCEPTED,
+                         "known");
   else if (reply->status == MUX_CELL_UNKNOWN)
     submission->outcome_unknown = true;
 }
@@ -302,13 +307,13 @@
     if (submission->in_commit || submission->relayed)
       continue;
     if (submission->outcome_unknown && now >= submission->deadline_ms)
-      cell_submission_end (cell, part, submission, MUX_OUTCOME_UNKNOWN,
+      cell_submission_end (cell, part, submission, MUX_RESPONSE_UNKNOWN,
                            "no_answer");
     else if (!submission->outcome_unknown
              && (now >= submission->deadline_ms || !cell_store_available (cell)
                  || (cell->store_failing_ms != 0
                      && now - cell->store_failing_ms >= GIVE_UP_MS)))
-      cell_submission_end (cell, part, submission, MUX_OUTCOME_REFUSED,
+      cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED,
                            "store_failing");
   }
 }
@@ -341,7 +346,7 @@
   DL_FOREACH_SAFE (part->submissions, submission, next)
   if (submission->in_commit)
     settle (cell, part, submission, reply, pending->context);
-  if (reply->status == MUX_CELL_BAD)
+  if (reply->status == MUX_CELL_BAD_REQUEST)
     cell_log (cell, "commit_bad", "{s:s}", "part", part->name);
   if (replaced)
     {
@@ -367,7 +372,8 @@
                        : NULL;
 
   mux_blob_unref (submission->sent_value);
-  submission->sent_value = named != NULL ? named : mux_blob_ref (submission->value);
+  submission->sent_value
+      = named != NULL ? named : mux_blob_ref (submission->value);
 }
 
 static void
@@ -426,7 +432,8 @@
     return;
   if (cell->role == CELL_PLANNING)
     {
-      cell_call_expect (call, MUX_TABLE_FENCE, CELL_TERM_KEY, part->term_version);
+      cell_call_expect (call, MUX_TABLE_FENCE, CELL_TERM_KEY,
+                        part->term_version);
       pending.context = cell->term;
     }
   call->timeout_ms = TIMEOUT_MS;
--- a/src/cell/unread_rows.c
+++ b/src/cell/unread_rows.c
@@ -39,14 +39,17 @@
 }
 
 void
-cell_unreadable_put_row (const MuxCell *cell, MuxCellCall *call, CellUnreadable *unread)
+cell_unreadable_put_row (const MuxCell *cell,
+                         MuxCellCall *call,
+                         CellUnreadable *unread)
 {
   char key[MUX_ROW_NAME_LEN];
 
   unread->in_commit = true;
   snprintf (key, sizeof key, "%s" ENDS_MARK, unread->id);
   if (unread->expired)
-    (void) cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS, key);
+    (void) cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS,
+                                 key);
   else
     cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, key)->value
         = cell_blob_from_json (ends_json (cell, unread));
@@ -58,7 +61,8 @@
   char key[MUX_ROW_NAME_LEN];
 
   snprintf (key, sizeof key, "%s" ENDS_MARK, job->id);
-  (void) cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS, key);
+  (void) cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS,
+                               key);
 }
 
 /* Return: whether @json is one end, which @end then holds. */
@@ -75,7 +79,7 @@
   for (int i = 0; i < 5; i++)
     if (numbers[i] < 0)
       return false;
-  if (numbers[4] > MUX_RUN_ALONE)
+  if (numbers[4] > MUX_RUN_GANG_INCOMPLETE)
     return false;
   end->task.occurrence = (uint32_t) numbers[0];
   end->task.step = (uint32_t) numbers[1];
@@ -87,7 +91,9 @@
 }
 
 void
-cell_unreadable_read_row (MuxCell *cell, const MuxCellRow *row, CellUnreadable *unread)
+cell_unreadable_read_row (MuxCell *cell,
+                          const MuxCellRow *row,
+                          CellUnreadable *unread)
 {
   json_t *json = cell_row_json (cell, row);
   const json_t *list = json_object_get (json, "ends");
--- a/src/cell/worker.c
+++ b/src/cell/worker.c
@@ -51,7 +51,7 @@
   if (worker == NULL)
     return NULL;
   snprintf (worker->info.id, sizeof worker->info.id, "%s", id);
-  worker->started_ms = mux_life_born_ms (id);
+  worker->started_ms = mux_incarnation_started_ms (id);
   if (!cell_incarnation_add (cell, worker))
     {
       free (worker);
@@ -206,7 +206,7 @@
 wrong_in_entry (const CellWorker *worker, const MuxCellRow *row)
 {
   if (row->worker == NULL)
-    return row->wrong != NULL ? row->wrong : "value";
+    return row->bad_field != NULL ? row->bad_field : "value";
   return moves (worker, row->worker) ? "address" : NULL;
 }
 
@@ -228,9 +228,10 @@
 {
   if (wrong != NULL)
     cell_report_bad_row (cell, row,
-                  row->worker == NULL && row->wrong == NULL ? CELL_ROW_VALUE
-                                                            : CELL_ROW_FIELD,
-                  wrong);
+                         row->worker == NULL && row->bad_field == NULL
+                             ? CELL_ROW_VALUE
+                             : CELL_ROW_FIELD,
+                         wrong);
   cell_incarnations_unlist (cell, row->key, NULL);
 }
 
@@ -265,13 +266,15 @@
 
   /* The list lies in one part; an id goes into a header of each call. */
   if (row->part[0] != 0 || !mux_name_valid (row->key)
-      || !mux_life_name (life, row->key, entry != NULL ? entry->born_ms : 0))
+      || !mux_incarnation_name (life, row->key,
+                                entry != NULL ? entry->started_ms : 0))
     {
       cell_report_bad_row (cell, row, CELL_ROW_KEY, "key");
       return;
     }
   /* Only the latest life of a worker tells of it, whoever writes. */
-  if (entry != NULL && cell_incarnation_is_outdated (cell, row->key, entry->born_ms))
+  if (entry != NULL
+      && cell_incarnation_is_outdated (cell, row->key, entry->started_ms))
     {
       cell_report_bad_row (cell, row, CELL_ROW_FIELD, "born");
       return;
--- a/src/core/config_peer.c
+++ b/src/core/config_peer.c
@@ -18,7 +18,7 @@
 static void
 transfer_ask (MuxCore *core, const Member *member)
 {
-  MuxPeerMsg msg = { .verb = MUX_PEER_CONFIG_ASK };
+  MuxPeerMsg msg = { .verb = MUX_PEER_CONFIG_REQUEST };
 
   msg.revision = core->config->transfer.cursor;
   member_send (core, member, &msg);
@@ -232,7 +232,7 @@
 {
   Member *member = member_find (core, msg->from);
 
-  if (msg->verb == MUX_PEER_CONFIG_ASK)
+  if (msg->verb == MUX_PEER_CONFIG_REQUEST)
     send_page (core, msg);
   else if (msg->verb == MUX_PEER_CONFIG_ROWS)
     receive_page (core, msg);
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -299,7 +299,7 @@
     case MUX_PEER_BYE:
       members_bye (core, msg);
       break;
-    case MUX_PEER_GRANT_ASK:
+    case MUX_PEER_GRANT_REQUEST:
       owner_ask (core, msg);
       break;
     case MUX_PEER_GRANT_CANCEL:
@@ -317,7 +317,7 @@
       workers_handover (core, msg);
       break;
     case MUX_PEER_CONFIG_HINT:
-    case MUX_PEER_CONFIG_ASK:
+    case MUX_PEER_CONFIG_REQUEST:
     case MUX_PEER_CONFIG_ROWS:
       config_peer (core, msg);
       break;
@@ -328,15 +328,15 @@
       jobs_hint (core, msg->task);
       break;
     case MUX_PEER_HELLO:
-    case MUX_PEER_WELCOME:
-    case MUX_PEER_JOB_ASK:
-    case MUX_PEER_JOB_TOLD:
-    case MUX_PEER_APPROVAL_ASK:
-    case MUX_PEER_APPROVAL_TOLD:
-    case MUX_PEER_SUBMIT_ASK:
-    case MUX_PEER_SUBMIT_TOLD:
-    case MUX_PEER_CARRY_ASK:
-    case MUX_PEER_CARRY_TOLD:
+    case MUX_PEER_HELLO_REPLY:
+    case MUX_PEER_JOB_QUERY:
+    case MUX_PEER_JOB_REPLY:
+    case MUX_PEER_APPROVAL_QUERY:
+    case MUX_PEER_APPROVAL_REPLY:
+    case MUX_PEER_SUBMIT_REQUEST:
+    case MUX_PEER_SUBMIT_REPLY:
+    case MUX_PEER_PROXY_CALL:
+    case MUX_PEER_PROXY_REPLY:
       /* Of daemons that serve stepped jobs; none of them is a member here. */
       mux_count (core->counters, MUX_COUNT_EVENTS_DROPPED, 1);
       break;
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -137,12 +137,12 @@
 {
   Grant *grant = grant_find (core, ask->task);
   MuxTaskRequest task = { .task = ask->task,
-                      .group = ask->group,
-                      .group_count = ask->group_count,
-                      .class_name = ask->class_name,
-                      .start_by_ms = core->now_ms + ask->start_within_ms,
-                      .expires_ms = core->now_ms + ask->give_up_ms,
-                      .avoid = MUX_NO_WORKER };
+                          .group = ask->group,
+                          .group_count = ask->group_count,
+                          .class_name = ask->class_name,
+                          .start_by_ms = core->now_ms + ask->start_within_ms,
+                          .expires_ms = core->now_ms + ask->give_up_ms,
+                          .avoid = MUX_NO_WORKER };
   MuxAdmitResult verdict;
 
   /* The cancel of an ask in another group was lost: that gang is void. */
@@ -378,7 +378,7 @@
       else
         see_ended (core, worker, report);
     }
-  free_unused (core, worker, reply->worker_now_ms);
+  free_unused (core, worker, reply->worker_clock_ms);
 }
 
 void
--- a/src/core/task_ask.c
+++ b/src/core/task_ask.c
@@ -105,8 +105,8 @@
   if (task->keyed && task->idempotent && commit_store_down (core))
     return choose_by_key (core, task);
   if (!core->stopping)
-    best = weigh (task, core->name, NULL, stats.available, stats.total, stats.queued,
-                  1);
+    best = weigh (task, core->name, NULL, stats.available, stats.total,
+                  stats.queued, 1);
   /* With room here there is no better place: no message, no delay. */
   if (best.usable && best.room)
     return best;
@@ -151,7 +151,7 @@
 send_ask (MuxCore *core, Task *task)
 {
   Member *member;
-  MuxPeerMsg msg = { .verb = MUX_PEER_GRANT_ASK,
+  MuxPeerMsg msg = { .verb = MUX_PEER_GRANT_REQUEST,
                      .task = task->id,
                      .group = task->group,
                      .group_count = task->group_count,
--- a/src/core/task_call.c
+++ b/src/core/task_call.c
@@ -42,7 +42,7 @@
 too_late_to_tell (const Task *task, const MuxWorkerReply *reply)
 {
   return (reply->state == MUX_TASK_ABSENT || reply->state == MUX_TASK_FORGOTTEN)
-         && reply->worker_now_ms > task->at.not_after_ms + WORKER_MEMORY_MS;
+         && reply->worker_clock_ms > task->at.not_after_ms + WORKER_MEMORY_MS;
 }
 
 /* A call's number stands above its attempt, so that replies tell both. */
@@ -109,7 +109,7 @@
       return MUX_REASON_FENCED_EPOCH;
     case MUX_WORKER_OLD_INCARNATION:
       return MUX_REASON_FENCED_INCARNATION;
-    case MUX_WORKER_LATE:
+    case MUX_WORKER_PAST_DEADLINE:
       return MUX_REASON_FENCED_LATE;
     case MUX_WORKER_TOMBSTONE:
       return MUX_REASON_FENCED_TOMBSTONE;
--- a/src/core/worker_claim.c
+++ b/src/core/worker_claim.c
@@ -82,7 +82,7 @@
   /* Its clock had read worker_now_ms before the answer reached us, so the
    * difference is never too large: a last moment computed from it is never
    * later than meant. */
-  worker->clock_ahead_ms = reply->worker_now_ms - core->now_ms;
+  worker->clock_ahead_ms = reply->worker_clock_ms - core->now_ms;
   if (!mux_size_fits (reply->capacity, worker->capacity)
       || !mux_size_fits (worker->capacity, reply->capacity))
     {
--- a/src/daemon/cell_run.c
+++ b/src/daemon/cell_run.c
@@ -35,7 +35,7 @@
   MuxCellThread *thread;
   MuxCellPort *platform;
   MuxPeerPort *peer;
-  MuxPlatformDoor *door;
+  MuxPlatformServer *door;
   char peer_listen[MUX_ADDR_LEN];
 } CellDaemon;
 
@@ -117,7 +117,7 @@
 static bool
 make_door (CellDaemon *daemon, MuxError *err)
 {
-  MuxPlatformDoorOptions options = {
+  MuxPlatformServerOptions options = {
     .backend = mux_cell_thread_backend (daemon->thread),
     .counters = daemon->counters,
     .listen = daemon->options->listen,
@@ -126,7 +126,7 @@
     .callers_max = daemon->options->callers_max,
   };
 
-  daemon->door = mux_platform_door_new (&options, err);
+  daemon->door = mux_platform_server_new (&options, err);
   return daemon->door != NULL;
 }
 
@@ -145,7 +145,7 @@
 static void
 cell_daemon_free (CellDaemon *daemon)
 {
-  mux_platform_door_free (daemon->door);
+  mux_platform_server_free (daemon->door);
   if (daemon->thread != NULL)
     mux_cell_thread_join (daemon->thread);
   if (daemon->peer != NULL)
@@ -170,10 +170,10 @@
 leave (CellDaemon *daemon)
 {
   mux_log (MUX_LOG_NOTICE, "stop_begun", "linger_ms=%d", LINGER_MS);
-  mux_platform_door_leave (daemon->door);
+  mux_platform_server_begin_drain (daemon->door);
   mux_cell_thread_leave (daemon->thread);
   linger ();
-  mux_platform_door_close (daemon->door, DRAIN_MS);
+  mux_platform_server_drain (daemon->door, DRAIN_MS);
   mux_log (MUX_LOG_NOTICE, "stop_ended", "name=%s", daemon->options->name);
 }
 
--- a/src/daemon/cell_thread.c
+++ b/src/daemon/cell_thread.c
@@ -32,7 +32,7 @@
 {
   EventKind kind;
   int64_t arrived_ms;
-  MuxQuestion *question;
+  MuxRequest *question;
   MuxCellReply *reply;
   MuxPeerMsg peer;
 } Event;
@@ -85,7 +85,7 @@
 }
 
 static void
-sink_answer (MuxCellSink *sink, const MuxQuestionReply *reply)
+sink_answer (MuxCellSink *sink, const MuxResponse *reply)
 {
   MuxCellThread *thread = (MuxCellThread *) sink;
 
@@ -163,7 +163,7 @@
 }
 
 static bool
-push_question (MuxCellThread *thread, MuxQuestion *question)
+push_question (MuxCellThread *thread, MuxRequest *question)
 {
   Event *event = event_new (EVENT_QUESTION);
 
@@ -177,34 +177,32 @@
 }
 
 static void
-backend_ask (MuxCellBackend *backend,
-             MuxQuestion *question,
-             MuxQuestionReply *reply)
+backend_ask (MuxCellBackend *backend, MuxRequest *question, MuxResponse *reply)
 {
   MuxCellThread *thread
       = (MuxCellThread *) ((char *) backend
                            - offsetof (MuxCellThread, backend));
-  uint32_t wait_ms = question->give_up_ms + ANSWER_GRACE_MS;
-  bool write = question->verb != MUX_QUESTION_STATE;
+  uint32_t wait_ms = question->timeout_ms + ANSWER_GRACE_MS;
+  bool write = question->verb != MUX_REQUEST_QUERY;
   uint64_t call;
 
-  *reply = (MuxQuestionReply){ .outcome = MUX_OUTCOME_REFUSED,
-                               .retry_ms = COME_BACK_MS };
+  *reply = (MuxResponse){ .outcome = MUX_RESPONSE_REFUSED,
+                          .retry_ms = COME_BACK_MS };
   if (!mux_question_waiters_enter (thread->callers, &call))
     {
-      mux_question_free (question);
+      mux_request_free (question);
       return;
     }
-  question->call = call;
+  question->call_id = call;
   if (!push_question (thread, question))
     {
-      mux_question_free (question);
+      mux_request_free (question);
       (void) mux_question_waiters_wait (thread->callers, call, 0, reply);
       return;
     }
   if (!mux_question_waiters_wait (thread->callers, call, wait_ms, reply)
       && write)
-    reply->outcome = MUX_OUTCOME_UNKNOWN;
+    reply->outcome = MUX_RESPONSE_UNKNOWN;
 }
 
 static bool
@@ -360,7 +358,7 @@
   mux_cell_free (thread->cell);
   while (thread->ring != NULL && (event = mux_ring_pop (thread->ring)) != NULL)
     {
-      mux_question_free (event->question);
+      mux_request_free (event->question);
       mux_cell_reply_free (event->reply);
       event_free (event);
     }
--- a/src/daemon/question_waiters.c
+++ b/src/daemon/question_waiters.c
@@ -10,7 +10,7 @@
   uint64_t call;
   pthread_cond_t answered;
   bool has_reply;
-  MuxQuestionReply reply;
+  MuxResponse reply;
   UT_hash_handle hh;
 } Caller;
 
@@ -71,7 +71,7 @@
 mux_question_waiters_wait (MuxQuestionWaiters *callers,
                            uint64_t call,
                            uint32_t timeout_ms,
-                           MuxQuestionReply *reply)
+                           MuxResponse *reply)
 {
   struct timespec deadline = mux_deadline_after (timeout_ms);
   Caller *caller;
@@ -94,12 +94,12 @@
 
 bool
 mux_question_waiters_answer (MuxQuestionWaiters *callers,
-                             const MuxQuestionReply *reply)
+                             const MuxResponse *reply)
 {
   Caller *caller;
 
   pthread_mutex_lock (&callers->lock);
-  caller = find (callers, reply->call);
+  caller = find (callers, reply->call_id);
   if (caller != NULL)
     {
       caller->reply = *reply;
--- a/src/daemon/question_waiters.h
+++ b/src/daemon/question_waiters.h
@@ -21,10 +21,10 @@
 bool mux_question_waiters_wait (MuxQuestionWaiters *callers,
                                 uint64_t call,
                                 uint32_t timeout_ms,
-                                MuxQuestionReply *reply);
+                                MuxResponse *reply);
 /** mux_question_waiters_answer() - hand an answer over; any thread
  * Return: false when that caller has gone. */
 bool mux_question_waiters_answer (MuxQuestionWaiters *callers,
-                                  const MuxQuestionReply *reply);
+                                  const MuxResponse *reply);
 
 #endif
--- a/src/port/cell.c
+++ b/src/port/cell.c
@@ -13,7 +13,7 @@
 }
 
 bool
-mux_cell_call_changes (MuxCellCall *call, uint32_t count)
+mux_cell_call_alloc_changes (MuxCellCall *call, uint32_t count)
 {
   call->change = calloc (count > 0 ? count : 1, sizeof *call->change);
   return call->change != NULL;
@@ -46,7 +46,7 @@
 }
 
 bool
-mux_cell_reply_rows (MuxCellReply *reply, uint32_t count)
+mux_cell_reply_alloc_rows (MuxCellReply *reply, uint32_t count)
 {
   reply->row = calloc (count > 0 ? count : 1, sizeof *reply->row);
   return reply->row != NULL;
@@ -77,32 +77,33 @@
     [MUX_CELL_CONFLICT] = "conflict",
     [MUX_CELL_NOT_DONE] = "not_done",
     [MUX_CELL_UNKNOWN] = "unknown",
-    [MUX_CELL_HISTORY] = "history_gone",
-    [MUX_CELL_OTHER_LIFE] = "other_life",
+    [MUX_CELL_HISTORY_GONE] = "history_gone",
+    [MUX_CELL_OTHER_INCARNATION] = "other_life",
     [MUX_CELL_FENCED] = "fenced",
     [MUX_CELL_OLD_RUN] = "old_run",
-    [MUX_CELL_LATE] = "late",
+    [MUX_CELL_PAST_DEADLINE] = "late",
     [MUX_CELL_NO_ROOM] = "no_room",
-    [MUX_CELL_UNPROVEN] = "unproven",
-    [MUX_CELL_BAD] = "bad",
+    [MUX_CELL_PROOF_REFUSED] = "unproven",
+    [MUX_CELL_BAD_REQUEST] = "bad",
   };
 
-  return (uint32_t) status <= MUX_CELL_BAD ? names[status] : "?";
+  return (uint32_t) status <= MUX_CELL_BAD_REQUEST ? names[status] : "?";
 }
 
 const char *
 mux_run_end_name (MuxRunEnd end)
 {
-  static const char *const names[]
-      = { [MUX_RUN_DONE] = "done",       [MUX_RUN_FAILED] = "failed",
-          [MUX_RUN_STOPPED] = "stopped", [MUX_RUN_LAPSED] = "lapsed",
-          [MUX_RUN_BROKEN] = "broken",   [MUX_RUN_ALONE] = "alone" };
+  static const char *const names[] = {
+    [MUX_RUN_DONE] = "done",          [MUX_RUN_FAILED] = "failed",
+    [MUX_RUN_STOPPED] = "stopped",    [MUX_RUN_LEASE_EXPIRED] = "lapsed",
+    [MUX_RUN_GANG_BROKEN] = "broken", [MUX_RUN_GANG_INCOMPLETE] = "alone"
+  };
 
-  return (uint32_t) end <= MUX_RUN_ALONE ? names[end] : "?";
+  return (uint32_t) end <= MUX_RUN_GANG_INCOMPLETE ? names[end] : "?";
 }
 
 void
-mux_question_free (MuxQuestion *question)
+mux_request_free (MuxRequest *question)
 {
   if (question == NULL)
     return;
--- a/src/port/life.c
+++ b/src/port/life.c
@@ -11,7 +11,7 @@
 #define HEX 16
 
 bool
-mux_life_name (char life[MUX_NAME_LEN], const char *id, uint64_t born_ms)
+mux_incarnation_name (char life[MUX_NAME_LEN], const char *id, uint64_t born_ms)
 {
   int len = born_ms != 0 ? snprintf (life, MUX_NAME_LEN, "%s%c%" PRIx64, id,
                                      SEPARATOR, born_ms)
@@ -21,7 +21,7 @@
 }
 
 void
-mux_life_id (char id[MUX_NAME_LEN], const char *life)
+mux_incarnation_worker (char id[MUX_NAME_LEN], const char *life)
 {
   const char *end = strchr (life, SEPARATOR);
   size_t len = end != NULL ? (size_t) (end - life) : strlen (life);
@@ -33,7 +33,7 @@
 }
 
 uint64_t
-mux_life_born_ms (const char *life)
+mux_incarnation_started_ms (const char *life)
 {
   const char *end = strchr (life, SEPARATOR);
 
@@ -41,14 +41,14 @@
 }
 
 bool
-mux_life_valid (const char *life)
+mux_incarnation_valid (const char *life)
 {
   const char *end = strchr (life, SEPARATOR);
   char id[MUX_NAME_LEN];
 
   if (strlen (life) >= MUX_NAME_LEN)
     return false;
-  mux_life_id (id, life);
+  mux_incarnation_worker (id, life);
   return mux_name_valid (id)
          && (end == NULL
              || (end[1] != 0
--- a/test/standin/worker_logic.c
+++ b/test/standin/worker_logic.c
@@ -68,7 +68,7 @@
   reply->epoch = worker->epoch;
   if (worker->claimed)
     mux_name_copy (reply->owner, worker->owner);
-  reply->worker_now_ms = now_ms;
+  reply->worker_clock_ms = now_ms;
   reply->capacity = worker->options.capacity;
   reply->leaving = worker->leaving;
   reply->cursor = worker->change;
@@ -223,7 +223,7 @@
   if (!worker->claimed || now_ms >= worker->lease_until_ms)
     return refuse (worker, call, MUX_WORKER_OLD_EPOCH, "lapsed", now_ms);
   if (call->not_after_ms != 0 && now_ms > call->not_after_ms)
-    return refuse (worker, call, MUX_WORKER_LATE, "late", now_ms);
+    return refuse (worker, call, MUX_WORKER_PAST_DEADLINE, "late", now_ms);
   if (worker->leaving)
     return refuse (worker, call, MUX_WORKER_IS_LEAVING, "leaving", now_ms);
   if (!mux_size_fits (need, free))
--- a/test/standin/worker_wire.c
+++ b/test/standin/worker_wire.c
@@ -24,7 +24,7 @@
     = { [MUX_WORKER_OK] = { "ok", 200 },
         [MUX_WORKER_OLD_EPOCH] = { "old_epoch", 409 },
         [MUX_WORKER_OLD_INCARNATION] = { "old_incarnation", 409 },
-        [MUX_WORKER_LATE] = { "late", 410 },
+        [MUX_WORKER_PAST_DEADLINE] = { "late", 410 },
         [MUX_WORKER_TOMBSTONE] = { "tombstone", 409 },
         [MUX_WORKER_NO_ROOM] = { "no_room", 503 },
         [MUX_WORKER_IS_LEAVING] = { "leaving", 503 },
@@ -203,7 +203,7 @@
   put_number (response, "Cuminmux-Epoch", reply->epoch);
   if (reply->owner[0] != 0)
     u_map_put (response->map_header, "Cuminmux-Owner", reply->owner);
-  put_number (response, "Cuminmux-Now-Ms", (uint64_t) reply->worker_now_ms);
+  put_number (response, "Cuminmux-Now-Ms", (uint64_t) reply->worker_clock_ms);
   put_number (response, "Cuminmux-Leaving", reply->leaving);
   if (reply->status == MUX_WORKER_OK
       && (call->verb == MUX_WORKER_CLAIM || call->verb == MUX_WORKER_RENEW))
--- a/test/support/cell_chaos.c
+++ b/test/support/cell_chaos.c
@@ -247,7 +247,7 @@
       MuxJobState state;
 
       if (!c->world->answered[question]
-          || c->world->answer[question].outcome != MUX_OUTCOME_ACCEPTED)
+          || c->world->answer[question].outcome != MUX_RESPONSE_ACCEPTED)
         continue;
       job_name (id, i);
       state = world_state (c->world, 0, id);
--- a/test/support/cell_world.c
+++ b/test/support/cell_world.c
@@ -161,7 +161,7 @@
 static void
 do_commit (World *world, const MuxCellCall *call, MuxCellReply *reply)
 {
-  assert_true (mux_cell_reply_rows (reply, call->change_count));
+  assert_true (mux_cell_reply_alloc_rows (reply, call->change_count));
   assert_true (call->change_count <= 100);
   for (uint32_t i = 0; i < call->change_count; i++)
     {
@@ -186,7 +186,7 @@
   for (uint32_t i = 0; i < call->change_count; i++)
     if (call->change[i].value != NULL
         && call->change[i].value->len > WORLD_ROW_BYTES)
-      reply->status = MUX_CELL_BAD;
+      reply->status = MUX_CELL_BAD_REQUEST;
   if (reply->status != MUX_CELL_OK)
     return;
   reply->version = ++world->version;
@@ -229,7 +229,7 @@
 static void
 do_scan (World *world, const MuxCellCall *call, MuxCellReply *reply)
 {
-  assert_true (mux_cell_reply_rows (reply, world->row_count));
+  assert_true (mux_cell_reply_alloc_rows (reply, world->row_count));
   for (uint32_t i = 0; i < world->row_count; i++)
     {
       const WorldRow *row = &world->row[i];
@@ -279,14 +279,14 @@
 
   if (call->after < world->forgotten)
     {
-      reply->status = MUX_CELL_HISTORY;
+      reply->status = MUX_CELL_HISTORY_GONE;
       return true;
     }
   for (uint32_t i = 0; i < world->row_count && call->after < world->version;
        i++)
     news += world->row[i].table == call->table
             && world->row[i].version > call->after;
-  assert_true (mux_cell_reply_rows (reply, news));
+  assert_true (mux_cell_reply_alloc_rows (reply, news));
   for (uint32_t i = 0; i < world->row_count && news > 0; i++)
     if (world->row[i].table == call->table
         && world->row[i].version > call->after)
@@ -413,7 +413,7 @@
 misses_claim (const World *world, uint32_t cell, const MuxCellCall *call)
 {
   return world->cell[cell].claim_away && call->part[0] == 0
-         && call->verb != MUX_CELL_FOLLOW;
+         && call->verb != MUX_CELL_FEED;
 }
 
 static WorldFault
@@ -506,7 +506,7 @@
 {
   WorldCell *cell = (WorldCell *) sink;
 
-  if (call->verb == MUX_CELL_APPROVE)
+  if (call->verb == MUX_CELL_QUERY_APPROVAL)
     approve (cell->world, cell->number, call);
   else if (call->addr[0] != 0)
     world_worker_call (cell->world, cell->number, call);
@@ -516,14 +516,14 @@
 }
 
 static void
-sink_answer (MuxCellSink *sink, const MuxQuestionReply *reply)
+sink_answer (MuxCellSink *sink, const MuxResponse *reply)
 {
   World *world = ((WorldCell *) sink)->world;
 
-  assert_true (reply->call < 8192);
-  assert_false (world->answered[reply->call]);
-  world->answer[reply->call] = *reply;
-  world->answered[reply->call] = true;
+  assert_true (reply->call_id < 8192);
+  assert_false (world->answered[reply->call_id]);
+  world->answer[reply->call_id] = *reply;
+  world->answered[reply->call_id] = true;
 }
 
 static bool
@@ -1082,14 +1082,14 @@
   return number;
 }
 
-static MuxQuestion *
-question_new (World *world, MuxQuestionVerb verb, const char *id)
+static MuxRequest *
+question_new (World *world, MuxRequestVerb verb, const char *id)
 {
-  MuxQuestion *question = calloc (1, sizeof *question);
+  MuxRequest *question = calloc (1, sizeof *question);
 
   question->verb = verb;
-  question->call = ++world->next_question;
-  question->give_up_ms = 3000;
+  question->call_id = ++world->next_question;
+  question->timeout_ms = 3000;
   snprintf (question->host, sizeof question->host, "cell.example");
   snprintf (question->path, sizeof question->path, "/batch/%s", id);
   world_key (world, question);
@@ -1132,8 +1132,8 @@
 uint64_t
 world_submit (World *world, uint32_t cell, MuxJobSpec *job, const char *id)
 {
-  MuxQuestion *question = question_new (world, MUX_QUESTION_SUBMIT, id);
-  uint64_t number = question->call;
+  MuxRequest *question = question_new (world, MUX_REQUEST_SUBMIT, id);
+  uint64_t number = question->call_id;
 
   note_job (world, job, id);
   question->job = job;
@@ -1142,10 +1142,10 @@
 }
 
 uint64_t
-world_ask (World *world, uint32_t cell, MuxQuestionVerb verb, const char *id)
+world_ask (World *world, uint32_t cell, MuxRequestVerb verb, const char *id)
 {
-  MuxQuestion *question = question_new (world, verb, id);
-  uint64_t number = question->call;
+  MuxRequest *question = question_new (world, verb, id);
+  uint64_t number = question->call_id;
 
   mux_cell_request (world->cell[cell].cell, time_of (world, cell), question);
   return number;
@@ -1154,13 +1154,13 @@
 MuxJobState
 world_state (World *world, uint32_t cell, const char *id)
 {
-  uint64_t call = world_ask (world, cell, MUX_QUESTION_STATE, id);
+  uint64_t call = world_ask (world, cell, MUX_REQUEST_QUERY, id);
 
   world_run (world, 400);
   assert_true (world->answered[call]);
-  if (world->answer[call].outcome == MUX_OUTCOME_ABSENT)
+  if (world->answer[call].outcome == MUX_RESPONSE_NO_JOB)
     return MUX_JOB_ABSENT;
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_STATE);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_STATE);
   return world->answer[call].state;
 }
 
--- a/test/support/cell_world.h
+++ b/test/support/cell_world.h
@@ -274,7 +274,7 @@
   clock_t core_clock; /* processor time inside the cores' ticks and replies */
   WorldLogged logged[WORLD_EVENTS_MAX];
   WorldEvent *events;
-  MuxQuestionReply answer[8192]; /* by the question's call */
+  MuxResponse answer[8192]; /* by the question's call */
   bool answered[8192];
   uint64_t next_question;
 };
@@ -311,7 +311,7 @@
 uint64_t
 world_submit (World *world, uint32_t cell, MuxJobSpec *job, const char *id);
 uint64_t
-world_ask (World *world, uint32_t cell, MuxQuestionVerb verb, const char *id);
+world_ask (World *world, uint32_t cell, MuxRequestVerb verb, const char *id);
 /** world_state() - asks and waits a little */
 MuxJobState world_state (World *world, uint32_t cell, const char *id);
 /** world_starts() - of the tasks of a job */
--- a/test/support/cell_world_private.h
+++ b/test/support/cell_world_private.h
@@ -42,7 +42,7 @@
 
 /* cell_world_workspaces.c */
 /** world_key() - that callers show */
-void world_key (const World *world, MuxQuestion *question);
+void world_key (const World *world, MuxRequest *question);
 /** world_workspace_of() - of the key that callers show; "": of none */
 const char *world_workspace_of (const World *world);
 /** world_check_quota() - a start that brings a workspace over what it may have
--- a/test/support/cell_world_worker.c
+++ b/test/support/cell_world_worker.c
@@ -141,7 +141,7 @@
   uint32_t life = 0;
   char id[MUX_NAME_LEN];
 
-  mux_life_id (id, candidate);
+  mux_incarnation_worker (id, candidate);
 
   for (uint32_t i = 0; i < world->worker_end; i++)
     if (world->worker[i].used && strcmp (world->worker[i].info.id, id) == 0)
@@ -232,7 +232,7 @@
     }
   if (!is_proven (world, worker, call->proof))
     {
-      reply->status = MUX_CELL_UNPROVEN;
+      reply->status = MUX_CELL_PROOF_REFUSED;
       return;
     }
   run = free_run (worker);
@@ -293,7 +293,7 @@
         continue;
       report->task = run->task;
       report->run = run->run;
-      report->number = run->number;
+      report->end_number = run->number;
       run->heard = run->number != 0;
       report->end = run->end;
       report->usage = worker->usage;
@@ -320,7 +320,7 @@
 {
   char id[MUX_NAME_LEN];
 
-  mux_life_id (id, call->worker);
+  mux_incarnation_worker (id, call->worker);
   return strcmp (id, worker->info.id) == 0;
 }
 
@@ -335,17 +335,17 @@
 static MuxCellStatus
 worker_hears (WorldWorker *worker, const MuxCellCall *call, int64_t clock_ms)
 {
-  int64_t lease_ms = call->lease_until_ms;
+  int64_t lease_ms = call->lease_expires_ms;
 
   if (lease_ms > clock_ms + LEASE_MAX_MS)
     lease_ms = clock_ms + LEASE_MAX_MS;
   if (!is_meant (worker, call))
-    return MUX_CELL_OTHER_LIFE;
+    return MUX_CELL_OTHER_INCARNATION;
   if (call->fence < worker->fence)
     return MUX_CELL_FENCED;
   worker->fence = call->fence;
-  if (call->verb == MUX_CELL_START && call->lease_until_ms <= clock_ms)
-    return MUX_CELL_LATE;
+  if (call->verb == MUX_CELL_START && call->lease_expires_ms <= clock_ms)
+    return MUX_CELL_PAST_DEADLINE;
   if (lease_ms > worker->lease_until_ms)
     worker->lease_until_ms = lease_ms;
   return MUX_CELL_OK;
@@ -357,7 +357,7 @@
   MuxCellReply *reply = mux_cell_reply_new (
       call, worker_hears (worker, call, clock_of (world, worker)));
 
-  reply->clock_ms = clock_of (world, worker);
+  reply->worker_clock_ms = clock_of (world, worker);
   if (reply->status != MUX_CELL_OK)
     return reply;
   if (call->verb == MUX_CELL_START)
@@ -367,7 +367,7 @@
   else
     {
       list_runs (world, worker, call, reply);
-      reply->born_ms = worker->info.born_ms;
+      reply->worker_started_ms = worker->info.started_ms;
     }
   return reply;
 }
@@ -441,7 +441,7 @@
   if (run->number != 0)
     run->lapsed = run->lapsed || lapsed;
   else if (lapsed)
-    end_run (world, worker, run, MUX_RUN_LAPSED);
+    end_run (world, worker, run, MUX_RUN_LEASE_EXPIRED);
   else if (run->crashes && world->now_ms >= run->began_ms + world->crash_ms)
     world_worker_crash (world, (uint32_t) (worker - world->worker));
   else if (run->ends_ms <= world->now_ms)
@@ -479,7 +479,7 @@
 world_worker_leaves (World *world, uint32_t number, uint32_t in_ms)
 {
   world->worker[number].info.draining = true;
-  world->worker[number].info.leaves_ms = in_ms;
+  world->worker[number].info.drain_left_ms = in_ms;
   world_list_worker (world, number);
 }
 
@@ -550,7 +550,7 @@
         continue;
       start->crashed = true;
       start->ended_ms = world->now_ms;
-      start->end = MUX_RUN_LAPSED;
+      start->end = MUX_RUN_LEASE_EXPIRED;
     }
   memset (worker->run, 0, sizeof worker->run);
   worker->life++;
@@ -583,7 +583,7 @@
   WorldWorker *worker = &world->worker[number];
 
   worker->clock_ms = world->now_ms;
-  worker->info.born_ms = (uint64_t) (WORLD_WALL_MS + world->now_ms);
+  worker->info.started_ms = (uint64_t) (WORLD_WALL_MS + world->now_ms);
   worker->list_ms = world->now_ms + world->list_late_ms;
 }
 
@@ -622,7 +622,7 @@
   for (uint32_t i = 0; i < world->worker_end; i++)
     if (world->worker[i].used)
       {
-        world->worker[i].info.born_ms = WORLD_WALL_MS - 1;
+        world->worker[i].info.started_ms = WORLD_WALL_MS - 1;
         world_list_worker (world, i);
       }
 }
--- a/test/support/cell_world_workspaces.c
+++ b/test/support/cell_world_workspaces.c
@@ -44,7 +44,7 @@
 }
 
 void
-world_key (const World *world, MuxQuestion *question)
+world_key (const World *world, MuxRequest *question)
 {
   question->has_key = world->key[0] != 0;
   question->key = digest_of (world->key);
--- a/test/support/peer_sample.c
+++ b/test/support/peer_sample.c
@@ -60,7 +60,7 @@
     case MUX_PEER_HEARTBEAT:
       fill_heartbeat (msg);
       break;
-    case MUX_PEER_GRANT_ASK:
+    case MUX_PEER_GRANT_REQUEST:
       fill_grant_ask (msg);
       break;
     case MUX_PEER_GRANT:
@@ -83,7 +83,7 @@
       msg->revision = 1235;
       break;
     case MUX_PEER_CONFIG_HINT:
-    case MUX_PEER_CONFIG_ASK:
+    case MUX_PEER_CONFIG_REQUEST:
       msg->revision = 1235;
       break;
     case MUX_PEER_MEMBERS:
@@ -93,43 +93,43 @@
       msg->task = (MuxId){ 0x0123456789abcdef, 0xfedcba9876543210 };
       break;
     case MUX_PEER_HELLO:
-      msg->strength_milli = 250;
+      msg->cpu_share_milli = 250;
       msg->epoch = 41;
-      msg->call = 78;
+      msg->call_id = 78;
       strcpy (msg->from_addr, "10.20.30.41:7411");
       msg->table_ok = true;
       msg->wall_ms = INT64_C (1700000000123);
       break;
-    case MUX_PEER_WELCOME:
+    case MUX_PEER_HELLO_REPLY:
       msg->epoch = 42;
       msg->table_ok = true;
       msg->wall_ms = INT64_C (1700000000124);
       msg->late_ms = 250;
-      msg->call = 78;
+      msg->call_id = 78;
       msg->body = mux_blob_new (rows, sizeof rows - 1);
       break;
-    case MUX_PEER_JOB_ASK:
-    case MUX_PEER_APPROVAL_ASK:
-    case MUX_PEER_SUBMIT_ASK:
-    case MUX_PEER_CARRY_ASK:
+    case MUX_PEER_JOB_QUERY:
+    case MUX_PEER_APPROVAL_QUERY:
+    case MUX_PEER_SUBMIT_REQUEST:
+    case MUX_PEER_PROXY_CALL:
       strcpy (msg->from_addr, "10.20.30.41:7411");
-      msg->call = 77;
+      msg->call_id = 77;
       msg->body = mux_blob_new (rows, sizeof rows - 1);
       break;
-    case MUX_PEER_SUBMIT_TOLD:
-      msg->call = 77;
+    case MUX_PEER_SUBMIT_REPLY:
+      msg->call_id = 77;
       msg->outcome = 6;
       msg->retry_ms = 1250;
       break;
-    case MUX_PEER_JOB_TOLD:
-      msg->call = 77;
+    case MUX_PEER_JOB_REPLY:
+      msg->call_id = 77;
       msg->found = true;
       msg->job_state = 2;
       msg->queued = 12;
       break;
-    case MUX_PEER_APPROVAL_TOLD:
-    case MUX_PEER_CARRY_TOLD:
-      msg->call = 77;
+    case MUX_PEER_APPROVAL_REPLY:
+    case MUX_PEER_PROXY_REPLY:
+      msg->call_id = 77;
       msg->found = true;
       msg->body = mux_blob_new (rows, sizeof rows - 1);
       break;
@@ -143,7 +143,7 @@
 static bool
 speaks_of_task (MuxPeerVerb verb)
 {
-  return verb >= MUX_PEER_GRANT_ASK && verb <= MUX_PEER_TASK_ENDED;
+  return verb >= MUX_PEER_GRANT_REQUEST && verb <= MUX_PEER_TASK_ENDED;
 }
 
 void
--- a/test/support/world_callers.c
+++ b/test/support/world_callers.c
@@ -105,7 +105,7 @@
   const World *world = callers->world;
   const WorldCall *call = &callers->call[number];
   bool answered = world->answered[call->question];
-  MuxOutcome outcome = world->answer[call->question].outcome;
+  MuxResponseOutcome outcome = world->answer[call->question].outcome;
   char id[MUX_JOB_ID_LEN];
 
   call_name (id, number);
@@ -114,13 +114,13 @@
                           || call->answered_ms - call->sent_ms > answer_ms;
   served->in_time
       += done_by (world, id, call->sent_ms + done_ms) == callers->tasks;
-  if (answered && outcome == MUX_OUTCOME_ACCEPTED)
+  if (answered && outcome == MUX_RESPONSE_ACCEPTED)
     {
       served->accepted++;
       served->open += done_by (world, id, world->now_ms) < callers->tasks
                       && !world_may_fail (world, id, callers->attempts);
     }
-  else if (answered && outcome == MUX_OUTCOME_REFUSED)
+  else if (answered && outcome == MUX_RESPONSE_REFUSED)
     {
       served->refused++;
       served->refused_and_run += world_starts (world, id) > 0;
--- a/test/unit/test_cell.c
+++ b/test/unit/test_cell.c
@@ -19,7 +19,7 @@
 assert_accepted (World *world, uint64_t call)
 {
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_ACCEPTED);
 }
 
 static MuxJobSpec *
@@ -93,7 +93,7 @@
   world->cell[0].store = WORLD_REFUSES;
   world_run (world, 5000);
   assert_true (world->answered[lost]);
-  assert_int_equal (world->answer[lost].outcome, MUX_OUTCOME_UNKNOWN);
+  assert_int_equal (world->answer[lost].outcome, MUX_RESPONSE_UNKNOWN);
   world->cell[0].store = WORLD_SERVES;
   world_run (world, 1000);
   known = world_submit (world, 0, world_job (1, 1, 1000), "job-a");
@@ -119,7 +119,7 @@
   call = world_submit (world, 0, world_job (1, 1, 1000), "job-a");
   world_run (world, 500);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_REFUSED);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
   assert_true (world->answer[call].retry_ms > 0);
   world->cell[0].store = WORLD_SERVES;
   world_run (world, 3000);
@@ -382,19 +382,19 @@
   world->task_ms = 5000;
   (void) world_submit (world, other, world_job (2, 4, 1000), "job-a");
   world_run (world, 500);
-  cancel = world_ask (world, other, MUX_QUESTION_CANCEL, "job-a");
+  cancel = world_ask (world, other, MUX_REQUEST_CANCEL, "job-a");
   world_run (world, 500);
   assert_true (world->answered[cancel]);
-  assert_int_equal (world->answer[cancel].outcome, MUX_OUTCOME_CANCELLED);
+  assert_int_equal (world->answer[cancel].outcome, MUX_RESPONSE_CANCELLED);
   for (uint32_t i = 0; i < world->start_count; i++)
     assert_int_equal (world->start[i].end, MUX_RUN_STOPPED);
   world_run (world, 3000);
   assert_int_equal (world_starts (world, "job-a"), 4);
   for (uint32_t cell = 0; cell < CELLS; cell++)
     assert_int_equal (world_state (world, cell, "job-a"), MUX_JOB_CANCELLED);
-  cancel = world_ask (world, other, MUX_QUESTION_CANCEL, "job-z");
+  cancel = world_ask (world, other, MUX_REQUEST_CANCEL, "job-z");
   world_run (world, 500);
-  assert_int_equal (world->answer[cancel].outcome, MUX_OUTCOME_ABSENT);
+  assert_int_equal (world->answer[cancel].outcome, MUX_RESPONSE_NO_JOB);
   world_free (world);
 }
 
@@ -668,7 +668,7 @@
   world_run (world, 12000);
   assert_true (world_starts (world, "job-a") >= 12);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_ACTIVE);
-  (void) world_ask (world, 0, MUX_QUESTION_CANCEL, "job-a");
+  (void) world_ask (world, 0, MUX_REQUEST_CANCEL, "job-a");
   world_run (world, 1500);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_CANCELLED);
   world_free (world);
@@ -792,18 +792,18 @@
 test_unknown_queue (void **state)
 {
   World *world = world_new (1, 1);
-  MuxQuestion *question = calloc (1, sizeof *question);
+  MuxRequest *question = calloc (1, sizeof *question);
 
   (void) state;
-  question->verb = MUX_QUESTION_STATE;
-  question->call = 200;
+  question->verb = MUX_REQUEST_QUERY;
+  question->call_id = 200;
   snprintf (question->host, sizeof question->host, "other.example");
   snprintf (question->path, sizeof question->path, "/batch/x");
   mux_cell_request (
       world->cell[0].cell,
       (MuxCellTime){ world->now_ms, 1700000000000, world->now_ms }, question);
   assert_true (world->answered[200]);
-  assert_int_equal (world->answer[200].outcome, MUX_OUTCOME_NO_QUEUE);
+  assert_int_equal (world->answer[200].outcome, MUX_RESPONSE_NO_QUEUE);
   world_free (world);
 }
 
@@ -811,7 +811,7 @@
 send_bytes (World *world, MuxPeerVerb verb, const char *bytes, size_t len)
 {
   uint32_t planner = world_planner (world);
-  MuxPeerMsg msg = { .verb = verb, .call = 1 };
+  MuxPeerMsg msg = { .verb = verb, .call_id = 1 };
   MuxCellTime time
       = { world->now_ms, WORLD_WALL_MS + world->now_ms, world->now_ms };
 
@@ -853,8 +853,8 @@
   before = world->worker_calls[world_planner (world)];
   for (uint32_t i = 0; i < sizeof bad / sizeof bad[0]; i++)
     {
-      send_bytes (world, MUX_PEER_CARRY_ASK, bad[i].bytes, bad[i].len);
-      send_bytes (world, MUX_PEER_CARRY_TOLD, bad[i].bytes, bad[i].len);
+      send_bytes (world, MUX_PEER_PROXY_CALL, bad[i].bytes, bad[i].len);
+      send_bytes (world, MUX_PEER_PROXY_REPLY, bad[i].bytes, bad[i].len);
     }
   assert_int_equal (world->worker_calls[world_planner (world)], before);
   (void) world_submit (world, world_planner (world), world_job (1, 1, 1000),
@@ -879,7 +879,7 @@
 
   (void) state;
   world_run (world, 1000);
-  call = world_ask (world, planner, MUX_QUESTION_STATE, "");
+  call = world_ask (world, planner, MUX_REQUEST_QUERY, "");
   world_run (world, 50);
   assert_int_equal (world->answer[call].pending, 0);
   world->worker[0].fault = WORLD_REFUSES;
@@ -893,7 +893,7 @@
   world_run (world, COUNT_AGE_MS);
   for (uint32_t i = 0; i < CELLS; i++)
     {
-      call = world_ask (world, i, MUX_QUESTION_STATE, "");
+      call = world_ask (world, i, MUX_REQUEST_QUERY, "");
       world_run (world, 50);
       assert_true (world->answered[call]);
       assert_int_equal (world->answer[call].pending, WAITING_JOBS);
--- a/test/unit/test_cell_audit.c
+++ b/test/unit/test_cell_audit.c
@@ -269,10 +269,10 @@
   (void) state;
   world_run (world, 1000);
   world->lose_approvals = true;
-  call = world_ask (world, planner, MUX_QUESTION_STATE, "");
+  call = world_ask (world, planner, MUX_REQUEST_QUERY, "");
   world_run (world, 100);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_PENDING);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_PENDING);
   world->cell[planner].store = WORLD_SILENT;
   world->cell[planner].deaf = DEAF;
   world->cell[planner].cut = true;
@@ -280,13 +280,13 @@
   world_run (world, 7000);
   submit_jobs (world, world_planner (world), "job", 1);
   world_run (world, 8000);
-  call = world_ask (world, world_planner (world), MUX_QUESTION_STATE, "");
+  call = world_ask (world, world_planner (world), MUX_REQUEST_QUERY, "");
   world_run (world, 100);
   assert_int_equal (world->answer[call].pending, JOBS);
-  call = world_ask (world, planner, MUX_QUESTION_STATE, "");
+  call = world_ask (world, planner, MUX_REQUEST_QUERY, "");
   world_run (world, 4000);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_REFUSED);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
   world_free (world);
 }
 
@@ -320,7 +320,7 @@
       world_submit (world, entry, world_job (1, 1, 1000), "job-b"), call);
   world_run (world, 600);
   if (world->answered[call]
-      && world->answer[call].outcome == MUX_OUTCOME_ACCEPTED)
+      && world->answer[call].outcome == MUX_RESPONSE_ACCEPTED)
     assert_true (is_stored (world, "job-b"));
   world_free (world);
 }
--- a/test/unit/test_cell_backlog.c
+++ b/test/unit/test_cell_backlog.c
@@ -135,7 +135,7 @@
     }
   world_run (world, SETTLE_MS);
   for (uint32_t i = 0; i < BACKLOG_JOBS; i++)
-    assert_int_equal (world->answer[call[i]].outcome, MUX_OUTCOME_ACCEPTED);
+    assert_int_equal (world->answer[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
   world_cell_start (world, planner);
   world_set_priority (world, SMALL_PRIORITY);
   world_run (world, SETTLE_MS);
@@ -313,7 +313,7 @@
 count_of_queue (World *world)
 {
   uint64_t call
-      = world_ask (world, world_planner (world), MUX_QUESTION_STATE, "");
+      = world_ask (world, world_planner (world), MUX_REQUEST_QUERY, "");
 
   world_run (world, ANSWER_MS);
   assert_true (world->answered[call]);
@@ -358,7 +358,7 @@
     }
   world_run (world, 1000);
   assert_int_equal (count_of_queue (world), COUNTS);
-  (void) world_ask (world, world_planner (world), MUX_QUESTION_CANCEL, "job-0");
+  (void) world_ask (world, world_planner (world), MUX_REQUEST_CANCEL, "job-0");
   world_run (world, 1000);
   assert_int_equal (count_of_queue (world), COUNTS - 1);
   world_cell_kill (world, world_planner (world));
--- a/test/unit/test_cell_burst.c
+++ b/test/unit/test_cell_burst.c
@@ -82,13 +82,13 @@
 static void
 take_answer (Play *play, Job *job)
 {
-  const MuxQuestionReply *answer = &play->world->answer[job->call];
+  const MuxResponse *answer = &play->world->answer[job->call];
 
   if (!job->waits || !play->world->answered[job->call])
     return;
   job->waits = false;
-  job->accepted = answer->outcome == MUX_OUTCOME_ACCEPTED;
-  if (answer->outcome != MUX_OUTCOME_REFUSED)
+  job->accepted = answer->outcome == MUX_RESPONSE_ACCEPTED;
+  if (answer->outcome != MUX_RESPONSE_REFUSED)
     return;
   job->slow |= play->world->now_ms - job->asked_ms > AT_ONCE_MS;
   if (job->tries < TRIES)
@@ -351,12 +351,12 @@
   call = world_submit (world, other, world_job (1, TASKS, CPU_MILLI), "job-x");
   world_run (world, AT_ONCE_MS);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_REFUSED);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
   assert_int_equal (world->own_commits[other], commits);
   world_run (world, AFTER_MS);
   call = world_submit (world, other, world_job (1, TASKS, CPU_MILLI), "job-x");
   world_run (world, IN_TIME_MS);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_ACCEPTED);
   assert_int_equal (world_starts (world, "job-x"), TASKS);
   finish (play);
 }
--- a/test/unit/test_cell_feeds.c
+++ b/test/unit/test_cell_feeds.c
@@ -108,14 +108,14 @@
       world_run (world, SETTLE_MS);
       job = world_submit (world, 0, world_job (1, 4, 1000), "job");
       world_run (world, 600 + phase_ms);
-      assert_int_equal (world->answer[job].outcome, MUX_OUTCOME_ACCEPTED);
+      assert_int_equal (world->answer[job].outcome, MUX_RESPONSE_ACCEPTED);
       assert_int_equal (running (world), 4);
       silent_for (world, OUTAGE_MS);
       world_run (world, NEXT_MS);
       cancel = world_ask (world, (world_planner (world) + 1) % CELLS,
-                          MUX_QUESTION_CANCEL, "job");
+                          MUX_REQUEST_CANCEL, "job");
       world_run (world, CANCEL_MS);
-      assert_int_equal (world->answer[cancel].outcome, MUX_OUTCOME_CANCELLED);
+      assert_int_equal (world->answer[cancel].outcome, MUX_RESPONSE_CANCELLED);
       assert_int_equal (running (world), 0);
       world_free (world);
     }
@@ -167,7 +167,7 @@
 
       snprintf (id, sizeof id, "job-%u", i);
       (void) world_submit (world, i, world_job (1, 1, 1000), id);
-      (void) world_ask (world, i, MUX_QUESTION_STATE, "other");
+      (void) world_ask (world, i, MUX_REQUEST_QUERY, "other");
     }
   world_run (world, 100);
   all_stores (world, WORLD_SERVES);
@@ -177,14 +177,14 @@
   world_free (world);
 }
 
-static MuxOutcome
+static MuxResponseOutcome
 ask_elsewhere (World *world, uint64_t call)
 {
-  MuxQuestion *question = calloc (1, sizeof *question);
+  MuxRequest *question = calloc (1, sizeof *question);
 
   assert_non_null (question);
-  question->verb = MUX_QUESTION_STATE;
-  question->call = call;
+  question->verb = MUX_REQUEST_QUERY;
+  question->call_id = call;
   snprintf (question->host, sizeof question->host, "cell.example");
   snprintf (question->path, sizeof question->path, "/unheard-of/x");
   mux_cell_request (
@@ -206,13 +206,13 @@
 
   (void) state;
   world_run (world, SETTLE_MS);
-  assert_int_equal (ask_elsewhere (world, 200), MUX_OUTCOME_NO_QUEUE);
+  assert_int_equal (ask_elsewhere (world, 200), MUX_RESPONSE_NO_QUEUE);
   all_stores (world, WORLD_SILENT);
   world_run (world, UNKNOWN_MS);
-  assert_int_equal (ask_elsewhere (world, 201), MUX_OUTCOME_REFUSED);
+  assert_int_equal (ask_elsewhere (world, 201), MUX_RESPONSE_REFUSED);
   all_stores (world, WORLD_SERVES);
   world_run (world, CONTACT_MS);
-  assert_int_equal (ask_elsewhere (world, 202), MUX_OUTCOME_NO_QUEUE);
+  assert_int_equal (ask_elsewhere (world, 202), MUX_RESPONSE_NO_QUEUE);
   world_free (world);
 }
 
@@ -246,7 +246,7 @@
 }
 
 static void
-lone_answer (MuxCellSink *sink, const MuxQuestionReply *reply)
+lone_answer (MuxCellSink *sink, const MuxResponse *reply)
 {
   (void) sink;
   (void) reply;
@@ -319,7 +319,7 @@
                               "\",\"incarnation\":9,\"term\":1}";
   MuxCellRow *row;
 
-  assert_true (mux_cell_reply_rows (reply, 1));
+  assert_true (mux_cell_reply_alloc_rows (reply, 1));
   row = &reply->row[reply->row_count++];
   row->version = version;
   if (reply->version < version)
@@ -333,7 +333,7 @@
 {
   MuxCellRow *row;
 
-  assert_true (mux_cell_reply_rows (reply, 1));
+  assert_true (mux_cell_reply_alloc_rows (reply, 1));
   row = &reply->row[reply->row_count++];
   row->version = version;
   reply->version = version;
@@ -412,12 +412,12 @@
   MuxCellReply *reply;
 
   lone_run (lone, OUTAGE_MS);
-  call = lone_take (lone, MUX_CELL_FOLLOW, MUX_TABLE_CLAIM);
+  call = lone_take (lone, MUX_CELL_FEED, MUX_TABLE_CLAIM);
   lone_reply (lone, call, mux_cell_reply_new (call, MUX_CELL_UNKNOWN));
   lone_run (lone, TICK_MS);
-  assert_int_equal (lone_waiting (lone, MUX_CELL_FOLLOW, MUX_TABLE_CONFIG), 2);
-  old = lone_take (lone, MUX_CELL_FOLLOW, MUX_TABLE_CONFIG);
-  call = lone_take (lone, MUX_CELL_FOLLOW, MUX_TABLE_CONFIG);
+  assert_int_equal (lone_waiting (lone, MUX_CELL_FEED, MUX_TABLE_CONFIG), 2);
+  old = lone_take (lone, MUX_CELL_FEED, MUX_TABLE_CONFIG);
+  call = lone_take (lone, MUX_CELL_FEED, MUX_TABLE_CONFIG);
   assert_int_equal (call->wait_ms, 0);
   reply = mux_cell_reply_new (call, MUX_CELL_OK);
   add_config (reply, NEWER_VERSION);
@@ -437,8 +437,8 @@
 static void
 test_late_answer_of_a_call_given_up_is_not_heard (void **state)
 {
-  static const MuxCellStatus late[]
-      = { MUX_CELL_OK, MUX_CELL_HISTORY, MUX_CELL_UNKNOWN, MUX_CELL_NOT_DONE };
+  static const MuxCellStatus late[] = { MUX_CELL_OK, MUX_CELL_HISTORY_GONE,
+                                        MUX_CELL_UNKNOWN, MUX_CELL_NOT_DONE };
 
   (void) state;
   for (uint32_t i = 0; i < sizeof late / sizeof late[0]; i++)
@@ -456,9 +456,9 @@
       assert_int_equal (lone->store_failing, 1);
       assert_int_equal (lone_waiting (lone, MUX_CELL_SCAN, MUX_TABLE_CONFIG),
                         0);
-      assert_int_equal (lone_waiting (lone, MUX_CELL_FOLLOW, MUX_TABLE_CONFIG),
+      assert_int_equal (lone_waiting (lone, MUX_CELL_FEED, MUX_TABLE_CONFIG),
                         1);
-      call = lone_take (lone, MUX_CELL_FOLLOW, MUX_TABLE_CONFIG);
+      call = lone_take (lone, MUX_CELL_FEED, MUX_TABLE_CONFIG);
       assert_int_equal (call->after, NEWER_VERSION);
       mux_cell_call_free (call);
       lone_free (lone);
--- a/test/unit/test_cell_foreign.c
+++ b/test/unit/test_cell_foreign.c
@@ -31,7 +31,7 @@
 
   world_run (world, 400);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_ACCEPTED);
 }
 
 static void
@@ -749,14 +749,13 @@
       world_run (world, 3000);
       overwrite (world, MUX_TABLE_ENDED, "job", values[i]);
       take_over (world);
-      call
-          = world_ask (world, world_planner (world), MUX_QUESTION_STATE, "job");
+      call = world_ask (world, world_planner (world), MUX_REQUEST_QUERY, "job");
       world_run (world, 4000);
-      assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_REFUSED);
-      call = world_ask (world, world_planner (world), MUX_QUESTION_CANCEL,
-                        "job");
+      assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
+      call
+          = world_ask (world, world_planner (world), MUX_REQUEST_CANCEL, "job");
       world_run (world, 4000);
-      assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_ABSENT);
+      assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_NO_JOB);
       world_free (world);
     }
 }
--- a/test/unit/test_cell_gang_faults.c
+++ b/test/unit/test_cell_gang_faults.c
@@ -333,7 +333,7 @@
 {
   return play->world->answered[play->call[job]]
          && play->world->answer[play->call[job]].outcome
-                == MUX_OUTCOME_ACCEPTED;
+                == MUX_RESPONSE_ACCEPTED;
 }
 
 static bool
--- a/test/unit/test_cell_gangs.c
+++ b/test/unit/test_cell_gangs.c
@@ -133,7 +133,7 @@
   world_run (world, 500);
   assert_int_equal (world_starts (world, "job-a"), GANG);
   world->worker[world->start[0].worker].fault = WORLD_SILENT;
-  (void) world_ask (world, planner, MUX_QUESTION_CANCEL, "job-a");
+  (void) world_ask (world, planner, MUX_REQUEST_CANCEL, "job-a");
   world_run (world, TOLD_AFTER_MS + 2000);
   assert_in_range (world->waits_told, 1, 2);
   assert_string_equal (world->wait_lacks, "ends");
--- a/test/unit/test_cell_keys.c
+++ b/test/unit/test_cell_keys.c
@@ -33,7 +33,7 @@
   return (world_planner (world) + 1) % CELLS;
 }
 
-static MuxOutcome
+static MuxResponseOutcome
 outcome (World *world, uint64_t call)
 {
   world_run (world, 600);
@@ -41,15 +41,15 @@
   return world->answer[call].outcome;
 }
 
-static MuxOutcome
+static MuxResponseOutcome
 submit (World *world, uint32_t cell, const char *id)
 {
   return outcome (world,
                   world_submit (world, cell, world_job (1, 2, 1000), id));
 }
 
-static MuxOutcome
-ask (World *world, uint32_t cell, MuxQuestionVerb verb, const char *id)
+static MuxResponseOutcome
+ask (World *world, uint32_t cell, MuxRequestVerb verb, const char *id)
 {
   return outcome (world, world_ask (world, cell, verb, id));
 }
@@ -61,19 +61,20 @@
   World *world = world_with_keys (0);
 
   (void) state;
-  assert_int_equal (submit (world, 0, "job-a"), MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (submit (world, 0, "job-a"), MUX_RESPONSE_ACCEPTED);
   for (uint32_t i = 0; i < 2; i++)
     {
       world_show_key (world, keys[i]);
       for (uint32_t cell = 0; cell < CELLS; cell++)
         {
-          assert_int_equal (submit (world, cell, "job-b"), MUX_OUTCOME_NO_KEY);
-          assert_int_equal (ask (world, cell, MUX_QUESTION_STATE, "job-a"),
-                            MUX_OUTCOME_NO_KEY);
-          assert_int_equal (ask (world, cell, MUX_QUESTION_STATE, ""),
-                            MUX_OUTCOME_NO_KEY);
-          assert_int_equal (ask (world, cell, MUX_QUESTION_CANCEL, "job-a"),
-                            MUX_OUTCOME_NO_KEY);
+          assert_int_equal (submit (world, cell, "job-b"),
+                            MUX_RESPONSE_UNAUTHORIZED);
+          assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, "job-a"),
+                            MUX_RESPONSE_UNAUTHORIZED);
+          assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
+                            MUX_RESPONSE_UNAUTHORIZED);
+          assert_int_equal (ask (world, cell, MUX_REQUEST_CANCEL, "job-a"),
+                            MUX_RESPONSE_UNAUTHORIZED);
         }
     }
   assert_int_equal (world_starts (world, "job-b"), 0);
@@ -89,21 +90,21 @@
 
   (void) state;
   world->task_ms = 3000;
-  assert_int_equal (submit (world, 0, "job-a"), MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (submit (world, 0, "job-a"), MUX_RESPONSE_ACCEPTED);
   for (uint32_t round = 0; round < 2; round++)
     {
       world_show_key (world, "night");
       for (uint32_t cell = 0; cell < CELLS; cell++)
         {
-          assert_int_equal (ask (world, cell, MUX_QUESTION_STATE, "job-a"),
-                            MUX_OUTCOME_ABSENT);
-          assert_int_equal (ask (world, cell, MUX_QUESTION_CANCEL, "job-a"),
-                            MUX_OUTCOME_ABSENT);
+          assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, "job-a"),
+                            MUX_RESPONSE_NO_JOB);
+          assert_int_equal (ask (world, cell, MUX_REQUEST_CANCEL, "job-a"),
+                            MUX_RESPONSE_NO_JOB);
         }
       world_show_key (world, "desk");
       for (uint32_t cell = 0; cell < CELLS; cell++)
-        assert_int_equal (ask (world, cell, MUX_QUESTION_STATE, "job-a"),
-                          MUX_OUTCOME_STATE);
+        assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, "job-a"),
+                          MUX_RESPONSE_STATE);
       world_run (world, 6000);
     }
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_COMPLETED);
@@ -117,12 +118,12 @@
 
   (void) state;
   world->task_ms = 20000;
-  assert_int_equal (submit (world, 0, "job-a"), MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (submit (world, 0, "job-a"), MUX_RESPONSE_ACCEPTED);
   world_show_key (world, "night");
   for (uint32_t cell = 0; cell < CELLS; cell++)
-    assert_int_equal (submit (world, cell, "job-a"), MUX_OUTCOME_TAKEN);
+    assert_int_equal (submit (world, cell, "job-a"), MUX_RESPONSE_ID_IN_USE);
   world_show_key (world, "desk");
-  assert_int_equal (submit (world, 1, "job-a"), MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (submit (world, 1, "job-a"), MUX_RESPONSE_ACCEPTED);
   world_free (world);
 }
 
@@ -135,7 +136,7 @@
   world_set_workspaces (world, world_workspaces (one, 1, (MuxQuota){ 0 }));
   world_run (world, KNOWN_MS);
   for (uint32_t cell = 0; cell < CELLS; cell++)
-    assert_int_equal (submit (world, cell, "job-a"), MUX_OUTCOME_NO_KEY);
+    assert_int_equal (submit (world, cell, "job-a"), MUX_RESPONSE_UNAUTHORIZED);
   world_free (world);
 }
 
@@ -177,13 +178,13 @@
       separate (world, cell, (Way) way);
       world_set_workspaces (world, world_workspaces (one, 1, (MuxQuota){ 0 }));
       world_run (world, REVOKE_MS + 1);
-      call = world_ask (world, cell, MUX_QUESTION_STATE, "");
+      call = world_ask (world, cell, MUX_REQUEST_QUERY, "");
       world->cell[cell].frozen = false;
       world_run (world, 3000);
       assert_true (world->answered[call]);
-      assert_true (world->answer[call].outcome == MUX_OUTCOME_REFUSED
-                   || world->answer[call].outcome == MUX_OUTCOME_NO_KEY);
-      if (world->answer[call].outcome == MUX_OUTCOME_REFUSED)
+      assert_true (world->answer[call].outcome == MUX_RESPONSE_REFUSED
+                   || world->answer[call].outcome == MUX_RESPONSE_UNAUTHORIZED);
+      if (world->answer[call].outcome == MUX_RESPONSE_REFUSED)
         assert_true (world->answer[call].retry_ms > 0);
       world_free (world);
     }
@@ -199,8 +200,8 @@
   (void) state;
   world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
   world_run (world, REVOKE_MS / 2);
-  assert_int_equal (ask (world, cell, MUX_QUESTION_STATE, ""),
-                    MUX_OUTCOME_PENDING);
+  assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
+                    MUX_RESPONSE_PENDING);
   world_free (world);
 }
 
@@ -217,8 +218,8 @@
   world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
   world_run (world, REVOKE_MS / 2);
   assert_false (mux_cell_ready (world->cell[cell].cell));
-  assert_int_equal (ask (world, cell, MUX_QUESTION_STATE, ""),
-                    MUX_OUTCOME_PENDING);
+  assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
+                    MUX_RESPONSE_PENDING);
   world->cell[cell].deaf = 0;
   world_run (world, 3000);
   assert_true (mux_cell_ready (world->cell[cell].cell));
@@ -234,8 +235,8 @@
   (void) state;
   world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
   world_run (world, 3 * REVOKE_MS);
-  assert_int_equal (ask (world, cell, MUX_QUESTION_STATE, ""),
-                    MUX_OUTCOME_PENDING);
+  assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
+                    MUX_RESPONSE_PENDING);
   world_free (world);
 }
 
@@ -251,8 +252,8 @@
   world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
   world_run (world, 4000);
   world_show_key (world, "later");
-  assert_int_equal (ask (world, cell, MUX_QUESTION_STATE, ""),
-                    MUX_OUTCOME_REFUSED);
+  assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
+                    MUX_RESPONSE_REFUSED);
   world_free (world);
 }
 
@@ -266,7 +267,7 @@
   world_put_row (world, MUX_TABLE_CONFIG, "", "config", "no configuration");
   world_run (world, 2 * REVOKE_MS);
   for (uint32_t cell = 0; cell < CELLS; cell++)
-    assert_int_equal (submit (world, cell, "job-a"), MUX_OUTCOME_REFUSED);
+    assert_int_equal (submit (world, cell, "job-a"), MUX_RESPONSE_REFUSED);
   world_free (world);
 }
 
@@ -279,12 +280,12 @@
   (void) state;
   world->task_ms = 4000;
   world_run (world, 3000);
-  assert_int_equal (submit (world, 0, "job-a"), MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (submit (world, 0, "job-a"), MUX_RESPONSE_ACCEPTED);
   world_set_workspaces (world, world_workspaces (both, 2, (MuxQuota){ 0 }));
   world_run (world, KNOWN_MS);
   world_show_key (world, "desk");
-  assert_int_equal (ask (world, 0, MUX_QUESTION_STATE, "job-a"),
-                    MUX_OUTCOME_STATE);
+  assert_int_equal (ask (world, 0, MUX_REQUEST_QUERY, "job-a"),
+                    MUX_RESPONSE_STATE);
   world_run (world, 6000);
   assert_int_equal (world_state (world, 1, "job-a"), MUX_JOB_COMPLETED);
   world_free (world);
--- a/test/unit/test_cell_late.c
+++ b/test/unit/test_cell_late.c
@@ -77,7 +77,7 @@
 /* A refusal reaches its caller within this time. */
 #define AT_ONCE_MS 50
 
-static MuxOutcome
+static MuxResponseOutcome
 outcome_at_once (World *world, uint32_t cell, const char *id)
 {
   uint64_t question = world_submit (world, cell, world_job (1, 1, 1000), id);
@@ -106,15 +106,15 @@
   fall_behind (world, planner);
   world_run (world, LATE_MS);
   assert_int_equal (outcome_at_once (world, planner, "job-a"),
-                    MUX_OUTCOME_REFUSED);
+                    MUX_RESPONSE_REFUSED);
   assert_int_equal (outcome_at_once (world, other, "job-b"),
-                    MUX_OUTCOME_REFUSED);
+                    MUX_RESPONSE_REFUSED);
   world->cell[planner].late_ms = 0;
   world_run (world, LATE_MS + 1000);
   assert_int_equal (outcome_at_once (world, planner, "job-a"),
-                    MUX_OUTCOME_ACCEPTED);
+                    MUX_RESPONSE_ACCEPTED);
   assert_int_equal (outcome_at_once (world, other, "job-b"),
-                    MUX_OUTCOME_ACCEPTED);
+                    MUX_RESPONSE_ACCEPTED);
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_int_equal (world_starts (world, "job-b"), 1);
--- a/test/unit/test_cell_lives.c
+++ b/test/unit/test_cell_lives.c
@@ -171,7 +171,7 @@
 {
   MuxWorkerInfo info = world->worker[worker].info;
 
-  info.born_ms = born_ms;
+  info.started_ms = born_ms;
   world_list_as (world, "", info.id, &info);
 }
 
@@ -181,7 +181,7 @@
 test_entry_of_another_life_changes_nothing (void **state)
 {
   World *world = world_with_ids_kept (1, WORKERS);
-  uint64_t born_ms = world->worker[0].info.born_ms;
+  uint64_t born_ms = world->worker[0].info.started_ms;
   uint32_t unlisted;
 
   (void) state;
--- a/test/unit/test_cell_load.c
+++ b/test/unit/test_cell_load.c
@@ -108,7 +108,9 @@
 }
 
 static uint32_t
-count (const World *world, const uint64_t call[BURST], MuxOutcome outcome)
+count (const World *world,
+       const uint64_t call[BURST],
+       MuxResponseOutcome outcome)
 {
   uint32_t n = 0;
 
@@ -136,11 +138,12 @@
   let_it_measure (world, planner);
   submit_burst (world, planner, call);
   world_run (world, 50);
-  refused = count (world, call, MUX_OUTCOME_REFUSED);
+  refused = count (world, call, MUX_RESPONSE_REFUSED);
   assert_in_range (refused, BURST / 10, BURST * 9 / 10);
   world_run (world, 3000);
-  assert_int_equal (count (world, call, MUX_OUTCOME_REFUSED), refused);
-  assert_int_equal (count (world, call, MUX_OUTCOME_ACCEPTED), BURST - refused);
+  assert_int_equal (count (world, call, MUX_RESPONSE_REFUSED), refused);
+  assert_int_equal (count (world, call, MUX_RESPONSE_ACCEPTED),
+                    BURST - refused);
   world_free (world);
 }
 
@@ -163,7 +166,7 @@
   let_it_measure (world, planner);
   submit_burst (world, other, call);
   world_run (world, 50);
-  assert_in_range (count (world, call, MUX_OUTCOME_REFUSED), BURST / 10,
+  assert_in_range (count (world, call, MUX_RESPONSE_REFUSED), BURST / 10,
                    BURST * 9 / 10);
   world_run (world, 3000);
   assert_int_equal (world->own_commits[other], 0);
@@ -192,7 +195,7 @@
     }
   world_run (world, 3000);
   for (uint32_t i = 0; i < 4; i++)
-    assert_int_equal (world->answer[call[i]].outcome, MUX_OUTCOME_ACCEPTED);
+    assert_int_equal (world->answer[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
   world_free (world);
 }
 
@@ -224,7 +227,7 @@
         world, 0, lengthy (i % 2 == 0 ? wide_gang () : world_job (1, 3, 31000)),
         "wait", i);
   world_run (world, 3000);
-  assert_int_equal (count (world, call, MUX_OUTCOME_ACCEPTED), BACKLOG);
+  assert_int_equal (count (world, call, MUX_RESPONSE_ACCEPTED), BACKLOG);
   /* Of a queue without a backlog, or they would be refused. */
   world_set_priority (world, 2);
   world_run (world, 20);
@@ -236,7 +239,7 @@
     }
   looks = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS) - looks;
   for (uint32_t i = 0; i + 1 < NEW_JOBS; i++)
-    assert_int_equal (world->answer[call[i]].outcome, MUX_OUTCOME_ACCEPTED);
+    assert_int_equal (world->answer[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
   assert_in_range (looks, 1, LOOKS_A_SECOND_MAX);
   world->task_ms = 50;
   world_run (world, 30000);
--- a/test/unit/test_cell_overload.c
+++ b/test/unit/test_cell_overload.c
@@ -103,7 +103,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < count; i++)
-    n += load->world->answer[call[i]].outcome == MUX_OUTCOME_ACCEPTED;
+    n += load->world->answer[call[i]].outcome == MUX_RESPONSE_ACCEPTED;
   return n;
 }
 
--- a/test/unit/test_cell_quota.c
+++ b/test/unit/test_cell_quota.c
@@ -157,11 +157,11 @@
   (void) state;
   call = world_submit (world, 1, gang (QUOTA_TASKS + 1), "gang");
   world_run (world, 500);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_TOO_LARGE);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_OVER_QUOTA);
   call = world_submit (world, 1,
                        world_job (1, 1, (QUOTA_TASKS + 1) * CPU_MILLI), "big");
   world_run (world, 500);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_TOO_LARGE);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_OVER_QUOTA);
   assert_null (world_row (world, MUX_TABLE_JOBS, "gang"));
   assert_null (world_row (world, MUX_TABLE_JOBS, "big"));
   world_free (world);
--- a/test/unit/test_cell_quota_random.c
+++ b/test/unit/test_cell_quota_random.c
@@ -170,7 +170,7 @@
       snprintf (id, sizeof id, "job-%u", i);
       left += play->world->answered[play->call[i]]
               && play->world->answer[play->call[i]].outcome
-                     == MUX_OUTCOME_ACCEPTED
+                     == MUX_RESPONSE_ACCEPTED
               && world_row (play->world, MUX_TABLE_JOBS, id) != NULL;
     }
   return left;
--- a/test/unit/test_cell_replaced.c
+++ b/test/unit/test_cell_replaced.c
@@ -382,10 +382,10 @@
   wait_for_fences_of_a_successor (world, planner);
   for (uint32_t i = 0; i < CELLS; i++)
     world->cell[i].deaf = WORLD_DEAF (MUX_TABLE_JOBS);
-  cancel = world_ask (world, (planner + 1) % CELLS, MUX_QUESTION_CANCEL, "zz");
+  cancel = world_ask (world, (planner + 1) % CELLS, MUX_REQUEST_CANCEL, "zz");
   while (!world->answered[cancel])
     world_run (world, 1);
-  assert_int_equal (world->answer[cancel].outcome, MUX_OUTCOME_CANCELLED);
+  assert_int_equal (world->answer[cancel].outcome, MUX_RESPONSE_CANCELLED);
   acked_ms = world->now_ms;
   set_workers (world, WORLD_SERVES);
   for (uint32_t i = 0; i < WORKERS; i++)
--- a/test/unit/test_cell_throttle.c
+++ b/test/unit/test_cell_throttle.c
@@ -67,7 +67,7 @@
       Job *job = &play->job[i];
 
       if (job->refused_ms == 0 && play->world->answered[job->call]
-          && play->world->answer[job->call].outcome == MUX_OUTCOME_REFUSED)
+          && play->world->answer[job->call].outcome == MUX_RESPONSE_REFUSED)
         job->refused_ms = play->world->now_ms;
     }
 }
@@ -198,14 +198,14 @@
   call = world_submit (world, other, world_job (1, 1, CPU_MILLI), "job-a");
   world_run (world, AT_ONCE_MS);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_REFUSED);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
   assert_true (world->answer[call].retry_ms > 0);
   assert_int_equal (world->own_commits[other], commits);
   world->cell[play->planner].late_ms = 0;
   world_run (world, 4000);
   call = world_submit (world, other, world_job (1, 1, CPU_MILLI), "job-a");
   world_run (world, 1000);
-  assert_int_equal (world->answer[call].outcome, MUX_OUTCOME_ACCEPTED);
+  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_ACCEPTED);
   finish (play);
 }
 
--- a/test/unit/test_peer_codec.c
+++ b/test/unit/test_peer_codec.c
@@ -80,7 +80,7 @@
   MuxBlob *blob;
 
   (void) state;
-  peer_sample (MUX_PEER_GRANT_ASK, &sent);
+  peer_sample (MUX_PEER_GRANT_REQUEST, &sent);
   sent.group = (MuxId){ 0, 0 };
   memset (sent.to, 0, sizeof sent.to);
   blob = mux_peer_encode (&sent);
--- a/test/unit/test_question_waiters.c
+++ b/test/unit/test_question_waiters.c
@@ -10,7 +10,7 @@
 {
   MuxQuestionWaiters *callers;
   uint64_t call;
-  MuxQuestionReply reply;
+  MuxResponse reply;
   bool answered;
 } Waiter;
 
@@ -41,9 +41,9 @@
     }
   for (uint32_t i = 0; i < CALLERS; i++)
     {
-      MuxQuestionReply reply
-          = { .call = waiter[CALLERS - 1 - i].call,
-              .outcome = MUX_OUTCOME_PENDING,
+      MuxResponse reply
+          = { .call_id = waiter[CALLERS - 1 - i].call,
+              .outcome = MUX_RESPONSE_PENDING,
               .pending = (uint32_t) waiter[CALLERS - 1 - i].call };
 
       assert_true (mux_question_waiters_answer (callers, &reply));
@@ -65,8 +65,8 @@
 test_late_answer_finds_nobody (void **state)
 {
   MuxQuestionWaiters *callers = mux_question_waiters_new (1);
-  MuxQuestionReply reply = { .outcome = MUX_OUTCOME_ACCEPTED };
-  MuxQuestionReply got;
+  MuxResponse reply = { .outcome = MUX_RESPONSE_ACCEPTED };
+  MuxResponse got;
   uint64_t first;
   uint64_t second;
 
@@ -74,7 +74,7 @@
   assert_true (mux_question_waiters_enter (callers, &first));
   assert_false (mux_question_waiters_wait (callers, first, 0, &got));
   assert_true (mux_question_waiters_enter (callers, &second));
-  reply.call = first;
+  reply.call_id = first;
   assert_false (mux_question_waiters_answer (callers, &reply));
   assert_false (mux_question_waiters_wait (callers, second, 0, &got));
   mux_question_waiters_free (callers);
@@ -90,16 +90,16 @@
 {
   MuxQuestionWaiters *former = mux_question_waiters_new (1 << 16);
   MuxQuestionWaiters *callers = mux_question_waiters_new (2 << 16);
-  MuxQuestionReply reply = { .outcome = MUX_OUTCOME_ACCEPTED };
-  MuxQuestionReply got;
+  MuxResponse reply = { .outcome = MUX_RESPONSE_ACCEPTED };
+  MuxResponse got;
   uint64_t call;
 
   (void) state;
-  assert_true (mux_question_waiters_enter (former, &reply.call));
+  assert_true (mux_question_waiters_enter (former, &reply.call_id));
   assert_true (mux_question_waiters_enter (callers, &call));
   assert_int_equal (call, 2 << 16);
   assert_false (mux_question_waiters_answer (callers, &reply));
-  assert_false (mux_question_waiters_wait (former, reply.call, 0, &got));
+  assert_false (mux_question_waiters_wait (former, reply.call_id, 0, &got));
   assert_false (mux_question_waiters_wait (callers, call, 0, &got));
   mux_question_waiters_free (former);
   mux_question_waiters_free (callers);
--- a/test/unit/test_worker_adapter.c
+++ b/test/unit/test_worker_adapter.c
@@ -215,7 +215,7 @@
   assert_int_equal (reply->status, MUX_WORKER_OK);
   assert_int_equal (reply->incarnation, INCARNATION);
   assert_int_equal (reply->epoch, 5);
-  assert_int_equal (reply->worker_now_ms, 1000);
+  assert_int_equal (reply->worker_clock_ms, 1000);
   assert_int_equal (reply->capacity.cpu_milli, 8000);
   assert_int_equal (reply->capacity.slots, 8);
   assert_false (reply->leaving);
@@ -307,7 +307,7 @@
   assert_int_equal (status_of (f, start), MUX_WORKER_OLD_INCARNATION);
   start.incarnation = INCARNATION;
   start.not_after_ms = 999;
-  assert_int_equal (status_of (f, start), MUX_WORKER_LATE);
+  assert_int_equal (status_of (f, start), MUX_WORKER_PAST_DEADLINE);
   assert_int_equal (state_of (f, MUX_WORKER_FETCH, 1), MUX_TASK_ABSENT);
   assert_int_equal (status_of (f, claim_call (2)), MUX_WORKER_OLD_EPOCH);
 }
@@ -426,7 +426,7 @@
   atomic_fetch_add (&f->now_ms, 1);
   set_fault (f, "{\"hang\":false}");
   reply = next_reply (f);
-  assert_int_equal (reply->status, MUX_WORKER_LATE);
+  assert_int_equal (reply->status, MUX_WORKER_PAST_DEADLINE);
   mux_worker_reply_free (reply);
   assert_int_equal (state_of (f, MUX_WORKER_FETCH, 1), MUX_TASK_ABSENT);
 }
--- a/test/unit/test_worker_standin.c
+++ b/test/unit/test_worker_standin.c
@@ -220,7 +220,7 @@
 
   claim (f, 1);
   start.not_after_ms = f->now_ms - 1;
-  assert_int_equal (status_of (f, start), MUX_WORKER_LATE);
+  assert_int_equal (status_of (f, start), MUX_WORKER_PAST_DEADLINE);
   start.not_after_ms = f->now_ms;
   assert_int_equal (status_of (f, start), MUX_WORKER_OK);
 }
