--- a/bench/bench_sched.c
+++ b/bench/bench_sched.c
@@ -114,10 +114,10 @@
 {
   char name[MUX_NAME_LEN];
   MuxTaskRequest ask = { .task = { 1, ++b->next_id },
-                     .class_name = name,
-                     .start_by_ms = b->now_ms + 100,
-                     .expires_ms = b->now_ms + 600000,
-                     .avoid = MUX_NO_WORKER };
+                         .class_name = name,
+                         .start_by_ms = b->now_ms + 100,
+                         .expires_ms = b->now_ms + 600000,
+                         .avoid = MUX_NO_WORKER };
 
   class_name (name, draw (b, CLASSES));
   return mux_sched_submit (b->sched, &ask, b->now_ms).reason;
--- a/bench/support/load_sched.c
+++ b/bench/support/load_sched.c
@@ -15,13 +15,14 @@
 {
   SchedPolicy *p = (SchedPolicy *) policy;
   const LoadTask *task = &(*policy->tasks)[t];
-  MuxTaskRequest ask = { .task = { 1, t + 1 },
-                     .group = { task->group > 0 ? 2 : 0, task->group },
-                     .group_count = task->group_count,
-                     .class_name = policy->mix->class[task->class_id].spec.name,
-                     .start_by_ms = task->start_by_ms,
-                     .expires_ms = task->give_up_ms,
-                     .avoid = task->avoid };
+  MuxTaskRequest ask
+      = { .task = { 1, t + 1 },
+          .group = { task->group > 0 ? 2 : 0, task->group },
+          .group_count = task->group_count,
+          .class_name = policy->mix->class[task->class_id].spec.name,
+          .start_by_ms = task->start_by_ms,
+          .expires_ms = task->give_up_ms,
+          .avoid = task->avoid };
 
   return mux_sched_submit (p->sched, &ask, now_ms).reason == MUX_REASON_NONE;
 }
@@ -60,7 +61,7 @@
   const LoadTask *task = &(*policy->tasks)[t];
 
   mux_sched_report_usage (p->sched, (MuxId){ 1, t + 1 },
-                  (MuxSize){ task->cpu_milli, task->mem_mib, 0, 1 });
+                          (MuxSize){ task->cpu_milli, task->mem_mib, 0, 1 });
 }
 
 static uint32_t
--- a/include/cell/admission.h
+++ b/include/cell/admission.h
@@ -131,11 +131,12 @@
 void mux_admission_count_begin (MuxAdmission *admission);
 /** mux_admission_waits() - such a step of the queue waits */
 void mux_admission_add_waiting (MuxAdmission *admission,
-                          uint64_t queue,
-                          const MuxAdmissionStep *step);
+                                uint64_t queue,
+                                const MuxAdmissionStep *step);
 /** mux_admission_holds() - a task of the queue runs */
-void
-mux_admission_add_running (MuxAdmission *admission, uint64_t queue, int64_t milli);
+void mux_admission_add_running (MuxAdmission *admission,
+                                uint64_t queue,
+                                int64_t milli);
 /** mux_admission_count_end() - all that waits has been counted */
 void mux_admission_count_end (MuxAdmission *admission, int64_t now_ms);
 /**
@@ -144,9 +145,9 @@
  * @free_milli: those that nothing runs on
  */
 void mux_admission_update_pool (MuxAdmission *admission,
-                          uint64_t service,
-                          int64_t pool_milli,
-                          int64_t free_milli);
+                                uint64_t service,
+                                int64_t pool_milli,
+                                int64_t free_milli);
 /** mux_admission_has_room() - what waits there does not wait for processors */
 bool mux_admission_has_room (const MuxAdmissionQueue *queue);
 /** mux_admission_taken() - a job was taken since the last count */
--- a/include/cell/run_time.h
+++ b/include/cell/run_time.h
@@ -48,9 +48,9 @@
 MuxRunTime *mux_run_time_find (MuxRunTimes *times, uint64_t queue);
 /** mux_run_time_note() - a run for which @declared_ms was given took so long */
 void mux_run_time_record (MuxRunTimes *times,
-                        uint64_t queue,
-                        uint32_t declared_ms,
-                        int64_t took_ms);
+                          uint64_t queue,
+                          uint32_t declared_ms,
+                          int64_t took_ms);
 /** mux_run_time_expect() - what a run will take; as declared until enough were
  * seen */
 uint32_t mux_run_time_expect (const MuxRunTimes *times,
--- a/include/cell/throttle.h
+++ b/include/cell/throttle.h
@@ -45,7 +45,8 @@
 mux_throttle_update (MuxThrottle *throttle, int64_t now_ms, int64_t delay_ms);
 /** mux_throttle_turn_ms() - how long a new step waits until it is looked at
  * @unlooked: steps before it */
-int64_t mux_throttle_scan_wait_ms (const MuxThrottle *throttle, uint32_t unlooked);
+int64_t mux_throttle_scan_wait_ms (const MuxThrottle *throttle,
+                                   uint32_t unlooked);
 /** mux_throttle_share_now() - the share as it is between two updates */
 uint32_t mux_throttle_share_now (const MuxThrottle *throttle, int64_t delay_ms);
 /**
--- a/include/policy/sched.h
+++ b/include/policy/sched.h
@@ -57,7 +57,8 @@
 void
 mux_sched_worker_resize (MuxSched *sched, uint32_t worker, MuxSize capacity);
 /** mux_sched_worker_usable() - false: no new work (leaving, not claimed) */
-void mux_sched_worker_set_usable (MuxSched *sched, uint32_t worker, bool usable);
+void
+mux_sched_worker_set_usable (MuxSched *sched, uint32_t worker, bool usable);
 /** mux_sched_worker_remove() - drops its bookings too; the index is reused */
 void mux_sched_worker_remove (MuxSched *sched, uint32_t worker);
 
--- a/include/port/cell.h
+++ b/include/port/cell.h
@@ -102,8 +102,8 @@
  * @change_count: COMMIT: used entries of @change
  * @change: COMMIT; owned
  * @addr: worker's "ip:port"
- * @worker: name of the worker's life that is meant (port/life.h); another id
- *   refuses, another life of that id may not
+ * @worker: name of the worker's life that is meant (port/incarnation.h);
+ * another id refuses, another life of that id may not
  * @task: START, STOP; APPROVE: its step
  * @run: START, STOP
  * @fence: START, STOP, RENEW: token of the claim
--- a/include/port/life.h
+++ b/include/port/incarnation.h
@@ -1,5 +1,5 @@
-#ifndef PORT_LIFE_H
-#define PORT_LIFE_H
+#ifndef PORT_INCARNATION_H
+#define PORT_INCARNATION_H
 
 #include "base/id.h"
 
--- a/src/cell/admission.c
+++ b/src/cell/admission.c
@@ -113,8 +113,8 @@
 
 void
 mux_admission_add_waiting (MuxAdmission *admission,
-                     uint64_t queue,
-                     const MuxAdmissionStep *step)
+                           uint64_t queue,
+                           const MuxAdmissionStep *step)
 {
   MuxAdmissionQueue *entry = mux_admission_find (admission, queue);
   int64_t age = MILLI;
@@ -133,7 +133,9 @@
 }
 
 void
-mux_admission_add_running (MuxAdmission *admission, uint64_t queue, int64_t milli)
+mux_admission_add_running (MuxAdmission *admission,
+                           uint64_t queue,
+                           int64_t milli)
 {
   MuxAdmissionQueue *entry = mux_admission_find (admission, queue);
 
@@ -210,7 +212,8 @@
 static int64_t
 work_ahead (const MuxAdmissionQueue *queue)
 {
-  return queue->work > queue->placed_work ? queue->work - queue->placed_work : 0;
+  return queue->work > queue->placed_work ? queue->work - queue->placed_work
+                                          : 0;
 }
 
 /* Until it is measured, of a part of the pool alone; a planner that does not
@@ -336,9 +339,9 @@
 
 void
 mux_admission_update_pool (MuxAdmission *admission,
-                     uint64_t service,
-                     int64_t pool_milli,
-                     int64_t free_milli)
+                           uint64_t service,
+                           int64_t pool_milli,
+                           int64_t free_milli)
 {
   for (uint32_t i = 0; i < admission->count; i++)
     {
--- a/src/cell/admit.c
+++ b/src/cell/admit.c
@@ -86,7 +86,7 @@
 {
   if (cell->role == CELL_PLANNING && may_place (cell) && is_timed (spec))
     mux_admission_accepted (&cell->admission, queue_of (spec),
-                         work_of_job (cell, spec));
+                            work_of_job (cell, spec));
 }
 
 /* Jobs that are about to be stored. */
@@ -124,7 +124,8 @@
   step.work = work_of (stage, cell_stage_waiting_tasks (stage));
   step.waited_ms = now - stage->ready_ms;
   step.slack_ms = stage->deadline_ms - stage->expected_ms - stage->ready_ms;
-  mux_admission_add_waiting (&cell->admission, queue_of (stage->job->spec), &step);
+  mux_admission_add_waiting (&cell->admission, queue_of (stage->job->spec),
+                             &step);
 }
 
 static void
@@ -138,8 +139,8 @@
   DL_FOREACH (worker->bookings, booking)
   if (!booking->task->stage->spec->long_running)
     mux_admission_add_running (&cell->admission,
-                         queue_of (booking->task->stage->job->spec),
-                         booking->task->stage->spec->size.cpu_milli);
+                               queue_of (booking->task->stage->job->spec),
+                               booking->task->stage->spec->size.cpu_milli);
 }
 
 static void
@@ -216,8 +217,8 @@
             "priority", (int) queue->priority, "steps", (int) queue->waiting,
             "work", (json_int_t) queue->work, "rate", (json_int_t) queue->rate,
             "age", (json_int_t) queue->aged_work / queue->work, "free",
-            (json_int_t) queue->free_milli + queue->lower_priority_milli, "pool",
-            (json_int_t) queue->pool_milli, "wait_ms",
+            (json_int_t) queue->free_milli + queue->lower_priority_milli,
+            "pool", (json_int_t) queue->pool_milli, "wait_ms",
             (json_int_t) queue->wait_ms);
 }
 
@@ -255,9 +256,10 @@
 delay_ms (const MuxCell *cell)
 {
   int64_t late_ms = cell_late_ms (cell);
-  int64_t turn_ms = cell->pool_has_room
-                        ? mux_throttle_scan_wait_ms (&cell->throttle, cell->unscanned_steps)
-                        : 0;
+  int64_t turn_ms
+      = cell->pool_has_room
+            ? mux_throttle_scan_wait_ms (&cell->throttle, cell->unscanned_steps)
+            : 0;
 
   return late_ms > turn_ms ? late_ms : turn_ms;
 }
@@ -274,7 +276,8 @@
               (int) cell->throttle.share_milli, "behind_ms",
               (json_int_t) behind_ms, "answers_ms",
               (json_int_t) cell_reply_latency_ms (cell), "unlooked",
-              (int) cell->unscanned_steps, "looked_s", (int) cell->throttle.scan_rate);
+              (int) cell->unscanned_steps, "looked_s",
+              (int) cell->throttle.scan_rate);
 }
 
 static json_t *
@@ -382,10 +385,10 @@
 
   take_waits (cell, json_object_get (json, "waits"));
   cell_run_times_receive (cell, json_object_get (json, "run_times"));
-  cell->throttle.share_milli
-      = share != NULL && share_milli >= 0 && share_milli < MUX_THROTTLE_FULL_MILLI
-            ? (uint32_t) share_milli
-            : MUX_THROTTLE_FULL_MILLI;
+  cell->throttle.share_milli = share != NULL && share_milli >= 0
+                                       && share_milli < MUX_THROTTLE_FULL_MILLI
+                                   ? (uint32_t) share_milli
+                                   : MUX_THROTTLE_FULL_MILLI;
   cell->planner_late_ms
       = late_ms > 0 && late_ms < MUX_ADMISSION_WAIT_MAX_MS ? late_ms : 0;
   json_decref (json);
--- a/src/cell/approval_list.c
+++ b/src/cell/approval_list.c
@@ -54,8 +54,8 @@
 
   if (stage->approval_count < stage->approval_capacity)
     return true;
-  list
-      = realloc (stage->approval, (stage->approval_capacity + GROW) * sizeof *list);
+  list = realloc (stage->approval,
+                  (stage->approval_capacity + GROW) * sizeof *list);
   if (list == NULL)
     return false;
   stage->approval = list;
--- a/src/cell/approve_record.c
+++ b/src/cell/approval_record.c
@@ -122,7 +122,8 @@
       const char *id = json_string_value (json_array_get (json, i));
 
       if (id != NULL)
-        snprintf (stage->recorded[stage->recorded_count++], MUX_NAME_LEN, "%s", id);
+        snprintf (stage->recorded[stage->recorded_count++], MUX_NAME_LEN, "%s",
+                  id);
     }
 }
 
@@ -205,7 +206,8 @@
   if (!stage->job->predates_term)
     return true;
   if (!queue->approval.required)
-    return cell_all_workers_confirmed (cell) && cell_late_starts_are_over (cell);
+    return cell_all_workers_confirmed (cell)
+           && cell_late_starts_are_over (cell);
   /* Where it may run stood in what can't be read. */
   if (stage->job->progress_unreadable)
     return cell_all_workers_confirmed (cell);
--- a/src/cell/foreign.c
+++ b/src/cell/bad_row.c
@@ -85,9 +85,9 @@
 
 void
 cell_report_bad_row (MuxCell *cell,
-              const MuxCellRow *row,
-              CellRowFault fault,
-              const char *what)
+                     const MuxCellRow *row,
+                     CellRowFault fault,
+                     const char *what)
 {
   static const MuxCounter counters[]
       = { [CELL_ROW_KEY] = MUX_COUNT_ROWS_BAD_KEY,
--- a/src/cell/candidate.c
+++ b/src/cell/candidate.c
@@ -307,7 +307,8 @@
     return 0;
   cell_choose_data_centre (cell, stage);
   count = collect_later (cell, stage, candidate);
-  count = enough (candidate, count, stage->spec->count, CELL_CANDIDATES_AHEAD_MIN);
+  count = enough (candidate, count, stage->spec->count,
+                  CELL_CANDIDATES_AHEAD_MIN);
   copy_workers (worker, candidate, count);
   free (candidate);
   return count;
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -43,7 +43,7 @@
 json_t *cell_json_from_blob (const MuxBlob *blob);
 void cell_log (MuxCell *cell, const char *event, const char *format, ...);
 
-/* carry.c: calls to workers made by other daemons */
+/* proxy.c: calls to workers made by other daemons */
 /** cell_worker_call() - by a carrier, or by this daemon */
 bool cell_worker_call (MuxCell *cell,
                        CellWorker *worker,
@@ -59,14 +59,14 @@
 /** cell_pending_add() - NULL: memory is out */
 CellPending *cell_pending_add (MuxCell *cell, const CellPending *pending);
 
-/* carry_wire.c: the bytes of a call and of its end; NULL: memory is out, or
+/* proxy_wire.c: the bytes of a call and of its end; NULL: memory is out, or
  * they can't be read */
 MuxBlob *cell_proxied_call_encode (const MuxCellCall *call);
 MuxCellCall *cell_proxied_call_decode (const MuxBlob *blob);
 MuxBlob *cell_proxied_reply_encode (const MuxCellReply *reply);
 MuxCellReply *cell_proxied_reply_decode (const MuxBlob *blob, uint64_t call_id);
 
-/* foreign.c: rows of the store that can't be read */
+/* bad_row.c: rows of the store that can't be read */
 /**
  * enum CellRowFault - why a row can't be read
  */
@@ -190,7 +190,7 @@
  * configuration in force */
 bool cell_quota_never_fits (const MuxCell *cell, const MuxJobSpec *spec);
 
-/* submit.c, inquiry.c: callers */
+/* submit.c, job_query.c: callers */
 void cell_submit (MuxCell *cell, MuxRequest *question);
 /** cell_submission_queue() - takes @submission over */
 void cell_submission_enqueue (MuxCell *cell, CellSubmission *submission);
@@ -258,7 +258,7 @@
  * the one known; takes @value over; @done finds the term in its number */
 bool cell_write_claim (MuxCell *cell, json_t *value, CellReplyHandler done);
 
-/* proof.c: what proves a planner's term */
+/* heartbeat.c: what proves a planner's term */
 /** cell_proof_begin() - a term begins */
 void cell_heartbeat_begin (MuxCell *cell);
 /** cell_proof_tick() - keep it proved; @paused_ms: since the last event */
@@ -274,7 +274,7 @@
  * keeps it from claiming */
 void cell_claim_renewed (MuxCell *cell, int64_t at_ms);
 
-/* leave.c: who plans next when a planner leaves by itself */
+/* handover.c: who plans next when a planner leaves by itself */
 void cell_yield_begin (MuxCell *cell);
 /** cell_yield_tick() - to a much stronger member */
 void cell_yield_tick (MuxCell *cell);
@@ -369,7 +369,7 @@
 /** cell_is_cancel() - the row of the jobs' table is a job's cancel */
 bool cell_row_is_cancel (const MuxCellRow *row);
 
-/* unread.c: jobs whose row can't be read, and the ends of their tasks */
+/* unreadable.c: jobs whose row can't be read, and the ends of their tasks */
 /** cell_unread_note() - there is such a job
  * @seen: by its row; else by what stands beside it */
 void cell_unreadable_add (MuxCell *cell, const char *id, bool seen);
@@ -394,7 +394,7 @@
 bool cell_unreadable_add_end (CellUnreadable *unread,
                               const CellUnreadableEnd *end);
 
-/* unread_rows.c */
+/* unreadable_rows.c */
 /** cell_unread_row_of() - the job of such a row; false: it is another one */
 bool cell_unreadable_row_job (const char *key, char id[MUX_ROW_NAME_LEN]);
 void cell_unreadable_put_row (const MuxCell *cell,
@@ -450,7 +450,7 @@
  */
 json_t *cell_step_wait_json (const MuxCell *cell, const CellStage *stage);
 
-/* load_line.c */
+/* load_log.c */
 /** cell_load_line_tick() - tell what askers and room are used for */
 void cell_load_log_tick (MuxCell *cell);
 
@@ -503,7 +503,7 @@
 #define CELL_RENEW_PAUSE_MS 200
 void cell_renew_if_due (MuxCell *cell, CellWorker *worker);
 
-/* life.c: workers that start again under their ids */
+/* incarnation.c: workers that start again under their ids */
 /** cell_life_join() - @worker to the lives of its id
  * Return: false when memory is out. */
 bool cell_incarnation_add (MuxCell *cell, CellWorker *worker);
@@ -530,7 +530,7 @@
  * was not named is not to begin any more */
 void cell_incarnation_runs_listed (MuxCell *cell, CellWorker *worker);
 
-/* trust.c: how long a planner orders without a proof of its claim */
+/* claim_lease.c: how long a planner orders without a proof of its claim */
 /** cell_claim_is_trusted() - this planner may still order */
 bool cell_claim_is_valid (const MuxCell *cell);
 /** cell_greeting_next() - the planner is greeted; Return: the greeting's number
@@ -544,7 +544,7 @@
 /** cell_trust_until_ms() - it trusts its claim no longer */
 int64_t cell_claim_lease_until_ms (const MuxCell *cell);
 
-/* former.c: the planners before this one */
+/* predecessor.c: the planners before this one */
 /** cell_claim_former() - what a row of the claim tells of those before its
  * holder; @json: the row; NULL: it can't be read */
 void cell_claim_read_predecessors (const MuxCell *cell,
@@ -603,7 +603,7 @@
 /** cell_evacuate() - stop what would be lost with it */
 void cell_evacuate (MuxCell *cell, CellWorker *worker);
 
-/* learn.c: how long runs take */
+/* run_time_learn.c: how long runs take */
 /** cell_expected_ms() - a run of the step */
 uint32_t cell_expected_ms (const MuxCell *cell,
                            const MuxJobSpec *spec,
@@ -770,7 +770,7 @@
 CellApproval *cell_approval_add (CellStage *stage, const CellWorker *worker);
 void cell_approvals_free (CellStage *stage);
 
-/* approve.c */
+/* approval_query.c */
 /** cell_askers() - daemons that were heard lately, busy or not */
 uint32_t cell_queriers_alive (MuxCell *cell);
 /** cell_question_ms() - what a question about @count workers takes */
@@ -831,11 +831,11 @@
  * urgent steps */
 bool cell_approval_query_is_short (const CellStage *stage, uint32_t count);
 
-/* ask_ahead.c */
+/* query_ahead.c */
 /** cell_ask_ahead() - about the steps that come after @placed */
 void cell_query_ahead (MuxCell *cell, const CellStage *placed);
 
-/* approve_peer.c */
+/* approval_query_peer.c */
 /** cell_question_call() - the call that asks what @question says
  * Return: NULL if it can't be understood, or memory is out. */
 MuxCellCall *cell_approval_query_call (const json_t *question);
@@ -880,7 +880,7 @@
 void cell_plan_order_begin_urgent (CellPlanOrder *order);
 CellStage *cell_plan_order_next_urgent (CellPlanOrder *order);
 
-/* sample.c: which workers a look at a step passes over */
+/* worker_scan.c: which workers a look at a step passes over */
 /** cell_is_sampled() - the cell has more workers than one look passes over */
 bool cell_worker_scan_is_partial (const MuxCell *cell);
 /** cell_sample_max() - most workers of one look */
@@ -910,7 +910,7 @@
                                CellOpening *gap,
                                uint32_t gap_max);
 
-/* gather.c */
+/* gang_reserve.c */
 /** cell_gather() - reserve room at @count approved workers for a gang that has
  * too little now, and ask for proofs if the time has come and it @may_ask */
 void cell_gang_reserve (MuxCell *cell,
@@ -978,7 +978,7 @@
                                 CellStage *stage,
                                 CellWorker *worker[CELL_CANDIDATES_MAX]);
 
-/* named_row.c: workers named before they are asked about */
+/* named_workers.c: workers named before they are asked about */
 /** cell_named_row() - the job's row @value with workers that its steps may run
  * on
  * Return: NULL when there are none to name, or memory is out. */
--- a/src/cell/trust.c
+++ b/src/cell/claim_lease.c
@@ -31,7 +31,8 @@
     if (member->incarnation == cell->options.incarnation
         || member->last_contact_ms < cell->claim_renewed_ms - MEMBER_MS)
       continue;
-    if (member->store_available || cell->time.now_ms - member->last_contact_ms > SAID_MS)
+    if (member->store_available
+        || cell->time.now_ms - member->last_contact_ms > SAID_MS)
       return false;
   }
   return true;
--- a/src/cell/claim_rows.c
+++ b/src/cell/claim_rows.c
@@ -73,7 +73,8 @@
     }
   snprintf (claim->name, sizeof claim->name, "%s", name != NULL ? name : "");
   snprintf (claim->addr, sizeof claim->addr, "%s", addr != NULL ? addr : "");
-  snprintf (claim->successor, sizeof claim->successor, "%s", heir != NULL ? heir : "");
+  snprintf (claim->successor, sizeof claim->successor, "%s",
+            heir != NULL ? heir : "");
   claim->incarnation
       = (uint64_t) json_integer_value (json_object_get (json, "incarnation"));
   claim->released = claim->incarnation == 0 && is_given_up (cell, json);
--- a/src/cell/claim_types.h
+++ b/src/cell/claim_types.h
@@ -22,8 +22,9 @@
   bool released;   /* by its last holder, which ordered nothing from then on */
   char name[MUX_NAME_LEN];
   char addr[MUX_ADDR_LEN];
-  char successor[MUX_NAME_LEN]; /* of a claim given up: who should take it first */
-  uint64_t incarnation;    /* 0: nobody */
+  char successor[MUX_NAME_LEN]; /* of a claim given up: who should take it first
+                                 */
+  uint64_t incarnation;         /* 0: nobody */
   uint64_t version;
   uint32_t term_count; /* how often it was taken */
   int64_t predecessors_until_ms;
--- a/src/cell/crash_rows.c
+++ b/src/cell/crash_rows.c
@@ -38,7 +38,8 @@
 static int
 marks_of (const CellLoss *loss)
 {
-  return (loss->began ? MARK_BEGAN : 0) | (loss->outcome_unknown ? MARK_OPEN : 0)
+  return (loss->began ? MARK_BEGAN : 0)
+         | (loss->outcome_unknown ? MARK_OPEN : 0)
          | (loss->from_predecessor ? MARK_RECORDED : 0);
 }
 
@@ -48,7 +49,8 @@
   return strcmp (json_string_value (json_array_get (group, LOST_WORKER)),
                  loss->worker)
              == 0
-         && json_is_true (json_array_get (group, LOST_ENDED)) == loss->worker_ended;
+         && json_is_true (json_array_get (group, LOST_ENDED))
+                == loss->worker_ended;
 }
 
 /* NULL: memory is out. */
@@ -155,7 +157,8 @@
   loss->in_outage
       = json_integer_value (json_array_get (run, RUN_IN_OUTAGE)) != 0;
   loss->lived_ms = json_integer_value (json_array_get (run, RUN_LIVED_MS));
-  loss->from_predecessor = loss->outcome_unknown || (marks & MARK_RECORDED) != 0;
+  loss->from_predecessor
+      = loss->outcome_unknown || (marks & MARK_RECORDED) != 0;
   if (loss->run > task->last_run)
     task->last_run = loss->run;
 }
--- a/src/cell/forecast.c
+++ b/src/cell/forecast.c
@@ -93,10 +93,10 @@
 
 uint32_t
 cell_worker_openings (const MuxCell *cell,
-                  const CellStage *stage,
-                  CellWorker *worker,
-                  CellOpening *gap,
-                  uint32_t gap_max)
+                      const CellStage *stage,
+                      CellWorker *worker,
+                      CellOpening *gap,
+                      uint32_t gap_max)
 {
   MuxSize reserved = cell_reserved_for_others (stage, worker, INT64_MAX);
   MuxSize free = cell_worker_free_for (stage, worker);
@@ -116,7 +116,7 @@
       if (more <= tasks)
         continue;
       gap[n++] = (CellOpening){ worker, cell->time.now_ms + end[i].left_ms,
-                            more - tasks };
+                                more - tasks };
       tasks = more;
     }
   return n;
--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -48,7 +48,8 @@
     return 0;
   p->worker = worker;
   p->asked = approval != NULL && approval->queried;
-  p->now = cell_stage_cap_per_worker (stage, cell_worker_spare_tasks (cell, stage, worker));
+  p->now = cell_stage_cap_per_worker (
+      stage, cell_worker_spare_tasks (cell, stage, worker));
   p->reserved = cell_was_reserved (stage, worker);
   p->turn = cell_worker_tie_break (hash, worker);
   p->ever = cell_stage_cap_per_worker (
@@ -215,7 +216,7 @@
          place[i].proven && j < place[i].now && member < stage->spec->count;
          j++, member++)
       if (!cell_start_run (cell, &stage->task[member], place[i].worker, run,
-                       checkpoint))
+                           checkpoint))
         return;
   cell_stage_log_placed (cell, stage, member);
 }
@@ -273,7 +274,8 @@
       uint32_t take = place[i].now < left ? place[i].now : left;
 
       if (!place[i].yes || take == 0
-          || cell_proof_outlasts_query (cell, stage, place[i].worker, CANDIDATES_MAX)
+          || cell_proof_outlasts_query (cell, stage, place[i].worker,
+                                        CANDIDATES_MAX)
                  != lasts)
         continue;
       if (!cell_hold_add (stage, place[i].worker, take))
@@ -374,7 +376,8 @@
     return;
   for (uint32_t i = 0; i < count; i++)
     worker[i] = place[i].worker;
-  cell_gang_reserve (cell, stage, worker, count, may_ask && !stage->query_pending);
+  cell_gang_reserve (cell, stage, worker, count,
+                     may_ask && !stage->query_pending);
   free (worker);
 }
 
@@ -440,7 +443,8 @@
 static uint32_t *
 reservations_of (MuxCell *cell, const CellStage *stage, uint32_t *reservations)
 {
-  return cell_stage_is_late (stage) ? &cell->late_reservations_left : reservations;
+  return cell_stage_is_late (stage) ? &cell->late_reservations_left
+                                    : reservations;
 }
 
 static void
--- a/src/cell/gather.c
+++ b/src/cell/gang_reserve.c
@@ -50,7 +50,7 @@
 
   for (uint32_t i = 0; i < count && gaps.gap != NULL; i++)
     gaps.count += cell_worker_openings (cell, stage, worker[i],
-                                    &gaps.gap[gaps.count], GAPS_MAX);
+                                        &gaps.gap[gaps.count], GAPS_MAX);
   if (gaps.count > 0)
     qsort (gaps.gap, gaps.count, sizeof *gaps.gap, soonest_first);
   return gaps;
@@ -113,7 +113,7 @@
   for (uint32_t i = 0; i < count && n < CELL_CANDIDATES_MAX; i++)
     if (!contains (worker, n, gaps->gap[i].worker)
         && !cell_proof_outlasts_query (cell, stage, gaps->gap[i].worker,
-                                 CELL_CANDIDATES_MAX))
+                                       CELL_CANDIDATES_MAX))
       worker[n++] = gaps->gap[i].worker;
   if (at_ms - cell->time.now_ms <= cell_approval_query_ms (stage, n))
     (void) cell_approval_query_send (cell, stage, worker, n);
@@ -121,10 +121,10 @@
 
 void
 cell_gang_reserve (MuxCell *cell,
-             CellStage *stage,
-             CellWorker *const *worker,
-             uint32_t count,
-             bool may_ask)
+                   CellStage *stage,
+                   CellWorker *const *worker,
+                   uint32_t count,
+                   bool may_ask)
 {
   Gaps gaps;
   uint32_t first;
--- a/src/cell/leave.c
+++ b/src/cell/handover.c
@@ -53,7 +53,9 @@
       heir != NULL ? heir->name : "", "incarnation", (json_int_t) 0, "gave_up",
       (json_int_t) cell->term, "term", (int) cell->claim.term_count);
   bool sent = cell_write_claim (
-      cell, cell_predecessors_to_json (cell, row, cell_predecessors_left_ms (cell)), done);
+      cell,
+      cell_predecessors_to_json (cell, row, cell_predecessors_left_ms (cell)),
+      done);
 
   cell->claim_releasing = cell->claim_releasing || sent;
   return sent;
--- a/src/cell/proof.c
+++ b/src/cell/heartbeat.c
@@ -26,8 +26,8 @@
 bool
 cell_is_active_planner (const MuxCell *cell)
 {
-  return cell->role == CELL_PLANNING && cell->claim_verified_ms != 0 && !cell->claim_releasing
-         && cell_claim_is_valid (cell);
+  return cell->role == CELL_PLANNING && cell->claim_verified_ms != 0
+         && !cell->claim_releasing && cell_claim_is_valid (cell);
 }
 
 /* What was asked before a doubt arose says nothing about it: an answer that
@@ -104,8 +104,9 @@
 static void
 confirm (MuxCell *cell)
 {
-  CellPending pending
-      = { .on_reply = confirmed, .term = cell->term, .context = cell->jobs_reread_count };
+  CellPending pending = { .on_reply = confirmed,
+                          .term = cell->term,
+                          .context = cell->jobs_reread_count };
 
   cell->claim_recheck_busy
       = cell_call (cell, cell_scan_call (MUX_TABLE_CLAIM, ""), &pending);
@@ -147,7 +148,9 @@
   if (call == NULL)
     return;
   cell_call_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->term);
-  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_CLAIM, CELL_HEARTBEAT_KEY)->value
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_CLAIM,
+                        CELL_HEARTBEAT_KEY)
+      ->value
       = cell_admission_blob (cell);
   cell->heartbeat_busy = cell_call (cell, call, &pending);
 }
@@ -182,8 +185,8 @@
   else if (!cell->heartbeat_busy
            && (now >= cell->next_heartbeat_ms || cell->claim_renewed_ms == 0))
     beat (cell);
-  if (cell->jobs_unverified && !cell->jobs_rereading && !cell->claim_recheck_busy
-      && now >= cell->next_verify_ms)
+  if (cell->jobs_unverified && !cell->jobs_rereading
+      && !cell->claim_recheck_busy && now >= cell->next_verify_ms)
     confirm (cell);
   if (cell->claim_verified_ms != 0)
     cell_yield_tick (cell);
--- a/src/cell/job_rows.c
+++ b/src/cell/job_rows.c
@@ -20,7 +20,8 @@
    * daemon that can read it goes on with it, and its caller can cancel it. */
   if (json != NULL && spec == NULL)
     cell_report_bad_row (cell, row, CELL_ROW_FIELD,
-                  findings.count > 0 ? findings.item[0].text : "memory is out");
+                         findings.count > 0 ? findings.item[0].text
+                                            : "memory is out");
   json_decref (json);
   if (spec == NULL)
     {
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -405,7 +405,8 @@
     unwatch (cell, job);
   else if (!job->ended)
     {
-      job->began_early = job->began_early && cell_occurrence_is_early (cell, job);
+      job->began_early
+          = job->began_early && cell_occurrence_is_early (cell, job);
       cell_job_advance (cell, job);
     }
 }
@@ -423,9 +424,9 @@
 
 bool
 cell_job_state (MuxCell *cell,
-               const CellCaller *caller,
-               const char *id,
-               MuxJobState *state)
+                const CellCaller *caller,
+                const char *id,
+                MuxJobState *state)
 {
   CellJob *job = cell_job_find (cell, id);
   CellEndedJob *ended;
--- a/src/cell/late.c
+++ b/src/cell/late.c
@@ -32,7 +32,8 @@
 cell_reply_latency_record (MuxCell *cell, const CellPending *pending)
 {
   CellReplyLatency *answers = &cell->reply_latency;
-  int64_t took_ms = cell->time.processed_ms - pending->sent_ms - pending->wait_ms;
+  int64_t took_ms
+      = cell->time.processed_ms - pending->sent_ms - pending->wait_ms;
 
   /* One that came before its wait was over may have come at any time. */
   if (!is_carried (pending) || took_ms < 0)
--- a/src/cell/late_start.c
+++ b/src/cell/late_start.c
@@ -28,8 +28,8 @@
 {
   const MuxQueueSpec *queue = &booking->task->stage->job->spec->queue;
 
-  return booking->worker->started_ms != 0 && !booking->began && !booking->was_listed
-         && !queue->approval.required
+  return booking->worker->started_ms != 0 && !booking->began
+         && !booking->was_listed && !queue->approval.required
          && cell->time.now_ms < booking->booked_ms + over_ms ();
 }
 
--- a/src/cell/load.c
+++ b/src/cell/load.c
@@ -68,8 +68,10 @@
 cell_fence_add (const MuxCell *cell, const CellPart *part, MuxCellCall *call)
 {
   cell_call_expect (call, MUX_TABLE_FENCE, CELL_FENCE_KEY, part->fence_version);
-  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_FENCE, CELL_FENCE_KEY)->value
-      = cell_blob_from_json (json_pack ("{s:I}", "term", (json_int_t) cell->term));
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_FENCE, CELL_FENCE_KEY)
+      ->value
+      = cell_blob_from_json (
+          json_pack ("{s:I}", "term", (json_int_t) cell->term));
 }
 
 /* Both rows in one commit: from then on no former planner can store progress,
@@ -83,8 +85,10 @@
   if (call == NULL)
     return;
   cell_fence_add (cell, part, call);
-  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_FENCE, CELL_TERM_KEY)->value
-      = cell_blob_from_json (json_pack ("{s:I}", "term", (json_int_t) cell->term));
+  cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_FENCE, CELL_TERM_KEY)
+      ->value
+      = cell_blob_from_json (
+          json_pack ("{s:I}", "term", (json_int_t) cell->term));
   part->reading_fence = cell_call (cell, call, &pending);
 }
 
@@ -213,7 +217,7 @@
       progress_read (cell, &reply->row[i]);
   if (!cell_next_page (part->load_from, reply))
     part->load_table = part->load_table == MUX_TABLE_JOBS ? MUX_TABLE_PROGRESS
-                                                    : MUX_TABLE_COUNT;
+                                                          : MUX_TABLE_COUNT;
   part_tick (cell, part);
 }
 
--- a/src/cell/load_line.c
+++ b/src/cell/load_log.c
@@ -60,7 +60,7 @@
 static void
 tell (MuxCell *cell, const Room *room)
 {
-  static const char *const rank[] = { [CELL_RANK_OWED] = "owed",
+  static const char *const rank[] = { [CELL_RANK_STARVED] = "owed",
                                       [CELL_RANK_IN_TIME] = "in_time",
                                       [CELL_RANK_LATE] = "late",
                                       [CELL_RANK_WORTHLESS] = "worthless" };
@@ -81,8 +81,8 @@
   cell_log (cell, "planner_load",
             "{s:i, s:i, s:o, s:o, s:I, s:I, s:I, s:I, s:i}", "askers",
             (int) cell_queriers_alive (cell), "asking",
-            (int) HASH_COUNT (cell->approval_queries), "asking_for", queues, "ranks",
-            ranks, "cores", (json_int_t) (room->all / MILLI), "booked",
+            (int) HASH_COUNT (cell->approval_queries), "asking_for", queues,
+            "ranks", ranks, "cores", (json_int_t) (room->all / MILLI), "booked",
             (json_int_t) (room->booked / MILLI), "held",
             (json_int_t) (room->held / MILLI), "kept_idle",
             (json_int_t) (room->kept_idle / MILLI), "kept", (int) room->kept);
@@ -93,7 +93,8 @@
 {
   Room room;
 
-  if (cell->time.now_ms < cell->next_load_log_ms || !cell_is_active_planner (cell)
+  if (cell->time.now_ms < cell->next_load_log_ms
+      || !cell_is_active_planner (cell)
       || cell->plan_order.visited.root == NULL)
     return;
   cell->next_load_log_ms = cell->time.now_ms + LINE_MS;
--- a/src/cell/occurrence.c
+++ b/src/cell/occurrence.c
@@ -50,7 +50,9 @@
 }
 
 bool
-cell_occurrence_is_due (const MuxCell *cell, const CellJob *job, uint32_t occurrence)
+cell_occurrence_is_due (const MuxCell *cell,
+                        const CellJob *job,
+                        uint32_t occurrence)
 {
   return job->spec->repetitions == 0
          || until_due_ms (cell, job, occurrence) <= 0;
--- a/src/cell/outage.c
+++ b/src/cell/outage.c
@@ -36,10 +36,10 @@
   CellDownEvent *down = &cell->down[cell->down_next++ % CELL_DOWN_MAX];
 
   *down = (CellDownEvent){ .addr = mux_hash_name (worker->info.addr, 0),
-                      .rack = rack_of (&worker->info),
-                      .from_ms = worker->clock_at_ms,
-                      .to_ms = worker->down_before_ms,
-                      .at_ms = cell->time.now_ms };
+                           .rack = rack_of (&worker->info),
+                           .from_ms = worker->clock_at_ms,
+                           .to_ms = worker->down_before_ms,
+                           .at_ms = cell->time.now_ms };
 }
 
 static void
@@ -63,10 +63,12 @@
                   const CellWorker *worker,
                   int64_t from_ms)
 {
-  bool went = (worker->dead || worker->unreachable_since_ms != 0) && worker->down_before_ms != 0;
-  CellLossSpan span = { .from_ms = from_ms,
-                        .to_ms = went ? worker->down_before_ms : cell->time.now_ms,
-                        .rack = rack_of (&worker->info) };
+  bool went = (worker->dead || worker->unreachable_since_ms != 0)
+              && worker->down_before_ms != 0;
+  CellLossSpan span
+      = { .from_ms = from_ms,
+          .to_ms = went ? worker->down_before_ms : cell->time.now_ms,
+          .rack = rack_of (&worker->info) };
 
   count_workers (cell, &span);
   return span;
@@ -152,7 +154,8 @@
 bool
 cell_workers_are_stable (const MuxCell *cell)
 {
-  const CellDownEvent *last = &cell->down[(cell->down_next - 1) % CELL_DOWN_MAX];
+  const CellDownEvent *last
+      = &cell->down[(cell->down_next - 1) % CELL_DOWN_MAX];
 
   return cell->down_next == 0 || cell->time.now_ms - last->to_ms > CALM_MS;
 }
@@ -173,7 +176,8 @@
   put_step (task->stage, span->from_ms, &own);
   for (uint32_t i = 1; i <= cell->down_next && i <= CELL_DOWN_MAX; i++)
     {
-      const CellDownEvent *down = &cell->down[(cell->down_next - i) % CELL_DOWN_MAX];
+      const CellDownEvent *down
+          = &cell->down[(cell->down_next - i) % CELL_DOWN_MAX];
 
       if (down->at_ms < span->from_ms)
         return false;
--- a/src/cell/place.c
+++ b/src/cell/place.c
@@ -19,8 +19,8 @@
 
 uint32_t
 cell_worker_startable_tasks (const MuxCell *cell,
-                   const CellStage *stage,
-                   const CellWorker *worker)
+                             const CellStage *stage,
+                             const CellWorker *worker)
 {
   uint32_t n;
   uint32_t there;
@@ -163,7 +163,8 @@
       CellWorker *worker = cell->worker_at[approval->slot];
 
       if (worker == NULL || !approval->approved
-          || (!stage->query_pending && !cell_approval_is_being_recorded (cell, approval))
+          || (!stage->query_pending
+              && !cell_approval_is_being_recorded (cell, approval))
           || cell_worker_startable_tasks (cell, stage, worker) == 0)
         continue;
       if (!cell_hold_add (stage, worker, 1))
@@ -240,8 +241,8 @@
   if (cell_start_needs_record (cell, task)
       && !cell_start_is_recorded (cell, task, best.worker))
     return true;
-  if (!cell_start_run (cell, task, best.worker, cell_next_run (cell, task->last_run),
-                   task->checkpoint))
+  if (!cell_start_run (cell, task, best.worker,
+                       cell_next_run (cell, task->last_run), task->checkpoint))
     return false;
   placing->sent++;
   return true;
--- a/src/cell/plan.c
+++ b/src/cell/plan.c
@@ -77,10 +77,11 @@
 /* The worker may run the stage at all, whatever room it has now. */
 bool
 cell_worker_is_eligible (const MuxCell *cell,
-                  const CellStage *stage,
-                  const CellWorker *worker)
+                         const CellStage *stage,
+                         const CellWorker *worker)
 {
-  return cell_worker_matches (stage, worker) && cell_worker_usable (cell, worker)
+  return cell_worker_matches (stage, worker)
+         && cell_worker_usable (cell, worker)
          && (!stage->spec->best_effort
              || cell->time.now_ms >= worker->no_fill_until_ms);
 }
@@ -224,7 +225,8 @@
     if (*reservations == 0)
       return;
     if (!cell_stage_is_scanned (cell, other) || other->scanned_ms == now_ms
-        || other->reserving_counted_ms == now_ms || cell_stage_compare (other, stage) > 0)
+        || other->reserving_counted_ms == now_ms
+        || cell_stage_compare (other, stage) > 0)
       continue;
     other->reserving_counted_ms = now_ms;
     (*reservations)--;
--- a/src/cell/plan_order.c
+++ b/src/cell/plan_order.c
@@ -26,13 +26,15 @@
 static bool
 planned_before (const CellNode *a, const CellNode *b)
 {
-  return goes_before (CONST_STAGE_OF (a, plan_node), CONST_STAGE_OF (b, plan_node));
+  return goes_before (CONST_STAGE_OF (a, plan_node),
+                      CONST_STAGE_OF (b, plan_node));
 }
 
 static bool
 urgent_before (const CellNode *a, const CellNode *b)
 {
-  return goes_before (CONST_STAGE_OF (a, urgent_node), CONST_STAGE_OF (b, urgent_node));
+  return goes_before (CONST_STAGE_OF (a, urgent_node),
+                      CONST_STAGE_OF (b, urgent_node));
 }
 
 static bool
@@ -58,9 +60,9 @@
 cell_plan_order_init (CellPlanOrder *order)
 {
   *order = (CellPlanOrder){ .visited = { .before = planned_before },
-                        .unvisited = { .before = planned_before },
-                        .urgent = { .before = urgent_before },
-                        .by_rank_expiry = { .before = ranked_before } };
+                            .unvisited = { .before = planned_before },
+                            .urgent = { .before = urgent_before },
+                            .by_rank_expiry = { .before = ranked_before } };
 }
 
 static bool
--- a/src/cell/former.c
+++ b/src/cell/predecessor.c
@@ -65,7 +65,9 @@
 }
 
 void
-cell_claim_read_predecessors (const MuxCell *cell, CellClaim *claim, const json_t *json)
+cell_claim_read_predecessors (const MuxCell *cell,
+                              CellClaim *claim,
+                              const json_t *json)
 {
   claim->predecessors_until_ms = told_until_ms (cell, json);
 }
@@ -93,8 +95,9 @@
     return until_ms;
   if (cell->heartbeat_version <= cell->claim.version)
     return later_of (until_ms, cell->claim_read_ms + UNAWARE_MS);
-  return cell->heartbeat_predecessors_until_ms < until_ms ? cell->heartbeat_predecessors_until_ms
-                                               : until_ms;
+  return cell->heartbeat_predecessors_until_ms < until_ms
+             ? cell->heartbeat_predecessors_until_ms
+             : until_ms;
 }
 
 /* This process planned, or a former one of this daemon. */
--- a/src/cell/progress.c
+++ b/src/cell/progress.c
@@ -26,7 +26,8 @@
     {
       const CellPart *part = &cell->part[i];
 
-      if ((part->dirty != NULL || part->unreadable_dirty > 0 || part->committing)
+      if ((part->dirty != NULL || part->unreadable_dirty > 0
+           || part->committing)
           && part->stored_seq < least)
         least = part->stored_seq;
     }
@@ -135,7 +136,8 @@
     cell_unreadable_remove_row (call, job);
   if (!job->ended)
     {
-      cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, job->id)->value
+      cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, job->id)
+          ->value
           = cell_blob_from_json (cell_progress_json (cell, job));
       for (uint32_t i = 0; i < job->stage_count; i++)
         {
--- a/src/cell/progress_rows.c
+++ b/src/cell/progress_rows.c
@@ -103,7 +103,8 @@
   json_t *list = json_array ();
 
   for (uint32_t i = 0; i < stage->spec->count; i++)
-    if (stage->task[i].checkpoint[0] != 0 && stage->task[i].state != CELL_TASK_DONE)
+    if (stage->task[i].checkpoint[0] != 0
+        && stage->task[i].state != CELL_TASK_DONE)
       (void) json_array_append_new (
           list, json_pack ("[is]", (int) i, stage->task[i].checkpoint));
   return list;
@@ -174,8 +175,8 @@
     const char *text = json_string_value (json_array_get (pair, 1));
 
     if (index >= 0 && index < stage->spec->count && text != NULL)
-      snprintf (stage->task[index].checkpoint, sizeof stage->task[index].checkpoint, "%s",
-                text);
+      snprintf (stage->task[index].checkpoint,
+                sizeof stage->task[index].checkpoint, "%s", text);
   }
 }
 
--- a/src/cell/ask_ahead.c
+++ b/src/cell/query_ahead.c
@@ -18,7 +18,8 @@
 {
   const MuxApprovalSpec *approval = &stage->job->spec->queue.approval;
 
-  return approval->required && cell_approval_query_is_short (stage, CELL_CANDIDATES_AHEAD_MIN);
+  return approval->required
+         && cell_approval_query_is_short (stage, CELL_CANDIDATES_AHEAD_MIN);
 }
 
 /* Of the steps that @stage comes after, all tasks have been sent to workers.
--- a/src/cell/quota.c
+++ b/src/cell/quota.c
@@ -123,7 +123,8 @@
   used = mux_quota_min (workspace->unsettled, cell->unconfirmed_room);
   used = mux_quota_sum (used, workspace->booked);
   used = mux_quota_sum (used, claimed_by_gang (cell, workspace, stage));
-  return mux_quota_tasks_left (limit_for (cell, stage), used, stage->spec->size);
+  return mux_quota_tasks_left (limit_for (cell, stage), used,
+                               stage->spec->size);
 }
 
 void
@@ -202,7 +203,8 @@
   if (workspace == NULL || !job->predates_term)
     return;
   for (uint32_t i = 0; i < job->stage_count; i++)
-    if (job->stage[i]->tasks_left > 0 && !cell_stage_is_settled (cell, job->stage[i]))
+    if (job->stage[i]->tasks_left > 0
+        && !cell_stage_is_settled (cell, job->stage[i]))
       workspace->unsettled
           = mux_quota_add (workspace->unsettled, job->stage[i]->spec->size,
                            unbooked (job->stage[i]));
--- a/src/cell/reserve.c
+++ b/src/cell/reserve.c
@@ -199,8 +199,8 @@
 
 uint32_t
 cell_worker_spare_tasks (const MuxCell *cell,
-                    const CellStage *stage,
-                    const CellWorker *worker)
+                         const CellStage *stage,
+                         const CellWorker *worker)
 {
   uint32_t now
       = cell_tasks_that_fit (stage, cell_worker_free_for (stage, worker));
--- a/src/cell/room.c
+++ b/src/cell/room.c
@@ -7,7 +7,8 @@
 {
   worker->booked = mux_size_add (worker->booked, stage->spec->size);
   if (stage->spec->long_running)
-    worker->long_running = mux_size_add (worker->long_running, stage->spec->size);
+    worker->long_running
+        = mux_size_add (worker->long_running, stage->spec->size);
   cell_quota_charge (stage);
 }
 
@@ -16,7 +17,8 @@
 {
   worker->booked = mux_size_sub (worker->booked, stage->spec->size);
   if (stage->spec->long_running)
-    worker->long_running = mux_size_sub (worker->long_running, stage->spec->size);
+    worker->long_running
+        = mux_size_sub (worker->long_running, stage->spec->size);
   cell_quota_release (stage);
 }
 
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -1,7 +1,7 @@
 #include "cell_private.h"
 
 #include "base/address.h"
-#include "port/life.h"
+#include "port/incarnation.h"
 
 #include <stdio.h>
 #include <string.h>
--- a/src/cell/run_time.c
+++ b/src/cell/run_time.c
@@ -52,9 +52,9 @@
 
 void
 mux_run_time_record (MuxRunTimes *times,
-                   uint64_t queue,
-                   uint32_t declared_ms,
-                   int64_t took_ms)
+                     uint64_t queue,
+                     uint32_t declared_ms,
+                     int64_t took_ms)
 {
   MuxRunTime *time = mux_run_time_find (times, queue);
   double taken;
@@ -110,5 +110,6 @@
 {
   return time->count <= MEMORY_RUNS && is_within (time->mean, -LOG_MAX)
          && is_within (time->error_mean, -LOG_MAX)
-         && is_within (time->variance, 0) && is_within (time->error_variance, 0);
+         && is_within (time->variance, 0)
+         && is_within (time->error_variance, 0);
 }
--- a/src/cell/learn.c
+++ b/src/cell/run_time_learn.c
@@ -50,8 +50,8 @@
       || booking->run < cell_next_run (cell, 0))
     return;
   mux_run_time_record (&cell->run_times, queue_of (stage->job->spec),
-                     stage->spec->estimate_ms,
-                     cell->time.now_ms - booking->booked_ms);
+                       stage->spec->estimate_ms,
+                       cell->time.now_ms - booking->booked_ms);
 }
 
 static json_int_t
@@ -70,10 +70,11 @@
       const MuxRunTime *time = &cell->run_times.item[i];
 
       (void) json_array_append_new (
-          list, json_pack ("[I, i, I, I, I, I]", (json_int_t) time->queue,
-                           (int) time->count, in_parts (time->mean),
-                           in_parts (time->variance), in_parts (time->error_mean),
-                           in_parts (time->error_variance)));
+          list,
+          json_pack ("[I, i, I, I, I, I]", (json_int_t) time->queue,
+                     (int) time->count, in_parts (time->mean),
+                     in_parts (time->variance), in_parts (time->error_mean),
+                     in_parts (time->error_variance)));
     }
   return list;
 }
--- a/src/cell/stage.c
+++ b/src/cell/stage.c
@@ -109,7 +109,8 @@
   uint32_t first = stage->occurrence * job->spec->step_count;
 
   for (uint32_t i = 0; i < stage->step; i++)
-    if ((stage->spec->after >> i & 1) != 0 && job->stage[first + i]->tasks_left > 0)
+    if ((stage->spec->after >> i & 1) != 0
+        && job->stage[first + i]->tasks_left > 0)
       return false;
   return true;
 }
@@ -117,8 +118,9 @@
 void
 cell_stage_update (MuxCell *cell, CellStage *stage)
 {
-  bool ready = stage->tasks_left > 0 && !stage->job->cancelled && !stage->job->failed
-               && !stage->job->ended && steps_before_done (stage)
+  bool ready = stage->tasks_left > 0 && !stage->job->cancelled
+               && !stage->job->failed && !stage->job->ended
+               && steps_before_done (stage)
                && cell_occurrence_is_due (cell, stage->job, stage->occurrence);
 
   if (ready && stage->spec->gang)
--- a/src/cell/step_wait.c
+++ b/src/cell/step_wait.c
@@ -23,22 +23,23 @@
 
 void
 cell_step_query_sent (const MuxCell *cell,
-                CellStage *stage,
-                const CellApprovalQuery *question)
+                      CellStage *stage,
+                      const CellApprovalQuery *question)
 {
   stage->wait.queries++;
   stage->wait.candidates += question->candidate_count;
   cell_step_blocked_on (cell, stage,
-                   question->is_renewal ? CELL_BLOCKED_ON_PROOF : CELL_BLOCKED_ON_ANSWER);
+                        question->is_renewal ? CELL_BLOCKED_ON_PROOF
+                                             : CELL_BLOCKED_ON_ANSWER);
   mux_count (cell->options.counters, MUX_COUNT_APPROVAL_NAMES,
              question->candidate_count);
 }
 
 void
 cell_step_query_done (const MuxCell *cell,
-                    CellStage *stage,
-                    const CellApprovalQuery *question,
-                    uint32_t approved)
+                      CellStage *stage,
+                      const CellApprovalQuery *question,
+                      uint32_t approved)
 {
   int64_t took_ms = cell->time.now_ms - question->sent_ms;
 
@@ -50,7 +51,9 @@
 }
 
 void
-cell_step_proof_used (const MuxCell *cell, CellStage *stage, const CellWorker *worker)
+cell_step_proof_used (const MuxCell *cell,
+                      CellStage *stage,
+                      const CellWorker *worker)
 {
   CellApproval *approval = cell_approval_find (stage, worker);
 
--- a/src/cell/suspect.c
+++ b/src/cell/suspect.c
@@ -35,7 +35,8 @@
   if (task->loss_count == 0)
     return 0;
   losses = cell_task_losses (cell, task);
-  return losses.crashed + losses.unconfirmed + losses.unreachable_from_predecessor
+  return losses.crashed + losses.unconfirmed
+         + losses.unreachable_from_predecessor
          + (losses.crashed_in_outages > 0);
 }
 
@@ -47,9 +48,9 @@
   if (task->loss_count == 0)
     return false;
   losses = cell_task_losses (cell, task);
-  return losses.crashed + losses.unconfirmed + losses.unreachable_from_predecessor
-             + losses.crashed_in_outages + losses.unreachable_in_outages
-             + losses.unconfirmed_in_outages
+  return losses.crashed + losses.unconfirmed
+             + losses.unreachable_from_predecessor + losses.crashed_in_outages
+             + losses.unreachable_in_outages + losses.unconfirmed_in_outages
          > 0;
 }
 
@@ -216,8 +217,8 @@
 
 bool
 cell_worker_accepts_suspect (const MuxCell *cell,
-                   const CellTask *task,
-                   const CellWorker *worker)
+                             const CellTask *task,
+                             const CellWorker *worker)
 {
   Trials trials;
 
--- a/src/cell/throttle.c
+++ b/src/cell/throttle.c
@@ -30,15 +30,15 @@
 void
 mux_throttle_reset (MuxThrottle *throttle, int64_t now_ms)
 {
-  *throttle
-      = (MuxThrottle){ .share_milli = MUX_THROTTLE_FULL_MILLI, .updated_ms = now_ms };
+  *throttle = (MuxThrottle){ .share_milli = MUX_THROTTLE_FULL_MILLI,
+                             .updated_ms = now_ms };
 }
 
 static uint32_t
 fall_milli (const MuxThrottle *throttle)
 {
-  uint64_t fall
-      = (uint64_t) throttle->started * MUX_THROTTLE_FULL_MILLI / throttle->accepted;
+  uint64_t fall = (uint64_t) throttle->started * MUX_THROTTLE_FULL_MILLI
+                  / throttle->accepted;
 
   if (fall < FALL_LEAST)
     return FALL_LEAST;
@@ -83,9 +83,9 @@
 static void
 measure (MuxThrottle *throttle, int64_t passed_ms)
 {
-  throttle->scan_rate
-      = (uint32_t) ((throttle->scan_rate + throttle->scanned * MS_PER_S / passed_ms)
-                    / 2);
+  throttle->scan_rate = (uint32_t) ((throttle->scan_rate
+                                     + throttle->scanned * MS_PER_S / passed_ms)
+                                    / 2);
 }
 
 void
@@ -108,7 +108,8 @@
 int64_t
 mux_throttle_scan_wait_ms (const MuxThrottle *throttle, uint32_t unlooked)
 {
-  uint32_t rate = throttle->scan_rate > RATE_MIN ? throttle->scan_rate : RATE_MIN;
+  uint32_t rate
+      = throttle->scan_rate > RATE_MIN ? throttle->scan_rate : RATE_MIN;
 
   if (unlooked < UNLOOKED_MIN)
     return 0;
--- a/src/cell/time_of_day.c
+++ b/src/cell/time_of_day.c
@@ -47,7 +47,8 @@
 static bool
 says (const MuxCell *cell, const CellMember *member)
 {
-  return member->wall_known && cell->time.processed_ms - member->last_contact_ms < HEARD_MS;
+  return member->wall_known
+         && cell->time.processed_ms - member->last_contact_ms < HEARD_MS;
 }
 
 /* Return: false when no other daemon has said anything. */
@@ -101,7 +102,9 @@
 }
 
 void
-cell_member_set_wall_time (const MuxCell *cell, CellMember *member, int64_t wall_ms)
+cell_member_set_wall_time (const MuxCell *cell,
+                           CellMember *member,
+                           int64_t wall_ms)
 {
   member->wall_known = wall_ms != 0;
   member->wall_offset_ms = wall_ms - cell->time.now_ms;
--- a/src/cell/tree.c
+++ b/src/cell/tree.c
@@ -9,7 +9,7 @@
 draw (CellTree *tree)
 {
   tree->random_state = tree->random_state * UINT64_C (6364136223846793005)
-                 + UINT64_C (1442695040888963407);
+                       + UINT64_C (1442695040888963407);
   return (uint32_t) (tree->random_state >> 32);
 }
 
@@ -64,8 +64,8 @@
 cell_tree_remove (CellTree *tree, CellNode *node)
 {
   while (node->child[0] != NULL && node->child[1] != NULL)
-    rotate_up (tree,
-               node->child[node->child[1]->priority > node->child[0]->priority]);
+    rotate_up (
+        tree, node->child[node->child[1]->priority > node->child[0]->priority]);
   replace_child (tree, node->parent, node, node->child[node->child[0] == NULL]);
 }
 
--- a/src/cell/unread.c
+++ b/src/cell/unreadable.c
@@ -40,7 +40,8 @@
 static uint32_t
 noted_max (const MuxCell *cell)
 {
-  return cell->options.unreadable_max != 0 ? cell->options.unreadable_max : UNREAD_MAX;
+  return cell->options.unreadable_max != 0 ? cell->options.unreadable_max
+                                           : UNREAD_MAX;
 }
 
 /* NULL: there are @max, or memory is out. */
@@ -51,7 +52,8 @@
 
   if (unread != NULL)
     return unread;
-  unread = HASH_COUNT (cell->unreadable) < max ? calloc (1, sizeof *unread) : NULL;
+  unread
+      = HASH_COUNT (cell->unreadable) < max ? calloc (1, sizeof *unread) : NULL;
   if (unread == NULL)
     return NULL;
   snprintf (unread->id, sizeof unread->id, "%s", id);
@@ -165,8 +167,8 @@
 take_unread (MuxCell *cell, const char *id, CellUnreadable **unread)
 {
   *unread = find (cell, id);
-  if (*unread != NULL || !cell->unreadable_overflow || cell_job_ended_recently (cell, id)
-      || cell_job_find (cell, id) != NULL)
+  if (*unread != NULL || !cell->unreadable_overflow
+      || cell_job_ended_recently (cell, id) || cell_job_find (cell, id) != NULL)
     return true;
   if (!cell->unreadable_ends_overflow)
     *unread = find_or_add (cell, id, noted_max (cell) * ENDED_FACTOR);
@@ -202,7 +204,9 @@
 }
 
 bool
-cell_unreadable_add_rows (MuxCell *cell, const CellPart *part, MuxCellCall *call)
+cell_unreadable_add_rows (MuxCell *cell,
+                          const CellPart *part,
+                          MuxCellCall *call)
 {
   uint32_t rows = 0;
   CellUnreadable *unread;
@@ -377,7 +381,8 @@
 {
   CellUnreadable *unread = find (cell, spec->id);
 
-  if (cell->role != CELL_PLANNING || (unread == NULL && !cell->unreadable_overflow))
+  if (cell->role != CELL_PLANNING
+      || (unread == NULL && !cell->unreadable_overflow))
     return false;
   unread = find_or_add (cell, spec->id, noted_max (cell) * ENDED_FACTOR);
   if (unread == NULL)
--- a/src/cell/wait.c
+++ b/src/cell/wait.c
@@ -46,8 +46,8 @@
 {
   const CellApproval *approval = cell_approval_find (stage, worker);
   bool needed = stage->job->spec->queue.approval.required;
-  uint32_t now
-      = cell_stage_cap_per_worker (stage, cell_worker_spare_tasks (cell, stage, worker));
+  uint32_t now = cell_stage_cap_per_worker (
+      stage, cell_worker_spare_tasks (cell, stage, worker));
 
   lack->kept += cell_delays_gang (cell, stage, worker);
   lack->held += worker->hold_count > 0 && cell_hold_tasks (stage, worker) == 0;
@@ -89,7 +89,7 @@
 {
   return cell->time.now_ms
          - (stage->scanned_ms > stage->ready_ms ? stage->scanned_ms
-                                               : stage->ready_ms);
+                                                : stage->ready_ms);
 }
 
 /* Each of them waits for the record of a crash, or is kept apart. */
@@ -140,7 +140,8 @@
     return "turn";
   if ((lack->yes_ever < need && lack->unasked > 0)
       || (lack->yes_now >= need && lack->proven < need))
-    return cell_can_query (cell, stage, QUESTION_WORKERS) ? "question" : "asker";
+    return cell_can_query (cell, stage, QUESTION_WORKERS) ? "question"
+                                                          : "asker";
   if (lack->yes_ever < need)
     return "approvals";
   return lack->yes_now < need ? "room" : "start";
@@ -161,13 +162,13 @@
       (int) cell_stage_waiting_tasks (stage), "waited_ms",
       (json_int_t) (now - since_ms), "lacks", what_lacks (cell, stage, &lack),
       "stopping", (int) stopping (stage), "asking_ms",
-      (json_int_t) (stage->query_pending ? now - stage->queried_ms : 0), "unseen_ms",
-      (json_int_t) unseen_ms (cell, stage), "rank", (int) stage->rank,
-      "unheard", (int) lack.unheard, "unusable", (int) lack.unusable, "avoided",
-      (int) lack.avoided, "kept", (int) lack.kept, "held", (int) lack.held,
-      "room", (int) lack.room, "approved_now", (int) lack.yes_now,
-      "approved_ever", (int) lack.yes_ever, "proven", (int) lack.proven,
-      "unasked", (int) lack.unasked);
+      (json_int_t) (stage->query_pending ? now - stage->queried_ms : 0),
+      "unseen_ms", (json_int_t) unseen_ms (cell, stage), "rank",
+      (int) stage->rank, "unheard", (int) lack.unheard, "unusable",
+      (int) lack.unusable, "avoided", (int) lack.avoided, "kept",
+      (int) lack.kept, "held", (int) lack.held, "room", (int) lack.room,
+      "approved_now", (int) lack.yes_now, "approved_ever", (int) lack.yes_ever,
+      "proven", (int) lack.proven, "unasked", (int) lack.unasked);
 }
 
 /* When its wait began; 0: it does not wait. */
--- a/src/cell/sample.c
+++ b/src/cell/worker_scan.c
@@ -23,21 +23,22 @@
 uint32_t
 cell_worker_scan_max (const MuxCell *cell)
 {
-  return cell_worker_scan_is_partial (cell) ? LOOK_MAX : HASH_COUNT (cell->workers);
+  return cell_worker_scan_is_partial (cell) ? LOOK_MAX
+                                            : HASH_COUNT (cell->workers);
 }
 
 CellWorkerScan
 cell_worker_scan_begin (const MuxCell *cell, const CellStage *stage)
 {
   CellWorkerScan sample = { .slots_left = cell->worker_slots,
-                        .workers_left = cell_worker_scan_max (cell),
-                        .is_partial = cell_worker_scan_is_partial (cell) };
+                            .workers_left = cell_worker_scan_max (cell),
+                            .is_partial = cell_worker_scan_is_partial (cell) };
   uint64_t first;
 
   if (!sample.is_partial)
     return sample;
   first = stage->scan_slot != 0 ? stage->scan_slot
-                                  : mux_hash_name (stage->job->id, stage->step);
+                                : mux_hash_name (stage->job->id, stage->step);
   sample.slot = (uint32_t) (first % cell->worker_slots);
   return sample;
 }
--- a/src/core/show.c
+++ b/src/core/show.c
@@ -113,9 +113,9 @@
       "{s:s, s:I, s:I, s:b, s:s, s:o, s:I, s:I}", "class", risk->class_name,
       "target_ppm", (json_int_t) risk->target_ppm, "forecast_ppm",
       (json_int_t) risk->forecast_ppm, "at_risk", risk->at_risk, "cause",
-      mux_risk_cause_name (risk->cause), "cure", mux_size_to_json (risk->shortfall),
-      "queued", (json_int_t) risk->queued, "p99_wait_ms",
-      (json_int_t) risk->p99_wait_ms);
+      mux_risk_cause_name (risk->cause), "cure",
+      mux_size_to_json (risk->shortfall), "queued", (json_int_t) risk->queued,
+      "p99_wait_ms", (json_int_t) risk->p99_wait_ms);
 }
 
 void
--- a/src/policy/admit.c
+++ b/src/policy/admit.c
@@ -31,7 +31,9 @@
 }
 
 static uint32_t
-members_missing (const MuxSched *sched, const MuxTaskRequest *ask, uint32_t count)
+members_missing (const MuxSched *sched,
+                 const MuxTaskRequest *ask,
+                 uint32_t count)
 {
   uint32_t g = mux_idmap_get (&sched->gang_ids, ask->group);
 
@@ -66,7 +68,8 @@
         }
       return false;
     }
-  class->shedding = class->shedding || now_ms - class->last_on_target_ms > STANDING_MS;
+  class->shedding
+      = class->shedding || now_ms - class->last_on_target_ms > STANDING_MS;
   if (class->shedding)
     class->last_shed_ms = now_ms;
   return class->shedding;
@@ -101,7 +104,7 @@
     return MUX_REASON_DEADLINE;
   if (!has_place (sched, class, gang ? members_missing (sched, ask, count) : 1))
     return mux_product_within_quota (sched, class, 1) ? MUX_REASON_QUEUE_FULL
-                                                : MUX_REASON_QUOTA;
+                                                      : MUX_REASON_QUOTA;
   if (!sched->tuning.no_forecast
       && (ask->expires_ms - now_ms < mux_forecast_wait_ms (sched, class, now_ms)
           || sheds (sched, class, now_ms)))
@@ -212,6 +215,6 @@
       || reason == MUX_REASON_NEVER_FITS)
     return (MuxAdmitResult){ .reason = reason };
   return (MuxAdmitResult){ .reason = reason,
-                       .retry_ms
-                       = mux_forecast_retry_ms (sched, class, now_ms) };
+                           .retry_ms
+                           = mux_forecast_retry_ms (sched, class, now_ms) };
 }
--- a/src/policy/books.c
+++ b/src/policy/booking.c
@@ -120,7 +120,8 @@
   uint32_t room = sched->racks_allocated * 2;
 
   for (uint32_t i = 0; i < sched->classes; i++)
-    if (!mux_class_racks_grow (sched->class_at[i], sched->racks_allocated, room))
+    if (!mux_class_racks_grow (sched->class_at[i], sched->racks_allocated,
+                               room))
       return false;
   sched->racks_allocated = room;
   return true;
@@ -167,7 +168,8 @@
       return w;
   if (sched->workers == sched->workers_allocated)
     {
-      uint32_t room = sched->workers_allocated < 64 ? 64 : sched->workers_allocated * 2;
+      uint32_t room
+          = sched->workers_allocated < 64 ? 64 : sched->workers_allocated * 2;
       MuxWorker *worker = realloc (sched->worker, room * sizeof *worker);
 
       if (worker == NULL)
--- a/src/policy/breaker.c
+++ b/src/policy/breaker.c
@@ -137,10 +137,10 @@
 
 void
 mux_breaker_task_ended (MuxSched *sched,
-                 const MuxTask *task,
-                 MuxTaskEnd end,
-                 uint32_t ran_ms,
-                 int64_t now_ms)
+                        const MuxTask *task,
+                        MuxTaskEnd end,
+                        uint32_t ran_ms,
+                        int64_t now_ms)
 {
   MuxClass *class = sched->class_at[task->class_id];
   MuxBreaker *breaker = &sched->worker[task->worker].breaker;
@@ -164,7 +164,8 @@
   breaker->failure_score += blame_for (class, ran_ms);
   if (sched->tuning.no_breaker)
     return;
-  if (breaker->failure_score >= BLAME_OPEN && breaker->state == MUX_BREAKER_CLOSED)
+  if (breaker->failure_score >= BLAME_OPEN
+      && breaker->state == MUX_BREAKER_CLOSED)
     trip (sched, task->worker, now_ms);
 }
 
--- a/src/policy/classes.c
+++ b/src/policy/classes.c
@@ -37,7 +37,8 @@
 static bool
 grow_classes (MuxSched *sched)
 {
-  uint32_t room = sched->classes_allocated < 16 ? 16 : sched->classes_allocated * 2;
+  uint32_t room
+      = sched->classes_allocated < 16 ? 16 : sched->classes_allocated * 2;
   MuxClass **at = realloc (sched->class_at, room * sizeof (MuxClass *));
 
   if (at == NULL)
@@ -270,7 +271,9 @@
 }
 
 bool
-mux_product_within_quota (const MuxSched *sched, const MuxClass *class, uint32_t n)
+mux_product_within_quota (const MuxSched *sched,
+                          const MuxClass *class,
+                          uint32_t n)
 {
   const MuxProduct *product = class->product;
 
--- a/src/policy/decide.c
+++ b/src/policy/decide.c
@@ -112,11 +112,11 @@
           int64_t now_ms)
 {
   return (MuxWorkerQuery){ .class = class,
-                    .avoid = sched->task[t].avoid,
-                    .may_use_reserved
-                    = mux_reservation_is_for (sched, t)
-                      || mux_reservation_may_backfill (sched, class, now_ms),
-                    .now_ms = now_ms };
+                           .avoid = sched->task[t].avoid,
+                           .may_use_reserved = mux_reservation_is_for (sched, t)
+                                               || mux_reservation_may_backfill (
+                                                   sched, class, now_ms),
+                           .now_ms = now_ms };
 }
 
 static bool
@@ -196,7 +196,7 @@
   if (!mux_index_fits_together (sched, &seek, n, &loss)
       || (!ignores_reserve (sched, class, t, n, now_ms)
           && !mux_reserve_allows_loss (sched, loss,
-                                  mux_reservation_is_for (sched, t))))
+                                       mux_reservation_is_for (sched, t))))
     return false;
   /* All fit together and have one size, so that no search can fail now. */
   while (n-- > 0)
@@ -245,7 +245,8 @@
               MuxQueueKind lane,
               int64_t now_ms)
 {
-  return class->queue[lane].count > 0 && class->blocked_decision[lane] != sched->decisions
+  return class->queue[lane].count > 0
+         && class->blocked_decision[lane] != sched->decisions
          && (sched->index.shape[class->shape].fits.count > 0
              || now_ms >= sched->next_probe_ms);
 }
@@ -276,7 +277,8 @@
 static Pick
 first_pick (const MuxSched *sched, int64_t now_ms)
 {
-  MuxQueueKind yielding = mux_late_share_due (sched) ? MUX_QUEUE_ON_TIME : MUX_QUEUE_LATE;
+  MuxQueueKind yielding
+      = mux_late_share_due (sched) ? MUX_QUEUE_ON_TIME : MUX_QUEUE_LATE;
   Pick best = { .tier = TIER_NONE };
 
   for (uint32_t i = 0; i < sched->classes * MUX_QUEUES; i++)
--- a/src/policy/index.c
+++ b/src/policy/index.c
@@ -158,7 +158,8 @@
       return i;
   if (index->shapes == index->shapes_allocated)
     {
-      uint32_t room = index->shapes_allocated < 16 ? 16 : index->shapes_allocated * 2;
+      uint32_t room
+          = index->shapes_allocated < 16 ? 16 : index->shapes_allocated * 2;
       MuxShape *shape = realloc (index->shape, room * sizeof *shape);
 
       if (shape == NULL)
@@ -294,12 +295,12 @@
 mux_index_find (const MuxSched *sched, const MuxWorkerQuery *seek)
 {
   const MuxIndex *index = &sched->index;
-  Search search
-      = { .sched = sched,
-          .seek = seek,
-          .spare_reservation = !seek->may_use_reserved && index->reserved.count > 0,
-          .rack_limit = rack_limit (sched, seek->class),
-          .first = MUX_NONE };
+  Search search = { .sched = sched,
+                    .seek = seek,
+                    .spare_reservation
+                    = !seek->may_use_reserved && index->reserved.count > 0,
+                    .rack_limit = rack_limit (sched, seek->class),
+                    .first = MUX_NONE };
 
   if (index->shape[seek->class->shape].fits.count == 0)
     return MUX_NONE;
@@ -334,9 +335,9 @@
 
 bool
 mux_index_fits_together (const MuxSched *sched,
-                 const MuxWorkerQuery *seek,
-                 uint32_t n,
-                 uint64_t *loss)
+                         const MuxWorkerQuery *seek,
+                         uint32_t n,
+                         uint64_t *loss)
 {
   const MuxIndex *index = &sched->index;
   const MuxShape *want = &index->shape[seek->class->shape];
@@ -352,7 +353,8 @@
       for (; word != 0 && missing > 0; word &= word - 1)
         {
           uint32_t w = k * WORD_BITS + (uint32_t) __builtin_ctzll (word);
-          uint32_t times = mux_size_fit_count (want->size, sched->worker[w].free);
+          uint32_t times
+              = mux_size_fit_count (want->size, sched->worker[w].free);
 
           times = times < missing ? times : missing;
           missing -= times;
--- a/src/policy/internal.h
+++ b/src/policy/internal.h
@@ -70,8 +70,9 @@
 /** mux_class_borrows() - its tasks end soon enough to use idle quota */
 bool mux_class_may_borrow (const MuxClass *class);
 /** mux_product_allows() - @n more tasks of @class are within the quota */
-bool
-mux_product_within_quota (const MuxSched *sched, const MuxClass *class, uint32_t n);
+bool mux_product_within_quota (const MuxSched *sched,
+                               const MuxClass *class,
+                               uint32_t n);
 
 /* books.c: workers and what is booked on them */
 void mux_book (MuxSched *sched, uint32_t t, uint32_t w, MuxSize size);
@@ -94,9 +95,9 @@
 /** mux_index_holds() - @n tasks fit together now
  * @loss: room for urgent tasks that they would take, about */
 bool mux_index_fits_together (const MuxSched *sched,
-                      const MuxWorkerQuery *seek,
-                      uint32_t n,
-                      uint64_t *loss);
+                              const MuxWorkerQuery *seek,
+                              uint32_t n,
+                              uint64_t *loss);
 /** mux_index_reserve() - @w joins or leaves the workers of the reservation */
 void mux_index_set_reserved (MuxSched *sched, uint32_t w, bool held);
 /** mux_index_emptiest() - up to @cap workers that can hold tasks of @class
@@ -130,8 +131,9 @@
 double mux_wait_probability (double beta);
 /** mux_reserve_floor() - others than urgent hold so little that the reserve
  * must not keep @n tasks of @class out */
-bool
-mux_reserve_below_floor (const MuxSched *sched, const MuxClass *class, uint32_t n);
+bool mux_reserve_below_floor (const MuxSched *sched,
+                              const MuxClass *class,
+                              uint32_t n);
 /** mux_reserve_count() - count anew what worker @w has for urgent tasks */
 void mux_reserve_update_worker (MuxSched *sched, uint32_t w);
 /** mux_reserve_resize() - after a change of urgent classes or of workers */
@@ -144,7 +146,8 @@
                          bool holder);
 /** mux_reserve_leaves() - the reserve allows to lose @loss of the room for
  * urgent tasks */
-bool mux_reserve_allows_loss (const MuxSched *sched, uint64_t loss, bool holder);
+bool
+mux_reserve_allows_loss (const MuxSched *sched, uint64_t loss, bool holder);
 
 /* reservation.c: the reservation of a blocked gang or large task */
 void mux_reservation_tick (MuxSched *sched, int64_t now_ms);
@@ -154,15 +157,15 @@
 /** mux_reservation_backfills() - a task of @class started now is forecast to
  * end before the reservation needs its workers */
 bool mux_reservation_may_backfill (const MuxSched *sched,
-                                const MuxClass *class,
-                                int64_t now_ms);
+                                   const MuxClass *class,
+                                   int64_t now_ms);
 
 /* breaker.c: workers that fail what they start */
 void mux_breaker_task_ended (MuxSched *sched,
-                      const MuxTask *task,
-                      MuxTaskEnd end,
-                      uint32_t ran_ms,
-                      int64_t now_ms);
+                             const MuxTask *task,
+                             MuxTaskEnd end,
+                             uint32_t ran_ms,
+                             int64_t now_ms);
 /** mux_breaker_forget_probe() - @task is unbooked and tells nothing */
 void mux_breaker_cancel_probe (MuxSched *sched, const MuxTask *task);
 /** mux_breaker_probe() - tripped worker that a task of @class may probe now,
@@ -206,7 +209,9 @@
  * due: they go before the timely ones */
 bool mux_late_share_due (const MuxSched *sched);
 /** mux_late_count() - a task of lane @lane starts */
-void mux_late_count_start (MuxSched *sched, const MuxClass *class, MuxQueueKind lane);
+void mux_late_count_start (MuxSched *sched,
+                           const MuxClass *class,
+                           MuxQueueKind lane);
 
 /* queue.c: what waits */
 /** mux_queue_head() - the earliest deadline of a lane; NULL: it is empty */
--- a/src/policy/late.c
+++ b/src/policy/late.c
@@ -28,7 +28,8 @@
 bool
 mux_late_applies (const MuxSched *sched, const MuxClass *class)
 {
-  return !class->urgent && !sched->tuning.no_late_queue && !sched->tuning.no_tiers;
+  return !class->urgent && !sched->tuning.no_late_queue
+         && !sched->tuning.no_tiers;
 }
 
 void
--- a/src/policy/queue.c
+++ b/src/policy/queue.c
@@ -6,8 +6,9 @@
   MuxTask *task = &sched->task[t];
   MuxHeapNode node = { task->start_by_ms, task->seq, t };
 
-  return mux_heap_push (&sched->class_at[task->class_id]->queue[task->queue_kind],
-                        sched->queue_pos, node);
+  return mux_heap_push (
+      &sched->class_at[task->class_id]->queue[task->queue_kind],
+      sched->queue_pos, node);
 }
 
 const MuxHeapNode *
--- a/src/policy/reservation.c
+++ b/src/policy/reservation.c
@@ -30,7 +30,8 @@
 static int64_t
 forecast_end (const MuxSched *sched, const MuxTask *task, int64_t now_ms)
 {
-  uint32_t run = mux_learn_run_quantile_ms (sched->class_at[task->class_id], 900000);
+  uint32_t run
+      = mux_learn_run_quantile_ms (sched->class_at[task->class_id], 900000);
   int64_t ran = now_ms - task->booked_ms;
 
   if (run == UINT32_MAX)
@@ -205,13 +206,15 @@
   res->urgent_room_taken = 0;
   for (uint32_t i = 0; i < count && n > 0; i++)
     {
-      uint32_t times = mux_size_fit_count (class->size, res->free_when_ready[i]);
+      uint32_t times
+          = mux_size_fit_count (class->size, res->free_when_ready[i]);
 
       if (times == 0)
         continue;
       times = times < n ? times : n;
       n -= times;
-      res->urgent_room_taken += need_of (sched, class, times, res->free_when_ready[i]);
+      res->urgent_room_taken
+          += need_of (sched, class, times, res->free_when_ready[i]);
       res->workers[res->count++] = res->workers[i];
     }
 }
@@ -284,7 +287,8 @@
   int64_t half = class->spec.start_within_ms / 2;
 
   if (head == NULL || class->shape == MUX_NONE
-      || !mux_product_within_quota (sched, class, unit_count (sched, head->item)))
+      || !mux_product_within_quota (sched, class,
+                                    unit_count (sched, head->item)))
     return false;
   return sched->task[head->item].gang != MUX_NONE
          || sched->index.shape[class->shape].fits.count == 0
@@ -294,7 +298,10 @@
 /* One at a time, the earliest deadline first: reservations can't wait for each
  * other.  One that expired without success goes behind the others. */
 static uint32_t
-choose_in (const MuxSched *sched, MuxQueueKind lane, MuxId expired, int64_t now_ms)
+choose_in (const MuxSched *sched,
+           MuxQueueKind lane,
+           MuxId expired,
+           int64_t now_ms)
 {
   const MuxHeapNode *best = NULL;
   uint32_t again = MUX_NONE;
@@ -357,8 +364,8 @@
 
 bool
 mux_reservation_may_backfill (const MuxSched *sched,
-                           const MuxClass *class,
-                           int64_t now_ms)
+                              const MuxClass *class,
+                              int64_t now_ms)
 {
   uint32_t run = mux_learn_run_quantile_ms (class, 900000);
 
--- a/src/policy/reserve.c
+++ b/src/policy/reserve.c
@@ -125,7 +125,8 @@
 {
   MuxWorker *worker = &sched->worker[w];
   bool open = worker->level != MUX_NONE && sched->urgent_size.slots > 0;
-  uint32_t now = open ? mux_size_fit_count (sched->urgent_size, worker->free) : 0;
+  uint32_t now
+      = open ? mux_size_fit_count (sched->urgent_size, worker->free) : 0;
 
   sched->urgent_room = sched->urgent_room - worker->urgent_room + now;
   worker->urgent_room = now;
@@ -176,7 +177,9 @@
 }
 
 bool
-mux_reserve_below_floor (const MuxSched *sched, const MuxClass *class, uint32_t n)
+mux_reserve_below_floor (const MuxSched *sched,
+                         const MuxClass *class,
+                         uint32_t n)
 {
   if (sched->deferrable_booked[MUX_DIM_SLOTS] == 0)
     return true;
--- a/src/policy/risk.c
+++ b/src/policy/risk.c
@@ -119,7 +119,8 @@
     }
   beta = (out->urgent_capacity - out->urgent_tasks) / sqrt (out->urgent_tasks);
   return 1
-         - mux_wait_probability (beta) * exp (-(served - out->urgent_rate) * within);
+         - mux_wait_probability (beta)
+               * exp (-(served - out->urgent_rate) * within);
 }
 
 static double
@@ -173,7 +174,8 @@
 static bool
 stuck (const MuxSched *sched, const MuxClass *class)
 {
-  if (!mux_product_within_quota (sched, class, 1) && !mux_class_may_borrow (class))
+  if (!mux_product_within_quota (sched, class, 1)
+      && !mux_class_may_borrow (class))
     return true;
   return class->spec.kind == MUX_KIND_LONG_RUNNING
          && sched->index.shape[class->shape].fits.count == 0;
--- a/src/policy/sched.c
+++ b/src/policy/sched.c
@@ -124,7 +124,8 @@
   mux_book (sched, t, w, size);
   sched->task[t].started = true;
   /* When it started is not told; now is near enough for forecasts. */
-  sched->task[t].booked_ms = sched->next_tick_ms == INT64_MIN ? 0 : sched->next_tick_ms;
+  sched->task[t].booked_ms
+      = sched->next_tick_ms == INT64_MIN ? 0 : sched->next_tick_ms;
   return true;
 }
 
@@ -243,7 +244,8 @@
 
   if (sched->waiting_by_age.head != MUX_NONE)
     {
-      int64_t wait = now_ms - sched->task[sched->waiting_by_age.head].submitted_ms;
+      int64_t wait
+          = now_ms - sched->task[sched->waiting_by_age.head].submitted_ms;
 
       stats.oldest_wait_ms = wait > 0 ? cut ((uint64_t) wait) : 0;
     }
--- a/src/policy/tasks.c
+++ b/src/policy/tasks.c
@@ -30,7 +30,8 @@
 {
   uint32_t t = sched->task_free;
 
-  if (t == MUX_NONE && sched->tasks == sched->tasks_allocated && !grow_tasks (sched))
+  if (t == MUX_NONE && sched->tasks == sched->tasks_allocated
+      && !grow_tasks (sched))
     return MUX_NONE;
   if (t == MUX_NONE)
     t = sched->tasks;
@@ -113,7 +114,8 @@
 {
   uint32_t g = sched->gang_free;
 
-  if (g == MUX_NONE && sched->gangs == sched->gangs_allocated && !grow_gangs (sched))
+  if (g == MUX_NONE && sched->gangs == sched->gangs_allocated
+      && !grow_gangs (sched))
     return MUX_NONE;
   if (g == MUX_NONE)
     g = sched->gangs;
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -52,7 +52,7 @@
 typedef enum
 {
   MUX_QUEUE_ON_TIME, /* can start in time still */
-  MUX_QUEUE_LATE,   /* deferrable and past the deadline of its start */
+  MUX_QUEUE_LATE,    /* deferrable and past the deadline of its start */
   MUX_QUEUES
 } MuxQueueKind;
 
@@ -218,7 +218,7 @@
 typedef enum
 {
   MUX_BREAKER_CLOSED,
-  MUX_BREAKER_OPEN,    /* no work until open_until_ms, then one probe */
+  MUX_BREAKER_OPEN,      /* no work until open_until_ms, then one probe */
   MUX_BREAKER_HALF_OPEN, /* its probe runs */
 } MuxBreakerState;
 
--- a/src/port/life.c
+++ b/src/port/incarnation.c
@@ -1,4 +1,4 @@
-#include "port/life.h"
+#include "port/incarnation.h"
 
 #include <inttypes.h>
 #include <stdio.h>
--- a/test/support/cell_world_worker.c
+++ b/test/support/cell_world_worker.c
@@ -2,7 +2,7 @@
 
 #include "support/test.h"
 
-#include "port/life.h"
+#include "port/incarnation.h"
 
 /* The workers of a fake cell. */
 
--- a/test/support/sched_cell.c
+++ b/test/support/sched_cell.c
@@ -78,12 +78,12 @@
         uint32_t count)
 {
   MuxTaskRequest ask = { .task = { 1, ++cell->next_id },
-                     .group = { group > 0 ? 2 : 0, group },
-                     .group_count = count,
-                     .class_name = class_name,
-                     .start_by_ms = cell->now_ms + within_of (class_name),
-                     .expires_ms = cell->now_ms + give_up_ms,
-                     .avoid = MUX_NO_WORKER };
+                         .group = { group > 0 ? 2 : 0, group },
+                         .group_count = count,
+                         .class_name = class_name,
+                         .start_by_ms = cell->now_ms + within_of (class_name),
+                         .expires_ms = cell->now_ms + give_up_ms,
+                         .avoid = MUX_NO_WORKER };
 
   return mux_sched_submit (cell->sched, &ask, cell->now_ms);
 }
--- a/test/unit/test_admission.c
+++ b/test/unit/test_admission.c
@@ -65,7 +65,9 @@
 static MuxAdmissionJob
 job (int64_t slack_ms)
 {
-  return (MuxAdmissionJob){ .queue = QUEUE, .slack_ms = slack_ms, .chain_length = 1 };
+  return (MuxAdmissionJob){ .queue = QUEUE,
+                            .slack_ms = slack_ms,
+                            .chain_length = 1 };
 }
 
 static uint32_t
--- a/test/unit/test_sched_gang.c
+++ b/test/unit/test_sched_gang.c
@@ -83,11 +83,11 @@
 {
   Cell *cell = *state;
   MuxTaskRequest ask = { .task = { 1, 1 },
-                     .group = { 2, 1 },
-                     .group_count = 5,
-                     .class_name = "gang",
-                     .expires_ms = 100000,
-                     .avoid = MUX_NO_WORKER };
+                         .group = { 2, 1 },
+                         .group_count = 5,
+                         .class_name = "gang",
+                         .expires_ms = 100000,
+                         .avoid = MUX_NO_WORKER };
 
   open_gang (cell, 2);
   assert_int_equal (mux_sched_submit (cell->sched, &ask, 1000).reason,
--- a/test/unit/test_throttle.c
+++ b/test/unit/test_throttle.c
@@ -79,8 +79,8 @@
 {
   for (uint32_t i = 0; i < play->count; i++)
     play->throttle.started += play->job[i].is_taken
-                            && play->job[i].begins_ms > play->now_ms - STEP_MS
-                            && play->job[i].begins_ms <= play->now_ms;
+                              && play->job[i].begins_ms > play->now_ms - STEP_MS
+                              && play->job[i].begins_ms <= play->now_ms;
 }
 
 static void
--- a/test/unit/test_workspace.c
+++ b/test/unit/test_workspace.c
@@ -82,7 +82,8 @@
   MuxSize task = { .cpu_milli = 1000, .mem_mib = 512, .accels = 1 };
 
   (void) state;
-  assert_int_equal (mux_quota_tasks_left ((MuxQuota){ 0 }, used, task), UINT32_MAX);
+  assert_int_equal (mux_quota_tasks_left ((MuxQuota){ 0 }, used, task),
+                    UINT32_MAX);
   assert_int_equal (mux_quota_dominant_share_ppm ((MuxQuota){ 0 }, used), 0);
 }
 
