--- a/include/policy/sched.h
+++ b/include/policy/sched.h
@@ -10,20 +10,23 @@
 #include <stdint.h>
 
 /*
- * The decisions of one owner over the workers it holds: admission, order,
- * placement, reserve, gangs, quotas, learning, breakers, targets at risk.
- * Pure: no I/O, no clock, no allocation on the placement path once warm.
- * Times are milliseconds on the caller's clock.
+ * Scheduler core of one owner, for the workers that it owns: admission
+ * control, order, placement, reserve for urgent work, gangs, quotas, learning
+ * of task sizes and run times, circuit breakers, targets at risk.
+ * It does no I/O and reads no clock; placement allocates no memory once the
+ * tables have grown to their working size.  Times are milliseconds on the
+ * caller's clock.
  */
 typedef struct MuxSched MuxSched;
 
 #define MUX_NO_WORKER UINT32_MAX
 
 /**
- * struct MuxSchedOptions - construction
- * @seed: for jitter and probing
- * @queue_max: most tasks waiting in all
- * @tasks_hint: tasks expected at once, waiting and booked; sizes the tables
+ * struct MuxSchedOptions - options of mux_sched_new()
+ * @seed: of the random numbers for jitter
+ * @queue_max: maximum number of waiting tasks, all classes together; 0: default
+ * @tasks_hint: tasks expected at once, waiting and booked; initial size of the
+ *   tables
  */
 typedef struct
 {
@@ -35,43 +38,50 @@
 MuxSched *mux_sched_new (const MuxSchedOptions *options);
 void mux_sched_free (MuxSched *sched);
 
-/* Configuration.  Setting again replaces; false: memory is out. */
+/* Configuration.  Setting the same name again replaces it.  Functions that
+ * return bool return false when out of memory. */
 bool mux_sched_class_set (MuxSched *sched, const MuxClassSpec *spec);
-/** mux_sched_class_remove() - what waits is dropped as UNKNOWN_CLASS by the
- * next mux_sched_next(); what runs stays booked */
+/** mux_sched_class_remove() - removes a class: its waiting tasks are dropped
+ * with MUX_REASON_UNKNOWN_CLASS by mux_sched_next(), its running ones stay
+ * booked */
 void mux_sched_class_remove (MuxSched *sched, const char *name);
 bool mux_sched_product_set (MuxSched *sched, const MuxProductSpec *spec);
 void mux_sched_product_remove (MuxSched *sched, const char *name);
 void mux_sched_cell_set (MuxSched *sched, const MuxCellSpec *spec);
-/** mux_sched_share_set() - share of the cell's capacity that this owner
- * holds, in millionths: its part of quotas is quota times share */
+/** mux_sched_share_set() - sets this owner's share of the cell's capacity, in
+ * millionths; it applies that share of each quota */
 void mux_sched_share_set (MuxSched *sched, uint32_t share_ppm);
 
-/* Workers, by a dense index that the scheduler hands out. */
-/** mux_sched_worker_add() - MUX_NO_WORKER when memory is out */
+/* Workers are referred to by a dense index that mux_sched_worker_add()
+ * returns. */
+/** mux_sched_worker_add() - adds a worker
+ * Return: its index, or MUX_NO_WORKER when out of memory. */
 uint32_t mux_sched_worker_add (MuxSched *sched,
                                const char *name,
                                const char *rack,
                                MuxSize capacity);
-/** mux_sched_worker_resize() - what is booked stays booked */
+/** mux_sched_worker_resize() - changes the capacity; bookings stay */
 void
 mux_sched_worker_resize (MuxSched *sched, uint32_t worker, MuxSize capacity);
-/** mux_sched_worker_usable() - false: no new work (leaving, not claimed) */
+/** mux_sched_worker_set_usable() - false: it gets no new tasks, as it is being
+ * drained or its lease is not held */
 void
 mux_sched_worker_set_usable (MuxSched *sched, uint32_t worker, bool usable);
-/** mux_sched_worker_remove() - drops its bookings too; the index is reused */
+/** mux_sched_worker_remove() - removes a worker and its bookings; the index may
+ * be reused */
 void mux_sched_worker_remove (MuxSched *sched, uint32_t worker);
 
 /**
- * struct MuxTaskAsk - a task that wants a place
- * @task: unique
- * @group: gang it is part of; none: alone
- * @group_count: tasks of that gang; they are placed once all have asked and
- *   all fit at once
+ * struct MuxTaskRequest - a task to be placed
+ * @task: unique id
+ * @group: id of its gang; none: not part of a gang
+ * @group_count: number of tasks of that gang; they are placed once all have
+ *   been submitted and all fit at the same time
  * @class_name: its class
- * @start_by_ms: its target for the start
- * @give_up_ms: after this it is dropped with MUX_REASON_DEADLINE
- * @avoid: worker not to use (it just failed there), or MUX_NO_WORKER
+ * @start_by_ms: deadline of the start
+ * @expires_ms: if still waiting then, it is dropped with MUX_REASON_DEADLINE
+ * @avoid: worker not to use, such as one where it just failed, or
+ *   MUX_NO_WORKER
  */
 typedef struct
 {
@@ -85,11 +95,11 @@
 } MuxTaskRequest;
 
 /**
- * struct MuxVerdict - answer of the admission
- * @reason: MUX_REASON_NONE when it waits now; otherwise why not, among
- *   UNKNOWN_CLASS, NEVER_FITS, QUEUE_FULL, DEADLINE, QUOTA, OVERLOAD,
+ * struct MuxAdmitResult - result of admission control
+ * @reason: MUX_REASON_NONE when the task was queued; otherwise why it was
+ *   refused: UNKNOWN_CLASS, NEVER_FITS, QUEUE_FULL, DEADLINE, QUOTA, OVERLOAD,
  *   NO_WORKERS, KEY_IN_USE (it waits or runs already), INTERNAL
- * @retry_ms: when to come back, from the forecast
+ * @retry_ms: delay after which to retry, from the forecast wait
  */
 typedef struct
 {
@@ -99,16 +109,18 @@
 
 MuxAdmitResult
 mux_sched_submit (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms);
-/** mux_sched_cancel() - true when it waited and is dropped, without a word */
+/** mux_sched_cancel() - removes a waiting task; mux_sched_next() does not
+ * return it
+ * Return: false: it is unknown or booked. */
 bool mux_sched_cancel (MuxSched *sched, MuxId task);
 
 /**
  * struct MuxPlacement - one decision
  * @task: the task
  * @worker: where it is now booked; MUX_NO_WORKER: it is dropped
- * @size: what is booked
- * @reason: why dropped
- * @retry_ms: when to come back, if dropped
+ * @size: resources booked for it
+ * @reason: why it was dropped
+ * @retry_ms: if dropped, delay after which to retry
  */
 typedef struct
 {
@@ -119,14 +131,17 @@
   uint32_t retry_ms;
 } MuxPlacement;
 
-/** mux_sched_next() - the next decision; false: none can be made now.  The
- * tasks of a gang come one after the other without a false between. */
+/** mux_sched_next() - returns the next decision in @out.  The tasks of a gang
+ * are returned by successive calls.
+ * Return: false: nothing can be decided now. */
 bool mux_sched_next (MuxSched *sched, int64_t now_ms, MuxPlacement *out);
-/** mux_sched_wake_ms() - when mux_sched_next() may have more without any
- * other event; INT64_MAX: never */
+/** mux_sched_wake_ms() - time at which mux_sched_next() is to be called even if
+ * nothing else happens until then; INT64_MAX: never */
 int64_t mux_sched_wake_ms (const MuxSched *sched);
 
-/** mux_sched_adopt() - a task found on a worker: book it, whatever fits */
+/** mux_sched_adopt() - books a task that is found running on a worker, even
+ * beyond the worker's capacity
+ * Return: false: out of memory or no such worker. */
 bool mux_sched_adopt (MuxSched *sched,
                       MuxId task,
                       const char *class_name,
@@ -134,41 +149,44 @@
                       MuxSize size);
 
 /**
- * enum MuxTaskEnd - how a booked task ended, for the learner and the breaker
+ * enum MuxTaskEnd - how a booked task ended, for learning and the breaker
  */
 typedef enum
 {
-  MUX_END_OK,       /* ran well */
+  MUX_END_OK,       /* succeeded */
   MUX_END_FAILED,   /* the task itself failed on its worker */
-  MUX_END_NO_START, /* certainly never started */
+  MUX_END_NO_START, /* known not to have started */
   MUX_END_LOST,     /* its worker was lost or restarted */
   MUX_END_STOPPED,  /* cancelled or stopped */
 } MuxTaskEnd;
 
-/** mux_sched_started() - it was seen running */
+/** mux_sched_started() - a booked task was reported running */
 void mux_sched_started (MuxSched *sched, MuxId task, int64_t now_ms);
-/** mux_sched_used() - usage report of a booked task that runs on: learned
- * from, and its booking grows to it when it uses more than was booked */
+/** mux_sched_report_usage() - usage of a booked task that goes on running: the
+ * class learns from it, and the booking grows if the task uses more than was
+ * booked */
 void mux_sched_report_usage (MuxSched *sched, MuxId task, MuxSize used);
-/** mux_sched_ended() - unbook; false: it was not booked
- * @used: as reported; all 0 when not known */
+/** mux_sched_ended() - removes the booking of a task that ended
+ * @used: its usage as reported; all 0: not known
+ * Return: false: it was not booked. */
 bool mux_sched_ended (MuxSched *sched,
                       MuxId task,
                       MuxTaskEnd end,
                       uint32_t ran_ms,
                       MuxSize used,
                       int64_t now_ms);
-/** mux_sched_booked_on() - worker of a booked task, or MUX_NO_WORKER */
+/** mux_sched_booked_on() - returns the worker of a booked task, or
+ * MUX_NO_WORKER */
 uint32_t mux_sched_booked_on (const MuxSched *sched, MuxId task);
 
 /**
- * struct MuxSchedStats - the books at a glance
+ * struct MuxSchedStats - summary of capacity and load
  * @total: capacity of usable workers
- * @free: of which free
- * @room: of which on workers whose breaker is closed
- * @queued: tasks waiting
- * @booked: tasks booked
- * @oldest_ms: wait of the one waiting longest
+ * @free: part of @total that is not booked
+ * @available: part of @free on workers whose breaker is closed
+ * @queued: waiting tasks
+ * @booked: booked tasks
+ * @oldest_wait_ms: time since the oldest waiting task was submitted
  */
 typedef struct
 {
@@ -181,11 +199,11 @@
 } MuxSchedStats;
 
 MuxSchedStats mux_sched_stats (const MuxSched *sched, int64_t now_ms);
-/** mux_sched_worker_free() - what is free on one worker */
+/** mux_sched_worker_free() - returns what is not booked on one worker */
 MuxSize mux_sched_worker_free (const MuxSched *sched, uint32_t worker);
 
 /**
- * enum MuxRiskCause - what binds a target at risk
+ * enum MuxRiskCause - the constraint that puts a target at risk
  */
 typedef enum
 {
@@ -197,20 +215,20 @@
   MUX_RISK_SLOTS,
   MUX_RISK_GANG,
   MUX_RISK_WORKERS_FAILING,
-  MUX_RISK_STORE_DOWN, /* added by the core */
+  MUX_RISK_STORE_DOWN, /* set by src/core, never by the scheduler */
 } MuxRiskCause;
 
 const char *mux_risk_cause_name (MuxRiskCause cause);
 
 /**
- * struct MuxRisk - one class's outlook
+ * struct MuxRisk - forecast of one class against its target
  * @class_name: the class
- * @target_ppm: share of starts promised inside target
- * @forecast_ppm: share forecast over the next minute
+ * @target_ppm: promised share of starts within the target wait, in millionths
+ * @forecast_ppm: that share as forecast for the next minute
  * @at_risk: the forecast is below the target
- * @cause: what binds
- * @cure: capacity that would cure it, as far as can be told
- * @queued: tasks of it waiting
+ * @cause: the binding constraint, if @at_risk
+ * @shortfall: estimate of the capacity that would have to be added
+ * @queued: waiting tasks of the class
  * @p99_wait_ms: 99th percentile of its recent waits
  */
 typedef struct
@@ -225,7 +243,7 @@
   uint32_t p99_wait_ms;
 } MuxRisk;
 
-/** mux_sched_risk() - fill up to @cap entries, those at risk first
+/** mux_sched_risk() - fills up to @cap entries, those at risk first
  * Return: entries filled. */
 uint32_t
 mux_sched_risk (MuxSched *sched, int64_t now_ms, MuxRisk *out, uint32_t cap);
--- a/include/policy/tuning.h
+++ b/include/policy/tuning.h
@@ -4,18 +4,18 @@
 #include "policy/sched.h"
 
 /**
- * struct MuxTuning - parts of the policy that a benchmark leaves out to
- * measure what they bring; a daemon never does
+ * struct MuxTuning - parts of the policy to switch off, so that a benchmark
+ * can measure the effect of each; daemons leave all of them false
  * @no_reserve: no room is kept for urgent work
  * @no_reservation: no workers are drained for gangs and large tasks
- * @no_breaker: workers are trusted whatever they fail
+ * @no_breaker: breakers never open
  * @no_learning: the declared size is booked
- * @no_spread: racks are not looked at
- * @no_forecast: admission looks at the queue's length alone
+ * @no_rack_spread: placement ignores racks
+ * @no_forecast: admission considers the queue's length only
  * @no_tiers: earliest start deadline over all classes
- * @no_late: late deferrable tasks keep their place in the order
- * @below_declared: a learned size is booked even when it is smaller
- * @first_fit: lowest index that fits in place of best fit
+ * @no_late_queue: late deferrable tasks keep their place in the order
+ * @below_declared: a learned size is booked even if smaller than declared
+ * @first_fit: first fit (lowest index) instead of best fit
  */
 typedef struct
 {
--- a/src/policy/breaker.c
+++ b/src/policy/breaker.c
@@ -170,16 +170,16 @@
 }
 
 static bool
-probes (const MuxSched *sched, const MuxWorkerQuery *seek, uint32_t w)
+probes (const MuxSched *sched, const MuxWorkerQuery *query, uint32_t w)
 {
   const MuxWorker *worker = &sched->worker[w];
 
-  return worker->present && worker->usable && w != seek->avoid
+  return worker->present && worker->usable && w != query->avoid
          && worker->breaker.state == MUX_BREAKER_OPEN
          && worker->breaker.open_until_ms
-                    + (seek->class->spec.idempotent ? 0 : PROBE_ANY_MS)
-                <= seek->now_ms
-         && mux_fits (seek->class->size, worker->free);
+                    + (query->class->spec.idempotent ? 0 : PROBE_ANY_MS)
+                <= query->now_ms
+         && mux_fits (query->class->size, worker->free);
 }
 
 void
@@ -199,18 +199,18 @@
 /* A probe may fail, so a class that can be run again is used for it, unless
  * none has come for long. */
 uint32_t
-mux_breaker_find_probe (MuxSched *sched, const MuxWorkerQuery *seek)
+mux_breaker_find_probe (MuxSched *sched, const MuxWorkerQuery *query)
 {
   int64_t next = INT64_MAX;
 
-  if (sched->tripped == 0 || seek->now_ms < sched->next_probe_ms
-      || class_at_fault (seek->class))
+  if (sched->tripped == 0 || query->now_ms < sched->next_probe_ms
+      || class_at_fault (query->class))
     return MUX_NONE;
   for (uint32_t w = 0; w < sched->workers; w++)
     {
       const MuxBreaker *breaker = &sched->worker[w].breaker;
 
-      if (probes (sched, seek, w))
+      if (probes (sched, query, w))
         return w;
       if (sched->worker[w].present && breaker->state == MUX_BREAKER_OPEN
           && breaker->open_until_ms < next)
@@ -218,7 +218,7 @@
     }
   /* Those that are due but did not fit are looked at again a little later. */
   sched->next_probe_ms
-      = next > seek->now_ms ? next : seek->now_ms + BACKOFF_FIRST_MS / 10;
+      = next > query->now_ms ? next : query->now_ms + BACKOFF_FIRST_MS / 10;
   return MUX_NONE;
 }
 
--- a/src/policy/classes.c
+++ b/src/policy/classes.c
@@ -243,8 +243,8 @@
   HASH_CLEAR (hh, sched->classes_by_name);
   for (uint32_t i = 0; i < sched->classes; i++)
     {
-      for (uint32_t lane = 0; lane < MUX_QUEUES; lane++)
-        mux_heap_clear (&sched->class_at[i]->queue[lane]);
+      for (uint32_t kind = 0; kind < MUX_QUEUES; kind++)
+        mux_heap_clear (&sched->class_at[i]->queue[kind]);
       free (sched->class_at[i]->rack_count);
       free (sched->class_at[i]);
     }
--- a/src/policy/decide.c
+++ b/src/policy/decide.c
@@ -120,9 +120,9 @@
 }
 
 static bool
-probe_with (MuxSched *sched, const MuxWorkerQuery *seek, uint32_t t)
+probe_with (MuxSched *sched, const MuxWorkerQuery *query, uint32_t t)
 {
-  uint32_t w = mux_breaker_find_probe (sched, seek);
+  uint32_t w = mux_breaker_find_probe (sched, query);
   MuxBreaker *breaker;
 
   if (w == MUX_NONE)
@@ -130,24 +130,24 @@
   breaker = &sched->worker[w].breaker;
   breaker->state = MUX_BREAKER_HALF_OPEN;
   breaker->probe = sched->task[t].id;
-  emit_later (sched, t, w, seek->now_ms);
+  emit_later (sched, t, w, query->now_ms);
   return true;
 }
 
 static bool
 place_task (MuxSched *sched, MuxClass *class, uint32_t t, int64_t now_ms)
 {
-  MuxWorkerQuery seek = seek_for (sched, class, t, now_ms);
+  MuxWorkerQuery query = seek_for (sched, class, t, now_ms);
   uint32_t w;
 
-  if (probe_with (sched, &seek, t))
+  if (probe_with (sched, &query, t))
     return true;
-  w = mux_index_find (sched, &seek);
+  w = mux_index_find (sched, &query);
   /* With one worker in all there is nowhere else to go. */
   if (w == MUX_NONE && sched->usable == 1)
     {
-      seek.avoid = MUX_NONE;
-      w = mux_index_find (sched, &seek);
+      query.avoid = MUX_NONE;
+      w = mux_index_find (sched, &query);
     }
   if (w == MUX_NONE
       || (!ignores_reserve (sched, class, t, 1, now_ms)
@@ -186,21 +186,21 @@
 {
   MuxGang *gang = &sched->gang[sched->task[t].gang];
   uint32_t n = gang->task_count;
-  MuxWorkerQuery seek = seek_for (sched, class, t, now_ms);
+  MuxWorkerQuery query = seek_for (sched, class, t, now_ms);
   uint64_t loss;
 
   if (gang->tried_gen == sched->room_gen)
     return false;
   gang->tried_gen = sched->room_gen;
-  seek.avoid = MUX_NONE;
-  if (!mux_index_fits_together (sched, &seek, n, &loss)
+  query.avoid = MUX_NONE;
+  if (!mux_index_fits_together (sched, &query, n, &loss)
       || (!ignores_reserve (sched, class, t, n, now_ms)
           && !mux_reserve_allows_loss (sched, loss,
                                        mux_reservation_is_for (sched, t))))
     return false;
   /* All fit together and have one size, so that no search can fail now. */
   while (n-- > 0)
-    emit_later (sched, gang->members.head, mux_index_find (sched, &seek),
+    emit_later (sched, gang->members.head, mux_index_find (sched, &query),
                 now_ms);
   return true;
 }
@@ -242,23 +242,23 @@
 static bool
 worth_trying (const MuxSched *sched,
               const MuxClass *class,
-              MuxQueueKind lane,
+              MuxQueueKind kind,
               int64_t now_ms)
 {
-  return class->queue[lane].count > 0
-         && class->blocked_decision[lane] != sched->decisions
+  return class->queue[kind].count > 0
+         && class->blocked_decision[kind] != sched->decisions
          && (sched->index.shape[class->shape].fits.count > 0
              || now_ms >= sched->next_probe_ms);
 }
 
 /**
- * struct Pick - the head of a lane of a class, compared by tier, then by
- * whether its lane yields to the other, then by deadline
+ * struct Pick - the head of a kind of a class, compared by tier, then by
+ * whether its kind yields to the other, then by deadline
  */
 typedef struct
 {
   MuxClass *class;
-  MuxQueueKind lane;
+  MuxQueueKind kind;
   Tier tier;
   bool yields;
   int64_t key;
@@ -284,14 +284,14 @@
   for (uint32_t i = 0; i < sched->classes * MUX_QUEUES; i++)
     {
       MuxClass *class = sched->class_at[i / MUX_QUEUES];
-      MuxQueueKind lane = i % MUX_QUEUES;
-      Pick pick = { .class = class, .lane = lane, .yields = lane == yielding };
+      MuxQueueKind kind = i % MUX_QUEUES;
+      Pick pick = { .class = class, .kind = kind, .yields = kind == yielding };
 
-      if (!worth_trying (sched, class, lane, now_ms))
+      if (!worth_trying (sched, class, kind, now_ms))
         continue;
-      pick.key = class->queue[lane].node->key;
+      pick.key = class->queue[kind].node->key;
       pick.tier = tier_of (sched, class,
-                           unit_count (sched, class->queue[lane].node->item));
+                           unit_count (sched, class->queue[kind].node->item));
       if (goes_before (&pick, &best))
         best = pick;
     }
@@ -306,10 +306,10 @@
   sched->decisions++;
   while ((pick = first_pick (sched, now_ms)).class != NULL)
     {
-      if (place (sched, pick.class, pick.class->queue[pick.lane].node->item,
+      if (place (sched, pick.class, pick.class->queue[pick.kind].node->item,
                  now_ms))
         return true;
-      pick.class->blocked_decision[pick.lane] = sched->decisions;
+      pick.class->blocked_decision[pick.kind] = sched->decisions;
     }
   return false;
 }
@@ -341,11 +341,11 @@
 static void
 drop_hopeless (MuxSched *sched, MuxClass *class)
 {
-  for (uint32_t lane = 0; lane < MUX_QUEUES; lane++)
-    while (class->queue[lane].count > 0
+  for (uint32_t kind = 0; kind < MUX_QUEUES; kind++)
+    while (class->queue[kind].count > 0
            && mux_class_fit_count (sched, class)
-                  < unit_count (sched, class->queue[lane].node->item))
-      mux_queue_drop (sched, class->queue[lane].node->item,
+                  < unit_count (sched, class->queue[kind].node->item))
+      mux_queue_drop (sched, class->queue[kind].node->item,
                       MUX_REASON_NEVER_FITS);
 }
 
--- a/src/policy/forecast.c
+++ b/src/policy/forecast.c
@@ -19,7 +19,7 @@
   return (uint32_t) (ms - quarter + sched->rng_state % (2 * quarter + 1));
 }
 
-/* Tasks of @class in its late lane, gangs counted by their members. */
+/* Tasks of @class in its late kind, gangs counted by their members. */
 static double
 late_tasks (const MuxClass *class)
 {
--- a/src/policy/heap.h
+++ b/src/policy/heap.h
@@ -12,13 +12,13 @@
 } MuxHeapNode;
 
 /**
- * struct MuxHeap - binary heap of indexes, least key first, then least seq
- * @node: the heap
+ * struct MuxHeap - binary min-heap of indexes, ordered by key, then by seq
+ * @node: the nodes
  * @count: used nodes
- * @room: allocated nodes
+ * @allocated: allocated nodes
  *
- * The position of each item stands in an array of the caller, so that any
- * item can be taken out without a search.
+ * The caller provides an array with the position of each item, so that any
+ * item can be removed without a search.
  */
 typedef struct
 {
@@ -28,11 +28,12 @@
 } MuxHeap;
 
 void mux_heap_clear (MuxHeap *heap);
-/** mux_heap_reserve() - room for @count items; false: no memory */
+/** mux_heap_reserve() - allocates nodes for @count items; false: out of memory
+ */
 bool mux_heap_reserve (MuxHeap *heap, uint32_t count);
-/** mux_heap_push() - false: no memory */
+/** mux_heap_push() - false: out of memory */
 bool mux_heap_push (MuxHeap *heap, uint32_t *pos, MuxHeapNode node);
-/** mux_heap_remove() - take out the item at position @at */
+/** mux_heap_remove() - removes the item at position @at */
 void mux_heap_remove (MuxHeap *heap, uint32_t *pos, uint32_t at);
 
 #endif
--- a/src/policy/idmap.h
+++ b/src/policy/idmap.h
@@ -15,9 +15,9 @@
 } MuxIdSlot;
 
 /**
- * struct MuxIdMap - ids to dense indexes, by linear probing
+ * struct MuxIdMap - hash table from ids to dense indexes, with linear probing
  * @slot: 2^n entries, at most half of them used
- * @mask: entries minus 1
+ * @mask: number of entries minus 1
  * @count: used entries
  */
 typedef struct
@@ -27,12 +27,12 @@
   uint32_t count;
 } MuxIdMap;
 
-/** mux_idmap_init() - room for @hint ids without growing; false: no memory */
+/** mux_idmap_init() - allocates for @hint ids; false: out of memory */
 bool mux_idmap_init (MuxIdMap *map, uint32_t hint);
 void mux_idmap_clear (MuxIdMap *map);
-/** mux_idmap_get() - MUX_NONE when absent */
+/** mux_idmap_get() - returns the value of @id; MUX_NONE: absent */
 uint32_t mux_idmap_get (const MuxIdMap *map, MuxId id);
-/** mux_idmap_put() - @id must be absent; false: no memory */
+/** mux_idmap_put() - adds @id, which must be absent; false: out of memory */
 bool mux_idmap_put (MuxIdMap *map, MuxId id, uint32_t value);
 void mux_idmap_drop (MuxIdMap *map, MuxId id);
 
--- a/src/policy/index.c
+++ b/src/policy/index.c
@@ -213,7 +213,7 @@
 typedef struct
 {
   const MuxSched *sched;
-  const MuxWorkerQuery *seek;
+  const MuxWorkerQuery *query;
   bool spare_reservation;
   uint32_t rack_limit;
   uint32_t seen;
@@ -223,13 +223,13 @@
 static bool
 suits (const Search *search, uint32_t w)
 {
-  const MuxClass *class = search->seek->class;
+  const MuxClass *class = search->query->class;
   const MuxWorker *worker = &search->sched->worker[w];
 
   if (search->rack_limit > 0 && class->rack_count != NULL
       && class->rack_count[worker->rack->id] >= search->rack_limit)
     return false;
-  return !mux_breaker_avoids (search->sched, class, w, search->seek->now_ms);
+  return !mux_breaker_avoids (search->sched, class, w, search->query->now_ms);
 }
 
 /* Workers of one word that are free for this search. */
@@ -238,12 +238,12 @@
 {
   const MuxIndex *index = &search->sched->index;
   uint64_t word
-      = level->word[k] & index->shape[search->seek->class->shape].fits.word[k];
+      = level->word[k] & index->shape[search->query->class->shape].fits.word[k];
 
   if (search->spare_reservation)
     word &= ~index->reserved.word[k];
-  if (search->seek->avoid / WORD_BITS == k)
-    word &= ~(UINT64_C (1) << (search->seek->avoid % WORD_BITS));
+  if (search->query->avoid / WORD_BITS == k)
+    word &= ~(UINT64_C (1) << (search->query->avoid % WORD_BITS));
   return word;
 }
 
@@ -251,7 +251,7 @@
 search_level (Search *search, const MuxBits *level)
 {
   const MuxIndex *index = &search->sched->index;
-  const MuxBits *fits = &index->shape[search->seek->class->shape].fits;
+  const MuxBits *fits = &index->shape[search->query->class->shape].fits;
 
   for (uint32_t s = 0; s < words_for (index->words); s++)
     for (uint64_t sum = level->summary[s] & fits->summary[s]; sum != 0;
@@ -292,17 +292,17 @@
 }
 
 uint32_t
-mux_index_find (const MuxSched *sched, const MuxWorkerQuery *seek)
+mux_index_find (const MuxSched *sched, const MuxWorkerQuery *query)
 {
   const MuxIndex *index = &sched->index;
   Search search = { .sched = sched,
-                    .seek = seek,
+                    .query = query,
                     .spare_reservation
-                    = !seek->may_use_reserved && index->reserved.count > 0,
-                    .rack_limit = rack_limit (sched, seek->class),
+                    = !query->may_use_reserved && index->reserved.count > 0,
+                    .rack_limit = rack_limit (sched, query->class),
                     .first = MUX_NONE };
 
-  if (index->shape[seek->class->shape].fits.count == 0)
+  if (index->shape[query->class->shape].fits.count == 0)
     return MUX_NONE;
   for (uint32_t i = 0; i < MUX_LEVELS; i++)
     {
@@ -335,12 +335,12 @@
 
 bool
 mux_index_fits_together (const MuxSched *sched,
-                         const MuxWorkerQuery *seek,
+                         const MuxWorkerQuery *query,
                          uint32_t n,
                          uint64_t *loss)
 {
   const MuxIndex *index = &sched->index;
-  const MuxShape *want = &index->shape[seek->class->shape];
+  const MuxShape *want = &index->shape[query->class->shape];
   uint32_t missing = n;
 
   *loss = 0;
@@ -348,7 +348,7 @@
     {
       uint64_t word = want->fits.word[k];
 
-      if (!seek->may_use_reserved)
+      if (!query->may_use_reserved)
         word &= ~index->reserved.word[k];
       for (; word != 0 && missing > 0; word &= word - 1)
         {
--- a/src/policy/late.c
+++ b/src/policy/late.c
@@ -61,11 +61,11 @@
 }
 
 void
-mux_late_count_start (MuxSched *sched, const MuxClass *class, MuxQueueKind lane)
+mux_late_count_start (MuxSched *sched, const MuxClass *class, MuxQueueKind kind)
 {
   if (class->urgent)
     return;
-  if (lane == MUX_QUEUE_LATE)
+  if (kind == MUX_QUEUE_LATE)
     sched->late_credit
         = fmax (-CREDIT_MAX, sched->late_credit - 1 + MUX_LATE_SHARE);
   else if (late_waiting (sched))
--- a/src/policy/reservation.c
+++ b/src/policy/reservation.c
@@ -299,7 +299,7 @@
  * other.  One that expired without success goes behind the others. */
 static uint32_t
 choose_in (const MuxSched *sched,
-           MuxQueueKind lane,
+           MuxQueueKind kind,
            MuxId expired,
            int64_t now_ms)
 {
@@ -309,7 +309,7 @@
   for (uint32_t i = 0; i < sched->classes; i++)
     {
       const MuxClass *class = sched->class_at[i];
-      const MuxHeapNode *head = mux_queue_head (class, lane);
+      const MuxHeapNode *head = mux_queue_head (class, kind);
 
       if (!deserves (sched, class, head, now_ms))
         continue;
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -9,7 +9,7 @@
 
 #include <uthash.h>
 
-/* Resources of a MuxSize seen as an array, for loops over all of them. */
+/* Dimensions of a MuxSize, for loops over all of them. */
 #define MUX_DIMS 4
 typedef enum
 {
@@ -19,12 +19,12 @@
   MUX_DIM_SLOTS,
 } MuxDim;
 
-/* Levels of free room that the index sorts workers into; the last one holds
- * idle workers alone. */
+/* Levels of free room by which the index groups workers; the last level holds
+ * idle workers only. */
 #define MUX_LEVELS 32
 
 /**
- * struct MuxList - doubly linked list of tasks by index
+ * struct MuxList - doubly linked list of tasks, by index into MuxSched.task
  */
 typedef struct
 {
@@ -39,20 +39,20 @@
   uint32_t next;
 } MuxLink;
 
-/* Which of a task's links a list runs through. */
+/* Which of a task's links a list uses. */
 typedef enum
 {
-  MUX_LINK_AGE,    /* waiting tasks by the time they asked */
-  MUX_LINK_MEMBER, /* members of a gang, of the drops or of the emission */
+  MUX_LINK_AGE,    /* waiting tasks in order of submission; free list */
+  MUX_LINK_MEMBER, /* members of a gang, of MuxSched.dropped or .placed */
   MUX_LINK_WORKER, /* tasks booked on one worker */
   MUX_LINKS
 } MuxLinkKind;
 
-/* Queues of a class; within each the earliest start deadline goes first. */
+/* Queues of a class, each ordered by start deadline, earliest first. */
 typedef enum
 {
-  MUX_QUEUE_ON_TIME, /* can start in time still */
-  MUX_QUEUE_LATE,    /* deferrable and past the deadline of its start */
+  MUX_QUEUE_ON_TIME, /* all others */
+  MUX_QUEUE_LATE,    /* deferrable and past the start deadline */
   MUX_QUEUES
 } MuxQueueKind;
 
@@ -61,28 +61,29 @@
   MUX_TASK_FREE,
   MUX_TASK_GATHERING, /* member of a gang that is not complete */
   MUX_TASK_WAITING,
-  MUX_TASK_DROPPING, /* in the list of drops not yet told */
+  MUX_TASK_DROPPING, /* in MuxSched.dropped, not yet returned to the caller */
   MUX_TASK_BOOKED,
 } MuxTaskState;
 
 /**
  * struct MuxTask - a task that waits or is booked
- * @id: its id
- * @seq: order of asking, breaks ties
- * @start_by_ms: target for the start
- * @give_up_ms: dropped after this
- * @asked_ms: when it asked
+ * @id: unique id, given by the caller
+ * @seq: submission number, breaks ties
+ * @start_by_ms: deadline of the start
+ * @expires_ms: dropped if still waiting then
+ * @submitted_ms: when it was submitted
  * @booked_ms: when it was booked
- * @size: what is booked
- * @class_id: its class
- * @gang: its gang while it waits, or MUX_NONE
+ * @size: resources booked
+ * @class_id: index into MuxSched.class_at
+ * @gang: index of its gang while it waits, or MUX_NONE
  * @worker: where it is booked, or MUX_NONE
  * @avoid: worker not to use, or MUX_NONE
- * @state: see enum MuxTaskState
- * @lane: queue it waits in, see enum MuxLane
- * @reason: why it is dropped
- * @emitting: booked but not yet told
- * @started: was seen running
+ * @link: its places in lists, by MuxLinkKind
+ * @state: a MuxTaskState
+ * @queue_kind: queue it waits in, a MuxQueueKind
+ * @reason: why it is dropped, a MuxReason
+ * @unreported: booked, but the placement is not yet returned to the caller
+ * @started: was reported running
  */
 typedef struct
 {
@@ -107,12 +108,14 @@
 
 /**
  * struct MuxGang - tasks that start together
- * @group: its id
- * @members: those that have asked
- * @wanted: how many there are
+ * @group: id, given by the caller
+ * @members: waiting tasks submitted so far; the first one represents the gang
+ *   in its class's queue
+ * @task_count: tasks of the complete gang; in a free entry, the next free one
  * @class_id: class of all members
+ * @in_use: false: in the free list
  * @queued: complete and in its class's queue
- * @tried: room generation of the last vain try
+ * @tried_gen: MuxSched.room_gen at the last attempt to place it
  */
 typedef struct
 {
@@ -126,9 +129,10 @@
 } MuxGang;
 
 /**
- * struct MuxProduct - a product's part of the books
- * @spec: as configured; without a quota until it is
- * @booked: what its tasks hold now
+ * struct MuxProduct - a product and the sum of its bookings
+ * @spec: as configured; has no quota until configured
+ * @configured: @spec was set by the caller
+ * @booked: sum of its tasks' bookings, by MuxDim
  */
 typedef struct
 {
@@ -140,10 +144,10 @@
 } MuxProduct;
 
 /**
- * struct MuxFlow - rate of something, over a short and a long memory
- * @ticked: happenings since the last tick
- * @fast: per ms, over some seconds
- * @slow: per ms, over half a minute
+ * struct MuxRate - event rate, as two exponentially weighted means
+ * @count: events since the last tick
+ * @fast: events per ms, time constant of some seconds
+ * @slow: events per ms, time constant of half a minute
  */
 typedef struct
 {
@@ -153,33 +157,36 @@
 } MuxRate;
 
 /**
- * struct MuxClass - a class, its queue and its part of the books
+ * struct MuxClass - a class of work with its queues, rates and bookings
  * @spec: as configured
- * @configured: false: only for tasks that were adopted or still run
- * @size: what a task of it is booked with
+ * @id: index into MuxSched.class_at
+ * @configured: false: exists only for tasks that were adopted or still run
+ * @size: resources booked for each new task
  * @shape: entry of @size in the index, or MUX_NONE
- * @queue: for each lane, waiting tasks and leaders of complete gangs by
- *   start_by_ms
- * @waiting: tasks waiting, gathering ones too
- * @booked: tasks booked
- * @tried: for each lane, decision in which its head could not be placed
- * @urgent: a short wait is promised; others yield to it
- * @arrivals: tasks that asked
- * @starts: tasks placed, or refused for want of room
- * @inside: tasks placed inside the promised wait
- * @run_hist: run times, the declared one as prior
- * @run_mean_ms: their mean
- * @cpu_hist: processors used, as reported
- * @mem_hist: memory used, as reported
- * @wait_hist: waits until placed
- * @shedding: its queue is held short by refusals
- * @calm_ms: when its forecast wait was last inside the target
- * @shed_ms: when it was last refused for it
- * @reports: reports since its booking size was last looked at
- * @failed: failures, the first on each worker alone, that are not forgotten
- * @judged: those and all successes
- * @rack_count: tasks booked in each rack
- * @fit_gen: worker generation at which @fit_count was computed
+ * @product: its product; NULL until configured
+ * @queue: by MuxQueueKind: waiting tasks and first members of complete gangs,
+ *   by start_by_ms
+ * @waiting: waiting tasks, those of incomplete gangs included
+ * @booked: booked tasks
+ * @blocked_decision: by MuxQueueKind: MuxSched.decisions when the head of the
+ *   queue last could not be placed
+ * @urgent: a short wait is promised, and deferrable classes (all others) yield
+ * @arrivals: submitted tasks, refused ones included
+ * @starts: tasks placed, or refused for overload
+ * @on_time: tasks placed within the promised wait
+ * @run_hist: run times in ms, the declared one as prior
+ * @run_mean_ms: exponentially weighted mean of the run times
+ * @cpu_hist: reported CPU usage in thousandths of a processor
+ * @mem_hist: reported memory usage in MiB
+ * @wait_hist: waits in ms until placed
+ * @shedding: load shedding is on: its queue is kept short by refusals
+ * @last_on_target_ms: when its forecast wait was last within the target
+ * @last_shed_ms: when a task was last refused by load shedding
+ * @reports: usage reports since @size was last recomputed
+ * @failures: failures, only the first on each worker; decays
+ * @outcomes: those failures and all successes; decays
+ * @rack_count: booked tasks by rack id
+ * @fit_gen: MuxSched.worker_gen at which @fit_count was computed
  * @fit_count: tasks that all workers together hold when empty
  */
 typedef struct
@@ -219,19 +226,22 @@
 {
   MUX_BREAKER_CLOSED,
   MUX_BREAKER_OPEN,      /* no work until open_until_ms, then one probe */
-  MUX_BREAKER_HALF_OPEN, /* its probe runs */
+  MUX_BREAKER_HALF_OPEN, /* the probe is running */
 } MuxBreakerState;
 
 /**
- * struct MuxBreaker - whether a worker is trusted with work
- * @state: see enum MuxBreakerState
- * @blame: failures that were unlike their class's record elsewhere
- * @backoff_ms: pause before the next probe
+ * struct MuxBreaker - circuit breaker of a worker
+ * @state: a worker gets ordinary work only while MUX_BREAKER_CLOSED
+ * @failure_score: failures here, weighted by how rarely the class of the task
+ *   fails on other workers; the breaker opens when it is high
+ * @backoff_ms: delay before the next probe
  * @open_until_ms: when it may be probed
- * @on_trial: closed because nothing probed it; it opens as if it had failed one
- * @probe: task of the probe
- * @failing: classes, by id modulo 64, whose last task here failed
- * @failing_ms: when the last of them did
+ * @closed_unprobed: closed because no task could probe it; if it opens again
+ *   the back-off goes on from where it was
+ * @probe: id of the task that probes it
+ * @failing_classes: set of classes, by id modulo 64, whose last task here
+ * failed
+ * @last_failure_ms: time of the last failure here
  */
 typedef struct
 {
@@ -246,7 +256,9 @@
 } MuxBreaker;
 
 /**
- * struct MuxRack - a rack's name; its index counts in MuxClass.rack_count
+ * struct MuxRack - a rack
+ * @id: index into MuxClass.rack_count
+ * @workers: present workers in it
  */
 typedef struct
 {
@@ -257,15 +269,17 @@
 } MuxRack;
 
 /**
- * struct MuxWorker - a worker and what is booked on it
- * @capacity: what it has
- * @booked: sums of what is booked, beyond @capacity only by adoption
- * @free: capacity less booked, never below 0
+ * struct MuxWorker - a worker and the bookings on it
+ * @capacity: its resources
+ * @booked: sum of the bookings, by MuxDim; exceeds @capacity only by adoption,
+ *   growth of a booking or a resize
+ * @free: @capacity less @booked, never below 0
+ * @tasks: tasks booked on it
  * @present: the index is in use
- * @usable: may get new work, as the caller says
- * @held: drained for the task or gang of the reservation
- * @urgent_room: urgent tasks of the largest size that it could start now
- * @level: level of the index it stands in, or MUX_NONE
+ * @usable: may get new work, as set by the caller
+ * @reserved: drained for the task or gang of the reservation
+ * @urgent_room: tasks of MuxSched.urgent_size that it could start now
+ * @level: its level in the index; MUX_NONE: it gets no ordinary work
  */
 typedef struct
 {
@@ -284,7 +298,10 @@
 } MuxWorker;
 
 /**
- * struct MuxRelease - room that a running task is forecast to give back
+ * struct MuxRelease - room that a running task is forecast to release
+ * @end_ms: when it is forecast to end
+ * @worker: index into MuxReservation.workers
+ * @size: its booking
  */
 typedef struct
 {
@@ -295,15 +312,20 @@
 
 /**
  * struct MuxReservation - workers that are drained for one blocked task or gang
- * @task: the task, or the leader of the gang, or MUX_NONE
+ * @task: index of the task, or of the first member of the gang, or MUX_NONE
  * @task_id: its id, as the index may be reused
  * @workers: the workers, in @count entries
- * @ready_ms: when all is forecast to fit there; others may backfill until then
- * @until_ms: when it expires
- * @tried: room generation of the last vain try
- * @need: room for urgent tasks that it is going to take
- * @left: scratch, as long as @workers
- * @release: scratch, of @release_room entries
+ * @count: used entries of @workers
+ * @workers_allocated: allocated entries of @workers and @free_when_ready
+ * @ready_ms: when all tasks are forecast to fit there; others may backfill
+ *   until then
+ * @expires_ms: when it is given up
+ * @tried_gen: MuxSched.room_gen at the last attempt to place it
+ * @urgent_room_taken: tasks of MuxSched.urgent_size that fit less once the
+ *   task or gang has been placed
+ * @free_when_ready: scratch: room on each of @workers at @ready_ms
+ * @releases: scratch: forecast ends of the tasks on @workers
+ * @releases_allocated: allocated entries of @releases
  */
 typedef struct
 {
@@ -322,10 +344,10 @@
 } MuxReservation;
 
 /**
- * struct MuxSeek - what a search for a worker asks for
- * @class: whose task it is
+ * struct MuxWorkerQuery - parameters of a search for a worker
+ * @class: class of the task to place
  * @avoid: worker not to use, or MUX_NONE
- * @into_reservation: workers reserved for another may be taken
+ * @may_use_reserved: workers of the reservation may be taken
  * @now_ms: the time
  */
 typedef struct
@@ -337,7 +359,10 @@
 } MuxWorkerQuery;
 
 /**
- * struct MuxBits - set of workers with a summary of its non-zero words
+ * struct MuxBits - bit set of workers
+ * @word: the bits
+ * @summary: one bit for each non-zero word of @word; same allocation
+ * @count: bits that are set
  */
 typedef struct
 {
@@ -347,10 +372,10 @@
 } MuxBits;
 
 /**
- * struct MuxShape - one distinct size that classes are booked with
+ * struct MuxShape - one distinct booking size
  * @size: the size
- * @refs: classes with it; 0: unused
- * @fits: workers where it fits now
+ * @refs: classes with that size; 0: unused entry
+ * @fits: workers that get ordinary work and have that much free
  */
 typedef struct
 {
@@ -361,10 +386,12 @@
 
 /**
  * struct MuxIndex - workers by free room
- * @words: words of each set
- * @level: workers by level of free room
- * @held: workers of the reservation
+ * @words: allocated words of each bit set
+ * @level: workers by level of free room, least room first
+ * @reserved: workers of the reservation
  * @shape: the distinct sizes
+ * @shapes: used entries of @shape
+ * @shapes_allocated: allocated entries of @shape
  */
 typedef struct
 {
@@ -376,6 +403,53 @@
   uint32_t shapes_allocated;
 } MuxIndex;
 
+/**
+ * struct MuxSched - the scheduler
+ * @share_ppm: this owner's share of the cell's capacity and of each quota
+ * @task_ids: task ids to indexes into @task
+ * @task: table of tasks
+ * @queue_pos: by task: position in the heap of its class's queue, or MUX_NONE
+ * @expire_pos: by task: position in @expire, or MUX_NONE
+ * @tasks: entries of @task that have ever been used
+ * @task_free: head of the list of free entries, or MUX_NONE
+ * @seq: next submission number
+ * @gang_ids: gang ids to indexes into @gang
+ * @gang: table of gangs
+ * @gang_free: head of the list of free entries, or MUX_NONE
+ * @class_at: classes by id; never shrinks
+ * @worker: table of workers
+ * @workers: entries of @worker that have ever been used
+ * @present: workers that exist
+ * @usable: of which usable
+ * @worker_gen: generation of the workers' capacities, changes with each of them
+ * @room_gen: generation of the free room: changes whenever something that did
+ *   not fit before may fit now
+ * @total: capacity of usable workers, by MuxDim
+ * @free: free room of usable workers, by MuxDim
+ * @racks: racks that have a worker
+ * @rack_ids: rack ids given out; they are never reused
+ * @tripped: workers whose breaker is not closed
+ * @next_probe_ms: earliest time at which a breaker may be probed
+ * @next_tick_ms: when mux_sched_tick() is due; INT64_MIN: it never ran
+ * @decisions: number of searches for the first task to place
+ * @ends: tasks ended
+ * @reserve_target: urgent tasks that are to find room, running ones included
+ * @urgent_size: largest booking size of the urgent classes, by dimension
+ * @urgent_room: tasks of @urgent_size that fit now, all workers together
+ * @urgent_room_max: tasks of @urgent_size that all usable workers hold when
+ *   empty
+ * @urgent_running: booked tasks of urgent classes
+ * @deferrable_booked: sum of the bookings of deferrable classes, by MuxDim
+ * @reservation: at most one at a time
+ * @rng_state: state of the random generator, never 0
+ * @expire: waiting tasks by expires_ms
+ * @waiting_by_age: waiting tasks in order of submission
+ * @dropped: dropped tasks not yet returned to the caller
+ * @placed: placed tasks not yet returned to the caller
+ * @waiting: waiting tasks
+ * @booked: booked tasks
+ * @late_credit: starts that are due to the late queues
+ */
 struct MuxSched
 {
   MuxSchedOptions options;
@@ -439,7 +513,7 @@
   MuxList placed;
   uint32_t waiting;
   uint32_t booked;
-  double late_credit; /* starts that the late lanes are owed */
+  double late_credit;
 };
 
 #endif
