--- a/src/policy/admit.c
+++ b/src/policy/admit.c
@@ -1,14 +1,16 @@
 #include "internal.h"
 
-/* A queue beyond the target for this long does not drain by itself. */
-#define STANDING_MS 1000
-/* Nothing was shed for this long: the overload is over. */
-#define CALM_MS 1000
-
-/* Half of the queue is divided among the classes, the other half is common:
- * a class that floods the queue leaves the others their part. */
+/* Load shedding begins when the forecast wait has exceeded the target for this
+ * long: the queue does not drain by itself. */
+#define SHED_AFTER_MS 1000
+/* Load shedding ends when nothing was refused for this long. */
+#define SHED_END_AFTER_MS 1000
+
+/* Half of the queue is divided evenly among the configured classes, the other
+ * half is shared, so that a class that floods the queue leaves room for the
+ * others. */
 static bool
-has_place (const MuxSched *sched, const MuxClass *class, uint32_t more)
+queue_has_space (const MuxSched *sched, const MuxClass *class, uint32_t more)
 {
   uint32_t max = sched->options.queue_max;
   uint32_t configured = 0;
@@ -45,14 +47,14 @@
 }
 
 /*
- * Failure: more urgent work comes than the cell can run.  Taken in until the
- * time to give up, each task would wait that long and none start inside its
- * target.  A queue that stands for a while beyond the target is therefore
- * held at half of it, by refusing at once what is too much; a short one after
- * a burst is left to drain.
+ * Load shedding of urgent classes.  If more urgent work arrived than the cell
+ * can run and all of it were queued until it expires, every task would wait
+ * that long and none would start within its target.  When the forecast wait
+ * has exceeded the target for SHED_AFTER_MS, tasks are refused at once while it
+ * exceeds half of the target.  A shorter excess after a burst is left to drain.
  */
 static bool
-sheds (MuxSched *sched, MuxClass *class, int64_t now_ms)
+must_shed (MuxSched *sched, MuxClass *class, int64_t now_ms)
 {
   int64_t wait = mux_forecast_wait_ms (sched, class, now_ms);
   int64_t within = class->spec.start_within_ms;
@@ -61,7 +63,7 @@
     return false;
   if (wait <= (class->shedding ? within / 2 : within))
     {
-      if (!class->shedding || now_ms - class->last_shed_ms > CALM_MS)
+      if (!class->shedding || now_ms - class->last_shed_ms > SHED_END_AFTER_MS)
         {
           class->shedding = false;
           class->last_on_target_ms = now_ms;
@@ -69,14 +71,14 @@
       return false;
     }
   class->shedding
-      = class->shedding || now_ms - class->last_on_target_ms > STANDING_MS;
+      = class->shedding || now_ms - class->last_on_target_ms > SHED_AFTER_MS;
   if (class->shedding)
     class->last_shed_ms = now_ms;
   return class->shedding;
 }
 
 static MuxReason
-why_late (const MuxSched *sched, const MuxClass *class)
+overload_reason (const MuxSched *sched, const MuxClass *class)
 {
   if (!mux_product_within_quota (sched, class, 1))
     return MUX_REASON_QUOTA;
@@ -84,7 +86,7 @@
 }
 
 static MuxReason
-refusal (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
+refusal_reason (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
 {
   MuxClass *class = mux_class_find (sched, ask->class_name);
   bool gang = !mux_id_is_none (ask->group);
@@ -102,13 +104,14 @@
     return MUX_REASON_NO_WORKERS;
   if (ask->expires_ms <= now_ms)
     return MUX_REASON_DEADLINE;
-  if (!has_place (sched, class, gang ? members_missing (sched, ask, count) : 1))
+  if (!queue_has_space (sched, class,
+                        gang ? members_missing (sched, ask, count) : 1))
     return mux_product_within_quota (sched, class, 1) ? MUX_REASON_QUEUE_FULL
                                                       : MUX_REASON_QUOTA;
   if (!sched->tuning.no_forecast
       && (ask->expires_ms - now_ms < mux_forecast_wait_ms (sched, class, now_ms)
-          || sheds (sched, class, now_ms)))
-    return why_late (sched, class);
+          || must_shed (sched, class, now_ms)))
+    return overload_reason (sched, class);
   return MUX_REASON_NONE;
 }
 
@@ -135,7 +138,7 @@
   return true;
 }
 
-/* The last member to ask makes the gang complete; its first stands for it. */
+/* Once all members have been submitted, queues the gang by its first member. */
 static bool
 complete_gang (MuxSched *sched, uint32_t g)
 {
@@ -152,7 +155,7 @@
 }
 
 static bool
-enter (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
+enqueue (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
 {
   uint32_t t = mux_task_new (sched, ask->task);
 
@@ -188,9 +191,9 @@
   return false;
 }
 
-/* Failure: a class whose tasks are all refused starts nothing, has nothing
- * waiting, and would look as if its targets were met.  A refusal for want of
- * room therefore counts as a start outside the target. */
+/* Refusals that count as starts outside the target.  Otherwise a class whose
+ * tasks are all refused, with none waiting and none started late, would appear
+ * to meet its target. */
 static bool
 refused_for_load (MuxReason reason)
 {
@@ -201,12 +204,12 @@
 MuxAdmitResult
 mux_sched_submit (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
 {
-  MuxReason reason = refusal (sched, ask, now_ms);
+  MuxReason reason = refusal_reason (sched, ask, now_ms);
   MuxClass *class = mux_class_find (sched, ask->class_name);
 
-  if (reason == MUX_REASON_NONE && !enter (sched, ask, now_ms))
+  if (reason == MUX_REASON_NONE && !enqueue (sched, ask, now_ms))
     reason = MUX_REASON_INTERNAL;
-  /* What is refused is demand all the same, for the reserve and forecasts. */
+  /* Refused tasks are demand too, for the reserve and the forecasts. */
   if (class != NULL && reason != MUX_REASON_KEY_IN_USE)
     class->arrivals.count++;
   if (class != NULL && refused_for_load (reason))
--- a/src/policy/booking.c
+++ b/src/policy/booking.c
@@ -3,9 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A usable worker counts in the totals; leave and enter bracket a change. */
+/* Usable workers count in MuxSched.total and .free.  Each change of a worker is
+ * made between subtract_totals() and add_totals(). */
 static void
-leave_totals (MuxSched *sched, const MuxWorker *worker)
+subtract_totals (MuxSched *sched, const MuxWorker *worker)
 {
   if (!worker->usable)
     return;
@@ -19,21 +20,21 @@
 }
 
 static uint32_t
-left (uint32_t capacity, uint64_t booked)
+remaining (uint32_t capacity, uint64_t booked)
 {
   return booked < capacity ? (uint32_t) (capacity - booked) : 0;
 }
 
 static void
-enter_totals (MuxSched *sched, MuxWorker *worker)
+add_totals (MuxSched *sched, MuxWorker *worker)
 {
   const MuxSize *cap = &worker->capacity;
 
   worker->free = (MuxSize){
-    .cpu_milli = left (cap->cpu_milli, worker->booked[MUX_DIM_CPU]),
-    .mem_mib = left (cap->mem_mib, worker->booked[MUX_DIM_MEM]),
-    .accels = left (cap->accels, worker->booked[MUX_DIM_ACCELS]),
-    .slots = left (cap->slots, worker->booked[MUX_DIM_SLOTS]),
+    .cpu_milli = remaining (cap->cpu_milli, worker->booked[MUX_DIM_CPU]),
+    .mem_mib = remaining (cap->mem_mib, worker->booked[MUX_DIM_MEM]),
+    .accels = remaining (cap->accels, worker->booked[MUX_DIM_ACCELS]),
+    .slots = remaining (cap->slots, worker->booked[MUX_DIM_SLOTS]),
   };
   if (!worker->usable)
     return;
@@ -52,7 +53,7 @@
   MuxWorker *worker = &sched->worker[task->worker];
   MuxClass *class = sched->class_at[task->class_id];
 
-  leave_totals (sched, worker);
+  subtract_totals (sched, worker);
   for (uint32_t d = 0; d < MUX_DIMS; d++)
     {
       uint64_t n = mux_size_dim (task->size, d);
@@ -71,7 +72,7 @@
     sched->urgent_running += sign > 0 ? 1u : -1u;
   class->rack_count[worker->rack->id]
       = class->rack_count[worker->rack->id] + (sign > 0 ? 1u : -1u);
-  enter_totals (sched, worker);
+  add_totals (sched, worker);
   mux_index_update (sched, task->worker);
 }
 
@@ -127,7 +128,7 @@
   return true;
 }
 
-/* Ids of racks stay, so that the classes' counts need no moving. */
+/* Rack ids are never reused: they index the classes' rack_count. */
 static MuxRack *
 rack_get (MuxSched *sched, const char *name)
 {
@@ -207,7 +208,7 @@
   sched->usable++;
   sched->worker_gen++;
   sched->room_gen++;
-  enter_totals (sched, worker);
+  add_totals (sched, worker);
   mux_index_update (sched, w);
   mux_reserve_recompute (sched);
   return w;
@@ -228,9 +229,9 @@
 
   if (worker == NULL)
     return;
-  leave_totals (sched, worker);
+  subtract_totals (sched, worker);
   worker->capacity = capacity;
-  enter_totals (sched, worker);
+  add_totals (sched, worker);
   sched->worker_gen++;
   sched->room_gen++;
   mux_index_update (sched, w);
@@ -243,9 +244,9 @@
 
   if (worker == NULL || worker->usable == usable)
     return;
-  leave_totals (sched, worker);
+  subtract_totals (sched, worker);
   worker->usable = usable;
-  enter_totals (sched, worker);
+  add_totals (sched, worker);
   sched->usable = usable ? sched->usable + 1 : sched->usable - 1;
   sched->room_gen++;
   mux_index_update (sched, w);
@@ -267,15 +268,15 @@
     }
   mux_sched_worker_set_usable (sched, w, false);
   mux_breaker_reset (sched, w);
-  /* No part of a reservation outlives its worker: the index may mean another.
-   */
+  /* The index may be reused for another worker, which must not be part of the
+   * reservation. */
   if (worker->reserved)
     mux_reservation_drop (sched);
   worker->present = false;
   sched->racks -= --worker->rack->workers == 0;
   sched->present--;
   sched->worker_gen++;
-  /* The index is reused: "avoid" of who still waits meant the old worker. */
+  /* Likewise, the worker that waiting tasks avoid was the removed one. */
   for (uint32_t t = sched->waiting_by_age.head; t != MUX_NONE;
        t = sched->task[t].link[MUX_LINK_AGE].next)
     if (sched->task[t].avoid == w)
--- a/src/policy/breaker.c
+++ b/src/policy/breaker.c
@@ -1,24 +1,24 @@
 #include "internal.h"
 
-/* Blame at which the breaker opens: three failures in a row that are unlike
- * the class's record on other workers. */
-#define BLAME_OPEN 2.5
+/* Failure score at which a breaker opens: three failures in a row of classes
+ * that rarely fail on other workers. */
+#define SCORE_OPEN 2.5
 #define BACKOFF_FIRST_MS 1000u
 #define BACKOFF_MAX_MS 60000u
-/* A probe waits so long for a task that may be run twice. */
-#define PROBE_ANY_MS 10000
-/* An open worker that is due and was not probed for so long is tried. */
-#define UNPROBED_MS 10000
-/* How long a class stays off a worker that failed it. */
+/* A due probe waits this long for an idempotent task before another is used. */
+#define PROBE_ANY_AFTER_MS 10000
+/* A breaker that was due for a probe this long without one is closed. */
+#define CLOSE_UNPROBED_AFTER_MS 10000
+/* How long a class avoids a worker on which it failed. */
 #define AVOID_MS 30000
-/* A class's record fades; so many verdicts count. */
-#define JUDGED_MAX 32.0
-/* From this share of failing workers on, the class itself is at fault, but
- * not before so many verdicts are in. */
-#define CLASS_AT_FAULT 0.5
-#define VERDICTS_MIN 2.0
-/* Blame for a failure of a class that has no record yet. */
-#define BLAME_UNKNOWN 0.25
+/* A class's counts are halved when its outcomes reach this. */
+#define OUTCOMES_MAX 32.0
+/* From this share of failures on, the class itself is at fault, provided that
+ * there were at least OUTCOMES_MIN outcomes. */
+#define CLASS_FAULT_SHARE 0.5
+#define OUTCOMES_MIN 2.0
+/* Score of a failure of a class with fewer outcomes than that. */
+#define SCORE_UNKNOWN_CLASS 0.25
 
 static uint64_t
 class_bit (const MuxClass *class)
@@ -27,7 +27,7 @@
 }
 
 static double
-failing_share (const MuxClass *class)
+failure_share (const MuxClass *class)
 {
   return class->failures / (class->outcomes + 1);
 }
@@ -35,29 +35,33 @@
 static bool
 class_at_fault (const MuxClass *class)
 {
-  return class->outcomes >= VERDICTS_MIN
-         && failing_share (class) >= CLASS_AT_FAULT;
+  return class->outcomes >= OUTCOMES_MIN
+         && failure_share (class) >= CLASS_FAULT_SHARE;
 }
 
-/* A broken worker fails at once; a task that ran its time may have had its
- * own reason to fail. */
+/* A broken worker fails tasks at once; one that ran for at least half of the
+ * median run time may have failed for its own reason, so it scores half. */
 static double
-blame_for (const MuxClass *class, uint32_t ran_ms)
+failure_weight (const MuxClass *class, uint32_t ran_ms)
 {
-  uint32_t usual = mux_learn_run_quantile_ms (class, 500000);
-  double blame = 1 - failing_share (class);
+  uint32_t median_ms = mux_learn_run_quantile_ms (class, 500000);
+  double weight = 1 - failure_share (class);
 
   if (class_at_fault (class))
     return 0;
-  if (class->outcomes < VERDICTS_MIN)
-    return BLAME_UNKNOWN;
-  return ran_ms < usual / 2 ? blame : blame / 2;
+  if (class->outcomes < OUTCOMES_MIN)
+    return SCORE_UNKNOWN_CLASS;
+  return ran_ms < median_ms / 2 ? weight : weight / 2;
 }
 
 /* Only the first failure on each worker counts against the class: a worker
- * that fails everything is always free and would drown the others' record. */
+ * that fails everything is always free, gets most tasks, and would outweigh
+ * the outcomes on all others. */
 static void
-judge_class (MuxClass *class, MuxBreaker *breaker, bool failed, int64_t now_ms)
+record_outcome (MuxClass *class,
+                MuxBreaker *breaker,
+                bool failed,
+                int64_t now_ms)
 {
   bool again = (breaker->failing_classes & class_bit (class)) != 0;
 
@@ -72,7 +76,7 @@
     return;
   class->outcomes += 1;
   class->failures += failed ? 1 : 0;
-  if (class->outcomes < JUDGED_MAX)
+  if (class->outcomes < OUTCOMES_MAX)
     return;
   class->outcomes /= 2;
   class->failures /= 2;
@@ -129,7 +133,8 @@
       close_breaker (sched, w);
       return;
     }
-  /* Stopped or never started tells nothing: probe again, no longer pause. */
+  /* A probe that was stopped, lost or never started has no result: trip()
+   * doubles the back-off, so it stays the same. */
   if (end != MUX_END_FAILED)
     breaker->backoff_ms /= 2;
   trip (sched, w, now_ms);
@@ -148,7 +153,7 @@
                && mux_id_equal (breaker->probe, task->id);
 
   if (end == MUX_END_OK || end == MUX_END_FAILED)
-    judge_class (class, breaker, end == MUX_END_FAILED, now_ms);
+    record_outcome (class, breaker, end == MUX_END_FAILED, now_ms);
   if (probe)
     {
       end_probe (sched, task->worker, end, now_ms);
@@ -161,23 +166,23 @@
     }
   if (end != MUX_END_FAILED)
     return;
-  breaker->failure_score += blame_for (class, ran_ms);
+  breaker->failure_score += failure_weight (class, ran_ms);
   if (sched->tuning.no_breaker)
     return;
-  if (breaker->failure_score >= BLAME_OPEN
+  if (breaker->failure_score >= SCORE_OPEN
       && breaker->state == MUX_BREAKER_CLOSED)
     trip (sched, task->worker, now_ms);
 }
 
 static bool
-probes (const MuxSched *sched, const MuxWorkerQuery *query, uint32_t w)
+can_probe (const MuxSched *sched, const MuxWorkerQuery *query, uint32_t w)
 {
   const MuxWorker *worker = &sched->worker[w];
 
   return worker->present && worker->usable && w != query->avoid
          && worker->breaker.state == MUX_BREAKER_OPEN
          && worker->breaker.open_until_ms
-                    + (query->class->spec.idempotent ? 0 : PROBE_ANY_MS)
+                    + (query->class->spec.idempotent ? 0 : PROBE_ANY_AFTER_MS)
                 <= query->now_ms
          && mux_fits (query->class->size, worker->free);
 }
@@ -196,8 +201,8 @@
     sched->next_probe_ms = breaker->open_until_ms;
 }
 
-/* A probe may fail, so a class that can be run again is used for it, unless
- * none has come for long. */
+/* A probe may fail, so only tasks of idempotent classes are used for it during
+ * the first PROBE_ANY_AFTER_MS. */
 uint32_t
 mux_breaker_find_probe (MuxSched *sched, const MuxWorkerQuery *query)
 {
@@ -210,24 +215,24 @@
     {
       const MuxBreaker *breaker = &sched->worker[w].breaker;
 
-      if (probes (sched, query, w))
+      if (can_probe (sched, query, w))
         return w;
       if (sched->worker[w].present && breaker->state == MUX_BREAKER_OPEN
           && breaker->open_until_ms < next)
         next = breaker->open_until_ms;
     }
-  /* Those that are due but did not fit are looked at again a little later. */
+  /* Workers that are due but can't take this task are checked again soon. */
   sched->next_probe_ms
       = next > query->now_ms ? next : query->now_ms + BACKOFF_FIRST_MS / 10;
   return MUX_NONE;
 }
 
 /*
- * Failure: a worker is mended after its breaker opened, and all that waits may
- * not probe it: it runs at most once, or it is a gang.  The breaker would stay
- * open for ever, and with all of an owner's workers so nothing would start
- * any more.  Such a worker gets work again, but one failure opens it at once
- * and for longer.
+ * Closes breakers that nothing could probe for CLOSE_UNPROBED_AFTER_MS.  All
+ * waiting tasks may be unfit as a probe (not idempotent, or gangs); then the
+ * breaker of a repaired worker would stay open for ever, and if that held for
+ * all workers of the owner, nothing would start any more.  The score is left
+ * such that one failure reopens the breaker, with a longer back-off.
  */
 void
 mux_breaker_tick (MuxSched *sched, int64_t now_ms)
@@ -237,10 +242,10 @@
       MuxBreaker *breaker = &sched->worker[w].breaker;
 
       if (!sched->worker[w].present || breaker->state != MUX_BREAKER_OPEN
-          || now_ms - breaker->open_until_ms < UNPROBED_MS)
+          || now_ms - breaker->open_until_ms < CLOSE_UNPROBED_AFTER_MS)
         continue;
       close_breaker (sched, w);
-      breaker->failure_score = BLAME_OPEN - BLAME_UNKNOWN;
+      breaker->failure_score = SCORE_OPEN - SCORE_UNKNOWN_CLASS;
       breaker->closed_unprobed = true;
     }
 }
--- a/src/policy/classes.c
+++ b/src/policy/classes.c
@@ -3,10 +3,10 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A long-running class with at most this target is started like a request. */
+/* A long-running class with at most this target wait is urgent. */
 #define URGENT_WITHIN_MS 10000u
-/* Idle quota is lent only to tasks that end within this, as it comes back by
- * their ends alone. */
+/* Longest run time (90th percentile) of a class that may use idle quota: lent
+ * quota comes back only when the tasks end. */
 #define BORROW_RUN_MAX_MS 60000u
 
 MuxClass *
@@ -110,14 +110,14 @@
   *to += n;
 }
 
-/* What its tasks hold moves with the class from product to product, and
- * between urgent and deferrable work. */
+/* Moves the bookings of the class's tasks to product @to, and between the sums
+ * of urgent and deferrable work. */
 static void
 move_booked (MuxSched *sched, MuxClass *class, MuxProduct *to, bool urgent)
 {
-  bool flips = class->urgent != urgent;
+  bool urgency_changes = class->urgent != urgent;
 
-  if (flips)
+  if (urgency_changes)
     sched->urgent_running = urgent ? sched->urgent_running + class->booked
                                    : sched->urgent_running - class->booked;
 
@@ -133,7 +133,7 @@
 
           move (class->product != NULL ? &class->product->booked[d] : NULL,
                 &to->booked[d], n);
-          if (flips)
+          if (urgency_changes)
             sched->deferrable_booked[d] = urgent
                                               ? sched->deferrable_booked[d] - n
                                               : sched->deferrable_booked[d] + n;
@@ -161,7 +161,7 @@
 }
 
 static bool
-declares_anew (const MuxClass *class, const MuxClassSpec *spec)
+declaration_changed (const MuxClass *class, const MuxClassSpec *spec)
 {
   return !class->configured || class->spec.run_ms != spec->run_ms
          || memcmp (&class->spec.size, &spec->size, sizeof spec->size) != 0;
@@ -176,15 +176,15 @@
 
   if (product == NULL || class == NULL)
     return false;
-  bool anew = declares_anew (class, spec);
+  bool changed = declaration_changed (class, spec);
 
   size.slots = size.slots == 0 ? 1 : size.slots;
-  if (anew && !mux_class_resize (sched, class, size))
+  if (changed && !mux_class_resize (sched, class, size))
     return false;
   if (class->product != product || class->urgent != mux_class_urgent (spec))
     move_booked (sched, class, product, mux_class_urgent (spec));
   class->spec = *spec;
-  if (anew)
+  if (changed)
     mux_learn_reset (class);
   class->configured = true;
   mux_reserve_recompute (sched);
@@ -277,7 +277,7 @@
 {
   const MuxProduct *product = class->product;
 
-  /* A part smaller than one task still lets one run, or it never would. */
+  /* A quota smaller than one task still allows one, or none would ever run. */
   if (n == 1 && product->booked[MUX_DIM_SLOTS] == 0)
     return true;
   for (uint32_t d = 0; d < MUX_DIMS; d++)
