--- a/src/policy/decide.c
+++ b/src/policy/decide.c
@@ -1,19 +1,19 @@
 #include "internal.h"
 
-/* Reserve, reservation, rates and sizes are looked at anew this often. */
+/* Period of mux_sched_tick(). */
 #define TICK_MS 100
-/* Reports after which a class's booking size is looked at anew. */
-#define REPORTS_PER_LOOK 64u
-/* Tasks behind one that may not use the only worker free. */
-#define LOOK_BEHIND 8u
+/* Usage reports after which a class's booking size is recomputed. */
+#define REPORTS_PER_RESIZE 64u
+/* Tasks tried behind one that must avoid the only worker that is free. */
+#define SKIP_AHEAD_MAX 8u
 
-/* Who goes first: within each tier the earliest start deadline. */
+/* Order of placement: by tier, within a tier by start deadline. */
 typedef enum
 {
-  TIER_URGENT,     /* short waits promised, product within its quota */
-  TIER_DEFERRABLE, /* the rest within quota */
-  TIER_BORROW,     /* on idle quota of others */
-  TIER_NONE,       /* the quota is used up and can't be overdrawn */
+  TIER_URGENT,     /* urgent class, product within its quota */
+  TIER_DEFERRABLE, /* deferrable class, product within its quota */
+  TIER_BORROW,     /* beyond the quota, on idle quota of other products */
+  TIER_NONE,       /* beyond the quota and may not borrow */
 } Tier;
 
 static bool
@@ -61,7 +61,7 @@
 }
 
 static void
-emit_later (MuxSched *sched, uint32_t t, uint32_t w, int64_t now_ms)
+record_placement (MuxSched *sched, uint32_t t, uint32_t w, int64_t now_ms)
 {
   MuxTask *task = &sched->task[t];
   MuxClass *class = sched->class_at[task->class_id];
@@ -89,8 +89,9 @@
   return mux_class_may_borrow (class) ? TIER_BORROW : TIER_NONE;
 }
 
-/* Urgent work within quota may take everything; all others leave the reserve
- * alone, except who is overdue while its like hold next to nothing. */
+/* Urgent tasks within quota may use the reserve.  Others may not, except the
+ * holder of the reservation when it is past its start deadline and deferrable
+ * tasks hold less than their floor. */
 static bool
 ignores_reserve (const MuxSched *sched,
                  const MuxClass *class,
@@ -106,10 +107,10 @@
 }
 
 static MuxWorkerQuery
-seek_for (const MuxSched *sched,
-          const MuxClass *class,
-          uint32_t t,
-          int64_t now_ms)
+query_for (const MuxSched *sched,
+           const MuxClass *class,
+           uint32_t t,
+           int64_t now_ms)
 {
   return (MuxWorkerQuery){ .class = class,
                            .avoid = sched->task[t].avoid,
@@ -130,20 +131,20 @@
   breaker = &sched->worker[w].breaker;
   breaker->state = MUX_BREAKER_HALF_OPEN;
   breaker->probe = sched->task[t].id;
-  emit_later (sched, t, w, query->now_ms);
+  record_placement (sched, t, w, query->now_ms);
   return true;
 }
 
 static bool
 place_task (MuxSched *sched, MuxClass *class, uint32_t t, int64_t now_ms)
 {
-  MuxWorkerQuery query = seek_for (sched, class, t, now_ms);
+  MuxWorkerQuery query = query_for (sched, class, t, now_ms);
   uint32_t w;
 
   if (probe_with (sched, &query, t))
     return true;
   w = mux_index_find (sched, &query);
-  /* With one worker in all there is nowhere else to go. */
+  /* With a single usable worker there is no other to prefer. */
   if (w == MUX_NONE && sched->usable == 1)
     {
       query.avoid = MUX_NONE;
@@ -154,11 +155,12 @@
           && !mux_reserve_allows (sched, class, w,
                                   mux_reservation_is_for (sched, t))))
     return false;
-  emit_later (sched, t, w, now_ms);
+  record_placement (sched, t, w, now_ms);
   return true;
 }
 
-/* One that avoids the only worker free lets those behind it pass. */
+/* A task that must avoid the only worker that is free does not block those
+ * behind it. */
 static bool
 place_alone (MuxSched *sched, MuxClass *class, uint32_t t, int64_t now_ms)
 {
@@ -169,7 +171,7 @@
     return true;
   if (avoid == MUX_NONE || sched->index.shape[class->shape].fits.count == 0)
     return false;
-  for (uint32_t i = 1; i < queue->count && i <= LOOK_BEHIND; i++)
+  for (uint32_t i = 1; i < queue->count && i <= SKIP_AHEAD_MAX; i++)
     {
       uint32_t behind = queue->node[i].item;
 
@@ -186,7 +188,7 @@
 {
   MuxGang *gang = &sched->gang[sched->task[t].gang];
   uint32_t n = gang->task_count;
-  MuxWorkerQuery query = seek_for (sched, class, t, now_ms);
+  MuxWorkerQuery query = query_for (sched, class, t, now_ms);
   uint64_t loss;
 
   if (gang->tried_gen == sched->room_gen)
@@ -198,10 +200,10 @@
           && !mux_reserve_allows_loss (sched, loss,
                                        mux_reservation_is_for (sched, t))))
     return false;
-  /* All fit together and have one size, so that no search can fail now. */
+  /* All fit together and have the same size, so no search fails. */
   while (n-- > 0)
-    emit_later (sched, gang->members.head, mux_index_find (sched, &query),
-                now_ms);
+    record_placement (sched, gang->members.head, mux_index_find (sched, &query),
+                      now_ms);
   return true;
 }
 
@@ -238,9 +240,10 @@
   return g == MUX_NONE ? 1 : sched->gang[g].task_count;
 }
 
-/* A class whose size fits nowhere needs no search, unless it may probe. */
+/* Returns whether the head of the queue needs a search: its size fits
+ * somewhere, or a probe may be due. */
 static bool
-worth_trying (const MuxSched *sched,
+needs_search (const MuxSched *sched,
               const MuxClass *class,
               MuxQueueKind kind,
               int64_t now_ms)
@@ -252,8 +255,11 @@
 }
 
 /**
- * struct Pick - the head of a kind of a class, compared by tier, then by
- * whether its kind yields to the other, then by deadline
+ * struct Candidate - head of a class's queue
+ * @yields: within a tier it goes behind queues of the other kind
+ * @key: its start deadline
+ *
+ * Ordered by tier, then by @yields, then by @key.
  */
 typedef struct
 {
@@ -262,10 +268,10 @@
   Tier tier;
   bool yields;
   int64_t key;
-} Pick;
+} Candidate;
 
 static bool
-goes_before (const Pick *a, const Pick *b)
+goes_before (const Candidate *a, const Candidate *b)
 {
   if (a->tier != b->tier)
     return a->tier < b->tier;
@@ -274,26 +280,27 @@
   return b->class != NULL && a->key < b->key;
 }
 
-static Pick
-first_pick (const MuxSched *sched, int64_t now_ms)
+static Candidate
+first_candidate (const MuxSched *sched, int64_t now_ms)
 {
   MuxQueueKind yielding
       = mux_late_share_due (sched) ? MUX_QUEUE_ON_TIME : MUX_QUEUE_LATE;
-  Pick best = { .tier = TIER_NONE };
+  Candidate best = { .tier = TIER_NONE };
 
   for (uint32_t i = 0; i < sched->classes * MUX_QUEUES; i++)
     {
       MuxClass *class = sched->class_at[i / MUX_QUEUES];
       MuxQueueKind kind = i % MUX_QUEUES;
-      Pick pick = { .class = class, .kind = kind, .yields = kind == yielding };
+      Candidate candidate
+          = { .class = class, .kind = kind, .yields = kind == yielding };
 
-      if (!worth_trying (sched, class, kind, now_ms))
+      if (!needs_search (sched, class, kind, now_ms))
         continue;
-      pick.key = class->queue[kind].node->key;
-      pick.tier = tier_of (sched, class,
-                           unit_count (sched, class->queue[kind].node->item));
-      if (goes_before (&pick, &best))
-        best = pick;
+      candidate.key = class->queue[kind].node->key;
+      candidate.tier = tier_of (
+          sched, class, unit_count (sched, class->queue[kind].node->item));
+      if (goes_before (&candidate, &best))
+        best = candidate;
     }
   return best;
 }
@@ -301,15 +308,15 @@
 static bool
 place_first (MuxSched *sched, int64_t now_ms)
 {
-  Pick pick;
+  Candidate candidate;
 
   sched->decisions++;
-  while ((pick = first_pick (sched, now_ms)).class != NULL)
+  while ((candidate = first_candidate (sched, now_ms)).class != NULL)
     {
-      if (place (sched, pick.class, pick.class->queue[pick.kind].node->item,
-                 now_ms))
+      if (place (sched, candidate.class,
+                 candidate.class->queue[candidate.kind].node->item, now_ms))
         return true;
-      pick.class->blocked_decision[pick.kind] = sched->decisions;
+      candidate.class->blocked_decision[candidate.kind] = sched->decisions;
     }
   return false;
 }
@@ -322,11 +329,11 @@
       MuxClass *class = sched->class_at[i];
       MuxSize size;
 
-      if (!class->configured || class->reports < REPORTS_PER_LOOK)
+      if (!class->configured || class->reports < REPORTS_PER_RESIZE)
         continue;
       class->reports = 0;
       size = mux_learn_size (sched, class);
-      /* Memory out: the old size stands, it is tried again. */
+      /* Out of memory: the old size is kept until the next attempt. */
       if (memcmp (&size, &class->size, sizeof size) != 0
           && mux_class_resize (sched, class, size))
         sched->room_gen++;
@@ -334,12 +341,13 @@
 }
 
 /*
- * Failure: what waits fitted when it asked, and since then its class was found
- * to need more, or the workers that could hold it have left.  It would stand
- * at the head of its class for ever, and all behind it.
+ * Drops tasks and gangs that no longer fit even into empty workers: since they
+ * were submitted, the booking size of the class has grown, or workers that
+ * could hold them have left.  They would block the head of their queue for
+ * ever.
  */
 static void
-drop_hopeless (MuxSched *sched, MuxClass *class)
+drop_never_fitting (MuxSched *sched, MuxClass *class)
 {
   for (uint32_t kind = 0; kind < MUX_QUEUES; kind++)
     while (class->queue[kind].count > 0
@@ -368,12 +376,12 @@
   learn_sizes (sched);
   for (uint32_t i = 0; i < sched->classes && sched->present > 0; i++)
     if (sched->class_at[i]->configured)
-      drop_hopeless (sched, sched->class_at[i]);
+      drop_never_fitting (sched, sched->class_at[i]);
   mux_breaker_tick (sched, now_ms);
   mux_reserve_update (sched);
   mux_reservation_tick (sched, now_ms);
   sched->next_tick_ms = now_ms + TICK_MS;
-  /* The reserve may have shrunk, so that what did not fit may do so now. */
+  /* The reserve may have shrunk, which frees room for others. */
   sched->room_gen++;
 }
 
--- a/src/policy/forecast.c
+++ b/src/policy/forecast.c
@@ -2,8 +2,10 @@
 
 #include <math.h>
 
-/* A flow this small is no measurement; the class's capacity is then used. */
+/* Tasks per ms below which the rate of ends is unknown and the forecast wait
+ * is 0. */
 #define RATE_MIN 1e-6
+/* Lower bound of that rate, as part of the rate at full capacity. */
 #define CAPACITY_FLOOR 0.1
 #define RETRY_MIN_MS 100u
 #define RETRY_MAX_MS 300000u
@@ -19,7 +21,8 @@
   return (uint32_t) (ms - quarter + sched->rng_state % (2 * quarter + 1));
 }
 
-/* Tasks of @class in its late kind, gangs counted by their members. */
+/* Waiting tasks of @class in its late queue.  The queues count a gang once, so
+ * their ratio is applied to the number of tasks. */
 static double
 late_tasks (const MuxClass *class)
 {
@@ -29,10 +32,10 @@
   return late > 0 ? class->waiting * late / all : 0;
 }
 
-/* Part of @other's timely tasks whose deadline lies before that of a new task
- * of @class, taking their deadlines as spread evenly. */
+/* Part of @other's on-time tasks whose deadline is before that of a new task
+ * of @class, assuming that their deadlines are spread evenly. */
 static double
-part_before (const MuxClass *class, const MuxClass *other, int64_t now_ms)
+share_before (const MuxClass *class, const MuxClass *other, int64_t now_ms)
 {
   double mine = class->spec.start_within_ms;
   double last = other->spec.start_within_ms;
@@ -47,7 +50,7 @@
   return head >= mine ? 0 : (mine - head) / (last - head);
 }
 
-/* Timely tasks that go before a new one of @class. */
+/* On-time tasks that go before a new one of @class. */
 static double
 tasks_before (const MuxSched *sched, const MuxClass *class, int64_t now_ms)
 {
@@ -59,15 +62,16 @@
 
       if (other->configured && other->waiting > 0)
         tasks += (other->waiting - late_tasks (other))
-                 * part_before (class, other, now_ms);
+                 * share_before (class, other, now_ms);
     }
   return tasks;
 }
 
 /*
- * When @before timely tasks and all late ones are served at @rate.  A task
- * that can't start in time becomes late itself, behind those that are late by
- * then, and these get their share of the starts alone.
+ * Wait in ms of a new deferrable task behind @before on-time tasks, when tasks
+ * end at @rate per ms.  Late tasks get MUX_LATE_SHARE of the starts.  If the
+ * new task can't start on time, it will be late itself, behind all that are
+ * late by then, and that share is all they get.
  */
 static double
 deferrable_wait (const MuxSched *sched,
@@ -89,9 +93,10 @@
 }
 
 /*
- * How fast tasks like those of @class end, per ms.  What runs is looked at and
- * not how many started of late: those are few just when few are let in, and
- * the forecast would keep itself true.
+ * Rate in tasks per ms at which running tasks like those of @class (urgent or
+ * deferrable) end.  It is derived from what runs, not from recent starts:
+ * starts are few when admission refuses most tasks, so a forecast based on
+ * them would keep confirming itself.
  */
 static double
 ends_per_ms (const MuxSched *sched, const MuxClass *class)
@@ -112,10 +117,10 @@
   return rate > floor ? rate : floor;
 }
 
-/* Tasks of @class that start at the next decisions, about: a job that asks
- * for all its tasks at once must not be judged as if the cell were full. */
+/* Estimate of the tasks of @class that fit now.  Without it, a job that submits
+ * all its tasks at once to an idle cell would be refused as if it were full. */
 static double
-start_now (const MuxSched *sched, const MuxClass *class)
+startable_now (const MuxSched *sched, const MuxClass *class)
 {
   double kept = sched->reserve_target - sched->urgent_running;
   double tasks = UINT32_MAX;
@@ -139,7 +144,7 @@
                       const MuxClass *class,
                       int64_t now_ms)
 {
-  double now = start_now (sched, class);
+  double now = startable_now (sched, class);
   double before = tasks_before (sched, class, now_ms) - now;
   double rate, wait;
 
--- a/src/policy/hist.c
+++ b/src/policy/hist.c
@@ -1,8 +1,10 @@
 #include "hist.h"
 
+/* Buckets per octave are 2^SUB_BITS. */
 #define SUB_BITS 3u
 #define SUBS (1u << SUB_BITS)
-#define FORGET_AT 4096u
+/* Number of observations at which all counts are halved. */
+#define DECAY_AT 4096u
 
 static uint32_t
 bucket_of (uint32_t value)
@@ -29,7 +31,7 @@
 }
 
 static void
-forget_half (MuxHist *hist)
+decay_half (MuxHist *hist)
 {
   hist->count = 0;
   for (uint32_t i = 0; i < MUX_HIST_BUCKETS; i++)
@@ -46,20 +48,20 @@
   hist->count += times;
   if (value > hist->max)
     hist->max = value;
-  if (hist->count >= FORGET_AT)
-    forget_half (hist);
+  if (hist->count >= DECAY_AT)
+    decay_half (hist);
 }
 
 uint32_t
 mux_hist_quantile (const MuxHist *hist, uint32_t ppm)
 {
-  uint64_t want = ((uint64_t) hist->count * ppm + 999999) / 1000000;
-  uint64_t seen = 0;
+  uint64_t rank = ((uint64_t) hist->count * ppm + 999999) / 1000000;
+  uint64_t sum = 0;
 
   for (uint32_t i = 0; i < MUX_HIST_BUCKETS && hist->count > 0; i++)
     {
-      seen += hist->bucket[i];
-      if (seen >= want && seen > 0)
+      sum += hist->bucket[i];
+      if (sum >= rank && sum > 0)
         return upper_edge (i) < hist->max ? upper_edge (i) : hist->max;
     }
   return 0;
@@ -68,11 +70,11 @@
 uint32_t
 mux_hist_share (const MuxHist *hist, uint32_t value)
 {
-  uint64_t seen = 0;
+  uint64_t sum = 0;
 
   if (hist->count == 0)
     return 1000000;
   for (uint32_t i = 0; i <= bucket_of (value); i++)
-    seen += hist->bucket[i];
-  return (uint32_t) (seen * 1000000 / hist->count);
+    sum += hist->bucket[i];
+  return (uint32_t) (sum * 1000000 / hist->count);
 }
--- a/src/policy/idmap.c
+++ b/src/policy/idmap.c
@@ -7,7 +7,7 @@
 static uint32_t
 home_of (const MuxIdMap *map, MuxId id)
 {
-  /* Ids may be counters as well as hashes, so they are mixed here. */
+  /* Ids may be counters as well as hashes, so their bits are mixed. */
   uint64_t h = (id.lo ^ (id.hi >> 32 | id.hi << 32)) * 0x9e3779b97f4a7c15u;
 
   return (uint32_t) (h >> 32) & map->mask;
@@ -96,7 +96,8 @@
   if (map->slot[hole].value == MUX_NONE)
     return;
   map->count--;
-  /* Entries behind the hole move up, so that no probe ends too early. */
+  /* Backward shift: entries behind the hole move up, so that lookups that
+   * stop at a free slot still find them. */
   for (uint32_t i = (hole + 1) & map->mask; map->slot[i].value != MUX_NONE;
        i = (i + 1) & map->mask)
     {
--- a/src/policy/late.c
+++ b/src/policy/late.c
@@ -3,17 +3,18 @@
 #include <math.h>
 
 /*
- * Failure: under sustained overload the queue of deferrable work grows, and
- * served by deadline alone every task starts a little late: not one target is
- * met although most could be.  Tasks past their deadline therefore go behind
- * those that can still meet theirs.
+ * Under sustained overload the queue of deferrable work grows.  With earliest
+ * deadline first alone, every task would then start a little late, and no
+ * target would be met although most could be.  Tasks past their start deadline
+ * therefore go behind those that can still meet theirs, but get
+ * MUX_LATE_SHARE of the starts.
  */
 
-/* Late tasks that fit nowhere keep credit up to this, in starts; when they
- * alone could start, no more than this is taken from their share later. */
+/* Bound of MuxSched.late_credit, in starts, either way: what late tasks that
+ * fit nowhere save up, and what they owe after only they could start. */
 #define CREDIT_MAX 32.0
-/* Tasks moved at one tick: a job that becomes late as a whole must not stall
- * the decisions. */
+/* Tasks moved per tick: a large job that becomes late at once must not delay
+ * decisions. */
 #define MOVES_MAX 1000u
 
 static bool
@@ -45,7 +46,7 @@
     {
       MuxHeapNode node = *timely->node;
 
-      /* Memory out: it keeps its place. */
+      /* Out of memory: the task stays in the on-time queue. */
       if (!mux_heap_reserve (late, late->count + 1))
         return;
       mux_heap_remove (timely, sched->queue_pos, 0);
--- a/src/policy/learn.c
+++ b/src/policy/learn.c
@@ -2,35 +2,38 @@
 
 #include <math.h>
 
+/* Time constants of MuxRate.fast and MuxRate.slow. */
 #define FAST_MS 3000.0
 #define SLOW_MS 30000.0
-/* The declared run time counts as so many observations. */
+/* The declared run time, as prior, counts as this many observations. */
 #define PRIOR_WEIGHT 8u
 /* Reports needed before a size is learned from them. */
 #define SIZE_REPORTS_MIN 20u
+/* The learned size is this quantile of the reported usage. */
 #define SIZE_QUANTILE_PPM 990000u
-/* A report of more than this many times the declared size is an error of the
- * worker's accounting rather than the class's need. */
+/* Bound of the learned size, as a multiple of the declared one: larger reports
+ * are more likely errors of the worker's accounting. */
 #define SIZE_FACTOR_MAX 8u
-/* The mean run time is one over so many ms of reports, within bounds. */
+/* The mean run time is taken over about this many ms of arrivals, within
+ * bounds in observations. */
 #define MEAN_OVER_MS 10000.0
 #define MEAN_WEIGHT_MIN 64.0
 #define MEAN_WEIGHT_MAX 4096.0
 
 void
-mux_rate_update (MuxRate *flow, double dt_ms)
+mux_rate_update (MuxRate *rate, double dt_ms)
 {
-  double rate = flow->count / dt_ms;
+  double mean = rate->count / dt_ms;
 
-  flow->count = 0;
-  flow->fast += (rate - flow->fast) * (1 - exp (-dt_ms / FAST_MS));
-  flow->slow += (rate - flow->slow) * (1 - exp (-dt_ms / SLOW_MS));
+  rate->count = 0;
+  rate->fast += (mean - rate->fast) * (1 - exp (-dt_ms / FAST_MS));
+  rate->slow += (mean - rate->slow) * (1 - exp (-dt_ms / SLOW_MS));
 }
 
 double
-mux_rate_estimate (const MuxRate *flow)
+mux_rate_estimate (const MuxRate *rate)
 {
-  return flow->fast > flow->slow ? flow->fast : flow->slow;
+  return rate->fast > rate->slow ? rate->fast : rate->slow;
 }
 
 void
@@ -71,24 +74,27 @@
 }
 
 static uint32_t
-learned (const MuxHist *hist, uint32_t declared, uint32_t most, bool below)
+learned_size (const MuxHist *hist,
+              uint32_t declared,
+              uint32_t largest,
+              bool below)
 {
-  uint32_t seen = mux_hist_quantile (hist, SIZE_QUANTILE_PPM);
+  uint32_t observed = mux_hist_quantile (hist, SIZE_QUANTILE_PPM);
   uint64_t bound = (uint64_t) declared * SIZE_FACTOR_MAX;
 
-  if (hist->count < SIZE_REPORTS_MIN || (seen <= declared && !below))
+  if (hist->count < SIZE_REPORTS_MIN || (observed <= declared && !below))
     return declared;
-  if (declared > 0 && seen > bound)
-    seen = (uint32_t) bound;
-  /* A class must not learn itself out of every worker. */
-  return seen > most && most >= declared ? most : seen;
+  if (declared > 0 && observed > bound)
+    observed = (uint32_t) bound;
+  /* A learned size must still fit into the largest worker. */
+  return observed > largest && largest >= declared ? largest : observed;
 }
 
 MuxSize
 mux_learn_size (const MuxSched *sched, const MuxClass *class)
 {
   MuxSize size = class->spec.size;
-  MuxSize most = { 0 };
+  MuxSize largest = { 0 };
   bool below = sched->tuning.below_declared;
 
   if (sched->tuning.no_learning)
@@ -102,12 +108,13 @@
       if (!worker->present || !mux_fits (size, worker->capacity))
         continue;
       if (worker->capacity.cpu_milli + (uint64_t) worker->capacity.mem_mib
-          > (uint64_t) most.cpu_milli + most.mem_mib)
-        most = worker->capacity;
+          > (uint64_t) largest.cpu_milli + largest.mem_mib)
+        largest = worker->capacity;
     }
-  size.cpu_milli
-      = learned (&class->cpu_hist, size.cpu_milli, most.cpu_milli, below);
-  size.mem_mib = learned (&class->mem_hist, size.mem_mib, most.mem_mib, below);
+  size.cpu_milli = learned_size (&class->cpu_hist, size.cpu_milli,
+                                 largest.cpu_milli, below);
+  size.mem_mib
+      = learned_size (&class->mem_hist, size.mem_mib, largest.mem_mib, below);
   return size;
 }
 
--- a/src/policy/risk.c
+++ b/src/policy/risk.c
@@ -43,11 +43,11 @@
 
 /* Arrivals go on rising as they do now. */
 static double
-rate_ahead (const MuxRate *flow)
+rate_ahead (const MuxRate *rate)
 {
-  double rise = flow->fast - flow->slow;
+  double rise = rate->fast - rate->slow;
 
-  return flow->fast + (rise > RISE_MIN * flow->slow ? rise : 0);
+  return rate->fast + (rise > RISE_MIN * rate->slow ? rise : 0);
 }
 
 static void
