--- a/src/policy/booking.c
+++ b/src/policy/booking.c
@@ -118,13 +118,13 @@
 static bool
 grow_racks (MuxSched *sched)
 {
-  uint32_t room = sched->racks_allocated * 2;
+  uint32_t allocated = sched->racks_allocated * 2;
 
   for (uint32_t i = 0; i < sched->classes; i++)
     if (!mux_class_racks_grow (sched->class_at[i], sched->racks_allocated,
-                               room))
+                               allocated))
       return false;
-  sched->racks_allocated = room;
+  sched->racks_allocated = allocated;
   return true;
 }
 
@@ -169,15 +169,15 @@
       return w;
   if (sched->workers == sched->workers_allocated)
     {
-      uint32_t room
+      uint32_t allocated
           = sched->workers_allocated < 64 ? 64 : sched->workers_allocated * 2;
-      MuxWorker *worker = realloc (sched->worker, room * sizeof *worker);
+      MuxWorker *worker = realloc (sched->worker, allocated * sizeof *worker);
 
       if (worker == NULL)
         return MUX_NO_WORKER;
       sched->worker = worker;
-      sched->workers_allocated = room;
-      if (!mux_index_grow (sched, room))
+      sched->workers_allocated = allocated;
+      if (!mux_index_grow (sched, allocated))
         return MUX_NO_WORKER;
     }
   return sched->workers++;
--- a/src/policy/classes.c
+++ b/src/policy/classes.c
@@ -37,14 +37,14 @@
 static bool
 grow_classes (MuxSched *sched)
 {
-  uint32_t room
+  uint32_t allocated
       = sched->classes_allocated < 16 ? 16 : sched->classes_allocated * 2;
-  MuxClass **at = realloc (sched->class_at, room * sizeof (MuxClass *));
+  MuxClass **at = realloc (sched->class_at, allocated * sizeof (MuxClass *));
 
   if (at == NULL)
     return false;
   sched->class_at = at;
-  sched->classes_allocated = room;
+  sched->classes_allocated = allocated;
   return true;
 }
 
--- a/src/policy/heap.c
+++ b/src/policy/heap.c
@@ -17,17 +17,17 @@
   if (count <= heap->allocated)
     return true;
 
-  uint32_t room = heap->allocated < 16 ? 16 : heap->allocated;
+  uint32_t allocated = heap->allocated < 16 ? 16 : heap->allocated;
 
-  while (room < count)
-    room *= 2;
+  while (allocated < count)
+    allocated *= 2;
 
-  MuxHeapNode *node = realloc (heap->node, room * sizeof *node);
+  MuxHeapNode *node = realloc (heap->node, allocated * sizeof *node);
 
   if (node == NULL)
     return false;
   heap->node = node;
-  heap->allocated = room;
+  heap->allocated = allocated;
   return true;
 }
 
--- a/src/policy/index.c
+++ b/src/policy/index.c
@@ -4,9 +4,9 @@
 #include <string.h>
 
 #define WORD_BITS 64u
-/* Workers looked at for one that spreads its class over racks and has not
- * just failed it; then the best fit is taken as it is. */
-#define SEARCH_MAX 256u
+/* Scan budget of a search for a worker that also keeps the class spread over
+ * racks and has not recently failed it.  After that, the best fit is taken. */
+#define SCAN_MAX 256u
 
 static uint32_t
 words_for (uint32_t n)
@@ -89,15 +89,15 @@
 }
 
 static bool
-open_for_work (const MuxWorker *worker)
+accepts_work (const MuxWorker *worker)
 {
   return worker->present && worker->usable
          && worker->breaker.state == MUX_BREAKER_CLOSED;
 }
 
-/* Mean share of room left over the resources that the worker has, in levels:
- * taking the lowest level that fits fills workers up, and only the last one
- * starts an idle worker. */
+/* Level of free room: mean share of free room over the dimensions that the
+ * worker has.  Taking the lowest level that fits packs workers, and idle ones,
+ * which are in a level of their own, are used last. */
 static uint32_t
 level_of (const MuxWorker *worker, bool first_fit)
 {
@@ -125,7 +125,7 @@
 {
   MuxWorker *worker = &sched->worker[w];
   MuxIndex *index = &sched->index;
-  bool open = open_for_work (worker);
+  bool open = accepts_work (worker);
   uint32_t level = open ? level_of (worker, sched->tuning.first_fit) : MUX_NONE;
 
   if (level != worker->level)
@@ -158,14 +158,14 @@
       return i;
   if (index->shapes == index->shapes_allocated)
     {
-      uint32_t room
+      uint32_t allocated
           = index->shapes_allocated < 16 ? 16 : index->shapes_allocated * 2;
-      MuxShape *shape = realloc (index->shape, room * sizeof *shape);
+      MuxShape *shape = realloc (index->shape, allocated * sizeof *shape);
 
       if (shape == NULL)
         return MUX_NONE;
       index->shape = shape;
-      index->shapes_allocated = room;
+      index->shapes_allocated = allocated;
     }
   index->shape[index->shapes] = (MuxShape){ 0 };
   return index->shapes++;
@@ -198,7 +198,7 @@
   shape->refs = 1;
   for (uint32_t w = 0; w < sched->workers; w++)
     bits_set (&shape->fits, w,
-              open_for_work (&sched->worker[w])
+              accepts_work (&sched->worker[w])
                   && mux_fits (size, sched->worker[w].free));
   return s;
 }
@@ -209,15 +209,22 @@
   sched->index.shape[shape].refs--;
 }
 
-/* What a search has seen so far. */
+/**
+ * struct Search - state of a search
+ * @skip_reserved: workers of the reservation may not be taken
+ * @rack_limit: tasks of the class booked in a rack at which the rack is
+ *   skipped; 0: none
+ * @scanned: workers that fit but were passed over
+ * @fallback: the first of them, or MUX_NONE
+ */
 typedef struct
 {
   const MuxSched *sched;
   const MuxWorkerQuery *query;
-  bool spare_reservation;
+  bool skip_reserved;
   uint32_t rack_limit;
-  uint32_t seen;
-  uint32_t first;
+  uint32_t scanned;
+  uint32_t fallback;
 } Search;
 
 static bool
@@ -232,7 +239,7 @@
   return !mux_breaker_avoids (search->sched, class, w, search->query->now_ms);
 }
 
-/* Workers of one word that are free for this search. */
+/* Workers of word @k of @level where the class fits and that may be taken. */
 static uint64_t
 candidates (const Search *search, const MuxBits *level, uint32_t k)
 {
@@ -240,7 +247,7 @@
   uint64_t word
       = level->word[k] & index->shape[search->query->class->shape].fits.word[k];
 
-  if (search->spare_reservation)
+  if (search->skip_reserved)
     word &= ~index->reserved.word[k];
   if (search->query->avoid / WORD_BITS == k)
     word &= ~(UINT64_C (1) << (search->query->avoid % WORD_BITS));
@@ -266,18 +273,18 @@
 
             if (suits (search, w))
               return w;
-            if (search->first == MUX_NONE)
-              search->first = w;
-            if (++search->seen >= SEARCH_MAX)
-              return search->first;
+            if (search->fallback == MUX_NONE)
+              search->fallback = w;
+            if (++search->scanned >= SCAN_MAX)
+              return search->fallback;
           }
       }
   return MUX_NONE;
 }
 
-/* What runs on is spread evenly, so that a rack that fails takes only its
- * share.  Requests come and go: of those it takes about twice its share at
- * most, which leaves room for packing. */
+/* Long-running tasks are spread evenly, so that the failure of a rack loses
+ * only its share.  Of requests a rack may have up to about twice its share,
+ * which leaves freedom for packing. */
 static uint32_t
 rack_limit (const MuxSched *sched, const MuxClass *class)
 {
@@ -297,10 +304,10 @@
   const MuxIndex *index = &sched->index;
   Search search = { .sched = sched,
                     .query = query,
-                    .spare_reservation
+                    .skip_reserved
                     = !query->may_use_reserved && index->reserved.count > 0,
                     .rack_limit = rack_limit (sched, query->class),
-                    .first = MUX_NONE };
+                    .fallback = MUX_NONE };
 
   if (index->shape[query->class->shape].fits.count == 0)
     return MUX_NONE;
@@ -314,10 +321,10 @@
       if (w != MUX_NONE)
         return w;
     }
-  return search.first;
+  return search.fallback;
 }
 
-/* What worker @w loses of its room for urgent tasks with @n more of @size. */
+/* How many fewer urgent tasks fit on worker @w with @n more tasks of @size. */
 static uint32_t
 urgent_loss (const MuxSched *sched, uint32_t w, MuxSize size, uint32_t n)
 {
@@ -340,28 +347,28 @@
                          uint64_t *loss)
 {
   const MuxIndex *index = &sched->index;
-  const MuxShape *want = &index->shape[query->class->shape];
-  uint32_t missing = n;
+  const MuxShape *shape = &index->shape[query->class->shape];
+  uint32_t unplaced = n;
 
   *loss = 0;
-  for (uint32_t k = 0; k < index->words && missing > 0; k++)
+  for (uint32_t k = 0; k < index->words && unplaced > 0; k++)
     {
-      uint64_t word = want->fits.word[k];
+      uint64_t word = shape->fits.word[k];
 
       if (!query->may_use_reserved)
         word &= ~index->reserved.word[k];
-      for (; word != 0 && missing > 0; word &= word - 1)
+      for (; word != 0 && unplaced > 0; word &= word - 1)
         {
           uint32_t w = k * WORD_BITS + (uint32_t) __builtin_ctzll (word);
           uint32_t times
-              = mux_size_fit_count (want->size, sched->worker[w].free);
+              = mux_size_fit_count (shape->size, sched->worker[w].free);
 
-          times = times < missing ? times : missing;
-          missing -= times;
-          *loss += urgent_loss (sched, w, want->size, times);
+          times = times < unplaced ? times : unplaced;
+          unplaced -= times;
+          *loss += urgent_loss (sched, w, shape->size, times);
         }
     }
-  return missing == 0;
+  return unplaced == 0;
 }
 
 void
--- a/src/policy/internal.h
+++ b/src/policy/internal.h
@@ -102,7 +102,7 @@
 /** mux_index_find() - returns the worker that fits best, or MUX_NONE */
 uint32_t mux_index_find (const MuxSched *sched, const MuxWorkerQuery *query);
 /** mux_index_fits_together() - returns whether @n tasks fit at the same time
- * @loss: receives an estimate of how many urgent tasks fit less then */
+ * @loss: receives an estimate of how many fewer urgent tasks fit then */
 bool mux_index_fits_together (const MuxSched *sched,
                               const MuxWorkerQuery *query,
                               uint32_t n,
@@ -167,7 +167,7 @@
                          uint32_t w,
                          bool holder);
 /** mux_reserve_allows_loss() - returns whether the reserve stays intact if
- * @loss urgent tasks fit less
+ * @loss fewer urgent tasks fit
  * @holder: the loss is by the task or gang of the reservation */
 bool
 mux_reserve_allows_loss (const MuxSched *sched, uint64_t loss, bool holder);
--- a/src/policy/queue.c
+++ b/src/policy/queue.c
@@ -40,7 +40,8 @@
     sched->task[m].state = MUX_TASK_GATHERING;
 }
 
-/* An incomplete gang has nobody in the queue and starts nothing. */
+/* Removes a member from its gang, which is then incomplete: it leaves the
+ * class's queue and can't start. */
 static void
 leave_gang (MuxSched *sched, uint32_t t)
 {
@@ -89,7 +90,7 @@
       drop_one (sched, t, reason);
       return;
     }
-  /* Without one member the others can never start. */
+  /* A gang with a member missing can never start. */
   while (sched->gang[g].in_use && sched->gang[g].members.head != MUX_NONE)
     drop_one (sched, sched->gang[g].members.head, reason);
 }
--- a/src/policy/reservation.c
+++ b/src/policy/reservation.c
@@ -2,15 +2,15 @@
 
 #include <stdlib.h>
 
-/* A reservation lasts twice its forecast, and at least this long. */
+/* A reservation expires after twice its forecast time plus this. */
 #define RESERVATION_MIN_MS 10000
-/* Wait after which a task that is overdue is looked at again. */
+/* Least time that an overdue task is forecast to go on running. */
 #define OVERDUE_MIN_MS 100
-/* How long tasks may run that backfill a reservation which is blocked
- * otherwise. */
+/* Longest run time of backfill while the reserve or a quota blocks the task of
+ * the reservation although it fits. */
 #define BLOCKED_MS 1000
-/* Workers looked at for a reservation: enough to hold the gang so many times.
- */
+/* Workers considered for a reservation of n tasks: enough to hold
+ * CHOICE_MIN + CHOICE_FACTOR * n tasks when empty. */
 #define CHOICE_FACTOR 2u
 #define CHOICE_MIN 16u
 
@@ -25,8 +25,8 @@
   return x->worker < y->worker ? -1 : x->worker > y->worker;
 }
 
-/* When a running task should end; overdue ones take a quarter longer than
- * they did so far. */
+/* Forecast end of a running task: the 90th percentile of the run times of its
+ * class; past that, a quarter longer than it has run so far. */
 static int64_t
 forecast_end (const MuxSched *sched, const MuxTask *task, int64_t now_ms)
 {
@@ -60,7 +60,8 @@
   res->task = MUX_NONE;
 }
 
-/* One that has left or is distrusted since it was chosen is of no use. */
+/* A worker chosen for the reservation may have left since, or its breaker may
+ * have opened. */
 static bool
 open_worker (const MuxSched *sched, uint32_t w)
 {
@@ -99,10 +100,10 @@
 }
 
 static bool
-workers_room (MuxReservation *res, uint32_t count)
+alloc_workers (MuxReservation *res, uint32_t count)
 {
   uint32_t *workers;
-  MuxSize *left;
+  MuxSize *free_when_ready;
 
   if (count <= res->workers_allocated)
     return true;
@@ -110,34 +111,35 @@
   if (workers == NULL)
     return false;
   res->workers = workers;
-  left = realloc (res->free_when_ready, count * sizeof *left);
-  if (left == NULL)
+  free_when_ready
+      = realloc (res->free_when_ready, count * sizeof *free_when_ready);
+  if (free_when_ready == NULL)
     return false;
-  res->free_when_ready = left;
+  res->free_when_ready = free_when_ready;
   res->workers_allocated = count;
   return true;
 }
 
 static MuxRelease *
-release_room (MuxReservation *res, uint32_t count)
+alloc_releases (MuxReservation *res, uint32_t count)
 {
   MuxRelease *release;
-  uint32_t room = 2 * (count + 1);
+  uint32_t allocated = 2 * (count + 1);
 
   if (count <= res->releases_allocated && res->releases != NULL)
     return res->releases;
-  release = realloc (res->releases, (size_t) room * sizeof *release);
+  release = realloc (res->releases, (size_t) allocated * sizeof *release);
   if (release == NULL)
     return NULL;
   res->releases = release;
-  res->releases_allocated = room;
+  res->releases_allocated = allocated;
   return release;
 }
 
 /*
- * When @n tasks of @class fit together on reservation.workers, if nothing else
- * starts there; INT64_MAX: not to be foreseen.  Leaves in reservation.left what
- * is free on each worker by then.
+ * Time at which @n tasks of @class are forecast to fit together on the first
+ * @count of reservation.workers if nothing else starts there; INT64_MAX: not
+ * known.  Sets reservation.free_when_ready to the room on each worker then.
  */
 static int64_t
 ready_at (MuxSched *sched,
@@ -148,7 +150,7 @@
 {
   MuxReservation *res = &sched->reservation;
   const uint32_t *workers = res->workers;
-  MuxRelease *release = release_room (res, tasks_on (sched, workers, count));
+  MuxRelease *release = alloc_releases (res, tasks_on (sched, workers, count));
   MuxSize *room = res->free_when_ready;
   int64_t ready = now_ms;
   uint64_t fit = 0;
@@ -183,9 +185,12 @@
   return g == MUX_NONE ? 1 : sched->gang[g].task_count;
 }
 
-/* Room for urgent tasks that @n tasks of @class take of @room. */
+/* How many fewer urgent tasks fit into @room with @n tasks of @class. */
 static uint32_t
-need_of (const MuxSched *sched, const MuxClass *class, uint32_t n, MuxSize room)
+urgent_loss (const MuxSched *sched,
+             const MuxClass *class,
+             uint32_t n,
+             MuxSize room)
 {
   MuxSize left = room;
 
@@ -197,7 +202,8 @@
          - mux_size_fit_count (sched->urgent_size, left);
 }
 
-/* Keep of the workers looked at those that take part, the roomiest first. */
+/* Keeps the first of the @count workers that together hold @n tasks of @class
+ * when ready; those with most room come first. */
 static void
 trim (MuxSched *sched, const MuxClass *class, uint32_t n, uint32_t count)
 {
@@ -214,7 +220,7 @@
       times = times < n ? times : n;
       n -= times;
       res->urgent_room_taken
-          += need_of (sched, class, times, res->free_when_ready[i]);
+          += urgent_loss (sched, class, times, res->free_when_ready[i]);
       res->workers[res->count++] = res->workers[i];
     }
 }
@@ -230,7 +236,7 @@
                      : CHOICE_MIN + CHOICE_FACTOR * n;
   uint32_t count;
 
-  if (!workers_room (res, cap))
+  if (!alloc_workers (res, cap))
     return;
   count = mux_index_emptiest (sched, class,
                               (uint64_t) n * CHOICE_FACTOR + CHOICE_MIN,
@@ -247,7 +253,8 @@
     mux_index_set_reserved (sched, res->workers[i], true);
 }
 
-/* The end of stragglers is forecast anew, so that backfill stays possible. */
+/* Updates the forecast, so that backfill stays possible when tasks run longer
+ * than forecast. */
 static void
 refresh (MuxSched *sched, int64_t now_ms)
 {
@@ -256,17 +263,17 @@
 
   res->ready_ms = ready_at (sched, class, unit_count (sched, res->task),
                             res->count, now_ms);
-  /* All fits, yet the reserve or a quota stands in the way: until that is
-   * over, short tasks may use the room. */
+  /* All tasks fit, but the reserve or a quota blocks them: short tasks may use
+   * the room in the meantime. */
   if (res->ready_ms <= now_ms)
     res->ready_ms = now_ms + BLOCKED_MS;
-  /* Its workers can't hold it any more, as some have left. */
+  /* Some workers have left, and the others can't hold it. */
   if (res->ready_ms == INT64_MAX)
     mux_reservation_drop (sched);
 }
 
 static bool
-stands (const MuxSched *sched, int64_t now_ms)
+still_valid (const MuxSched *sched, int64_t now_ms)
 {
   const MuxReservation *res = &sched->reservation;
 
@@ -275,14 +282,14 @@
          && sched->queue_pos[res->task] != MUX_NONE && now_ms < res->expires_ms;
 }
 
-/* Gangs, tasks too large for any gap, and whoever has used up half of its
- * promised wait: without a reservation smaller or more urgent ones would take
- * every gap before them. */
+/* A reservation is due to gangs, to tasks that fit nowhere, and to tasks that
+ * have used up half of their promised wait: smaller or more urgent tasks would
+ * otherwise take all room as it becomes free. */
 static bool
-deserves (const MuxSched *sched,
-          const MuxClass *class,
-          const MuxHeapNode *head,
-          int64_t now_ms)
+qualifies (const MuxSched *sched,
+           const MuxClass *class,
+           const MuxHeapNode *head,
+           int64_t now_ms)
 {
   int64_t half = class->spec.start_within_ms / 2;
 
@@ -295,8 +302,9 @@
          || now_ms >= head->key - half;
 }
 
-/* One at a time, the earliest deadline first: reservations can't wait for each
- * other.  One that expired without success goes behind the others. */
+/* There is one reservation at a time, so that reservations can't deadlock; the
+ * earliest deadline goes first, but a task whose reservation has expired goes
+ * behind the others. */
 static uint32_t
 choose_in (const MuxSched *sched,
            MuxQueueKind kind,
@@ -304,25 +312,25 @@
            int64_t now_ms)
 {
   const MuxHeapNode *best = NULL;
-  uint32_t again = MUX_NONE;
+  uint32_t expired_task = MUX_NONE;
 
   for (uint32_t i = 0; i < sched->classes; i++)
     {
       const MuxClass *class = sched->class_at[i];
       const MuxHeapNode *head = mux_queue_head (class, kind);
 
-      if (!deserves (sched, class, head, now_ms))
+      if (!qualifies (sched, class, head, now_ms))
         continue;
       if (mux_id_equal (sched->task[head->item].id, expired))
-        again = head->item;
+        expired_task = head->item;
       else if (best == NULL || head->key < best->key)
         best = head;
     }
-  return best != NULL ? best->item : again;
+  return best != NULL ? best->item : expired_task;
 }
 
 static bool
-timely_waiting (const MuxSched *sched)
+on_time_waiting (const MuxSched *sched)
 {
   for (uint32_t i = 0; i < sched->classes; i++)
     if (!sched->class_at[i]->urgent
@@ -331,13 +339,14 @@
   return false;
 }
 
-/* A late task must not get by a reservation what the order denies it. */
+/* A late task gets a reservation only if a start is due to late tasks or no
+ * deferrable task is waiting on time, as in the order of placement. */
 static uint32_t
 choose (const MuxSched *sched, MuxId expired, int64_t now_ms)
 {
   uint32_t t = MUX_NONE;
 
-  if (mux_late_share_due (sched) || !timely_waiting (sched))
+  if (mux_late_share_due (sched) || !on_time_waiting (sched))
     t = choose_in (sched, MUX_QUEUE_LATE, expired, now_ms);
   return t != MUX_NONE ? t
                        : choose_in (sched, MUX_QUEUE_ON_TIME, expired, now_ms);
@@ -349,7 +358,7 @@
   MuxId expired = sched->reservation.task_id;
   uint32_t t;
 
-  if (stands (sched, now_ms))
+  if (still_valid (sched, now_ms))
     refresh (sched, now_ms);
   else
     mux_reservation_drop (sched);
--- a/src/policy/reserve.c
+++ b/src/policy/reserve.c
@@ -2,23 +2,24 @@
 
 #include <math.h>
 
-/* Others than urgent may always hold this part of the cell, so that sustained
+/* Deferrable tasks may always hold this part of the cell, so that sustained
  * urgent overload does not starve them. */
 #define FLOOR_PPM 50000u
-/* The promise is aimed at with this much to spare, for errors of the
- * forecast. */
+/* Safety margin for forecast errors: the reserve is sized for a share of late
+ * starts smaller than promised by this factor. */
 #define MISS_MARGIN 4.0
-/* Part of the way down that the reserve_target goes at each tick. */
-#define FALL 0.05
+/* Part of the difference by which reserve_target falls per tick. */
+#define FALL_PER_TICK 0.05
+/* Step and upper bound of the search for beta, in standard deviations. */
 #define BETA_STEP 0.1
 #define BETA_MAX 4.0
 
 /**
- * struct Demand - urgent work forecast
- * @tasks: mean number running at once: arrivals times run time
- * @rate: arrivals per ms
- * @within_ms: the shortest wait promised
- * @miss: the smallest share that may miss it
+ * struct Demand - forecast urgent work
+ * @tasks: mean number of running tasks: arrival rate times mean run time
+ * @rate: arrival rate per ms
+ * @within_ms: shortest promised wait of the urgent classes
+ * @miss: smallest share of starts that may exceed the promised wait
  */
 typedef struct
 {
@@ -60,50 +61,54 @@
 }
 
 /*
- * Room above the mean so that only the share allowed waits longer than
- * promised: those who wait are served at the rate of the room above the mean,
- * so that the chance of a wait falls exponentially with its length.
+ * Headroom above the mean number of running tasks such that no more than the
+ * allowed share of starts exceeds the promised wait.  The number running is
+ * taken as Poisson, with standard deviation sqrt (tasks).  The queue drains at
+ * the rate of the headroom, so the probability of a wait falls exponentially
+ * with its length.
  */
 static double
-swing (const Demand *demand)
+headroom (const Demand *demand)
 {
-  double spread = sqrt (demand->tasks);
-  double turns = demand->within_ms * demand->rate / demand->tasks;
+  double deviation = sqrt (demand->tasks);
+  double wait_in_runs = demand->within_ms * demand->rate / demand->tasks;
   double beta = BETA_STEP;
 
   while (beta < BETA_MAX
-         && mux_wait_probability (beta) * exp (-beta * spread * turns)
+         && mux_wait_probability (beta) * exp (-beta * deviation * wait_in_runs)
                 > demand->miss / MISS_MARGIN)
     beta += BETA_STEP;
-  return beta * spread;
+  return beta * deviation;
 }
 
 void
 mux_reserve_update (MuxSched *sched)
 {
   Demand demand = forecast_demand (sched);
-  double idle = (double) sched->urgent_room_max * sched->cell.idle_ppm / 1e6;
-  double more, want;
+  double idle_max
+      = (double) sched->urgent_room_max * sched->cell.idle_ppm / 1e6;
+  double margin, want;
 
   if (demand.tasks <= 0)
     {
       sched->reserve_target = 0;
       return;
     }
-  /* What is kept above the mean stands idle on average, so that the idle
-   * target of the cell bounds it. */
-  more = swing (&demand);
-  want = demand.tasks + fmin (more, idle);
-  /* Deferrable tasks come in at each dip and stay for long, so the reserve
+  /* The headroom is idle on average, so the cell's target for idle capacity
+   * bounds it. */
+  margin = headroom (&demand);
+  want = demand.tasks + fmin (margin, idle_max);
+  /* Deferrable tasks fill each dip of the target and run long, so the target
    * rises at once and falls slowly. */
-  sched->reserve_target = fmax (
-      want, sched->reserve_target + (want - sched->reserve_target) * FALL);
+  sched->reserve_target
+      = fmax (want, sched->reserve_target
+                        + (want - sched->reserve_target) * FALL_PER_TICK);
 }
 
 static MuxSize
 largest_urgent (const MuxSched *sched)
 {
-  MuxSize most = { 0 };
+  MuxSize largest = { 0 };
 
   for (uint32_t i = 0; i < sched->classes; i++)
     {
@@ -112,12 +117,14 @@
 
       if (!class->configured || !class->urgent)
         continue;
-      most.cpu_milli
-          = size.cpu_milli > most.cpu_milli ? size.cpu_milli : most.cpu_milli;
-      most.mem_mib = size.mem_mib > most.mem_mib ? size.mem_mib : most.mem_mib;
-      most.slots = size.slots > most.slots ? size.slots : most.slots;
+      largest.cpu_milli = size.cpu_milli > largest.cpu_milli
+                              ? size.cpu_milli
+                              : largest.cpu_milli;
+      largest.mem_mib
+          = size.mem_mib > largest.mem_mib ? size.mem_mib : largest.mem_mib;
+      largest.slots = size.slots > largest.slots ? size.slots : largest.slots;
     }
-  return most;
+  return largest;
 }
 
 void
@@ -153,7 +160,7 @@
 {
   double kept = fmax (0, sched->reserve_target - sched->urgent_running);
 
-  /* What the holder is going to take is no spare room for anybody else, be
+  /* Room that the holder is going to take is not spare for other tasks, be
    * it free now or lent to urgent tasks. */
   if (!holder)
     kept += (double) sched->reservation.urgent_room_taken;
--- a/src/policy/risk.c
+++ b/src/policy/risk.c
@@ -5,12 +5,13 @@
 
 #define HORIZON_MS 60000.0
 #define PPM 1e6
-/* What others hold ends in time to be of use to urgent work within this. */
+/* Room of deferrable tasks counts for urgent ones as far as they are forecast
+ * to end within this time. */
 #define RELEASE_MS 5000.0
-/* A smaller rise of the arrivals is taken for noise. */
+/* Relative rise of the arrival rate below which it is taken as noise. */
 #define RISE_MIN 0.15
-/* Starts per ms under which what was seen lately says nothing. */
-#define SEEN_RATE_MIN 0.002
+/* Starts per ms below which the observed share of late ones is ignored. */
+#define OBSERVED_RATE_MIN 0.002
 
 const char *
 mux_risk_cause_name (MuxRiskCause cause)
@@ -23,13 +24,16 @@
 }
 
 /**
- * struct Outlook - what bears on the forecasts of all classes
- * @urgent_rate: urgent arrivals forecast, per ms
- * @urgent_tasks: of them running at once
- * @urgent_waiting: waiting now
- * @urgent_capacity: that could run at once as things are
- * @deferrable_work: resources times ms that the others wait for
- * @deferrable_room: resources left to the others
+ * struct Outlook - demand and capacity, as input to the forecasts of all
+ * classes
+ * @urgent_rate: forecast arrival rate of urgent tasks, per ms
+ * @urgent_tasks: forecast mean number of running urgent tasks
+ * @urgent_waiting: urgent tasks waiting now
+ * @urgent_capacity: urgent tasks that can run at once, with the room that
+ *   deferrable tasks release soon
+ * @deferrable_work: resources times run time in ms of waiting deferrable
+ *   tasks, by MuxDim
+ * @deferrable_room: resources left to deferrable tasks, by MuxDim
  */
 typedef struct
 {
@@ -41,7 +45,7 @@
   double deferrable_room[MUX_DIMS];
 } Outlook;
 
-/* Arrivals go on rising as they do now. */
+/* Forecast arrival rate: a current rise is extrapolated, a fall is not. */
 static double
 rate_ahead (const MuxRate *rate)
 {
@@ -51,7 +55,7 @@
 }
 
 static void
-look_at_class (Outlook *out, const MuxClass *class)
+outlook_add (Outlook *out, const MuxClass *class)
 {
   double rate = rate_ahead (&class->arrivals);
 
@@ -76,7 +80,7 @@
 }
 
 static Outlook
-look (const MuxSched *sched)
+outlook_of (const MuxSched *sched)
 {
   Outlook out = { 0 };
 
@@ -86,14 +90,14 @@
     out.deferrable_room[d] = (double) sched->total[d];
   for (uint32_t i = 0; i < sched->classes; i++)
     if (sched->class_at[i]->configured)
-      look_at_class (&out, sched->class_at[i]);
+      outlook_add (&out, sched->class_at[i]);
   return out;
 }
 
 /*
- * Share of the next minute's urgent starts inside @within.  With less demand
- * than capacity the queue there is drains first; with more it grows until the
- * wait passes what was promised.
+ * Share of the urgent starts of the next HORIZON_MS that wait at most @within.
+ * If demand is below capacity, the present queue drains first; if it is above,
+ * the queue grows until the wait exceeds @within.
  */
 static double
 urgent_share (const Outlook *out, double within)
@@ -144,18 +148,18 @@
 }
 
 /*
- * Share of the queue that starts in time when the queue takes @drain to serve
- * in order: the head has @head left, the tail all of @within, and those
- * between in proportion.
+ * Share of a queue that starts on time if it is served in order and takes
+ * @drain ms.  The head has @head ms left until its start deadline, the tail
+ * all of @within, and those between in proportion.
  */
 static double
 queue_share (double head, double within, double drain)
 {
-  double gain = within - head - drain;
+  double slack = within - head - drain;
 
   if (head >= 0)
-    return gain >= -head ? 1 : head / -gain;
-  return gain <= -head ? 0 : 1 + head / gain;
+    return slack >= -head ? 1 : head / -slack;
+  return slack <= -head ? 0 : 1 + head / slack;
 }
 
 static double
@@ -169,8 +173,9 @@
                       class->spec.start_within_ms, drain);
 }
 
-/* A quota that is used up, or tasks that never end, let nothing through that
- * does not fit now. */
+/* Returns whether nothing of the class starts until something changes: its
+ * quota is used up, or it is long-running, where no room becomes free by
+ * itself, and does not fit now. */
 static bool
 stuck (const MuxSched *sched, const MuxClass *class)
 {
@@ -205,7 +210,7 @@
   return causes[dim];
 }
 
-/* The resource of which least is left, in proportion to what is needed. */
+/* The dimension that the class needs and of which the largest share is used. */
 static MuxDim
 scarcest (const MuxSched *sched, const MuxClass *class)
 {
@@ -250,16 +255,17 @@
 }
 
 static uint32_t
-cut (double n)
+to_uint32 (double n)
 {
   if (n <= 0)
     return 0;
   return n < UINT32_MAX ? (uint32_t) ceil (n) : UINT32_MAX;
 }
 
-/* Capacity with which the forecast would meet the target. */
+/* Estimate of the capacity to add so that the forecast meets the target; for
+ * urgent classes with two standard deviations of headroom. */
 static MuxSize
-cure_of (const MuxClass *class, const Outlook *out)
+shortfall_of (const MuxClass *class, const Outlook *out)
 {
   double within = class->spec.start_within_ms;
   double more[MUX_DIMS];
@@ -274,15 +280,17 @@
                               : out->deferrable_work[d] / within
                                     - out->deferrable_room[d];
     }
-  return (MuxSize){ cut (more[MUX_DIM_CPU]), cut (more[MUX_DIM_MEM]),
-                    cut (more[MUX_DIM_ACCELS]), cut (more[MUX_DIM_SLOTS]) };
+  return (MuxSize){ to_uint32 (more[MUX_DIM_CPU]),
+                    to_uint32 (more[MUX_DIM_MEM]),
+                    to_uint32 (more[MUX_DIM_ACCELS]),
+                    to_uint32 (more[MUX_DIM_SLOTS]) };
 }
 
-/* What was seen of late, where that is enough to say anything. */
+/* Recent share of starts within the promised wait; 1 if there were too few. */
 static double
-seen_share (const MuxClass *class)
+observed_share (const MuxClass *class)
 {
-  if (class->starts.fast < SEEN_RATE_MIN)
+  if (class->starts.fast < OBSERVED_RATE_MIN)
     return 1;
   return fmin (1, class->on_time.fast / class->starts.fast);
 }
@@ -299,14 +307,14 @@
           .queued = class->waiting,
           .p99_wait_ms = mux_hist_quantile (&class->wait_hist, 990000) };
 
-  share = fmin (share, seen_share (class));
+  share = fmin (share, observed_share (class));
   mux_name_copy (risk.class_name, class->spec.name);
   risk.forecast_ppm = (uint32_t) (fmax (0, share) * PPM);
   risk.at_risk = risk.forecast_ppm < risk.target_ppm;
   if (risk.at_risk)
     {
       risk.cause = cause_of (sched, class, out);
-      risk.shortfall = cure_of (class, out);
+      risk.shortfall = shortfall_of (class, out);
     }
   return risk;
 }
@@ -325,10 +333,10 @@
 uint32_t
 mux_sched_risk (MuxSched *sched, int64_t now_ms, MuxRisk *out, uint32_t cap)
 {
-  Outlook outlook = look (sched);
+  Outlook outlook = outlook_of (sched);
   uint32_t n = 0;
 
-  /* Those at risk go first even when not all have room. */
+  /* Two passes, so that classes at risk come first if @cap is too small. */
   for (int pass = 0; pass < 2; pass++)
     for (uint32_t i = 0; i < sched->classes && n < cap; i++)
       {
--- a/src/policy/sched.c
+++ b/src/policy/sched.c
@@ -9,18 +9,19 @@
 static bool
 init (MuxSched *sched)
 {
-  uint32_t room = sched->options.tasks_hint < TASKS_MIN
-                      ? TASKS_MIN
-                      : sched->options.tasks_hint;
-
-  sched->task = calloc (room, sizeof *sched->task);
-  sched->queue_pos = calloc (room, sizeof *sched->queue_pos);
-  sched->expire_pos = calloc (room, sizeof *sched->expire_pos);
-  sched->tasks_allocated = room;
+  uint32_t allocated = sched->options.tasks_hint < TASKS_MIN
+                           ? TASKS_MIN
+                           : sched->options.tasks_hint;
+
+  sched->task = calloc (allocated, sizeof *sched->task);
+  sched->queue_pos = calloc (allocated, sizeof *sched->queue_pos);
+  sched->expire_pos = calloc (allocated, sizeof *sched->expire_pos);
+  sched->tasks_allocated = allocated;
   return sched->task != NULL && sched->queue_pos != NULL
-         && sched->expire_pos != NULL && mux_idmap_init (&sched->task_ids, room)
+         && sched->expire_pos != NULL
+         && mux_idmap_init (&sched->task_ids, allocated)
          && mux_idmap_init (&sched->gang_ids, 0)
-         && mux_heap_reserve (&sched->expire, room)
+         && mux_heap_reserve (&sched->expire, allocated)
          && mux_index_grow (sched, 1);
 }
 
@@ -43,7 +44,7 @@
   sched->reservation.task = MUX_NONE;
   sched->next_probe_ms = INT64_MAX;
   sched->next_tick_ms = INT64_MIN;
-  /* The generator must not start from 0. */
+  /* A xorshift generator must not start from 0. */
   sched->rng_state = options->seed * 2 + 1;
   mux_list_init (&sched->waiting_by_age);
   mux_list_init (&sched->dropped);
@@ -123,7 +124,8 @@
   sched->task[t].class_id = class->id;
   mux_book (sched, t, w, size);
   sched->task[t].started = true;
-  /* When it started is not told; now is near enough for forecasts. */
+  /* Its start is not reported; the current time is close enough for forecasts.
+   */
   sched->task[t].booked_ms
       = sched->next_tick_ms == INT64_MIN ? 0 : sched->next_tick_ms;
   return true;
@@ -140,13 +142,13 @@
 }
 
 static uint32_t
-more_of (uint32_t a, uint32_t b)
+larger (uint32_t a, uint32_t b)
 {
   return a > b ? a : b;
 }
 
-/* A class that declares too little would overload its workers until its first
- * tasks end; what runs is booked with what it is seen to use. */
+/* The booking of a running task grows to its reported usage; otherwise a class
+ * that declares too little would overload workers until its first tasks end. */
 void
 mux_sched_report_usage (MuxSched *sched, MuxId id, MuxSize used)
 {
@@ -161,8 +163,8 @@
       && used.mem_mib <= task->size.mem_mib)
     return;
   mux_rebook (sched, t,
-              (MuxSize){ more_of (used.cpu_milli, task->size.cpu_milli),
-                         more_of (used.mem_mib, task->size.mem_mib),
+              (MuxSize){ larger (used.cpu_milli, task->size.cpu_milli),
+                         larger (used.mem_mib, task->size.mem_mib),
                          task->size.accels, task->size.slots });
 }
 
@@ -198,7 +200,7 @@
 }
 
 static uint32_t
-cut (uint64_t n)
+clamp (uint64_t n)
 {
   return n < UINT32_MAX ? (uint32_t) n : UINT32_MAX;
 }
@@ -206,19 +208,19 @@
 static MuxSize
 size_of (const uint64_t dims[MUX_DIMS])
 {
-  return (MuxSize){ .cpu_milli = cut (dims[MUX_DIM_CPU]),
-                    .mem_mib = cut (dims[MUX_DIM_MEM]),
-                    .accels = cut (dims[MUX_DIM_ACCELS]),
-                    .slots = cut (dims[MUX_DIM_SLOTS]) };
+  return (MuxSize){ .cpu_milli = clamp (dims[MUX_DIM_CPU]),
+                    .mem_mib = clamp (dims[MUX_DIM_MEM]),
+                    .accels = clamp (dims[MUX_DIM_ACCELS]),
+                    .slots = clamp (dims[MUX_DIM_SLOTS]) };
 }
 
 /*
- * Failure: a worker that fails everything is always free.  Told as room, it
- * would draw tasks to its owner, where they wait for a probe while other
- * owners have workers that work.
+ * Free room on workers whose breaker is closed.  A worker that fails everything
+ * is always free; if it were counted, tasks would be sent to its owner and wait
+ * there for a probe while other owners have healthy workers.
  */
 static MuxSize
-trusted_free (const MuxSched *sched)
+available (const MuxSched *sched)
 {
   MuxSize free = size_of (sched->free);
 
@@ -238,7 +240,7 @@
 {
   MuxSchedStats stats = { .total = size_of (sched->total),
                           .free = size_of (sched->free),
-                          .available = trusted_free (sched),
+                          .available = available (sched),
                           .queued = sched->waiting,
                           .booked = sched->booked };
 
@@ -247,7 +249,7 @@
       int64_t wait
           = now_ms - sched->task[sched->waiting_by_age.head].submitted_ms;
 
-      stats.oldest_wait_ms = wait > 0 ? cut ((uint64_t) wait) : 0;
+      stats.oldest_wait_ms = wait > 0 ? clamp ((uint64_t) wait) : 0;
     }
   return stats;
 }
--- a/src/policy/tasks.c
+++ b/src/policy/tasks.c
@@ -5,23 +5,23 @@
 static bool
 grow_tasks (MuxSched *sched)
 {
-  uint32_t room = sched->tasks_allocated * 2;
-  MuxTask *task = realloc (sched->task, room * sizeof *task);
+  uint32_t allocated = sched->tasks_allocated * 2;
+  MuxTask *task = realloc (sched->task, allocated * sizeof *task);
 
   if (task == NULL)
     return false;
   sched->task = task;
 
-  uint32_t *pos = realloc (sched->queue_pos, room * sizeof *pos);
+  uint32_t *pos = realloc (sched->queue_pos, allocated * sizeof *pos);
 
   if (pos == NULL)
     return false;
   sched->queue_pos = pos;
-  pos = realloc (sched->expire_pos, room * sizeof *pos);
+  pos = realloc (sched->expire_pos, allocated * sizeof *pos);
   if (pos == NULL)
     return false;
   sched->expire_pos = pos;
-  sched->tasks_allocated = room;
+  sched->tasks_allocated = allocated;
   return true;
 }
 
@@ -99,13 +99,14 @@
 static bool
 grow_gangs (MuxSched *sched)
 {
-  uint32_t room = sched->gangs_allocated < 16 ? 16 : sched->gangs_allocated * 2;
-  MuxGang *gang = realloc (sched->gang, room * sizeof *gang);
+  uint32_t allocated
+      = sched->gangs_allocated < 16 ? 16 : sched->gangs_allocated * 2;
+  MuxGang *gang = realloc (sched->gang, allocated * sizeof *gang);
 
   if (gang == NULL)
     return false;
   sched->gang = gang;
-  sched->gangs_allocated = room;
+  sched->gangs_allocated = allocated;
   return true;
 }
 
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -321,8 +321,8 @@
  *   until then
  * @expires_ms: when it is given up
  * @tried_gen: MuxSched.room_gen at the last attempt to place it
- * @urgent_room_taken: tasks of MuxSched.urgent_size that fit less once the
- *   task or gang has been placed
+ * @urgent_room_taken: how many fewer tasks of MuxSched.urgent_size fit once
+ *   the task or gang has been placed
  * @free_when_ready: scratch: room on each of @workers at @ready_ms
  * @releases: scratch: forecast ends of the tasks on @workers
  * @releases_allocated: allocated entries of @releases
