--- a/include/model/job.h
+++ b/include/model/job.h
@@ -10,27 +10,27 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Bytes of a job's id with its closing NUL. */
+/* Size of a job id in bytes, with the terminating NUL. */
 #define MUX_JOB_ID_LEN 33
-/* Workers that a stored step names. */
+/* Maximum number of workers in the stored form of a step, MuxStepSpec.named. */
 #define MUX_STEP_NAMED_MAX 100
-/* Most steps of a job: a step names the earlier ones in a 64-bit set. */
+/* Maximum number of steps of a job: dependencies are a 64-bit set. */
 #define MUX_STEPS_MAX 64
-/* Most tasks of one step; over it a single job could fill the daemon's
- * memory.  Far above the widest step of the size to design for. */
+/* Maximum number of tasks of a step, so that a single job can't fill the
+ * daemon's memory; far above the widest step that the design has to support. */
 #define MUX_STEP_TASKS_MAX 4096
-/* Bytes of a job's payload, without its closing NUL. */
+/* Maximum size of a job's payload in bytes, without the terminating NUL. */
 #define MUX_JOB_PAYLOAD_MAX 4000
-/* Furthest time of day of a job, either way; sums of a few stay in 64 bits.  In
- * ms, some 140,000 years. */
+/* Bound of the absolute value of a job's times of day in ms, some 140,000
+ * years: sums of a few of them fit into 64 bits. */
 #define MUX_WALL_MS_MAX (INT64_C (1) << 52)
 
 /**
- * struct MuxApprovalSpec - a policy service decides which workers may run a
- * queue's steps
- * @needed: no task of the queue starts without an approval
- * @base_us: time that the service takes for any question
- * @per_worker_us: and for each worker named in it
+ * struct MuxApprovalSpec - approval of the workers of a queue's steps by the
+ * policy service
+ * @required: no task of the queue starts without an approval
+ * @base_us: time that the service takes for an approval query
+ * @per_worker_us: additional time for each worker in the query
  * @valid_ms: how long the proof of an approval can be presented
  */
 typedef struct
@@ -42,16 +42,16 @@
 } MuxApprovalSpec;
 
 /**
- * struct MuxQueueSpec - a queue of jobs and what its jobs are promised
+ * struct MuxQueueSpec - a queue of jobs and its service level
  * @name: unique among queues
- * @host: HTTP host that its callers name
- * @prefix: begin of the paths of its jobs
+ * @host: HTTP host in the requests of its callers
+ * @prefix: path prefix of its jobs
  * @service: pool of workers that runs its tasks
  * @priority: 0 is the most urgent
- * @attempts_max: failed runs after which a task, and its job, has failed
- * @slack_milli: promised time as a multiple of the job's longest chain of
- *   work, in thousandths
- * @target_ms: added to that
+ * @attempts_max: failed runs after which a task, and thereby its job, fails
+ * @slack_milli: a job is promised to complete within this multiple, in
+ *   thousandths, of the run time of its critical path, plus @target_ms
+ * @target_ms: see @slack_milli
  * @is_public: its callers need no key
  * @approval: see struct MuxApprovalSpec
  */
@@ -70,9 +70,9 @@
 } MuxQueueSpec;
 
 /**
- * struct MuxQueueConfig - the queues in force; one version is never changed
+ * struct MuxQueueConfig - one version of the queue configuration; immutable
  * @version: grows with each change
- * @workspaces: whose keys callers show; owned; NULL: no caller needs a key
+ * @workspaces: workspaces and their keys; owned; NULL: no caller needs a key
  * @count: used entries
  * @item: the queues
  */
@@ -85,27 +85,29 @@
 } MuxQueueConfig;
 
 /**
- * struct MuxStepSpec - tasks of a job that are alike
- * @count: tasks
- * @size: what each needs; its slots count nothing here
- * @estimate_ms: rough run time of one task
+ * struct MuxStepSpec - a step: identical tasks of a job
+ * @count: number of tasks
+ * @size: resources of one task; slots are not used here
+ * @estimate_ms: estimated run time of one task
  * @after: set of earlier steps, by number, whose tasks must all be done first
- * @checkpointing: a run can resume what an earlier one had saved
+ * @checkpointing: a run can resume from what an earlier run saved
  * @gang: the tasks work only while all of them run
- * @rack_sensitive: slower when its tasks run on more than one rack
- * @copies_allowed: a task may run twice at once; the first end counts
+ * @rack_sensitive: slower if its tasks run in more than one rack
+ * @copies_allowed: a task may run twice at the same time; the first end counts
  * @long_running: runs until the job is cancelled, restarted whenever it ends
- * @fills: takes what others leave unused; its processors count nothing, and
- *   it may slow those that serve beside it
- * @tail_target_ms: a long-running task's own users' tail of response times is
- *   to stay under this; 0: it has none
- * @label: that the worker must carry; "": any
- * @data_rack: where it runs fastest; "": anywhere
- * @per_worker_max: most tasks of one occurrence on a worker; 0: no bound
- * @named: workers that a task may have been started on, beside those that the
- *   job's progress names; owned
- * @unavailable_max: tasks of a long-running step that may be away at once
- *   through the scheduler's own doing
+ * @best_effort: uses capacity that others leave idle: its CPUs are not counted
+ *   as booked, and it may slow tasks that serve requests on the same worker
+ * @label: label that the worker must have; "": any worker
+ * @data_rack: rack where it runs fastest; "": no preference
+ * @per_worker_max: maximum number of tasks of one occurrence on a worker; 0:
+ *   unlimited
+ * @unavailable_max: maximum number of tasks of a long-running step that the
+ *   scheduler's own actions may make unavailable at the same time
+ * @tail_target_ms: target for the tail latency that a long-running task gives
+ *   its own users; 0: none
+ * @named_count: used entries of @named
+ * @named: workers on which a task may have been started, besides those in the
+ *   job's stored progress; owned
  */
 typedef struct
 {
@@ -130,15 +132,15 @@
 
 /**
  * struct MuxJobSpec - a job as accepted
- * @id: chosen by the caller; one id, one job
- * @workspace: whose it is; "": it was accepted without a key
- * @queue: the queue as it was when the job was accepted
- * @payload: handed to every task; owned
+ * @id: chosen by the caller, unique
+ * @workspace: workspace it belongs to; "": it was accepted without a key
+ * @queue: the queue as configured when the job was accepted
+ * @payload: passed to every task; owned
  * @accepted_wall_ms: time of day at acceptance
  * @data_centre: of the instance that accepted it; "": not known
- * @first_due_ms: time of day of occurrence 0
- * @repetitions: occurrences; 0: the steps run once, at once
- * @interval_ms: between due times
+ * @first_due_ms: time of day at which occurrence 0 is due
+ * @repetitions: number of occurrences; 0: the steps run once, immediately
+ * @interval_ms: time between two occurrences
  * @step_count: used entries of @step
  * @step: the steps; owned
  */
@@ -158,7 +160,7 @@
 } MuxJobSpec;
 
 /**
- * enum MuxJobState - what a caller is told about its job
+ * enum MuxJobState - state of a job as reported to its caller
  */
 typedef enum
 {
@@ -178,22 +180,26 @@
 bool mux_job_id_valid (const char *id);
 MuxJobSpec *mux_job_new (uint32_t steps);
 void mux_job_free (MuxJobSpec *job);
-/** mux_job_core_ms() - core-time of all its tasks by their estimates, an
- * accelerator as eight cores; INT64_MAX where it is more */
+/** mux_job_core_ms() - returns the estimated core time of all tasks in ms, an
+ * accelerator counted as eight cores; at most INT64_MAX */
 int64_t mux_job_core_ms (const MuxJobSpec *job);
-/** mux_job_check() - what no single field shows; adds to @findings */
+/** mux_job_check() - checks a job's limits and dependencies
+ * @findings: receives what is wrong
+ * Return: false: something is wrong. */
 bool mux_job_check (const MuxJobSpec *job, MuxFindings *findings);
-/** mux_job_to_json() - the form that is stored; NULL: memory is out */
+/** mux_job_to_json() - returns the stored form; NULL: out of memory */
 json_t *mux_job_to_json (const MuxJobSpec *job);
-/** mux_job_from_json() - NULL with @findings when it is no stored job */
+/** mux_job_from_json() - reads the stored form
+ * Return: NULL, with @findings: it is not a valid job. */
 MuxJobSpec *mux_job_from_json (const json_t *json, MuxFindings *findings);
-/** mux_queue_config_new() - with room for so many queues, zeroed
- * Return: NULL when memory is out; so does mux_queue_config_copy(). */
+/** mux_queue_config_new() - allocates a zeroed configuration of @count queues
+ * Return: NULL when out of memory; so does mux_queue_config_copy(). */
 MuxQueueConfig *mux_queue_config_new (uint32_t count);
 MuxQueueConfig *mux_queue_config_copy (const MuxQueueConfig *from);
 void mux_queue_config_free (MuxQueueConfig *config);
-/** mux_queue_find() - the queue of @host with the longest prefix of @path
- * @rest: receives what follows the prefix in @path
+/** mux_queue_find() - finds the queue of @host with the longest matching prefix
+ * of @path
+ * @rest: receives the part of @path after the prefix
  * Return: NULL when there is none. */
 const MuxQueueSpec *mux_queue_find (const MuxQueueConfig *config,
                                     const char *host,
--- a/include/model/spec.h
+++ b/include/model/spec.h
@@ -9,11 +9,11 @@
 #include <stdint.h>
 
 /**
- * struct MuxSize - resources of a worker, or booked for a task
+ * struct MuxSize - resources of a worker or of a task
  * @cpu_milli: thousandths of a processor
  * @mem_mib: memory in MiB
  * @accels: accelerators
- * @slots: tasks that a worker may hold; a task takes 1
+ * @slots: number of tasks that a worker may hold; a task takes 1
  */
 typedef struct
 {
@@ -24,16 +24,17 @@
 } MuxSize;
 
 bool mux_size_fits (MuxSize need, MuxSize free);
+/** mux_size_add() - each field is limited to UINT32_MAX */
 MuxSize mux_size_add (MuxSize a, MuxSize b);
-/** mux_size_sub() - stops at 0 in each field */
+/** mux_size_sub() - each field is at least 0 */
 MuxSize mux_size_sub (MuxSize a, MuxSize b);
 
 /**
- * enum MuxKind - what a class's work is like
+ * enum MuxKind - kind of work of a class
  */
 typedef enum
 {
-  MUX_KIND_SERVICE,      /* a request with an answer, waited for */
+  MUX_KIND_SERVICE,      /* a request whose caller waits for the response */
   MUX_KIND_BATCH,        /* a job of tasks that may start one by one */
   MUX_KIND_GANG,         /* a job whose tasks all start together */
   MUX_KIND_LONG_RUNNING, /* tasks that run until they are cancelled */
@@ -46,12 +47,12 @@
 /**
  * struct MuxClassSpec - a class of work and its targets, set by operators
  * @name: unique among classes
- * @product: the product that answers for it
+ * @product: the product that it belongs to
  * @kind: see enum MuxKind
- * @idempotent: running it twice does no harm (one after the other)
- * @start_within_ms: the promised waiting time
- * @start_share_ppm: share of starts that must meet it, in millionths
- * @size: declared need of one task
+ * @idempotent: running a task twice, one run after the other, does no harm
+ * @start_within_ms: promised wait until the start
+ * @start_share_ppm: promised share of starts within it, in millionths
+ * @size: declared resources of one task
  * @run_ms: declared run time of one task; 0 for long-running
  */
 typedef struct
@@ -67,9 +68,10 @@
 } MuxClassSpec;
 
 /**
- * struct MuxProductSpec - a product and what it may hold at once
+ * struct MuxProductSpec - a product and its quota
  * @name: unique among products
- * @quota: most resources booked for it over the cell; all 0: no bound
+ * @quota: maximum resources booked for it in the whole cell; 0 in a field:
+ *   unlimited
  */
 typedef struct
 {
@@ -79,17 +81,17 @@
 
 /**
  * struct MuxCellSpec - targets of the whole cell
- * @idle_ppm: share of capacity it may pay for while idle, in millionths;
- *   the reserve for urgent work is held inside this
+ * @idle_ppm: share of the capacity that may be kept idle, in millionths; the
+ *   headroom of the reserve for urgent work is limited to it
  */
 typedef struct
 {
   uint32_t idle_ppm;
 } MuxCellSpec;
 
-/* JSON forms.  Readers check every field, add each thing wrong to @findings
- * with @place in front, and return false when there was any; unknown fields
- * are findings too. */
+/* JSON forms.  The readers check every field and reject unknown ones.  Each
+ * error is added to @findings, its place prefixed with @place; they return
+ * false if there was any. */
 json_t *mux_class_to_json (const MuxClassSpec *spec);
 bool mux_class_from_json (const json_t *json,
                           const char *place,
@@ -110,7 +112,7 @@
                          const char *place,
                          MuxSize *size,
                          MuxFindings *findings);
-/** mux_findings_to_json() - [{"place":…,"text":…},…] */
+/** mux_findings_to_json() - returns [{"place":…,"text":…},…] */
 json_t *mux_findings_to_json (const MuxFindings *findings);
 
 #endif
--- a/include/model/workspace.h
+++ b/include/model/workspace.h
@@ -7,13 +7,14 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Workspaces: who may call, and how much each may have running. */
+/* Workspaces: customers with their keys and quotas. */
 
-/* Bytes of a SHA-256 digest. */
+/* Size of a SHA-256 digest in bytes. */
 #define MUX_KEY_DIGEST_LEN 32
 
 /**
- * struct MuxKeyDigest - stands for a key, which is a secret and kept nowhere
+ * struct MuxKeyDigest - SHA-256 digest of a key; the key itself is a secret and
+ * never stored
  */
 typedef struct
 {
@@ -21,7 +22,8 @@
 } MuxKeyDigest;
 
 /**
- * struct MuxQuota - sums over many tasks; in a limit 0 means that there is none
+ * struct MuxQuota - sum of the resources of many tasks, or a limit of such a
+ * sum, where 0 in a field means unlimited
  */
 typedef struct
 {
@@ -33,9 +35,9 @@
 /**
  * struct MuxWorkspaceSpec - a workspace of a configuration
  * @name: unique among workspaces
- * @job_rate_milli: jobs a second, in thousandths, that it may send when all is
- *   full; 0: none was set
- * @quota: what its tasks may hold at all workers together
+ * @job_rate_milli: jobs per second, in thousandths, that it may submit under
+ *   overload; 0: not set
+ * @quota: limit of what its tasks hold at all workers together
  */
 typedef struct
 {
@@ -46,7 +48,8 @@
 
 /**
  * struct MuxWorkspaceKey - one of a workspace's keys
- * @workspace: index of its workspace
+ * @digest: digest of the key
+ * @workspace: index of its workspace in MuxWorkspaces.item
  */
 typedef struct
 {
@@ -59,7 +62,7 @@
  * @count: used entries of @item
  * @item: owned
  * @key_count: used entries of @key
- * @key: in the order of their digests; owned
+ * @key: sorted by digest; owned
  */
 typedef struct
 {
@@ -69,30 +72,32 @@
   MuxWorkspaceKey *key;
 } MuxWorkspaces;
 
-/** mux_workspaces_new() - zeroed, with room for so many of each
- * Return: NULL when memory is out; so does mux_workspaces_copy(). */
+/** mux_workspaces_new() - allocates zeroed entries for @count workspaces and
+ * @key_count keys; both counts are 0
+ * Return: NULL when out of memory; so does mux_workspaces_copy(). */
 MuxWorkspaces *mux_workspaces_new (uint32_t count, uint32_t key_count);
 MuxWorkspaces *mux_workspaces_copy (const MuxWorkspaces *from);
 void mux_workspaces_free (MuxWorkspaces *workspaces);
-/** mux_workspaces_sort() - once all keys are there
- * Return: false: one key stands twice. */
+/** mux_workspaces_sort() - sorts the keys; to be called after the last was
+ * added Return: false: a key occurs twice. */
 bool mux_workspaces_sort (MuxWorkspaces *workspaces);
-/** mux_workspace_of_key() - NULL: the key is nobody's */
+/** mux_workspace_of_key() - finds the workspace of a key; NULL: unknown key */
 const MuxWorkspaceSpec *mux_workspace_of_key (const MuxWorkspaces *workspaces,
                                               const MuxKeyDigest *digest);
 
 MuxQuota mux_quota_add (MuxQuota sum, MuxSize size, uint32_t tasks);
 MuxQuota mux_quota_sub (MuxQuota sum, MuxSize size, uint32_t tasks);
-/** mux_quota_least() - the smaller of both in each dimension */
+/** mux_quota_min() - returns the minimum in each dimension */
 MuxQuota mux_quota_min (MuxQuota a, MuxQuota b);
-/** mux_quota_sum() - of both in each dimension */
+/** mux_quota_sum() - returns the sum in each dimension */
 MuxQuota mux_quota_sum (MuxQuota a, MuxQuota b);
-/** mux_quota_widen() - a limit and so many thousandths more */
+/** mux_quota_raise() - returns @limit raised by @milli thousandths of it */
 MuxQuota mux_quota_raise (MuxQuota limit, uint32_t milli);
-/** mux_quota_fits() - tasks of @size that stay within @limit beside @used
- * Return: UINT32_MAX: any number. */
+/** mux_quota_tasks_left() - returns how many tasks of @size still fit into
+ * @limit when @used is in use; UINT32_MAX: any number */
 uint32_t mux_quota_tasks_left (MuxQuota limit, MuxQuota used, MuxSize size);
-/** mux_quota_share_ppm() - of the dimension that is used most of its limit */
+/** mux_quota_dominant_share_ppm() - returns the share of its limit that is used
+ * of the dimension where that share is largest, in millionths */
 uint32_t mux_quota_dominant_share_ppm (MuxQuota limit, MuxQuota used);
 
 #endif
--- a/src/model/job.c
+++ b/src/model/job.c
@@ -33,7 +33,7 @@
 }
 
 static bool
-id_byte (char c)
+is_id_char (char c)
 {
   return (c >= 'a' && c <= 'z') || (c >= 'A' && c <= 'Z')
          || (c >= '0' && c <= '9') || c == '-';
@@ -47,7 +47,7 @@
   if (len == 0 || len >= MUX_JOB_ID_LEN)
     return false;
   for (size_t i = 0; i < len; i++)
-    if (!id_byte (id[i]))
+    if (!is_id_char (id[i]))
       return false;
   return true;
 }
@@ -111,10 +111,10 @@
 
   snprintf (place, sizeof place, "steps[%" PRIu32 "]", i);
   if (step->count == 0 || step->count > MUX_STEP_TASKS_MAX)
-    mux_findings_add (findings, place, "1 to %d tasks are needed",
+    mux_findings_add (findings, place, "must have 1 to %d tasks",
                       MUX_STEP_TASKS_MAX);
   if (step->after >> i != 0)
-    mux_findings_add (findings, place, "may come after earlier steps alone");
+    mux_findings_add (findings, place, "may depend on earlier steps only");
 }
 
 bool
@@ -123,10 +123,12 @@
   uint32_t before = findings->count;
 
   if (!mux_job_id_valid (job->id))
-    mux_findings_add (findings, "id", "1 to %d of a-z A-Z 0-9 - are needed",
+    mux_findings_add (findings, "id",
+                      "must be 1 to %d characters of a-z A-Z 0-9 -",
                       MUX_JOB_ID_LEN - 1);
   if (job->step_count == 0 || job->step_count > MUX_STEPS_MAX)
-    mux_findings_add (findings, "steps", "1 to %d are needed", MUX_STEPS_MAX);
+    mux_findings_add (findings, "steps", "must have 1 to %d entries",
+                      MUX_STEPS_MAX);
   else
     for (uint32_t i = 0; i < job->step_count; i++)
       check_step (job, i, findings);
@@ -134,7 +136,7 @@
       || job->first_due_ms < -MUX_WALL_MS_MAX)
     mux_findings_add (findings, "first_due_ms", "is out of range");
   if (job->payload != NULL && strlen (job->payload) > MUX_JOB_PAYLOAD_MAX)
-    mux_findings_add (findings, "payload", "at most %d bytes",
+    mux_findings_add (findings, "payload", "must be at most %d bytes",
                       MUX_JOB_PAYLOAD_MAX);
   return findings->count == before;
 }
--- a/src/model/job_json.c
+++ b/src/model/job_json.c
@@ -11,8 +11,9 @@
   return json_object_set_new (object, key, value) == 0;
 }
 
-/* What is 0, false or "" is left out and read back as such: most steps use
- * few of their fields, and each stored byte is paid for. */
+/* Fields that are 0, false or "" are left out of the stored form and read back
+ * as such: most steps use few of their fields, and the store charges by size.
+ */
 static bool
 put_number (json_t *object, const char *key, int64_t value)
 {
@@ -130,21 +131,21 @@
   return NULL;
 }
 
-/* A field that is missing reads as 0, false or "", as which it was left out;
- * one of another type, or too long, is told. */
+/* Readers of optional fields.  A missing field reads as 0, false or ""; one of
+ * another type, out of range or too long is added to @findings. */
 static int64_t
 get_number (const json_t *json,
             const char *key,
-            int64_t least,
-            int64_t most,
+            int64_t min,
+            int64_t max,
             MuxFindings *findings)
 {
   const json_t *value = json_object_get (json, key);
   json_int_t n = json_integer_value (value);
 
-  if (value == NULL || (json_is_integer (value) && n >= least && n <= most))
+  if (value == NULL || (json_is_integer (value) && n >= min && n <= max))
     return n;
-  mux_findings_add (findings, key, "is no whole number in its range");
+  mux_findings_add (findings, key, "must be an integer within its range");
   return 0;
 }
 
@@ -166,7 +167,7 @@
   const json_t *value = json_object_get (json, key);
 
   if (value != NULL && !json_is_string (value))
-    mux_findings_add (findings, key, "is no text");
+    mux_findings_add (findings, key, "must be a string");
   return json_is_string (value) ? json_string_value (value) : "";
 }
 
@@ -177,12 +178,13 @@
           MuxFindings *findings)
 {
   if (!mux_name_copy (name, get_text (json, key, findings)))
-    mux_findings_add (findings, key, "is longer than a name");
+    mux_findings_add (findings, key, "is too long");
 }
 
-/* A name that is lost would be a worker where a run is not looked for. */
+/* An invalid name is an error: if it were skipped, a run on that worker would
+ * not be found. */
 static void
-named_from_json (const json_t *json, MuxStepSpec *step, MuxFindings *findings)
+read_named (const json_t *json, MuxStepSpec *step, MuxFindings *findings)
 {
   const json_t *list = json_object_get (json, "named");
   size_t count = json_array_size (list);
@@ -191,14 +193,14 @@
     return;
   if (!json_is_array (list) || count > MUX_STEP_NAMED_MAX)
     {
-      mux_findings_add (findings, "named", "is no list of %d names at most",
+      mux_findings_add (findings, "named", "must be a list of at most %d names",
                         MUX_STEP_NAMED_MAX);
       return;
     }
   step->named = calloc (count > 0 ? count : 1, sizeof *step->named);
   if (step->named == NULL)
     {
-      mux_findings_add (findings, "named", "memory is out");
+      mux_findings_add (findings, "named", "out of memory");
       return;
     }
   for (size_t i = 0; i < count; i++)
@@ -206,7 +208,8 @@
       const char *name = json_string_value (json_array_get (list, i));
 
       if (name == NULL || !mux_name_copy (step->named[i], name))
-        mux_findings_add (findings, "named", "one is no name");
+        mux_findings_add (findings, "named",
+                          "has an entry that is not a valid name");
     }
   step->named_count = (uint32_t) count;
 }
@@ -215,7 +218,7 @@
 step_from_json (const json_t *json, MuxStepSpec *step, MuxFindings *findings)
 {
   if (!json_is_object (json))
-    mux_findings_add (findings, "steps", "one is no object");
+    mux_findings_add (findings, "steps", "has an entry that is not an object");
   step->count = get_u32 (json, "count", findings);
   step->size.cpu_milli = get_u32 (json, "cpu_milli", findings);
   step->size.mem_mib = get_u32 (json, "mem_mib", findings);
@@ -233,7 +236,7 @@
   step->per_worker_max = get_u32 (json, "per_worker_max", findings);
   step->unavailable_max = get_u32 (json, "unavailable_max", findings);
   step->tail_target_ms = get_u32 (json, "tail_target_ms", findings);
-  named_from_json (json, step, findings);
+  read_named (json, step, findings);
 }
 
 static void
@@ -250,8 +253,8 @@
   queue->approval.per_worker_us
       = get_u32 (json, "approval_per_worker_us", findings);
   queue->approval.valid_ms = get_u32 (json, "approval_valid_ms", findings);
-  /* Every queue has both; without them no task would start, or the job fail at
-   * once. */
+  /* Every queue has both.  Without a service no task would start, and without
+   * attempts the job would fail at once. */
   if (queue->service[0] == 0)
     mux_findings_add (findings, "service", "is missing");
   if (queue->attempts_max == 0)
@@ -259,12 +262,13 @@
 }
 
 static bool
-fill_job (const json_t *json, MuxJobSpec *job, MuxFindings *findings)
+read_job (const json_t *json, MuxJobSpec *job, MuxFindings *findings)
 {
   const json_t *steps = json_object_get (json, "steps");
   const char *id = get_text (json, "id", findings);
 
-  /* Cut, it would be another job's. */
+  /* A truncated id could be that of another job; an id that is too long stays
+   * empty, which mux_job_check() rejects. */
   if (strlen (id) < sizeof job->id)
     snprintf (job->id, sizeof job->id, "%s", id);
   get_name (json, "workspace", job->workspace, findings);
@@ -290,16 +294,17 @@
 
   if (steps == 0 || steps > MUX_STEPS_MAX)
     {
-      mux_findings_add (findings, "steps", "1 to %d are needed", MUX_STEPS_MAX);
+      mux_findings_add (findings, "steps", "must have 1 to %d entries",
+                        MUX_STEPS_MAX);
       return NULL;
     }
   job = mux_job_new ((uint32_t) steps);
   if (job == NULL)
     {
-      mux_findings_add (findings, "job", "memory is out");
+      mux_findings_add (findings, "job", "out of memory");
       return NULL;
     }
-  if (fill_job (json, job, findings) && mux_job_check (job, findings)
+  if (read_job (json, job, findings) && mux_job_check (job, findings)
       && findings->count == 0)
     return job;
   mux_job_free (job);
--- a/src/model/spec_json.c
+++ b/src/model/spec_json.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Bounds of one task's declared need. */
+/* Bounds of the declared resources of one task. */
 #define TASK_CPU_MILLI_MAX 1024000
 #define TASK_MEM_MIB_MAX 16777216
 #define TASK_ACCELS_MAX 64
@@ -15,11 +15,11 @@
 #define PLACE_LEN sizeof ((MuxFinding *) 0)->place
 
 /**
- * struct Uint - one unsigned field of an object and its bounds
- * @key: its name
- * @min: least value
- * @max: greatest value
- * @fallback: value when it is absent, or -1: it must be there
+ * struct Uint - an unsigned field of an object and its bounds
+ * @key: name of the field
+ * @min: smallest valid value
+ * @max: largest valid value
+ * @fallback: value if the field is absent; -1: the field is required
  */
 typedef struct
 {
@@ -56,7 +56,7 @@
   return false;
 }
 
-/* Checks that @json is an object with no field but the @known ones. */
+/* Checks that @json is an object that has no fields other than @known. */
 static bool
 check_object (const json_t *json,
               const char *place,
@@ -163,8 +163,8 @@
   return findings->count + findings->dropped == before;
 }
 
-/* The size of a class: bounded by what one task may need, and always one
- * slot, which is therefore no field. */
+/* Reads the size of a class's tasks.  A task always takes one slot, so there is
+ * no such field. */
 static MuxSize
 read_task_size (const json_t *json, const char *place, MuxFindings *findings)
 {
--- a/src/model/workspace.c
+++ b/src/model/workspace.c
@@ -45,8 +45,8 @@
   free (workspaces);
 }
 
-/* The time that this takes tells of digests alone, from which nobody gets to a
- * key. */
+/* The comparison need not take constant time: its timing reveals bytes of
+ * digests, which do not give away a key. */
 static int
 by_digest (const void *a, const void *b)
 {
@@ -89,7 +89,7 @@
 }
 
 static uint64_t
-less (uint64_t a, uint64_t b)
+subtract (uint64_t a, uint64_t b)
 {
   return a > b ? a - b : 0;
 }
@@ -97,14 +97,14 @@
 MuxQuota
 mux_quota_sub (MuxQuota sum, MuxSize size, uint32_t tasks)
 {
-  sum.cpu_milli = less (sum.cpu_milli, (uint64_t) size.cpu_milli * tasks);
-  sum.mem_mib = less (sum.mem_mib, (uint64_t) size.mem_mib * tasks);
-  sum.accels = less (sum.accels, (uint64_t) size.accels * tasks);
+  sum.cpu_milli = subtract (sum.cpu_milli, (uint64_t) size.cpu_milli * tasks);
+  sum.mem_mib = subtract (sum.mem_mib, (uint64_t) size.mem_mib * tasks);
+  sum.accels = subtract (sum.accels, (uint64_t) size.accels * tasks);
   return sum;
 }
 
 static uint64_t
-least (uint64_t a, uint64_t b)
+min (uint64_t a, uint64_t b)
 {
   return a < b ? a : b;
 }
@@ -112,8 +112,8 @@
 MuxQuota
 mux_quota_min (MuxQuota a, MuxQuota b)
 {
-  return (MuxQuota){ least (a.cpu_milli, b.cpu_milli),
-                     least (a.mem_mib, b.mem_mib), least (a.accels, b.accels) };
+  return (MuxQuota){ min (a.cpu_milli, b.cpu_milli), min (a.mem_mib, b.mem_mib),
+                     min (a.accels, b.accels) };
 }
 
 MuxQuota
@@ -124,7 +124,7 @@
 }
 
 static uint64_t
-widened (uint64_t limit, uint32_t milli)
+raised (uint64_t limit, uint32_t milli)
 {
   return limit + limit * milli / MILLI;
 }
@@ -132,30 +132,30 @@
 MuxQuota
 mux_quota_raise (MuxQuota limit, uint32_t milli)
 {
-  return (MuxQuota){ widened (limit.cpu_milli, milli),
-                     widened (limit.mem_mib, milli),
-                     widened (limit.accels, milli) };
+  return (MuxQuota){ raised (limit.cpu_milli, milli),
+                     raised (limit.mem_mib, milli),
+                     raised (limit.accels, milli) };
 }
 
 static uint32_t
-fits (uint64_t limit, uint64_t used, uint32_t each)
+tasks_left (uint64_t limit, uint64_t used, uint32_t each)
 {
   uint64_t n;
 
   if (limit == 0 || each == 0)
     return UINT32_MAX;
-  n = less (limit, used) / each;
+  n = subtract (limit, used) / each;
   return n < UINT32_MAX ? (uint32_t) n : UINT32_MAX;
 }
 
 uint32_t
 mux_quota_tasks_left (MuxQuota limit, MuxQuota used, MuxSize size)
 {
-  uint32_t cpu = fits (limit.cpu_milli, used.cpu_milli, size.cpu_milli);
-  uint32_t mem = fits (limit.mem_mib, used.mem_mib, size.mem_mib);
-  uint32_t accels = fits (limit.accels, used.accels, size.accels);
+  uint32_t cpu = tasks_left (limit.cpu_milli, used.cpu_milli, size.cpu_milli);
+  uint32_t mem = tasks_left (limit.mem_mib, used.mem_mib, size.mem_mib);
+  uint32_t accels = tasks_left (limit.accels, used.accels, size.accels);
 
-  return (uint32_t) least (cpu, least (mem, accels));
+  return (uint32_t) min (cpu, min (mem, accels));
 }
 
 static uint64_t
