--- a/include/policy/sched.h
+++ b/include/policy/sched.h
@@ -46,6 +46,8 @@
  * booked */
 void mux_sched_class_remove (MuxSched *sched, const char *name);
 bool mux_sched_product_set (MuxSched *sched, const MuxProductSpec *spec);
+/** mux_sched_product_remove() - removes the quota of a product; its classes
+ * stay */
 void mux_sched_product_remove (MuxSched *sched, const char *name);
 void mux_sched_cell_set (MuxSched *sched, const MuxCellSpec *spec);
 /** mux_sched_share_set() - sets this owner's share of the cell's capacity, in
@@ -63,8 +65,8 @@
 /** mux_sched_worker_resize() - changes the capacity; bookings stay */
 void
 mux_sched_worker_resize (MuxSched *sched, uint32_t worker, MuxSize capacity);
-/** mux_sched_worker_set_usable() - false: it gets no new tasks, as it is being
- * drained or its lease is not held */
+/** mux_sched_worker_set_usable() - false: it gets no new tasks, e.g. while it
+ * is drained, unreachable or not held by this owner */
 void
 mux_sched_worker_set_usable (MuxSched *sched, uint32_t worker, bool usable);
 /** mux_sched_worker_remove() - removes a worker and its bookings; the index may
@@ -107,8 +109,9 @@
   uint32_t retry_ms;
 } MuxAdmitResult;
 
-MuxAdmitResult
-mux_sched_submit (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms);
+MuxAdmitResult mux_sched_submit (MuxSched *sched,
+                                 const MuxTaskRequest *request,
+                                 int64_t now_ms);
 /** mux_sched_cancel() - removes a waiting task; mux_sched_next() does not
  * return it
  * Return: false: it is unknown or booked. */
@@ -141,7 +144,7 @@
 
 /** mux_sched_adopt() - books a task that is found running on a worker, even
  * beyond the worker's capacity
- * Return: false: out of memory or no such worker. */
+ * Return: false: out of memory, or there is no such worker. */
 bool mux_sched_adopt (MuxSched *sched,
                       MuxId task,
                       const char *class_name,
--- a/src/policy/admit.c
+++ b/src/policy/admit.c
@@ -34,10 +34,10 @@
 
 static uint32_t
 members_missing (const MuxSched *sched,
-                 const MuxTaskRequest *ask,
+                 const MuxTaskRequest *request,
                  uint32_t count)
 {
-  uint32_t g = mux_idmap_get (&sched->gang_ids, ask->group);
+  uint32_t g = mux_idmap_get (&sched->gang_ids, request->group);
 
   if (g == MUX_NONE)
     return count;
@@ -86,15 +86,15 @@
 }
 
 static MuxReason
-refusal_reason (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
+refusal_reason (MuxSched *sched, const MuxTaskRequest *request, int64_t now_ms)
 {
-  MuxClass *class = mux_class_find (sched, ask->class_name);
-  bool gang = !mux_id_is_none (ask->group);
-  uint32_t count = gang && ask->group_count > 0 ? ask->group_count : 1;
+  MuxClass *class = mux_class_find (sched, request->class_name);
+  bool gang = !mux_id_is_none (request->group);
+  uint32_t count = gang && request->group_count > 0 ? request->group_count : 1;
 
   if (class == NULL || !class->configured)
     return MUX_REASON_UNKNOWN_CLASS;
-  if (mux_idmap_get (&sched->task_ids, ask->task) != MUX_NONE)
+  if (mux_idmap_get (&sched->task_ids, request->task) != MUX_NONE)
     return MUX_REASON_KEY_IN_USE;
   if (sched->present == 0)
     return MUX_REASON_NO_WORKERS;
@@ -102,34 +102,35 @@
     return MUX_REASON_NEVER_FITS;
   if (sched->usable == 0)
     return MUX_REASON_NO_WORKERS;
-  if (ask->expires_ms <= now_ms)
+  if (request->expires_ms <= now_ms)
     return MUX_REASON_DEADLINE;
   if (!queue_has_space (sched, class,
-                        gang ? members_missing (sched, ask, count) : 1))
+                        gang ? members_missing (sched, request, count) : 1))
     return mux_product_within_quota (sched, class, 1) ? MUX_REASON_QUEUE_FULL
                                                       : MUX_REASON_QUOTA;
   if (!sched->tuning.no_forecast
-      && (ask->expires_ms - now_ms < mux_forecast_wait_ms (sched, class, now_ms)
+      && (request->expires_ms - now_ms
+              < mux_forecast_wait_ms (sched, class, now_ms)
           || must_shed (sched, class, now_ms)))
     return overload_reason (sched, class);
   return MUX_REASON_NONE;
 }
 
 static bool
-join_gang (MuxSched *sched, uint32_t t, const MuxTaskRequest *ask)
+join_gang (MuxSched *sched, uint32_t t, const MuxTaskRequest *request)
 {
   MuxTask *task = &sched->task[t];
-  uint32_t wanted = ask->group_count > 0 ? ask->group_count : 1;
-  uint32_t g = mux_idmap_get (&sched->gang_ids, ask->group);
+  uint32_t task_count = request->group_count > 0 ? request->group_count : 1;
+  uint32_t g = mux_idmap_get (&sched->gang_ids, request->group);
 
   if (g == MUX_NONE)
-    g = mux_gang_new (sched, ask->group, wanted, task->class_id);
+    g = mux_gang_new (sched, request->group, task_count, task->class_id);
   if (g == MUX_NONE)
     return false;
 
   MuxGang *gang = &sched->gang[g];
 
-  if (gang->class_id != task->class_id || gang->task_count != wanted
+  if (gang->class_id != task->class_id || gang->task_count != task_count
       || gang->members.count >= gang->task_count)
     return false;
   task->gang = g;
@@ -155,23 +156,23 @@
 }
 
 static bool
-enqueue (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
+enqueue (MuxSched *sched, const MuxTaskRequest *request, int64_t now_ms)
 {
-  uint32_t t = mux_task_new (sched, ask->task);
+  uint32_t t = mux_task_new (sched, request->task);
 
   if (t == MUX_NONE)
     return false;
 
   MuxTask *task = &sched->task[t];
-  MuxClass *class = mux_class_find (sched, ask->class_name);
+  MuxClass *class = mux_class_find (sched, request->class_name);
 
   task->class_id = class->id;
   task->state = MUX_TASK_WAITING;
-  task->start_by_ms = ask->start_by_ms;
-  task->expires_ms = ask->expires_ms;
+  task->start_by_ms = request->start_by_ms;
+  task->expires_ms = request->expires_ms;
   task->submitted_ms = now_ms;
-  task->avoid = ask->avoid;
-  if (!mux_id_is_none (ask->group) && !join_gang (sched, t, ask))
+  task->avoid = request->avoid;
+  if (!mux_id_is_none (request->group) && !join_gang (sched, t, request))
     {
       mux_task_free (sched, t);
       return false;
@@ -202,12 +203,14 @@
 }
 
 MuxAdmitResult
-mux_sched_submit (MuxSched *sched, const MuxTaskRequest *ask, int64_t now_ms)
+mux_sched_submit (MuxSched *sched,
+                  const MuxTaskRequest *request,
+                  int64_t now_ms)
 {
-  MuxReason reason = refusal_reason (sched, ask, now_ms);
-  MuxClass *class = mux_class_find (sched, ask->class_name);
+  MuxReason reason = refusal_reason (sched, request, now_ms);
+  MuxClass *class = mux_class_find (sched, request->class_name);
 
-  if (reason == MUX_REASON_NONE && !enqueue (sched, ask, now_ms))
+  if (reason == MUX_REASON_NONE && !enqueue (sched, request, now_ms))
     reason = MUX_REASON_INTERNAL;
   /* Refused tasks are demand too, for the reserve and the forecasts. */
   if (class != NULL && reason != MUX_REASON_KEY_IN_USE)
--- a/src/policy/decide.c
+++ b/src/policy/decide.c
@@ -60,6 +60,7 @@
     mux_queue_drop (sched, sched->expire.node[0].item, MUX_REASON_DEADLINE);
 }
 
+/* Books task @t on worker @w; emit_placed() reports it. */
 static void
 record_placement (MuxSched *sched, uint32_t t, uint32_t w, int64_t now_ms)
 {
@@ -215,6 +216,8 @@
   return place_alone (sched, class, t, now_ms);
 }
 
+/* Tries to place the holder of the reservation, which goes first, once for each
+ * change of free room. */
 static bool
 place_reserved (MuxSched *sched, int64_t now_ms)
 {
@@ -232,8 +235,9 @@
   return place (sched, sched->class_at[sched->task[t].class_id], t, now_ms);
 }
 
+/* Number of tasks that are placed together with task @t, itself included. */
 static uint32_t
-unit_count (const MuxSched *sched, uint32_t t)
+placed_together (const MuxSched *sched, uint32_t t)
 {
   uint32_t g = sched->task[t].gang;
 
@@ -298,7 +302,7 @@
         continue;
       candidate.key = class->queue[kind].node->key;
       candidate.tier = tier_of (
-          sched, class, unit_count (sched, class->queue[kind].node->item));
+          sched, class, placed_together (sched, class->queue[kind].node->item));
       if (goes_before (&candidate, &best))
         best = candidate;
     }
@@ -352,7 +356,7 @@
   for (uint32_t kind = 0; kind < MUX_QUEUES; kind++)
     while (class->queue[kind].count > 0
            && mux_class_fit_count (sched, class)
-                  < unit_count (sched, class->queue[kind].node->item))
+                  < placed_together (sched, class->queue[kind].node->item))
       mux_queue_drop (sched, class->queue[kind].node->item,
                       MUX_REASON_NEVER_FITS);
 }
--- a/src/policy/internal.h
+++ b/src/policy/internal.h
@@ -51,8 +51,10 @@
 mux_list_add (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t);
 void
 mux_list_drop (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t);
-uint32_t
-mux_gang_new (MuxSched *sched, MuxId group, uint32_t wanted, uint32_t class_id);
+uint32_t mux_gang_new (MuxSched *sched,
+                       MuxId group,
+                       uint32_t task_count,
+                       uint32_t class_id);
 void mux_gang_free (MuxSched *sched, uint32_t g);
 
 /* classes.c: classes and products */
--- a/src/policy/reservation.c
+++ b/src/policy/reservation.c
@@ -177,8 +177,9 @@
   return fit >= n ? ready : INT64_MAX;
 }
 
+/* Number of tasks that are placed together with task @t, itself included. */
 static uint32_t
-unit_count (const MuxSched *sched, uint32_t t)
+placed_together (const MuxSched *sched, uint32_t t)
 {
   uint32_t g = sched->task[t].gang;
 
@@ -230,7 +231,7 @@
 {
   MuxReservation *res = &sched->reservation;
   const MuxClass *class = sched->class_at[sched->task[t].class_id];
-  uint32_t n = unit_count (sched, t);
+  uint32_t n = placed_together (sched, t);
   uint32_t cap = sched->workers < CHOICE_MIN + CHOICE_FACTOR * n
                      ? sched->workers
                      : CHOICE_MIN + CHOICE_FACTOR * n;
@@ -261,7 +262,7 @@
   MuxReservation *res = &sched->reservation;
   const MuxClass *class = sched->class_at[sched->task[res->task].class_id];
 
-  res->ready_ms = ready_at (sched, class, unit_count (sched, res->task),
+  res->ready_ms = ready_at (sched, class, placed_together (sched, res->task),
                             res->count, now_ms);
   /* All tasks fit, but the reserve or a quota blocks them: short tasks may use
    * the room in the meantime. */
@@ -295,7 +296,7 @@
 
   if (head == NULL || class->shape == MUX_NONE
       || !mux_product_within_quota (sched, class,
-                                    unit_count (sched, head->item)))
+                                    placed_together (sched, head->item)))
     return false;
   return sched->task[head->item].gang != MUX_NONE
          || sched->index.shape[class->shape].fits.count == 0
--- a/src/policy/reserve.c
+++ b/src/policy/reserve.c
@@ -87,7 +87,7 @@
   Demand demand = forecast_demand (sched);
   double idle_max
       = (double) sched->urgent_room_max * sched->cell.idle_ppm / 1e6;
-  double margin, want;
+  double margin, target;
 
   if (demand.tasks <= 0)
     {
@@ -97,12 +97,12 @@
   /* The headroom is idle on average, so the cell's target for idle capacity
    * bounds it. */
   margin = headroom (&demand);
-  want = demand.tasks + fmin (margin, idle_max);
+  target = demand.tasks + fmin (margin, idle_max);
   /* Deferrable tasks fill each dip of the target and run long, so the target
    * rises at once and falls slowly. */
   sched->reserve_target
-      = fmax (want, sched->reserve_target
-                        + (want - sched->reserve_target) * FALL_PER_TICK);
+      = fmax (target, sched->reserve_target
+                          + (target - sched->reserve_target) * FALL_PER_TICK);
 }
 
 static MuxSize
--- a/src/policy/tasks.c
+++ b/src/policy/tasks.c
@@ -111,7 +111,10 @@
 }
 
 uint32_t
-mux_gang_new (MuxSched *sched, MuxId group, uint32_t wanted, uint32_t class_id)
+mux_gang_new (MuxSched *sched,
+              MuxId group,
+              uint32_t task_count,
+              uint32_t class_id)
 {
   uint32_t g = sched->gang_free;
 
@@ -126,9 +129,10 @@
     sched->gangs++;
   else
     sched->gang_free = sched->gang[g].task_count;
-  sched->gang[g] = (MuxGang){
-    .group = group, .task_count = wanted, .class_id = class_id, .in_use = true
-  };
+  sched->gang[g] = (MuxGang){ .group = group,
+                              .task_count = task_count,
+                              .class_id = class_id,
+                              .in_use = true };
   mux_list_init (&sched->gang[g].members);
   return g;
 }
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -239,9 +239,8 @@
  * @closed_unprobed: closed because no task could probe it; if it opens again
  *   the back-off goes on from where it was
  * @probe: id of the task that probes it
- * @failing_classes: set of classes, by id modulo 64, whose last task here
- * failed
- * @last_failure_ms: time of the last failure here
+ * @failing_classes: set of classes, by id modulo 64, whose last task failed
+ * @last_failure_ms: time of the last failure
  */
 typedef struct
 {
