--- a/src/policy/booking.c
+++ b/src/policy/booking.c
@@ -97,13 +97,14 @@
 
   mux_breaker_cancel_probe (sched, task);
   change_booked (sched, task, -1);
-  mux_list_drop (sched, &sched->worker[task->worker].tasks, MUX_LINK_WORKER, t);
+  mux_list_remove (sched, &sched->worker[task->worker].tasks, MUX_LINK_WORKER,
+                   t);
   sched->class_at[task->class_id]->booked--;
   sched->booked--;
   sched->room_gen++;
   task->worker = MUX_NONE;
   if (task->unreported)
-    mux_list_drop (sched, &sched->placed, MUX_LINK_MEMBER, t);
+    mux_list_remove (sched, &sched->placed, MUX_LINK_MEMBER, t);
   task->unreported = false;
 }
 
@@ -271,7 +272,7 @@
   /* The index may be reused for another worker, which must not be part of the
    * reservation. */
   if (worker->reserved)
-    mux_reservation_drop (sched);
+    mux_reservation_cancel (sched);
   worker->present = false;
   sched->racks -= --worker->rack->workers == 0;
   sched->present--;
--- a/src/policy/decide.c
+++ b/src/policy/decide.c
@@ -29,7 +29,7 @@
   if (out->reason == MUX_REASON_DEADLINE)
     out->retry_ms = mux_forecast_retry_ms (
         sched, sched->class_at[sched->task[t].class_id], now_ms);
-  mux_list_drop (sched, &sched->dropped, MUX_LINK_MEMBER, t);
+  mux_list_remove (sched, &sched->dropped, MUX_LINK_MEMBER, t);
   mux_task_free (sched, t);
   return true;
 }
@@ -48,7 +48,7 @@
                          .worker = task->worker,
                          .size = task->size,
                          .reason = MUX_REASON_NONE };
-  mux_list_drop (sched, &sched->placed, MUX_LINK_MEMBER, t);
+  mux_list_remove (sched, &sched->placed, MUX_LINK_MEMBER, t);
   task->unreported = false;
   return true;
 }
@@ -69,7 +69,7 @@
   int64_t wait = now_ms - task->submitted_ms;
 
   if (mux_reservation_is_for (sched, t))
-    mux_reservation_drop (sched);
+    mux_reservation_cancel (sched);
   mux_late_count_start (sched, class, task->queue_kind);
   mux_queue_remove (sched, t);
   mux_book (sched, t, w, class->size);
@@ -229,7 +229,7 @@
   res->tried_gen = sched->room_gen;
   if (!mux_reservation_is_for (sched, t) || sched->queue_pos[t] == MUX_NONE)
     {
-      mux_reservation_drop (sched);
+      mux_reservation_cancel (sched);
       return false;
     }
   return place (sched, sched->class_at[sched->task[t].class_id], t, now_ms);
--- a/src/policy/idmap.c
+++ b/src/policy/idmap.c
@@ -89,7 +89,7 @@
 }
 
 void
-mux_idmap_drop (MuxIdMap *map, MuxId id)
+mux_idmap_remove (MuxIdMap *map, MuxId id)
 {
   uint32_t hole = find (map, id);
 
--- a/src/policy/idmap.h
+++ b/src/policy/idmap.h
@@ -34,6 +34,6 @@
 uint32_t mux_idmap_get (const MuxIdMap *map, MuxId id);
 /** mux_idmap_put() - adds @id, which must be absent; false: out of memory */
 bool mux_idmap_put (MuxIdMap *map, MuxId id, uint32_t value);
-void mux_idmap_drop (MuxIdMap *map, MuxId id);
+void mux_idmap_remove (MuxIdMap *map, MuxId id);
 
 #endif
--- a/src/policy/internal.h
+++ b/src/policy/internal.h
@@ -50,7 +50,7 @@
 void
 mux_list_add (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t);
 void
-mux_list_drop (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t);
+mux_list_remove (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t);
 uint32_t mux_gang_new (MuxSched *sched,
                        MuxId group,
                        uint32_t task_count,
@@ -178,7 +178,7 @@
 /** mux_reservation_tick() - refreshes the reservation, or begins one for the
  * task or gang that needs it most */
 void mux_reservation_tick (MuxSched *sched, int64_t now_ms);
-void mux_reservation_drop (MuxSched *sched);
+void mux_reservation_cancel (MuxSched *sched);
 /** mux_reservation_is_for() - returns whether task @t holds the reservation */
 bool mux_reservation_is_for (const MuxSched *sched, uint32_t t);
 /** mux_reservation_may_backfill() - returns whether a task of @class that
--- a/src/policy/learn.c
+++ b/src/policy/learn.c
@@ -23,11 +23,11 @@
 void
 mux_rate_update (MuxRate *rate, double dt_ms)
 {
-  double mean = rate->count / dt_ms;
+  double current = rate->count / dt_ms;
 
   rate->count = 0;
-  rate->fast += (mean - rate->fast) * (1 - exp (-dt_ms / FAST_MS));
-  rate->slow += (mean - rate->slow) * (1 - exp (-dt_ms / SLOW_MS));
+  rate->fast += (current - rate->fast) * (1 - exp (-dt_ms / FAST_MS));
+  rate->slow += (current - rate->slow) * (1 - exp (-dt_ms / SLOW_MS));
 }
 
 double
--- a/src/policy/queue.c
+++ b/src/policy/queue.c
@@ -50,7 +50,7 @@
 
   if (gang->queued)
     gather_again (sched, gang);
-  mux_list_drop (sched, &gang->members, MUX_LINK_MEMBER, t);
+  mux_list_remove (sched, &gang->members, MUX_LINK_MEMBER, t);
   sched->task[t].gang = MUX_NONE;
   if (gang->members.count == 0)
     mux_gang_free (sched, g);
@@ -66,7 +66,7 @@
   unqueue (sched, t);
   if (sched->expire_pos[t] != MUX_NONE)
     mux_heap_remove (&sched->expire, sched->expire_pos, sched->expire_pos[t]);
-  mux_list_drop (sched, &sched->waiting_by_age, MUX_LINK_AGE, t);
+  mux_list_remove (sched, &sched->waiting_by_age, MUX_LINK_AGE, t);
   sched->class_at[task->class_id]->waiting--;
   sched->waiting--;
 }
@@ -103,7 +103,7 @@
   if (t == MUX_NONE || sched->task[t].state == MUX_TASK_BOOKED)
     return false;
   if (sched->task[t].state == MUX_TASK_DROPPING)
-    mux_list_drop (sched, &sched->dropped, MUX_LINK_MEMBER, t);
+    mux_list_remove (sched, &sched->dropped, MUX_LINK_MEMBER, t);
   else
     mux_queue_remove (sched, t);
   mux_task_free (sched, t);
--- a/src/policy/reservation.c
+++ b/src/policy/reservation.c
@@ -49,7 +49,7 @@
 }
 
 void
-mux_reservation_drop (MuxSched *sched)
+mux_reservation_cancel (MuxSched *sched)
 {
   MuxReservation *res = &sched->reservation;
 
@@ -270,7 +270,7 @@
     res->ready_ms = now_ms + BLOCKED_MS;
   /* Some workers have left, and the others can't hold it. */
   if (res->ready_ms == INT64_MAX)
-    mux_reservation_drop (sched);
+    mux_reservation_cancel (sched);
 }
 
 static bool
@@ -362,7 +362,7 @@
   if (still_valid (sched, now_ms))
     refresh (sched, now_ms);
   else
-    mux_reservation_drop (sched);
+    mux_reservation_cancel (sched);
   if (sched->reservation.task != MUX_NONE)
     return;
   if (sched->waiting == 0 || sched->tuning.no_reservation)
--- a/src/policy/sched.c
+++ b/src/policy/sched.c
@@ -115,7 +115,7 @@
   else if (sched->task[t].state == MUX_TASK_BOOKED)
     mux_unbook (sched, t);
   else if (sched->task[t].state == MUX_TASK_DROPPING)
-    mux_list_drop (sched, &sched->dropped, MUX_LINK_MEMBER, t);
+    mux_list_remove (sched, &sched->dropped, MUX_LINK_MEMBER, t);
   else
     mux_queue_remove (sched, t);
   if (t == MUX_NONE)
--- a/src/policy/tasks.c
+++ b/src/policy/tasks.c
@@ -56,7 +56,7 @@
 {
   MuxTask *task = &sched->task[t];
 
-  mux_idmap_drop (&sched->task_ids, task->id);
+  mux_idmap_remove (&sched->task_ids, task->id);
   task->state = MUX_TASK_FREE;
   task->link[MUX_LINK_AGE].next = sched->task_free;
   sched->task_free = t;
@@ -81,7 +81,7 @@
 }
 
 void
-mux_list_drop (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t)
+mux_list_remove (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t)
 {
   MuxLink link = sched->task[t].link[kind];
 
@@ -140,7 +140,7 @@
 void
 mux_gang_free (MuxSched *sched, uint32_t g)
 {
-  mux_idmap_drop (&sched->gang_ids, sched->gang[g].group);
+  mux_idmap_remove (&sched->gang_ids, sched->gang[g].group);
   sched->gang[g].in_use = false;
   sched->gang[g].task_count = sched->gang_free;
   sched->gang_free = g;
--- a/src/policy/types.h
+++ b/src/policy/types.h
@@ -447,7 +447,7 @@
  * @placed: placed tasks not yet returned to the caller
  * @waiting: waiting tasks
  * @booked: booked tasks
- * @late_credit: starts that are due to the late queues
+ * @late_credit: starts due to the late queues; negative: they had too many
  */
 struct MuxSched
 {
