--- a/src/policy/tasks.c
+++ b/src/policy/tasks.c
@@ -5,23 +5,23 @@
 static bool
 grow_tasks (MuxSched *sched)
 {
-  uint32_t room = sched->tasks_allocated * 2;
-  MuxTask *task = realloc (sched->task, room * sizeof *task);
+  uint32_t allocated = sched->tasks_allocated * 2;
+  MuxTask *task = realloc (sched->task, allocated * sizeof *task);
 
   if (task == NULL)
     return false;
   sched->task = task;
 
-  uint32_t *pos = realloc (sched->queue_pos, room * sizeof *pos);
+  uint32_t *pos = realloc (sched->queue_pos, allocated * sizeof *pos);
 
   if (pos == NULL)
     return false;
   sched->queue_pos = pos;
-  pos = realloc (sched->expire_pos, room * sizeof *pos);
+  pos = realloc (sched->expire_pos, allocated * sizeof *pos);
   if (pos == NULL)
     return false;
   sched->expire_pos = pos;
-  sched->tasks_allocated = room;
+  sched->tasks_allocated = allocated;
   return true;
 }
 
@@ -56,7 +56,7 @@
 {
   MuxTask *task = &sched->task[t];
 
-  mux_idmap_drop (&sched->task_ids, task->id);
+  mux_idmap_remove (&sched->task_ids, task->id);
   task->state = MUX_TASK_FREE;
   task->link[MUX_LINK_AGE].next = sched->task_free;
   sched->task_free = t;
@@ -81,7 +81,7 @@
 }
 
 void
-mux_list_drop (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t)
+mux_list_remove (MuxSched *sched, MuxList *list, MuxLinkKind kind, uint32_t t)
 {
   MuxLink link = sched->task[t].link[kind];
 
@@ -99,18 +99,22 @@
 static bool
 grow_gangs (MuxSched *sched)
 {
-  uint32_t room = sched->gangs_allocated < 16 ? 16 : sched->gangs_allocated * 2;
-  MuxGang *gang = realloc (sched->gang, room * sizeof *gang);
+  uint32_t allocated
+      = sched->gangs_allocated < 16 ? 16 : sched->gangs_allocated * 2;
+  MuxGang *gang = realloc (sched->gang, allocated * sizeof *gang);
 
   if (gang == NULL)
     return false;
   sched->gang = gang;
-  sched->gangs_allocated = room;
+  sched->gangs_allocated = allocated;
   return true;
 }
 
 uint32_t
-mux_gang_new (MuxSched *sched, MuxId group, uint32_t wanted, uint32_t class_id)
+mux_gang_new (MuxSched *sched,
+              MuxId group,
+              uint32_t task_count,
+              uint32_t class_id)
 {
   uint32_t g = sched->gang_free;
 
@@ -125,9 +129,10 @@
     sched->gangs++;
   else
     sched->gang_free = sched->gang[g].task_count;
-  sched->gang[g] = (MuxGang){
-    .group = group, .task_count = wanted, .class_id = class_id, .in_use = true
-  };
+  sched->gang[g] = (MuxGang){ .group = group,
+                              .task_count = task_count,
+                              .class_id = class_id,
+                              .in_use = true };
   mux_list_init (&sched->gang[g].members);
   return g;
 }
@@ -135,7 +140,7 @@
 void
 mux_gang_free (MuxSched *sched, uint32_t g)
 {
-  mux_idmap_drop (&sched->gang_ids, sched->gang[g].group);
+  mux_idmap_remove (&sched->gang_ids, sched->gang[g].group);
   sched->gang[g].in_use = false;
   sched->gang[g].task_count = sched->gang_free;
   sched->gang_free = g;
