--- a/include/port/cell.h
+++ b/include/port/cell.h
@@ -8,29 +8,33 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* What the core of stepped jobs asks of the store, of workers and of the
- * policy service, and what comes back.  One call, one reply. */
+/*
+ * Calls of the cell (the scheduling core) to the store, to workers and to the
+ * policy service, with their replies, and callers' requests to the cell.
+ * Every call gets exactly one reply.
+ */
 
-/* Bytes of a part's or row's name: the store takes 200, and a mark that is put
- * behind a name and the closing NUL come to it. */
+/* Bytes of a part's name or a row's key.  The store accepts 200; the rest is
+ * room for a character appended to a key, to go on scanning behind it, and
+ * for the closing NUL. */
 #define MUX_ROW_NAME_LEN 204
-/* Key of the row that holds the configuration in its table. */
+/* Key of the row of MUX_TABLE_CONFIG that holds the configuration. */
 #define MUX_CONFIG_KEY "config"
-/* Bytes of a checkpoint's name or of an approval's proof, with NUL. */
+/* Bytes of a checkpoint's name or an approval's proof with its closing NUL. */
 #define MUX_TOKEN_LEN 72
 
 /**
- * enum MuxCellVerb - what a call does
+ * enum MuxCellVerb - operation of a call
  */
 typedef enum
 {
-  MUX_CELL_COMMIT, /* store: all changes of one part, if every condition holds
-                    */
+  MUX_CELL_COMMIT, /* store: transaction on one part: all changes are made if
+                    * every precondition holds, else none */
   MUX_CELL_SCAN,   /* store: rows of a table and part, in key order */
-  MUX_CELL_FEED,   /* store: what changed in a table since a version */
+  MUX_CELL_FEED,   /* store: wait for changes of a table after a version */
   MUX_CELL_START,  /* worker: start a run of a task */
-  MUX_CELL_STOP,   /* worker: stop a run, or refuse it if it comes later */
-  MUX_CELL_RENEW,  /* worker: extend its lease, list what runs and ended */
+  MUX_CELL_STOP,  /* worker: stop a run; refuse its start if that comes later */
+  MUX_CELL_RENEW, /* worker: extend its lease, list running and ended runs */
   MUX_CELL_QUERY_APPROVAL, /* policy service: which workers may run a step */
 } MuxCellVerb;
 
@@ -40,22 +44,23 @@
 typedef enum
 {
   MUX_TABLE_JOBS,     /* accepted jobs, cancels and, beside them, the claim */
-  MUX_TABLE_PROGRESS, /* ends of a job's tasks so far */
+  MUX_TABLE_PROGRESS, /* by job: which of its tasks have ended, and how */
   MUX_TABLE_ENDED,    /* jobs that have ended */
-  MUX_TABLE_CLAIM,    /* who plans for the cell */
+  MUX_TABLE_CLAIM,    /* the claim: which daemon is the planner */
   MUX_TABLE_FENCE,    /* by part: the claim that may change jobs there */
-  MUX_TABLE_ROSTER,   /* workers that may run something */
-  MUX_TABLE_CONFIG,   /* the operators' queues; read only */
+  MUX_TABLE_ROSTER,   /* workers that may run something of ours */
+  MUX_TABLE_CONFIG,   /* the operators' configuration; read only */
   MUX_TABLE_WORKERS,  /* the platform's list of workers; read only */
   MUX_TABLE_COUNT
 } MuxCellTable;
 
 /**
- * enum MuxChangeKind - what an entry of a commit does
+ * enum MuxChangeKind - operation of one entry of a commit
  */
 typedef enum
 {
-  MUX_CHANGE_EXPECT, /* the row must have this version; 0: must not exist */
+  MUX_CHANGE_EXPECT, /* precondition: the row has this version; 0: it does not
+                      * exist */
   MUX_CHANGE_PUT,
   MUX_CHANGE_REMOVE,
 } MuxChangeKind;
@@ -63,9 +68,9 @@
 /**
  * struct MuxCellChange - an entry of a commit
  * @kind: see enum MuxChangeKind
- * @table: whose row
- * @key: its key inside the part of the commit
- * @version: EXPECT: the version wanted
+ * @table: table of the row
+ * @key: key of the row inside the part of the commit
+ * @version: EXPECT: the version required
  * @value: PUT: new content; holds a reference
  */
 typedef struct
@@ -79,6 +84,10 @@
 
 /**
  * struct MuxTaskRef - one task of a job
+ * @job: id of the job
+ * @occurrence: number of the occurrence
+ * @step: number of the step
+ * @index: number of the task inside the step
  */
 typedef struct
 {
@@ -89,31 +98,33 @@
 } MuxTaskRef;
 
 /**
- * struct MuxCellCall - a call of the core
- * @verb: what to do
- * @call_id: chosen by the core, returned in the reply
+ * struct MuxCellCall - a call of the cell
+ * @verb: operation
+ * @call_id: chosen by the cell, returned in the reply
  * @timeout_ms: for the whole exchange
- * @table: SCAN, FOLLOW
- * @part: COMMIT, SCAN; "" is a part, too
+ * @table: SCAN, FEED
+ * @part: COMMIT, SCAN; "" names a part, too
  * @from: SCAN: first key
- * @to: SCAN: key behind the last; "": to the end
- * @after: FOLLOW: the version known
- * @wait_ms: FOLLOW, RENEW: the answer may wait so long for something new
+ * @to: SCAN: key behind the last one; "": no end
+ * @after: FEED: changes after this version are wanted
+ * @wait_ms: FEED, RENEW: how long the reply may be withheld until there is
+ *   something new to report
  * @change_count: COMMIT: used entries of @change
  * @change: COMMIT; owned
- * @addr: worker's "ip:port"
- * @worker: name of the worker's life that is meant (port/incarnation.h);
- * another id refuses, another life of that id may not
- * @task: START, STOP; APPROVE: its step
- * @run: START, STOP
- * @fence: START, STOP, RENEW: token of the claim
- * @lease_until_ms: START, RENEW: on the worker's clock; 0: not extended
+ * @addr: worker's "ip:port"; "": the call is not to a worker
+ * @worker: name of the worker's incarnation that is meant, see
+ *   port/incarnation.h; a worker with another id refuses the call, another
+ *   incarnation of the same worker may not
+ * @task: START, STOP; QUERY_APPROVAL: the step is meant
+ * @run: START, STOP: number of the run
+ * @fence: START, STOP, RENEW: fencing token of the claim
+ * @lease_expires_ms: START, RENEW: on the worker's clock; 0: not extended
  * @payload: START: holds a reference
- * @checkpoint: START: what to resume; "": nothing
- * @proof: START: of the approval; ""
- * @acked: RENEW: ends up to this number may be forgotten
- * @candidate_count: APPROVE: used entries of @candidate
- * @candidate: APPROVE: lives of workers asked about; owned
+ * @checkpoint: START: what to resume from; "": nothing
+ * @proof: START: proof of the approval; "": none
+ * @acked: RENEW: the worker may forget ends of runs up to this number
+ * @candidate_count: QUERY_APPROVAL: used entries of @candidate
+ * @candidate: QUERY_APPROVAL: incarnations of workers asked about; owned
  */
 typedef struct
 {
@@ -143,22 +154,26 @@
 } MuxCellCall;
 
 /**
- * enum MuxCellStatus - how a call ended
+ * enum MuxCellStatus - result of a call
  */
 typedef enum
 {
   MUX_CELL_OK,
-  MUX_CELL_CONFLICT,     /* COMMIT: a condition did not hold, nothing changed */
-  MUX_CELL_NOT_DONE,     /* certainly without effect; may be tried again */
-  MUX_CELL_UNKNOWN,      /* no answer: it may have, or still get, effect */
-  MUX_CELL_HISTORY_GONE, /* FOLLOW: what came after that version is forgotten */
-  MUX_CELL_OTHER_INCARNATION, /* worker: the life that is meant has ended */
-  MUX_CELL_FENCED,            /* worker: a higher token has been seen */
-  MUX_CELL_OLD_RUN,           /* START: not above a run seen there */
-  MUX_CELL_PAST_DEADLINE,     /* START: past its last moment */
-  MUX_CELL_NO_ROOM,           /* START: it would hold too much */
-  MUX_CELL_PROOF_REFUSED,     /* START: the approval's proof is not taken */
-  MUX_CELL_BAD_REQUEST,       /* the other side called the request wrong */
+  MUX_CELL_CONFLICT, /* COMMIT: a precondition did not hold, nothing was changed
+                      */
+  MUX_CELL_NOT_DONE, /* certainly without effect; may be retried */
+  MUX_CELL_UNKNOWN,  /* no reply: it may have taken effect, or may still */
+  MUX_CELL_HISTORY_GONE, /* FEED: the store no longer has the changes after that
+                            version */
+  MUX_CELL_OTHER_INCARNATION, /* worker: the incarnation that is meant has ended
+                               */
+  MUX_CELL_FENCED,            /* worker: it has seen a higher fencing token */
+  MUX_CELL_OLD_RUN, /* START: the worker has seen this or a later run of the
+                       task */
+  MUX_CELL_PAST_DEADLINE, /* START: arrived after its deadline */
+  MUX_CELL_NO_ROOM,       /* START: the worker has not enough room */
+  MUX_CELL_PROOF_REFUSED, /* START: the proof of the approval is not accepted */
+  MUX_CELL_BAD_REQUEST,   /* the other side rejected the request as malformed */
 } MuxCellStatus;
 
 /**
@@ -168,21 +183,24 @@
 {
   MUX_RUN_DONE,
   MUX_RUN_FAILED,          /* through its own fault or the worker's */
-  MUX_RUN_STOPPED,         /* on our order */
+  MUX_RUN_STOPPED,         /* by a STOP call */
   MUX_RUN_LEASE_EXPIRED,   /* the worker's lease ended */
-  MUX_RUN_GANG_BROKEN,     /* another member of its gang ended */
-  MUX_RUN_GANG_INCOMPLETE, /* the other members of its gang did not come */
+  MUX_RUN_GANG_BROKEN,     /* another task of its gang ended */
+  MUX_RUN_GANG_INCOMPLETE, /* the other tasks of its gang were not started in
+                              time */
 } MuxRunEnd;
 
 /**
  * struct MuxRunReport - a run in a worker's list
- * @task: of which task
- * @run: its number
- * @percent: of its work done; a running one's
- * @usage: thousandths of a processor in use, or a serving task's tail in ms
- * @number: of its end in the worker's list; 0: it runs
- * @end: how it ended
- * @checkpoint: what can be resumed; "": nothing
+ * @task: task that is run
+ * @run: number of the run
+ * @percent: running: share of its work that is done
+ * @usage: running: thousandths of a processor in use; of a task that serves
+ *   requests, the tail of its response times in ms
+ * @end_number: number of its end in the worker's list of ended runs; 0: it is
+ *   running
+ * @end: ended: how
+ * @checkpoint: what a later run can resume from; "": nothing
  */
 typedef struct
 {
@@ -197,16 +215,17 @@
 
 /**
  * struct MuxWorkerInfo - a worker as the platform lists it
- * @id: names it; where @born_ms is told, all its lives
- * @born_ms: when this life began, since 1970 by the worker's clock; 0: not told
- * @service: pool it belongs to
+ * @id: of the worker; its incarnations share it where @started_ms is given
+ * @started_ms: start of this incarnation, in ms since 1970 on the worker's
+ *   clock; 0: not given
+ * @service: pool that it belongs to
  * @addr: "ip:port"
- * @data_centre: where
+ * @data_centre: that it is in
  * @kind: label of its hardware
- * @rack: where inside
- * @capacity: all that it can hold
- * @draining: it will leave and takes no new tasks
- * @leaves_ms: it stays at least so long; 0: not known
+ * @rack: inside the data centre
+ * @capacity: all that its tasks may use together
+ * @draining: it is going to leave and accepts no new tasks
+ * @drain_left_ms: it leaves no earlier than in so many ms; 0: not known
  */
 typedef struct
 {
@@ -223,15 +242,17 @@
 } MuxWorkerInfo;
 
 /**
- * struct MuxCellRow - a row as found
- * @part: its part
- * @key: its key
+ * struct MuxCellRow - a row as read from the store
+ * @part: part of the table
+ * @key: inside the part
+ * @table: table of the row
  * @version: of its last change
- * @removed: FOLLOW: it is gone
- * @value: content; owned; NULL: removed, or none that can be read
- * @config: CONFIG: decoded; owned; NULL: it can't be
- * @worker: WORKERS: decoded; owned; NULL: it can't be
- * @wrong: name of the field that kept it from being decoded; static; NULL: none
+ * @removed: FEED: the row was deleted
+ * @value: content; owned; NULL: deleted or unreadable
+ * @config: CONFIG: the decoded content; owned; NULL: it can't be decoded
+ * @worker: WORKERS: the decoded content; owned; NULL: it can't be decoded
+ * @bad_field: name of the field because of which it can't be decoded; static;
+ *   NULL: none
  */
 typedef struct
 {
@@ -248,8 +269,8 @@
 
 /**
  * struct MuxApproval - a worker that may run the step asked about
- * @worker: its life, as it was asked about
- * @proof: to be shown
+ * @worker: its incarnation, as named in the query
+ * @proof: to be presented to the worker with the start
  */
 typedef struct
 {
@@ -258,22 +279,24 @@
 } MuxApproval;
 
 /**
- * struct MuxCellReply - the end of a call
+ * struct MuxCellReply - result of a call
  * @verb: of the call
  * @call_id: of the call
- * @status: how it ended
- * @version: COMMIT: of the rows written; SCAN, FOLLOW: the newest in the store
- * @store_clock_ms: the store's steady clock; 0: not told
- * @more: SCAN: rows follow behind the last one
+ * @status: see enum MuxCellStatus
+ * @version: COMMIT: of the rows written; SCAN, FEED: the newest in the store
+ * @store_clock_ms: the store's monotonic clock; 0: not given
+ * @more: SCAN: there are more rows behind the last one
  * @row_count: used entries of @row
- * @row: SCAN, FOLLOW: as found; COMMIT: on CONFLICT, those expected; owned
- * @clock_ms: worker's clock when it answered; 0: not told
- * @born_ms: when the life of the worker that answered began; 0: not told
+ * @row: SCAN, FEED: the rows; COMMIT with CONFLICT: the rows of the
+ *   preconditions as they are; owned
+ * @worker_clock_ms: the worker's clock when it replied; 0: not given
+ * @worker_started_ms: start of the incarnation that replied, on the worker's
+ *   clock; 0: not given
  * @report_count: used entries of @report
- * @report: RENEW: what runs and what ended unacknowledged; owned
+ * @report: RENEW: running runs, and ended ones not yet acknowledged; owned
  * @approval_count: used entries of @approval
- * @approval: APPROVE: those who may; owned
- * @valid_ms: APPROVE: how long the proofs are taken
+ * @approval: QUERY_APPROVAL: workers that may run the step; owned
+ * @valid_ms: QUERY_APPROVAL: how long the proofs are accepted
  */
 typedef struct
 {
@@ -294,50 +317,57 @@
   uint32_t valid_ms;
 } MuxCellReply;
 
-/** mux_cell_call_new() - zeroed; NULL: memory is out */
+/** mux_cell_call_new() - allocate a zeroed call
+ * Return: NULL when memory is out. */
 MuxCellCall *mux_cell_call_new (MuxCellVerb verb);
-/** mux_cell_call_changes() - room for @count changes; false: memory is out */
+/** mux_cell_call_alloc_changes() - allocate room for @count changes
+ * Return: false when memory is out. */
 bool mux_cell_call_alloc_changes (MuxCellCall *call, uint32_t count);
 void mux_cell_call_free (MuxCellCall *call);
+/** mux_cell_reply_new() - allocate a reply to @call without content
+ * Return: NULL when memory is out. */
 MuxCellReply *mux_cell_reply_new (const MuxCellCall *call,
                                   MuxCellStatus status);
-/** mux_cell_reply_rows() - room for @count rows; false: memory is out */
+/** mux_cell_reply_alloc_rows() - allocate room for @count rows
+ * Return: false when memory is out. */
 bool mux_cell_reply_alloc_rows (MuxCellReply *reply, uint32_t count);
 void mux_cell_reply_free (MuxCellReply *reply);
 const char *mux_cell_status_name (MuxCellStatus status);
 const char *mux_run_end_name (MuxRunEnd end);
 
-/* Towards the store, workers and the policy service.  The first member of an
- * adapter is its table. */
+/* Adapter to the store, the workers and the policy service.  It is the first
+ * member of the structure that implements it. */
 typedef struct MuxCellPort MuxCellPort;
 struct MuxCellPort
 {
-  /* Takes @call over; exactly one reply follows if and only if it returned
-   * true.  False: its ring is full. */
+  /* Takes ownership of @call.  Returns false, with @call freed, when the call
+   * can't be queued; exactly one reply follows if it returned true, none
+   * otherwise. */
   bool (*call) (MuxCellPort *port, MuxCellCall *call);
   void (*free) (MuxCellPort *port);
 };
 
 /**
- * enum MuxQuestionVerb - what a caller asks
+ * enum MuxRequestVerb - operation of a caller's request
  */
 typedef enum
 {
   MUX_REQUEST_SUBMIT,
-  MUX_REQUEST_QUERY, /* without an id: how many jobs of the queue wait */
+  MUX_REQUEST_QUERY, /* state of a job; without an id in the path, the number
+                      * of jobs of the queue that wait */
   MUX_REQUEST_CANCEL,
 } MuxRequestVerb;
 
 /**
- * struct MuxQuestion - a caller's question
- * @verb: what is asked
- * @call: names the caller who waits
- * @host: that the caller named
- * @path: with the queue's prefix and the job's id
- * @give_up_ms: how long the caller waits
- * @has_key: it shows a key
- * @key: digest of that
- * @job: SUBMIT: without id and queue; owned
+ * struct MuxRequest - a caller's request to the cell
+ * @verb: operation
+ * @call_id: names the caller that waits; returned in the response
+ * @host: host name that the caller addressed
+ * @path: prefix of the queue and id of the job
+ * @timeout_ms: how long the caller waits
+ * @has_key: an API key came with the request
+ * @key: digest of that key
+ * @job: SUBMIT: the job without its id and queue; owned
  */
 typedef struct
 {
@@ -351,34 +381,35 @@
   MuxJobSpec *job;
 } MuxRequest;
 
-void mux_request_free (MuxRequest *question);
+void mux_request_free (MuxRequest *request);
 
 /**
- * enum MuxResponseOutcome - what a caller is answered
+ * enum MuxResponseOutcome - result of a caller's request
  */
 typedef enum
 {
-  MUX_RESPONSE_ACCEPTED,     /* stored; it will be carried out */
-  MUX_RESPONSE_STATE,        /* see @state */
-  MUX_RESPONSE_PENDING,      /* see @pending */
-  MUX_RESPONSE_CANCELLED,    /* the cancel is stored */
-  MUX_RESPONSE_NO_JOB,       /* the store knows no such job */
-  MUX_RESPONSE_NO_QUEUE,     /* no queue of that host and path */
-  MUX_RESPONSE_REFUSED,      /* without effect; come back after @retry_ms */
-  MUX_RESPONSE_UNKNOWN,      /* it may have, or still get, effect */
-  MUX_RESPONSE_BAD_REQUEST,  /* the question itself is wrong */
-  MUX_RESPONSE_UNAUTHORIZED, /* the key that it shows, if any, is nobody's */
-  MUX_RESPONSE_ID_IN_USE,    /* the id is that of another workspace's job */
-  MUX_RESPONSE_OVER_QUOTA,   /* its workspace's quota can never hold it */
+  MUX_RESPONSE_ACCEPTED,  /* the job is stored and will be run */
+  MUX_RESPONSE_STATE,     /* see @state */
+  MUX_RESPONSE_PENDING,   /* see @pending */
+  MUX_RESPONSE_CANCELLED, /* the cancel is stored */
+  MUX_RESPONSE_NO_JOB,    /* the store has no such job */
+  MUX_RESPONSE_NO_QUEUE,  /* no queue of that host and path */
+  MUX_RESPONSE_REFUSED,   /* certainly without effect; retry after @retry_ms */
+  MUX_RESPONSE_UNKNOWN,   /* it may have taken effect, or may still */
+  MUX_RESPONSE_BAD_REQUEST,  /* the request is malformed */
+  MUX_RESPONSE_UNAUTHORIZED, /* no API key, or that of no workspace */
+  MUX_RESPONSE_ID_IN_USE,    /* a job of another workspace has this id */
+  MUX_RESPONSE_OVER_QUOTA,   /* the job needs more than the workspace's whole
+                                quota */
 } MuxResponseOutcome;
 
 /**
- * struct MuxQuestionReply - answer to a caller
- * @call: of the question
+ * struct MuxResponse - response to a caller's request
+ * @call_id: of the request
  * @outcome: see enum MuxResponseOutcome
- * @state: STATE
- * @pending: PENDING: jobs of which no task has started
- * @retry_ms: REFUSED
+ * @state: STATE: of the job
+ * @pending: PENDING: jobs of the queue of which no task has started
+ * @retry_ms: REFUSED: when to retry
  */
 typedef struct
 {
@@ -389,16 +420,16 @@
   uint32_t retry_ms;
 } MuxResponse;
 
-/* What the callers' side needs of the rest of the daemon; any thread may call
- * it. */
+/* What the HTTP front end needs of the rest of the daemon; may be called from
+ * any thread. */
 typedef struct MuxCellBackend MuxCellBackend;
 struct MuxCellBackend
 {
-  /* Takes @question over, waits for its answer. */
+  /* Takes ownership of @request and waits for the response. */
   void (*handle) (MuxCellBackend *backend,
-                  MuxRequest *question,
-                  MuxResponse *reply);
-  /* Callers may be sent here. */
+                  MuxRequest *request,
+                  MuxResponse *response);
+  /* Returns true while callers' requests can be served here. */
   bool (*ready) (MuxCellBackend *backend);
 };
 
--- a/src/port/cell.c
+++ b/src/port/cell.c
@@ -103,10 +103,10 @@
 }
 
 void
-mux_request_free (MuxRequest *question)
+mux_request_free (MuxRequest *request)
 {
-  if (question == NULL)
+  if (request == NULL)
     return;
-  mux_job_free (question->job);
-  free (question);
+  mux_job_free (request->job);
+  free (request);
 }
