--- a/include/port/peer.h
+++ b/include/port/peer.h
@@ -9,86 +9,101 @@
 #include <stdbool.h>
 #include <stdint.h>
 
+/*
+ * Messages between daemons.  The core (core/core.h) uses those up to JOB_HINT:
+ * there a task has a home (the daemon that accepted it and follows it to its
+ * end) and a worker an owner (the daemon that has claimed it and books its
+ * capacity).  The cell (cell/cell.h) uses the rest.
+ */
+
 /**
- * enum MuxPeerVerb - what a message between daemons says
+ * enum MuxPeerVerb - kind of a message between daemons
  */
 typedef enum
 {
-  MUX_PEER_HEARTBEAT,      /* I live, this is my state */
-  MUX_PEER_GRANT_REQUEST,  /* book a place for a task of mine */
-  MUX_PEER_GRANT,          /* booked there */
-  MUX_PEER_GRANT_REFUSED,  /* not booked, for this reason */
-  MUX_PEER_GRANT_CANCEL,   /* the asker no longer wants it */
-  MUX_PEER_GRANT_END,      /* the granted task ended, or never will start */
-  MUX_PEER_TASK_ENDED,     /* owner to home: your task ended, as listed */
-  MUX_PEER_HANDOVER,       /* I gave up my claim on this worker: take it */
+  MUX_PEER_HEARTBEAT,      /* the sender lives; its state */
+  MUX_PEER_GRANT_REQUEST,  /* home to owner: book a place for a task */
+  MUX_PEER_GRANT,          /* owner to home: booked on this worker */
+  MUX_PEER_GRANT_REFUSED,  /* owner to home: not booked, with the reason */
+  MUX_PEER_GRANT_CANCEL,   /* home to owner: no longer wanted */
+  MUX_PEER_GRANT_END,      /* home to owner: the task ended, or never starts */
+  MUX_PEER_TASK_ENDED,     /* owner to home: the worker lists it as ended */
+  MUX_PEER_HANDOVER,       /* the sender released its claim on this worker:
+                            * the receiver should claim it */
   MUX_PEER_CONFIG_HINT,    /* a revision was committed */
-  MUX_PEER_CONFIG_REQUEST, /* send me what you have after this revision */
-  MUX_PEER_CONFIG_ROWS,    /* changes, as JSON, in order */
-  MUX_PEER_BYE,            /* I am stopping */
-  MUX_PEER_MEMBERS,        /* addresses of daemons that I know to live */
-  MUX_PEER_JOB_HINT,       /* the row of this job of yours was changed */
-  MUX_PEER_HELLO,          /* to the planner: I live and can work for you */
-  MUX_PEER_HELLO_REPLY,    /* from the planner: I live and hold the claim */
-  MUX_PEER_JOB_QUERY,      /* to the planner: how is this job, this queue */
-  MUX_PEER_JOB_REPLY,      /* from the planner: so */
-  MUX_PEER_APPROVAL_QUERY, /* from the planner: ask the policy service this */
-  MUX_PEER_APPROVAL_REPLY, /* to the planner: it said so */
+  MUX_PEER_CONFIG_REQUEST, /* send all changes after this revision */
+  MUX_PEER_CONFIG_ROWS,    /* changes in order, as JSON */
+  MUX_PEER_BYE,            /* the sender is stopping */
+  MUX_PEER_MEMBERS,        /* addresses of daemons that the sender holds live */
+  MUX_PEER_JOB_HINT,       /* the stored row of this job of the receiver's has
+                            * changed */
+  MUX_PEER_HELLO,          /* to the planner: the sender is alive and can work
+                            * for it */
+  MUX_PEER_HELLO_REPLY,    /* from the planner: it is alive and holds the
+                            * claim */
+  MUX_PEER_JOB_QUERY,      /* to the planner: state of a job or a queue */
+  MUX_PEER_JOB_REPLY,      /* from the planner */
+  MUX_PEER_APPROVAL_QUERY, /* from the planner: put this approval query to the
+                            * policy service */
+  MUX_PEER_APPROVAL_REPLY, /* to the planner: its result */
   MUX_PEER_SUBMIT_REQUEST, /* to the planner: store this job */
-  MUX_PEER_SUBMIT_REPLY,   /* from the planner: what became of it */
+  MUX_PEER_SUBMIT_REPLY,   /* from the planner: the result */
   MUX_PEER_PROXY_CALL,     /* from the planner: make this call to a worker */
-  MUX_PEER_PROXY_REPLY,    /* to the planner: how it ended */
+  MUX_PEER_PROXY_REPLY,    /* to the planner: its result */
   MUX_PEER_VERB_COUNT
 } MuxPeerVerb;
 
 /**
  * struct MuxPeerMsg - one message between daemons
- * @verb: what it says; the fields beside it are those it uses
+ * @verb: kind; it says which of the other fields are used
  * @from: sending instance
  * @from_dc: its data centre                            (HEARTBEAT)
  * @from_addr: its peer address                         (HEARTBEAT, HELLO, …)
  * @from_incarnation: start of its process, in ms       (all)
- * @to: instance that is meant
+ * @to: receiving instance
  * @revision: configuration in force at the sender      (HEARTBEAT, CONFIG_*)
- * @stopping: it takes no new work                      (HEARTBEAT)
- * @free: what its workers could still hold in all      (HEARTBEAT)
- * @total: what its workers hold in all                 (HEARTBEAT)
+ * @stopping: it accepts no new work                    (HEARTBEAT, HELLO)
+ * @free: room left on its workers together             (HEARTBEAT)
+ * @total: capacity of its workers together             (HEARTBEAT)
  * @largest: most of each resource on any of its workers (HEARTBEAT)
- * @queued: requests that wait at it                    (HEARTBEAT)
- * @oldest_ms: how long the first of them has waited    (HEARTBEAT)
+ * @queued: requests waiting at it                      (HEARTBEAT); jobs of
+ *   the queue that wait                                (JOB_REPLY)
+ * @oldest_ms: how long the oldest of them has waited   (HEARTBEAT)
  * @task: the task meant                                (GRANT_*, TASK_ENDED)
- * @group: gang that the task is part of, or none       (GRANT_ASK)
- * @group_count: tasks of that gang                     (GRANT_ASK)
- * @class_name: its class                               (GRANT_ASK)
- * @start_within_ms: time left until it should start    (GRANT_ASK)
- * @give_up_ms: time left after which it is refused     (GRANT_ASK)
+ * @group: gang that the task is part of, or none       (GRANT_REQUEST)
+ * @group_count: tasks of that gang                     (GRANT_REQUEST)
+ * @class_name: class of the task                       (GRANT_REQUEST)
+ * @start_within_ms: time left until it should start    (GRANT_REQUEST)
+ * @give_up_ms: time left after which it is refused     (GRANT_REQUEST)
  * @worker: worker granted, handed over, or listed      (GRANT, HANDOVER, …)
  * @worker_addr: its address                            (GRANT)
- * @epoch: claim's epoch                                (GRANT, HANDOVER,
- *   WELCOME); of the claim that the sender knows       (HELLO)
- * @incarnation: life of the worker                     (GRANT)
- * @not_after_ms: last moment for the start, worker's clock (GRANT); which
- *   grant is meant (GRANT_END)
+ * @epoch: epoch of the claim                           (GRANT, HANDOVER,
+ *   HELLO_REPLY); of the claim that the sender knows   (HELLO)
+ * @incarnation: of the worker                          (GRANT)
+ * @not_after_ms: deadline of the start, on the worker's clock (GRANT); tells
+ *   which grant is meant                               (GRANT_END)
  * @size: what was booked                               (GRANT)
  * @reason: why refused                                 (GRANT_REFUSED)
- * @retry_ms: when to ask again                         (GRANT_REFUSED,
- *   SUBMIT_TOLD)
+ * @retry_ms: when to retry                             (GRANT_REFUSED,
+ *   SUBMIT_REPLY)
  * @state: how the task ended, a MuxTaskState           (GRANT_END, TASK_ENDED)
  * @ran_ms: how long it ran                             (GRANT_END, TASK_ENDED)
- * @call: question that is asked or answered            (*_ASK, *_TOLD);
- *   number of the greeting                             (HELLO), of the one that
- *   was taken; 0: none                                 (WELCOME)
- * @found: the answer is known                          (*_TOLD)
- * @table_ok: the store serves the sender               (HELLO, WELCOME,
- *   SUBMIT_TOLD)
- * @strength_milli: share of a processor, in thousandths (HELLO)
- * @wall_ms: time of day; 0: not told                  (HELLO); that the cell
- *   goes by                                            (WELCOME)
- * @late_ms: how long what arrives waits at the sender  (WELCOME)
- * @job_state: a MuxJobState                            (JOB_TOLD)
- * @outcome: a MuxResponseOutcome                               (SUBMIT_TOLD)
- * @body: JSON of CONFIG_ROWS, WELCOME, *_ASK and APPROVAL_TOLD, addresses of
- * MEMBERS with blanks between them, or NULL; holds a reference
+ * @call_id: of the request, returned in its reply      (*_QUERY,
+ *   SUBMIT_REQUEST, PROXY_CALL, their *_REPLY); number of the hello (HELLO);
+ *   of the hello that is replied to, 0: it was outdated (HELLO_REPLY)
+ * @found: the request got a result                     (JOB_REPLY,
+ *   APPROVAL_REPLY, PROXY_REPLY)
+ * @table_ok: the sender can use the store              (HELLO, HELLO_REPLY,
+ *   SUBMIT_REPLY)
+ * @cpu_share_milli: sender's share of a processor, in thousandths (HELLO)
+ * @wall_ms: sender's time of day, 0: not given         (HELLO); the one that
+ *   the cell goes by                                   (HELLO_REPLY)
+ * @late_ms: how long what arrives waits at the sender  (HELLO_REPLY)
+ * @job_state: a MuxJobState                            (JOB_REPLY)
+ * @outcome: a MuxResponseOutcome                       (SUBMIT_REPLY)
+ * @body: JSON (CONFIG_ROWS, HELLO_REPLY, *_QUERY, SUBMIT_REQUEST, PROXY_*,
+ *   APPROVAL_REPLY); addresses with blanks between them (MEMBERS); NULL: none;
+ *   holds a reference
  */
 typedef struct
 {
