--- a/include/port/instances.h
+++ b/include/port/instances.h
@@ -7,32 +7,33 @@
 #include <stdint.h>
 
 /**
- * enum MuxInstanceState - an instance on the platform's lagging list
+ * enum MuxInstanceState - state of an instance on the platform's list, which
+ * is behind what really is
  */
 typedef enum
 {
   MUX_INSTANCE_LIVE,
   MUX_INSTANCE_LEAVING,
-  MUX_INSTANCE_GONE, /* it has ended and will not come back as this life */
+  MUX_INSTANCE_GONE, /* this incarnation has ended */
 } MuxInstanceState;
 
 /**
- * enum MuxInstanceRole - what an instance is for
+ * enum MuxInstanceRole - purpose of an instance
  */
 typedef enum
 {
-  MUX_ROLE_ENTRY,  /* runs a daemon of ours */
+  MUX_ROLE_ENTRY,  /* runs a daemon of this scheduler */
   MUX_ROLE_WORKER, /* runs tasks */
 } MuxInstanceRole;
 
 /**
- * struct MuxInstance - one line of the list
- * @name: instance
- * @data_centre: where
- * @rack: where inside
+ * struct MuxInstance - one entry of the list
+ * @name: of the instance
+ * @data_centre: that it is in
+ * @rack: inside the data centre
  * @addr: "ip:port" of its endpoint, or of a daemon's peer socket
- * @state: as listed, late
- * @role: what it is for
+ * @state: as listed
+ * @role: its purpose
  */
 typedef struct
 {
@@ -46,7 +47,7 @@
 
 /**
  * struct MuxInstanceList - the list as last read
- * @changes_only: what it does not name stands as it was
+ * @changes_only: instances that are not listed are unchanged, not gone
  * @count: used entries
  * @item: the instances
  */
--- a/include/port/ports.h
+++ b/include/port/ports.h
@@ -8,8 +8,8 @@
 
 #include <stdbool.h>
 
-/* What an adapter may call from its own threads to hand something to the
- * core.  Each takes over what it is given and returns false, having freed it,
+/* By which adapters hand events to the core, from any thread.  Each function
+ * takes ownership of what it is given; it returns false, having freed that,
  * when the core's ring is full. */
 typedef struct MuxInbox MuxInbox;
 struct MuxInbox
@@ -17,35 +17,38 @@
   bool (*worker_reply) (MuxInbox *inbox, MuxWorkerReply *reply);
   bool (*table_reply) (MuxInbox *inbox, MuxTableReply *reply);
   bool (*peer_msg) (MuxInbox *inbox,
-                    const MuxPeerMsg *msg); /* copies it, refs its body */
+                    const MuxPeerMsg *msg); /* copied, its body referenced */
   bool (*instances) (MuxInbox *inbox, MuxInstanceList *list);
 };
 
-/* Towards workers.  The first member of an adapter is its table. */
+/* Adapter to workers.  It is the first member of the structure that implements
+ * it, as are those below. */
 typedef struct MuxWorkerPort MuxWorkerPort;
 struct MuxWorkerPort
 {
-  /* Copies @call (refs its body), returns at once; exactly one reply follows
-   * if and only if it returned true.  False: its ring is full. */
+  /* Copies @call (references its body) and does not block.  Returns false when
+   * its ring is full; exactly one reply follows if it returned true, none
+   * otherwise. */
   bool (*call) (MuxWorkerPort *port, const MuxWorkerCall *call);
   void (*free) (MuxWorkerPort *port);
 };
 
-/* Towards the platform's table, object store and instance list. */
+/* Adapter to the platform's table, object store and instance list. */
 typedef struct MuxPlatformPort MuxPlatformPort;
 struct MuxPlatformPort
 {
-  /* Takes @call over; exactly one reply follows if and only if it returned
-   * true.  False: its ring is full; @call is freed all the same. */
+  /* Takes ownership of @call.  Returns false, with @call freed, when its ring
+   * is full; exactly one reply follows if it returned true, none otherwise. */
   bool (*call) (MuxPlatformPort *port, MuxTableCall *call);
   void (*free) (MuxPlatformPort *port);
 };
 
-/* Towards other daemons. */
+/* Adapter to other daemons. */
 typedef struct MuxPeerPort MuxPeerPort;
 struct MuxPeerPort
 {
-  /* Copies @msg (refs its body); best effort: may be lost.  False: full. */
+  /* Copies @msg (references its body).  The message may be lost.  Returns
+   * false when its ring is full. */
   bool (*send) (MuxPeerPort *port, const char *addr, const MuxPeerMsg *msg);
   void (*free) (MuxPeerPort *port);
 };
--- a/include/port/table.h
+++ b/include/port/table.h
@@ -8,34 +8,35 @@
 
 /* Bytes of a row's key with its closing NUL. */
 #define MUX_ROW_KEY_LEN 128
-/* Most rows of one transaction, read or scan page. */
+/* Most rows of one transaction, GET or page of a SCAN. */
 #define MUX_ROWS_MAX 128
 
-/* Condition of a put that holds whatever the row's revision is. */
+/* Condition of a put that always holds. */
 #define MUX_REV_ANY UINT64_MAX
 /* Revision of a row that does not exist. */
 #define MUX_REV_ABSENT 0
 
 /**
- * enum MuxTableVerb - what a table call does
+ * enum MuxTableVerb - operation of a table call
  */
 typedef enum
 {
-  MUX_TABLE_TXN,        /* all puts, if every row's condition holds */
+  MUX_TABLE_TXN,        /* all puts if every row's condition holds, else none */
   MUX_TABLE_GET,        /* the rows named */
-  MUX_TABLE_SCAN,       /* rows of a key prefix, in key order, a page */
-  MUX_TABLE_OBJECT_PUT, /* object store: rows[0] names and holds it; without
-                           a value it is deleted */
-  MUX_TABLE_OBJECT_GET, /* object store: rows[0] names it */
+  MUX_TABLE_SCAN,       /* a page of the rows of a key prefix, in key order */
+  MUX_TABLE_OBJECT_PUT, /* object store: write the object rows[0]; delete it
+                           if that has no value */
+  MUX_TABLE_OBJECT_GET, /* object store: read the object that rows[0] names */
 } MuxTableVerb;
 
 /**
- * struct MuxRow - a row to read, check, write, or as found
- * @key: its key
- * @rev: condition of a put (revision it must have, MUX_REV_ABSENT,
- *   MUX_REV_ANY), or the revision as found
- * @value: content; NULL in a TXN deletes when @check_only is false
- * @check_only: TXN: only the condition counts, nothing is written
+ * struct MuxRow - a row to be read, checked or written, or as read
+ * @key: of the row
+ * @rev: condition of a put (the revision that the row must have,
+ *   MUX_REV_ABSENT or MUX_REV_ANY), or the revision as read
+ * @value: content; holds a reference; NULL in a TXN without @check_only:
+ *   delete the row
+ * @check_only: TXN: check the condition, write nothing
  */
 typedef struct
 {
@@ -46,16 +47,17 @@
 } MuxRow;
 
 /**
- * struct MuxTableCall - a call of the core to the platform's stores
+ * struct MuxTableCall - a call of the core to the platform's table or object
+ * store
  * @call_id: chosen by the core, returned in the reply
- * @verb: what to do
- * @timeout_ms: after this the reply is MUX_TABLE_UNKNOWN or _DOWN
+ * @verb: operation
+ * @timeout_ms: after this the reply is MUX_TABLE_UNKNOWN or MUX_TABLE_DOWN
  * @row_count: used rows
  * @limit: SCAN: most rows wanted, up to MUX_ROWS_MAX
  * @rows: TXN: conditions and puts; GET: keys; SCAN: rows[0].key is the
- *   prefix, rows[1].key the last key seen or ""
+ *   prefix, rows[1].key the last key of the page before or ""
  *
- * Whoever frees it drops one reference of each value.
+ * Freeing it drops one reference to each value.
  */
 typedef struct
 {
@@ -68,27 +70,27 @@
 } MuxTableCall;
 
 /**
- * enum MuxTableStatus - how a table call ended
+ * enum MuxTableStatus - result of a table call
  */
 typedef enum
 {
   MUX_TABLE_OK,
-  MUX_TABLE_CONFLICT, /* TXN: nothing written; the rows that failed follow */
+  MUX_TABLE_CONFLICT, /* TXN: nothing was written; see @rows of the reply */
   MUX_TABLE_DOWN,     /* certainly nothing was written */
   MUX_TABLE_UNKNOWN,  /* TXN or OBJECT_PUT: it may have taken effect */
-  MUX_TABLE_BAD,      /* the platform called the request wrong */
+  MUX_TABLE_BAD,      /* the platform rejected the request as malformed */
 } MuxTableStatus;
 
 /**
- * struct MuxTableReply - the end of a table call
+ * struct MuxTableReply - result of a table call
  * @call_id: of the call
  * @verb: of the call
- * @status: how it ended
+ * @status: see enum MuxTableStatus
  * @row_count: used rows
- * @more: SCAN: more rows follow
+ * @more: SCAN: there are more rows behind the last one
  * @rev: TXN: revision given to every row written
- * @rows: GET, SCAN: rows as found (absent rows of a GET have MUX_REV_ABSENT
- *   and no value); CONFLICT: the rows whose condition failed, as found
+ * @rows: GET, SCAN: the rows read (absent rows of a GET have MUX_REV_ABSENT
+ *   and no value); CONFLICT: the rows whose condition failed, as they are
  */
 typedef struct
 {
@@ -101,9 +103,12 @@
   MuxRow rows[];
 } MuxTableReply;
 
-/** mux_table_call_new() - zeroed, with room for @rows; NULL: memory is out */
+/** mux_table_call_new() - allocate a zeroed call with so many rows
+ * Return: NULL when memory is out. */
 MuxTableCall *mux_table_call_new (MuxTableVerb verb, uint32_t rows);
 void mux_table_call_free (MuxTableCall *call);
+/** mux_table_reply_new() - allocate a reply to @call with so many zeroed rows
+ * Return: NULL when memory is out. */
 MuxTableReply *mux_table_reply_new (const MuxTableCall *call,
                                     MuxTableStatus status,
                                     uint32_t rows);
--- a/include/port/worker.h
+++ b/include/port/worker.h
@@ -9,73 +9,76 @@
 #include <stdint.h>
 
 /**
- * enum MuxWorkerVerb - what a call asks of a worker
+ * enum MuxWorkerVerb - operation of a call to a worker
  */
 typedef enum
 {
-  MUX_WORKER_CLAIM,      /* become its owner at a higher epoch; lists tasks */
-  MUX_WORKER_RENEW,      /* keep the lease; lists what changed */
-  MUX_WORKER_START,      /* start a task not seen before */
-  MUX_WORKER_FETCH,      /* state and answer of a task; may wait for its end */
-  MUX_WORKER_FORGET,     /* tombstone unless it was started; tells which */
-  MUX_WORKER_STOP,       /* stop a task; confirmed when it has stopped */
+  MUX_WORKER_CLAIM,  /* become its owner at a higher epoch; returns its tasks */
+  MUX_WORKER_RENEW,  /* renew the lease; returns the tasks that changed */
+  MUX_WORKER_START,  /* start a task that it has not seen before */
+  MUX_WORKER_FETCH,  /* state and result of a task; may wait for its end */
+  MUX_WORKER_FORGET, /* tombstone the task unless it was started; returns its
+                        state */
+  MUX_WORKER_STOP,   /* stop a task; its state in the reply confirms it */
   MUX_WORKER_CHECKPOINT, /* save a task's progress */
   MUX_WORKER_THROTTLE,   /* slow a task down */
-  MUX_WORKER_RELEASE,    /* give the claim up; tasks go on */
+  MUX_WORKER_RELEASE,    /* release the claim; tasks keep running */
 } MuxWorkerVerb;
 
 /**
- * enum MuxTaskState - a task as its worker sees it
+ * enum MuxTaskState - state of a task at its worker
  */
 typedef enum
 {
   MUX_TASK_ABSENT, /* never seen by this incarnation */
   MUX_TASK_RUNNING,
-  MUX_TASK_DONE,      /* ended well; the answer is kept for a while */
-  MUX_TASK_FAILED,    /* ended badly by itself */
-  MUX_TASK_STOPPED,   /* ended by a stop or by its lease's end */
+  MUX_TASK_DONE,      /* succeeded; the result is kept for a while */
+  MUX_TASK_FAILED,    /* failed by itself */
+  MUX_TASK_STOPPED,   /* ended by a STOP call or by the end of its lease */
   MUX_TASK_FORGOTTEN, /* tombstone: never started, never will */
-  MUX_TASK_DONE_GONE, /* ended well; the answer is kept no more */
+  MUX_TASK_DONE_GONE, /* succeeded; the result is no longer kept */
 } MuxTaskState;
 
 /**
- * enum MuxWorkerStatus - how a worker call ended
+ * enum MuxWorkerStatus - result of a call to a worker
  */
 typedef enum
 {
   MUX_WORKER_OK,
-  MUX_WORKER_OLD_EPOCH,       /* refused: a higher epoch holds the worker */
-  MUX_WORKER_OLD_INCARNATION, /* refused: it restarted since */
-  MUX_WORKER_PAST_DEADLINE,   /* refused: past the start's last moment */
-  MUX_WORKER_TOMBSTONE,       /* refused: this start was put down */
-  MUX_WORKER_NO_ROOM,         /* refused: it would hold too much */
-  MUX_WORKER_IS_LEAVING,      /* refused: it is leaving */
-  MUX_WORKER_BAD,             /* the worker called the request wrong */
-  MUX_WORKER_NOT_SENT,        /* certainly never reached the worker */
+  MUX_WORKER_OLD_EPOCH,       /* refused: claimed at a higher epoch */
+  MUX_WORKER_OLD_INCARNATION, /* refused: the worker was restarted since */
+  MUX_WORKER_PAST_DEADLINE,   /* refused: past the deadline of the start */
+  MUX_WORKER_TOMBSTONE,       /* refused: the task has a tombstone */
+  MUX_WORKER_NO_ROOM,         /* refused: the worker has not enough room */
+  MUX_WORKER_IS_LEAVING,      /* refused: the worker is leaving */
+  MUX_WORKER_BAD,             /* the worker rejected the request as malformed */
+  MUX_WORKER_NOT_SENT,        /* certainly not received by the worker */
   MUX_WORKER_NO_ANSWER,       /* may have taken effect */
 } MuxWorkerStatus;
 
 /**
  * struct MuxWorkerCall - a call of the core to a worker
  * @call_id: chosen by the core, returned in the reply
- * @verb: what to do
- * @worker: its name
+ * @verb: operation
+ * @worker: name of the worker
  * @addr: its "ip:port"
- * @owner: the claiming instance
- * @epoch: claim's number; START: epoch of the grant; 0 is not checked
- *   (FETCH, FORGET and STOP speak of a task, not of the claim)
- * @incarnation: life of the worker that is meant; 0 is not checked
- * @lease_ms: CLAIM, RENEW: the lease from now on, on the worker's clock
- * @cursor: RENEW: change number up to which changes are known
+ * @owner: the instance that claims or has claimed it
+ * @epoch: of the claim; START: of the grant; 0: not checked (FETCH, FORGET and
+ *   STOP are about a task, whoever has claimed the worker)
+ * @incarnation: of the worker that is meant; 0: not checked
+ * @lease_ms: CLAIM, RENEW: length of the lease from its arrival, on the
+ *   worker's clock
+ * @cursor: RENEW: number of the last change known
  * @task: the task meant
- * @not_after_ms: START: refuse after this, on the worker's own clock; 0: none
- * @timeout_ms: give up and reply NO_ANSWER after this
- * @wait_ms: START, FETCH: answer when the task has ended, at most so long
+ * @not_after_ms: START: deadline on the worker's clock; 0: none
+ * @timeout_ms: the reply is NO_ANSWER after this
+ * @wait_ms: START, FETCH: withhold the reply until the task has ended, at most
+ *   so long
  * @class_name: START: label
- * @home: START: label: instance that minds the task
+ * @home: START: label: instance that accepted the task and follows it
  * @kind: START: label
- * @size: START: what it may use
- * @run_ms: START: declared run time
+ * @size: START: what the task may use
+ * @run_ms: START: run time as declared
  * @body: START: input; holds a reference
  */
 typedef struct
@@ -103,13 +106,13 @@
 
 /**
  * struct MuxTaskReport - one task in a worker's list
- * @task: its id
- * @state: as the worker sees it
+ * @task: id of the task
+ * @state: at the worker
  * @class_name: label of its start
  * @home: label of its start
  * @kind: label of its start
- * @size: what was booked by its start
- * @used: what it was seen to use, with the platform's lag
+ * @size: what its start booked
+ * @used: what it was measured to use, some time ago
  * @ran_ms: how long it has run, or ran
  */
 typedef struct
@@ -125,23 +128,24 @@
 } MuxTaskReport;
 
 /**
- * struct MuxWorkerReply - the end of a worker call
+ * struct MuxWorkerReply - result of a call to a worker
  * @call_id: of the call
  * @verb: of the call
- * @status: how it ended
- * @worker: its name
- * @incarnation: the life that answered; 0 when none did
- * @epoch: highest epoch that the worker knows
+ * @status: see enum MuxWorkerStatus
+ * @worker: name of the worker
+ * @incarnation: of the worker that replied; 0: none did
+ * @epoch: highest epoch at which the worker was claimed
  * @owner: who claimed it at that epoch, or ""
- * @worker_now_ms: its clock when it answered
- * @capacity: CLAIM, RENEW: what it can hold
- * @leaving: it will go and takes no starts
- * @cursor: CLAIM, RENEW: change number of this list
+ * @worker_clock_ms: its clock when it replied
+ * @capacity: CLAIM, RENEW: all that its tasks may use together
+ * @leaving: it is going to leave and accepts no starts
+ * @cursor: CLAIM, RENEW: number of the last change in this list
  * @state: START, FETCH, FORGET, STOP: the task's state now
  * @ran_ms: of that task
- * @result: answer of a task that is DONE or FAILED; holds a reference
+ * @result: output of a task that is DONE or FAILED; holds a reference
  * @report_count: used reports
- * @reports: CLAIM: every running task; RENEW: tasks changed after the cursor
+ * @reports: CLAIM: all running tasks; RENEW: tasks changed after the cursor of
+ *   the call
  */
 typedef struct
 {
@@ -163,12 +167,15 @@
   MuxTaskReport reports[];
 } MuxWorkerReply;
 
-/** mux_worker_reply_new() - zeroed reply to @call; NULL: memory is out */
+/** mux_worker_reply_new() - allocate a zeroed reply to @call
+ * Return: NULL when memory is out. */
 MuxWorkerReply *mux_worker_reply_new (const MuxWorkerCall *call,
                                       MuxWorkerStatus status,
                                       uint32_t reports);
 void mux_worker_reply_free (MuxWorkerReply *reply);
 const char *mux_task_state_name (MuxTaskState state);
+/** mux_task_state_parse() - read the name of a state
+ * Return: false when @text is none. */
 bool mux_task_state_parse (const char *text, MuxTaskState *state);
 
 #endif
