--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -4,63 +4,70 @@
 #include "cell_types.h"
 
 /* call.c: calls and their replies. */
-/** cell_message() - to the daemon @to, with what every message has */
+/** cell_message() - a message to daemon @to with the sender's fields filled in
+ */
 MuxPeerMsg cell_message (const MuxCell *cell, MuxPeerVerb verb, const char *to);
-/** cell_ask_number() - of what a peer is asked for a caller, not given by any
- * other process */
-uint64_t cell_peer_request_id (const MuxCell *cell, uint64_t call);
-/** cell_call_asked() - the caller that a peer's word is for */
-uint64_t cell_peer_request_caller (const MuxCell *cell, uint64_t number);
+/** cell_peer_request_id() - the id under which a caller's request is relayed to
+ * a peer; no other process uses it */
+uint64_t cell_peer_request_id (const MuxCell *cell, uint64_t request_id);
+/** cell_peer_request_caller() - the caller's request that a peer request was
+ * made for */
+uint64_t cell_peer_request_caller (const MuxCell *cell,
+                                   uint64_t peer_request_id);
 bool cell_call (MuxCell *cell, MuxCellCall *call, const CellPending *pending);
-/** cell_call_forget() - its reply will be ignored, whatever it says */
+/** cell_call_abandon() - ignores the call's reply */
 void cell_call_abandon (MuxCell *cell, uint64_t call_id);
 void cell_store_result (MuxCell *cell, const MuxCellReply *reply);
-/** cell_store_silent() - no answer of it came since @since_ms */
+/** cell_store_timed_out() - the store has not answered since @since_ms */
 void cell_store_timed_out (MuxCell *cell, int64_t since_ms);
 bool cell_store_available (const MuxCell *cell);
-/** cell_store_moment_ms() - @in_ms from now on the store's clock, at the
- * latest; 0: that is not known */
+/** cell_store_time_ms() - upper bound of the store's clock @in_ms from now
+ * Return: 0: the store's clock is not known. */
 int64_t cell_store_time_ms (const MuxCell *cell, int64_t in_ms);
 uint32_t cell_part_of (const char *id);
 MuxCellChange *cell_call_add_change (MuxCellCall *call,
                                      MuxChangeKind kind,
                                      MuxCellTable table,
                                      const char *key);
-/** cell_scan_call() - reads a table's part, from its first row on
- * Return: NULL when memory is out; so do cell_commit_call() and cell_call(). */
+/** cell_scan_call() - reads a part of a table from its first row
+ * Return: NULL if out of memory, as cell_commit_call() and cell_call() do. */
 MuxCellCall *cell_scan_call (MuxCellTable table, const char *part);
-/** cell_commit_call() - with room for so many changes, none made yet */
+/** cell_commit_call() - an empty commit with space for @changes changes */
 MuxCellCall *cell_commit_call (const char *part, uint32_t changes);
-/** cell_expect() - only if the row has that version; 0: if there is none */
+/** cell_call_expect() - the commit fails unless the row has @version; 0:
+ * unless it does not exist */
 void cell_call_expect (MuxCellCall *call,
                        MuxCellTable table,
                        const char *key,
                        uint64_t version);
-/** cell_key_behind() - the least key behind @key, to read on from */
+/** cell_key_after() - the smallest key greater than @key, to continue a scan
+ * from */
 void cell_key_after (char next[MUX_ROW_NAME_LEN], const char *key);
-/** cell_json_blob() - takes @json over; NULL: memory is out */
+/** cell_blob_from_json() - serializes @json and drops the reference
+ * Return: NULL if out of memory. */
 MuxBlob *cell_blob_from_json (json_t *json);
 json_t *cell_json_from_blob (const MuxBlob *blob);
 void cell_log (MuxCell *cell, const char *event, const char *format, ...);
 
-/* proxy.c: calls to workers made by other daemons */
-/** cell_worker_call() - by a carrier, or by this daemon */
+/* proxy.c: calls to workers made by other daemons for the planner */
+/** cell_worker_call() - calls the worker, through a proxy or directly */
 bool cell_worker_call (MuxCell *cell,
                        CellWorker *worker,
                        MuxCellCall *call,
                        const CellPending *pending);
-/** cell_call_otherwise() - the worker's last call went unanswered: the next
- * ones take another way for a while */
+/** cell_worker_reroute() - after an unanswered call: calls the worker directly
+ * or through another proxy for a while */
 void cell_worker_reroute (MuxCell *cell, CellWorker *worker);
 void cell_proxy_peer (MuxCell *cell, const MuxPeerMsg *msg);
 void cell_proxy_tick (MuxCell *cell);
-/** cell_calls_are_carried() - the cell has so many workers */
+/** cell_uses_proxies() - whether the cell has enough workers to proxy calls */
 bool cell_uses_proxies (const MuxCell *cell);
-/** cell_pending_add() - NULL: memory is out */
+/** cell_pending_add() - records a call whose reply is awaited
+ * Return: NULL if out of memory. */
 CellPending *cell_pending_add (MuxCell *cell, const CellPending *pending);
 
-/* proxy_wire.c: the bytes of a call and of its end; NULL: memory is out, or
- * they can't be read */
+/* proxy_wire.c: proxied calls and replies as bytes; all return NULL if out of
+ * memory or the bytes are malformed */
 MuxBlob *cell_proxied_call_encode (const MuxCellCall *call);
 MuxCellCall *cell_proxied_call_decode (const MuxBlob *blob);
 MuxBlob *cell_proxied_reply_encode (const MuxCellReply *reply);
@@ -72,24 +79,27 @@
  */
 typedef enum
 {
-  CELL_ROW_KEY,   /* its key or part is none of its table */
-  CELL_ROW_VALUE, /* no bytes, or none of the table's form */
+  CELL_ROW_KEY,   /* key or part is invalid for the table */
+  CELL_ROW_VALUE, /* value is missing or not in the table's format */
   CELL_ROW_FIELD, /* a field is missing, of another type or out of range */
 } CellRowFault;
 
-/** cell_row_bad() - the row is dropped; told once for each version of it
- * @what: names the field or part of it that is wrong */
+/** cell_report_bad_row() - logs and counts a row that is ignored, once per
+ * version of it
+ * @what: name of the field or part of the row that is wrong */
 void cell_report_bad_row (MuxCell *cell,
                           const MuxCellRow *row,
                           CellRowFault fault,
                           const char *what);
-/** cell_row_json() - its value; NULL: removed, or told as unreadable */
+/** cell_row_json() - parses the row's value
+ * Return: NULL if the row was removed, or is malformed and has been reported.
+ */
 json_t *cell_row_json (MuxCell *cell, const MuxCellRow *row);
-/** cell_reply_row() - the row of that key; NULL: there is none */
+/** cell_reply_find_row() - the row with that key; NULL: none */
 const MuxCellRow *cell_reply_find_row (const MuxCellReply *reply,
                                        const char *key);
-/** cell_next_page() - the first key of the page behind @reply
- * Return: false, and @from empty, when there is none. */
+/** cell_next_page() - sets @from to the first key of the page after @reply
+ * Return: false, with @from empty, if this was the last page. */
 bool cell_next_page (char from[MUX_ROW_NAME_LEN], const MuxCellReply *reply);
 void cell_bad_rows_free (MuxCell *cell);
 
@@ -101,7 +111,7 @@
 /* follow.c */
 void cell_follow_tick (MuxCell *cell, CellFollow *follow);
 void cell_follow_start (CellFollow *follow, uint64_t term, uint64_t version);
-/** cell_follow_is_known() - what the feed says is as young as it should be */
+/** cell_follow_is_fresh() - the table's copy is no older than allowed */
 bool cell_follow_is_fresh (const MuxCell *cell, const CellFollow *follow);
 
 /* late.c: a planner that has more to do than its processor bears */
@@ -145,25 +155,27 @@
 bool cell_planner_is_overloaded (const MuxCell *cell);
 
 /* authorize.c: callers and their keys */
-/** cell_config_age_ms() - since the configuration was surely the newest one;
- * INT64_MAX: it never was */
+/** cell_config_age_ms() - time since the configuration was last confirmed as
+ * the newest; INT64_MAX: never */
 int64_t cell_config_age_ms (const MuxCell *cell);
-/** cell_config_proved() - no newer one stood in the store then */
+/** cell_config_confirmed() - the store held no newer configuration at @at_ms */
 void cell_config_confirmed (MuxCell *cell, int64_t at_ms);
-/** cell_keys_are_served() - and will be for some time */
+/** cell_keys_are_fresh() - API keys can be checked, and for some time to come
+ */
 bool cell_keys_are_fresh (const MuxCell *cell);
-/** cell_keys_tick() - tell when keys begin, or end, to be proved */
+/** cell_keys_tick() - logs when checking of API keys starts or stops */
 void cell_keys_tick (MuxCell *cell);
-/** cell_authorize() - who asks, by the key
- * Return: ACCEPTED: @caller is filled in; else the answer. */
+/** cell_authorize() - identifies the caller by the request's API key
+ * Return: ACCEPTED with @caller filled in, else the outcome to answer with. */
 MuxResponseOutcome cell_authorize (MuxCell *cell,
-                                   const MuxRequest *question,
+                                   const MuxRequest *request,
                                    const MuxQueueSpec *queue,
                                    CellCaller *caller);
-/** cell_caller_may_know() - of jobs of @workspace; "": of none */
+/** cell_caller_may_see() - whether the caller may see jobs of @workspace; "":
+ * jobs of no workspace */
 bool cell_caller_may_see (const CellCaller *caller, const char *workspace);
-/** cell_row_is_of() - the row of a job, or of its end, is not another
- * workspace's */
+/** cell_row_is_visible_to() - whether the row of a job, or of its end, belongs
+ * to no other workspace */
 bool cell_row_is_visible_to (const MuxCellRow *row, const CellCaller *caller);
 
 /* quota.c: what workspaces have running */
@@ -230,8 +242,9 @@
 /** cell_pending_of() - jobs of the queue that wait */
 uint32_t cell_queue_waiting (const MuxCell *cell, const char *queue);
 
-/* relay.c: jobs handed to the planner */
-/** cell_planner_is_near() - another daemon plans and answers */
+/* relay.c: jobs relayed to the planner */
+/** cell_planner_is_reachable() - another daemon is the planner and has replied
+ * lately */
 bool cell_planner_is_reachable (const MuxCell *cell);
 bool cell_relay (MuxCell *cell, CellSubmission *submission);
 void cell_relay_reply (MuxCell *cell,
@@ -243,71 +256,73 @@
 void cell_relay_peer (MuxCell *cell, const MuxPeerMsg *msg);
 
 /* claim_rows.c */
-/** cell_claim_read() - what a row of the claim says */
+/** cell_claim_read() - parses the claim's row */
 void cell_claim_read (MuxCell *cell, CellClaim *claim, const MuxCellRow *row);
-/** cell_own_claim() - the next claim, with this daemon as the planner */
+/** cell_next_claim() - the row of the next claim, with this daemon as holder */
 json_t *cell_next_claim (const MuxCell *cell);
 
-/* claim.c: who plans */
+/* claim.c: leader election */
 void cell_claim_tick (MuxCell *cell);
 void cell_claim_row (MuxCell *cell, const MuxCellRow *row);
 void cell_claim_full_read (MuxCell *cell, bool ended);
 void cell_claim_peer (MuxCell *cell, const MuxPeerMsg *msg);
 void cell_step_down (MuxCell *cell, const char *why);
-/** cell_write_claim() - the row that says who plans, on condition that it is
- * the one known; takes @value over; @done finds the term in its number */
-bool cell_write_claim (MuxCell *cell, json_t *value, CellReplyHandler done);
+/** cell_write_claim() - writes the claim's row if it is still the version
+ * known; takes over @value; the pending call's number is the term */
+bool cell_write_claim (MuxCell *cell, json_t *value, CellReplyHandler on_reply);
 
-/* heartbeat.c: what proves a planner's term */
-/** cell_proof_begin() - a term begins */
+/* heartbeat.c: heartbeats and checks of the planner's claim */
+/** cell_heartbeat_begin() - a term begins */
 void cell_heartbeat_begin (MuxCell *cell);
-/** cell_proof_tick() - keep it proved; @paused_ms: since the last event */
+/** cell_heartbeat_tick() - renews and checks the claim
+ * @paused_ms: time since the last event was processed */
 void cell_heartbeat_tick (MuxCell *cell, int64_t paused_ms);
 void cell_claim_doubt (MuxCell *cell, const char *why);
 bool cell_is_active_planner (const MuxCell *cell);
-/** cell_jobs_whole() - all jobs are read anew from now on (not @ended), or have
- * been */
+/** cell_jobs_full_read() - all jobs are read again from now on (not @ended),
+ * or have been */
 void cell_jobs_full_read (MuxCell *cell, bool ended);
-/** cell_verified() - the claim was surely ours then */
+/** cell_claim_verified() - the claim was certainly ours at @at_ms */
 void cell_claim_verified (MuxCell *cell, int64_t at_ms);
-/** cell_trusted() - the same, by a commit that a successor has seen or that
- * keeps it from claiming */
+/** cell_claim_renewed() - the same by a commit that a successor has seen, or
+ * that keeps it from claiming */
 void cell_claim_renewed (MuxCell *cell, int64_t at_ms);
 
-/* handover.c: who plans next when a planner leaves by itself */
+/* handover.c: handing the claim to another daemon */
 void cell_yield_begin (MuxCell *cell);
-/** cell_yield_tick() - to a much stronger member */
+/** cell_yield_tick() - hands over to a member with a much larger CPU share */
 void cell_yield_tick (MuxCell *cell);
 void cell_release_claim (MuxCell *cell);
 
-/* member.c: the daemons that greet the planner */
+/* member.c: the daemons that send hellos to the planner */
 CellMember *cell_member_find (MuxCell *cell, const char *name);
-/** cell_member_new() - that has greeted for the first time, or this daemon;
- * NULL: memory is out */
+/** cell_member_new() - for a daemon's first hello, or this daemon
+ * Return: NULL if out of memory. */
 CellMember *cell_member_new (MuxCell *cell, const char *name);
-/** cell_member_asks() - it works on an approval question from now on, or no
- * longer: @number is 0 */
+/** cell_member_set_query() - the member runs approval query @number; 0: none */
 void cell_member_set_query (MuxCell *cell, CellMember *member, uint64_t number);
-/** cell_member_heard() - Return: false: it is not noted, as it is older than
- * one that was taken, or memory is out */
+/** cell_member_hello_received() - records what a hello says
+ * Return: false if it is older than the last one taken, or out of memory. */
 bool cell_member_hello_received (MuxCell *cell, const MuxPeerMsg *hello);
 void cell_members_free (MuxCell *cell);
 
-/* time_of_day.c: that the cell goes by */
-/** cell_set_time() - of the event that is taken now */
+/* time_of_day.c: the cell's common wall clock */
+/** cell_set_time() - sets the time of the event being processed */
 void cell_set_time (MuxCell *cell, MuxCellTime time);
-/** cell_day_heard() - a member says what time of day it has; 0: it does not */
+/** cell_member_set_wall_time() - the member's wall clock; 0: not sent */
 void cell_member_set_wall_time (const MuxCell *cell,
                                 CellMember *member,
                                 int64_t wall_ms);
-/** cell_day_told() - the planner says which one the cell goes by */
+/** cell_planner_wall_time_received() - the cell's wall clock, as the planner
+ * sent it */
 void cell_planner_wall_time_received (MuxCell *cell, int64_t wall_ms);
 
-/* load.c: what a new planner reads */
+/* load.c: what a new planner reads from the store */
 void cell_load_begin (MuxCell *cell);
 void cell_load_tick (MuxCell *cell);
 void cell_fence_read (MuxCell *cell, CellPart *part);
-/** cell_fence_add() - two changes that make the commit this planner's alone */
+/** cell_fence_add() - adds two changes by which the commit fails once another
+ * planner has fenced the part */
 void
 cell_fence_add (const MuxCell *cell, const CellPart *part, MuxCellCall *call);
 
@@ -340,25 +355,27 @@
 MuxTaskRef cell_task_ref (const CellTask *task);
 
 /* occurrence.c */
-/** cell_occurrence_add() - @began_ms: when it was due; false: memory is out */
+/** cell_occurrence_add() - creates the stages of the occurrence
+ * @began_ms: when it was due
+ * Return: false if out of memory. */
 bool cell_occurrence_add (const MuxCell *cell,
                           CellJob *job,
                           uint32_t occurrence,
                           int64_t began_ms);
-/** cell_occurrences_left() - some have not begun */
+/** cell_occurrences_left() - some occurrences have not begun */
 bool cell_occurrences_left (const CellJob *job);
-/** cell_occurrences_begin() - those that are due */
+/** cell_occurrences_begin() - begins the occurrences that are due */
 void cell_occurrences_begin (MuxCell *cell, CellJob *job);
-/** cell_occurrence_is_early() - the last that was begun is not due */
+/** cell_occurrence_is_early() - the last occurrence begun is not yet due */
 bool cell_occurrence_is_early (const MuxCell *cell, const CellJob *job);
-/** cell_is_due() - the occurrence's time has come */
+/** cell_occurrence_is_due() - the occurrence's start time has come */
 bool cell_occurrence_is_due (const MuxCell *cell,
                              const CellJob *job,
                              uint32_t occurrence);
-/** cell_occurrences_due() - most that a planner may have begun, its time of day
- * ahead of ours */
+/** cell_occurrences_due() - upper bound of the occurrences that any planner
+ * may have begun, whose wall clock may be ahead of ours */
 uint32_t cell_occurrences_due (const MuxCell *cell, const CellJob *job);
-/** cell_job_occurrences() - those that a former planner had begun */
+/** cell_occurrences_restore() - begins those that a predecessor had begun */
 void cell_occurrences_restore (MuxCell *cell, CellJob *job, uint32_t count);
 
 /* job_rows.c: the jobs' table */
@@ -451,7 +468,7 @@
 json_t *cell_step_wait_json (const MuxCell *cell, const CellStage *stage);
 
 /* load_log.c */
-/** cell_load_line_tick() - tell what askers and room are used for */
+/** cell_load_log_tick() - logs how queriers and room are used */
 void cell_load_log_tick (MuxCell *cell);
 
 /* wait.c */
@@ -475,20 +492,21 @@
 void cell_workers_full_read (MuxCell *cell, bool ended);
 CellWorker *cell_worker_find (MuxCell *cell, const char *id);
 CellWorker *cell_worker_add (MuxCell *cell, const char *id);
-/** cell_worker_replaced() - another life answers at its address */
+/** cell_worker_replaced() - another incarnation answers at its address */
 void cell_worker_replaced (MuxCell *cell, CellWorker *worker);
 void cell_worker_dead (MuxCell *cell, CellWorker *worker, const char *why);
 void cell_workers_tick (MuxCell *cell);
 void cell_workers_free (MuxCell *cell);
 bool cell_worker_usable (const MuxCell *cell, const CellWorker *worker);
-/** cell_worker_is_unheard() - it may run what a former planner started, unknown
- * to this one */
+/** cell_worker_is_unconfirmed() - it has not answered this planner yet, and
+ * may run tasks that a predecessor started */
 bool cell_worker_is_unconfirmed (const CellWorker *worker);
 bool cell_all_workers_confirmed (MuxCell *cell);
 
 /** cell_worker_unlist() - it is missing from the platform's list */
 void cell_worker_unlist (MuxCell *cell, CellWorker *worker);
-/** cell_worker_take_entry() - what the list says of it, but for its name */
+/** cell_worker_set_info() - takes over its entry in the list, except for its
+ * name */
 void cell_worker_set_info (CellWorker *worker, const MuxWorkerInfo *entry);
 
 /* room.c */
@@ -503,88 +521,102 @@
 #define CELL_RENEW_PAUSE_MS 200
 void cell_renew_if_due (MuxCell *cell, CellWorker *worker);
 
-/* incarnation.c: workers that start again under their ids */
-/** cell_life_join() - @worker to the lives of its id
- * Return: false when memory is out. */
+/* incarnation.c: workers that restart under the same id */
+/** cell_incarnation_add() - adds @worker to the incarnations of its id
+ * Return: false if out of memory. */
 bool cell_incarnation_add (MuxCell *cell, CellWorker *worker);
 void cell_incarnation_remove (MuxCell *cell, CellWorker *worker);
-/** cell_life_is_outdated() - a later life of that id has answered */
-bool
-cell_incarnation_is_outdated (MuxCell *cell, const char *id, uint64_t born_ms);
-/** cell_lives_unlist() - all lives of that id but one; NULL: all */
+/** cell_incarnation_is_outdated() - a later incarnation of that id has
+ * answered */
+bool cell_incarnation_is_outdated (MuxCell *cell,
+                                   const char *id,
+                                   uint64_t started_ms);
+/** cell_incarnations_unlist() - all incarnations of that id except @but; NULL:
+ * all */
 void
 cell_incarnations_unlist (MuxCell *cell, const char *id, const CellWorker *but);
-/** cell_life_next() - the life that answered in place of @former
- * Return: NULL when memory is out. */
+/** cell_incarnation_next() - the incarnation that answered in place of @earlier
+ * Return: NULL if out of memory. */
 CellWorker *cell_incarnation_next (MuxCell *cell,
-                                   const CellWorker *former,
-                                   uint64_t born_ms);
-/** cell_lives_end() - of those before @worker, which has answered */
+                                   const CellWorker *earlier,
+                                   uint64_t started_ms);
+/** cell_incarnations_end_earlier() - ends the incarnations before @worker,
+ * which has answered */
 void cell_incarnations_end_earlier (MuxCell *cell, CellWorker *worker);
-/** cell_life_is_unsettled() - it is not known of all runs that were sent to the
- * life whether they are at the next one */
+/** cell_incarnation_is_unresolved() - some run sent to this incarnation may
+ * have started at the next one */
 bool cell_incarnation_is_unresolved (const CellWorker *worker);
-/** cell_life_settled() - it is known of one, and is to be stored */
-void cell_incarnation_resolved (MuxCell *cell, const char *life);
-/** cell_life_listed_runs() - its first list has been taken: what is booked and
- * was not named is not to begin any more */
+/** cell_incarnation_resolved() - one such run's fate is known and has to be
+ * stored */
+void cell_incarnation_resolved (MuxCell *cell, const char *incarnation);
+/** cell_incarnation_runs_listed() - stops the booked runs that the worker's
+ * first list does not name */
 void cell_incarnation_runs_listed (MuxCell *cell, CellWorker *worker);
 
-/* claim_lease.c: how long a planner orders without a proof of its claim */
-/** cell_claim_is_trusted() - this planner may still order */
+/* claim_lease.c: how long a claim is valid without renewal */
+/** cell_claim_is_valid() - this planner may still send orders to workers */
 bool cell_claim_is_valid (const MuxCell *cell);
-/** cell_greeting_next() - the planner is greeted; Return: the greeting's number
- */
+/** cell_hello_next() - records a hello that is about to be sent
+ * Return: its number. */
 uint64_t cell_hello_next (MuxCell *cell, bool table_ok);
-/** cell_greeting_taken() - it has taken that one */
+/** cell_hello_acked() - the planner has acknowledged hello @number */
 void cell_hello_acked (MuxCell *cell, uint64_t number);
-/** cell_trust_was_short() - the holder of the claim has surely not trusted it
- * for as long as through an outage of the store */
+/** cell_claim_lease_was_short() - the holder certainly did not extend its
+ * claim for an outage of the store */
 bool cell_claim_lease_was_short (const MuxCell *cell);
-/** cell_trust_until_ms() - it trusts its claim no longer */
+/** cell_claim_lease_until_ms() - upper bound of when the holder's claim
+ * expires */
 int64_t cell_claim_lease_until_ms (const MuxCell *cell);
 
 /* predecessor.c: the planners before this one */
-/** cell_claim_former() - what a row of the claim tells of those before its
- * holder; @json: the row; NULL: it can't be read */
+/** cell_claim_read_predecessors() - reads how long planners before the holder
+ * may send orders
+ * @json: the claim's row; NULL: it can't be parsed */
 void cell_claim_read_predecessors (const MuxCell *cell,
                                    CellClaim *claim,
                                    const json_t *json);
-/** cell_sign_read() - the same of the holder's sign of life */
+/** cell_heartbeat_read() - reads the same from the holder's heartbeat */
 void cell_heartbeat_read (MuxCell *cell, const MuxCellRow *row);
 /** cell_orders_until_ms() - neither the claim's holder nor any planner before
- * it orders after this */
+ * it sends orders after this */
 int64_t cell_orders_until_ms (const MuxCell *cell);
-/** cell_former_begin() - this daemon is about to hold the claim that is known
- */
+/** cell_predecessor_begin() - this daemon is about to replace the claim's
+ * holder */
 void cell_predecessor_begin (MuxCell *cell);
-/** cell_former_tell() - put into @json that planners before its writer may
- * order for @left_ms more; Return: @json */
+/** cell_predecessors_to_json() - adds to @json that planners before its writer
+ * may send orders for @left_ms more
+ * Return: @json. */
 json_t *
 cell_predecessors_to_json (const MuxCell *cell, json_t *json, int64_t left_ms);
-/** cell_former_left_ms() - for how long planners before this one may order */
+/** cell_predecessors_left_ms() - for how long planners before this one may
+ * send orders */
 int64_t cell_predecessors_left_ms (const MuxCell *cell);
-/** cell_former_heard() - a daemon greets, maybe the former planner */
+/** cell_predecessor_hello() - handles a hello that may be the predecessor's */
 void cell_predecessor_hello (MuxCell *cell, const MuxPeerMsg *hello);
 
-/* worker_lease.c: how long what runs at a worker may run on */
-/** cell_longest_lease_ms() - that workers grant, on the slowest clock */
+/* worker_lease.c: how long runs may go on at a worker */
+/** cell_longest_lease_ms() - the longest lease that workers grant, on the
+ * slowest clock */
 int64_t cell_longest_lease_ms (void);
-/** cell_worker_lease() - on its clock, a whole one from now; 0: not known */
+/** cell_worker_extend_lease() - records a request for a full lease from now
+ * Return: its expiry on the worker's clock; 0: the clock is not known. */
 int64_t cell_worker_extend_lease (const MuxCell *cell, CellWorker *worker);
-/** cell_worker_lease_left() - until the furthest lease is surely over */
+/** cell_worker_lease_left() - until the latest lease has certainly expired */
 int64_t cell_worker_lease_left (const MuxCell *cell, const CellWorker *worker);
-/** cell_former_lease_left() - until all that a former planner may have ordered
- * at a worker that was not heard is over */
+/** cell_predecessor_lease_left() - until all leases that a predecessor may
+ * have requested of an unconfirmed worker have expired */
 int64_t cell_predecessor_lease_left (const MuxCell *cell);
-/** cell_unheard_lease_left() - the same at @worker, which may bear a mark */
+/** cell_unconfirmed_lease_left() - the same for @worker, whose expiry the
+ * roster may hold */
 int64_t cell_unconfirmed_lease_left (const MuxCell *cell,
                                      const CellWorker *worker);
-/** cell_lease_is_over() - nothing of ours can run there any more */
+/** cell_lease_is_over() - no run of ours can go on there */
 bool cell_lease_is_over (MuxCell *cell, CellWorker *worker);
-/** cell_lease_of_stale() - what calls meant for a former life may have asked */
+/** cell_lease_of_stale() - accounts for leases requested by late calls to an
+ * earlier incarnation */
 void cell_lease_of_stale (const MuxCell *cell, CellWorker *worker);
-/** cell_lease_of_former() - what a former planner may have asked of it */
+/** cell_lease_of_predecessor() - accounts for leases that a predecessor may
+ * have requested */
 void cell_lease_of_predecessor (const MuxCell *cell, CellWorker *worker);
 
 /* late_start.c: starts that a worker's next life may still carry out */
@@ -597,10 +629,11 @@
 /** cell_late_starts_are_over() - of all former planners at all such workers */
 bool cell_late_starts_are_over (const MuxCell *cell);
 
-/* evacuate.c: what runs at a worker that leaves */
-/** cell_worker_leaves() - its entry in the list was read */
+/* evacuate.c: runs at a worker that is about to leave */
+/** cell_worker_set_leave_time() - takes the leave time from its entry in the
+ * list */
 void cell_worker_set_leave_time (const MuxCell *cell, CellWorker *worker);
-/** cell_evacuate() - stop what would be lost with it */
+/** cell_evacuate() - stops the runs that would be lost with the worker */
 void cell_evacuate (MuxCell *cell, CellWorker *worker);
 
 /* run_time_learn.c: how long runs take */
@@ -616,14 +649,14 @@
 void cell_run_times_receive (MuxCell *cell, const json_t *list);
 void cell_run_times_tick (MuxCell *cell);
 
-/* sweep.c: rows of jobs that ended long ago */
+/* sweep.c: removes rows of jobs that ended long ago */
 void cell_sweep_begin (MuxCell *cell);
 void cell_sweep_tick (MuxCell *cell);
 
 /* roster.c */
 void cell_roster_tick (MuxCell *cell);
 void cell_roster_load (MuxCell *cell);
-/** cell_in_roster() - the roster names it, or may do so */
+/** cell_in_roster() - the stored roster names the worker, or may do so */
 bool cell_in_roster (const CellWorker *worker);
 
 /* run.c: starts, stops, ends */
@@ -656,101 +689,110 @@
                        const MuxTaskRef *task,
                        uint32_t run);
 uint32_t cell_next_run (const MuxCell *cell, uint32_t last);
-/* loss.c: what lost runs say of their task */
-/** cell_task_losses() - what became of the workers, as is known now */
+/* loss.c: whether a task that lost runs is started again */
+/** cell_task_losses() - counts the task's lost runs by what became of their
+ * workers */
 CellLosses cell_task_losses (const MuxCell *cell, const CellTask *task);
-/** cell_losses_allow() - the task may be started once more */
+/** cell_losses_allow_start() - the task may be started again now */
 bool cell_losses_allow_start (const MuxCell *cell, const CellTask *task);
-/** cell_losses_give_up() - it is not to be started any more */
+/** cell_losses_exceeded() - the task has crashed too many workers to be
+ * started again */
 bool cell_losses_exceeded (const MuxCell *cell, const CellTask *task);
-/** cell_life_acquits() - a run that lived so long shows that the task does not
- * crash its workers */
+/** cell_run_clears_task() - a run that lasted @lived_ms shows that the task
+ * does not crash its workers */
 bool cell_run_clears_task (const CellTask *task, int64_t lived_ms);
 
-/* outage.c: workers that went down together */
-/** cell_outage_note() - the worker is out of reach */
+/* outage.c: correlated failures of workers */
+/** cell_outage_record() - records that the worker is unreachable */
 void cell_outage_record (MuxCell *cell, const CellWorker *worker);
-/** cell_outage_span() - of a run that is lost with the worker */
+/** cell_outage_span() - the time span of a run lost with the worker */
 CellLossSpan cell_outage_span (const MuxCell *cell,
                                const CellWorker *worker,
                                int64_t from_ms);
-/** cell_run_span() - of a run that is lost with its worker */
+/** cell_run_span() - the same of a booked run */
 CellLossSpan cell_run_span (const MuxCell *cell, const CellBooking *booking);
-/** cell_lost_in_outage() - so many others went down while the run was there
- * that it may be chance */
+/** cell_lost_in_outage() - so many other workers went down during the run that
+ * its loss says little of its task */
 bool cell_lost_in_outage (const MuxCell *cell,
                           const CellTask *task,
                           const CellLoss *loss);
-/** cell_is_calm() - no worker went out of reach lately */
+/** cell_workers_are_stable() - no worker became unreachable lately */
 bool cell_workers_are_stable (const MuxCell *cell);
-/** cell_run_lived_ms() - for how long at least, as its worker told */
+/** cell_run_lived_ms() - lower bound of how long the run has run, from the
+ * worker's reports */
 int64_t cell_run_lived_ms (const CellBooking *booking);
 bool cell_run_was_short (int64_t lived_ms);
 
 /* crash.c: runs that were lost with their workers */
-/** cell_loss_add() - zeroed, to be filled; NULL: memory is out */
+/** cell_loss_add() - appends a zeroed loss
+ * Return: NULL if out of memory. */
 CellLoss *cell_loss_add (CellTask *task);
-/** cell_lose_runs() - all that the dead @worker had, but those whose start may
- * still come to its next life */
+/** cell_lose_runs() - records the loss of the dead worker's runs, except those
+ * whose start may still reach its next incarnation */
 void cell_lose_runs (MuxCell *cell, CellWorker *worker);
-/** cell_lose_settled() - a run that is not at the worker, and was sent to its
- * former life */
+/** cell_lose_resolved() - records the loss of a run sent to an earlier
+ * incarnation that is not at this one */
 void cell_lose_resolved (MuxCell *cell, CellBooking *booking);
-/** cell_losses_heard() - that life of a worker answers, and no other at its
- * address */
+/** cell_losses_worker_confirmed() - that incarnation of a worker answers at
+ * its address */
 void cell_losses_worker_confirmed (MuxCell *cell, const CellWorker *worker);
-/** cell_losses_of_dead() - that life of a worker is over, or out of reach for
- * longer than its lease */
+/** cell_losses_worker_dead() - that incarnation has ended, or has been
+ * unreachable for longer than its lease */
 void cell_losses_worker_dead (MuxCell *cell, const CellWorker *worker);
-/** cell_start_is_recorded() - a start of the suspect there is stored, or it
- * goes into the next commit */
+/** cell_start_is_recorded() - a start of the suspect there is in the store
+ * Return: false if not; it is added to the next commit. */
 bool cell_start_is_recorded (MuxCell *cell,
                              CellTask *task,
                              const CellWorker *worker);
-/** cell_loss_run_began() - the worker told that the run of that record has */
+/** cell_loss_run_began() - the worker reported that the recorded run has begun
+ */
 void cell_loss_run_began (MuxCell *cell, CellTask *task);
-/** cell_loss_run_lives() - a list names the run */
+/** cell_loss_run_listed() - a worker's list names the run */
 void cell_loss_run_listed (MuxCell *cell, const CellBooking *booking);
-/** cell_loss_run_ended() - the run of that record told its end */
+/** cell_loss_run_ended() - the end of the recorded run was reported */
 void cell_loss_run_ended (MuxCell *cell, CellTask *task);
 void cell_losses_tick (MuxCell *cell);
 void cell_losses_free (CellTask *task);
 
-/* crash_log.c: the same as the log tells it */
-/** cell_log_loss() - a run was lost */
+/* crash_log.c: log lines of lost runs and crashed workers */
 void cell_log_loss (MuxCell *cell, const CellTask *task, const CellLoss *loss);
-/** cell_log_crash() - a worker crashed with what it ran */
+/** cell_log_crash() - a worker crashed with its runs */
 void cell_log_crash (MuxCell *cell, const CellWorker *worker);
-/** cell_log_crashed_under() - each worker that the task lost */
+/** cell_log_crashed_under() - one line for each worker lost under the task */
 void cell_log_crashed_under (MuxCell *cell, const CellTask *task);
 
-/* crash_list.c */
-/** cell_losses_note() - of a job, after cell_loss_add() */
+/* crash_list.c: jobs with lost runs */
+/** cell_loss_list_add() - lists the job, called after cell_loss_add() */
 void cell_loss_list_add (MuxCell *cell, CellJob *job);
-/** cell_losses_forget() - it has none left, or goes */
+/** cell_loss_list_remove() - the job has no losses left, or is removed */
 void cell_loss_list_remove (MuxCell *cell, CellJob *job);
 
 /* crash_rows.c: losses as they are stored */
 json_t *cell_losses_json (const CellStage *stage);
-/** cell_losses_valid() - they can be read, of a step of @tasks; also NULL */
+/** cell_losses_valid() - checks the stored losses of a step of @tasks tasks;
+ * NULL is valid */
 bool cell_losses_valid (const json_t *list, uint32_t tasks);
 void cell_losses_apply (CellStage *stage, const json_t *list);
 
-/* suspect.c: tasks under which workers crashed */
-/** cell_start_needs_record() - a next planner must know of its start */
+/* suspect.c: where tasks suspected of crashing workers may start */
+/** cell_start_needs_record() - the start has to be stored first, for a
+ * successor */
 bool cell_start_needs_record (const MuxCell *cell, const CellTask *task);
-/** cell_start_has_record() - of a run that has not ended */
+/** cell_start_has_record() - a start with unknown outcome is recorded */
 bool cell_start_has_record (const CellTask *task);
-/** cell_suspicion() - workers that may have crashed for the task */
+/** cell_suspected_crashes() - number of workers that the task may have crashed
+ */
 uint32_t cell_suspected_crashes (const MuxCell *cell, const CellTask *task);
 bool cell_task_may_start (const MuxCell *cell, const CellTask *task);
-/** cell_gang_may_start() - each of its tasks may */
+/** cell_gang_may_start() - each of the gang's tasks may start */
 bool cell_gang_may_start (const MuxCell *cell, const CellStage *stage);
-/** cell_worker_bears() - the task may start there beside what else does */
+/** cell_worker_accepts_suspect() - the task may start there beside the
+ * suspects that run there */
 bool cell_worker_accepts_suspect (const MuxCell *cell,
                                   const CellTask *task,
                                   const CellWorker *worker);
-/** cell_suspect_cost() - of a suspect at the worker; smaller is better */
+/** cell_suspect_cost() - rates the worker for a suspect task; smaller is
+ * better */
 int64_t cell_suspect_cost (const MuxCell *cell,
                            const CellTask *task,
                            const CellWorker *worker);
@@ -978,10 +1020,11 @@
                                 CellStage *stage,
                                 CellWorker *worker[CELL_CANDIDATES_MAX]);
 
-/* named_workers.c: workers named before they are asked about */
-/** cell_named_row() - the job's row @value with workers that its steps may run
- * on
- * Return: NULL when there are none to name, or memory is out. */
+/* named_workers.c: candidate workers stored with a job before the approval
+ * query */
+/** cell_row_with_candidates() - the job's row @value with the workers its
+ * steps may run on
+ * Return: NULL if there are none, or out of memory. */
 MuxBlob *cell_row_with_candidates (MuxCell *cell, const MuxBlob *value);
 
 /* plan.c, place.c, gang.c */
--- a/src/cell/claim_types.h
+++ b/src/cell/claim_types.h
@@ -6,39 +6,48 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Who plans, as the daemons of a cell know it. */
+/* What a daemon knows of the claim, its holder and the planner before it. */
 
-/* Greetings of which it is known when they were sent: 8 s of them. */
+/* Sent times kept of the last hellos; at 250 ms each they cover 8 s. */
 #define CELL_HELLOS 32
 
 /**
- * struct CellClaim - who plans, as the store says
- * @former_until_ms: planners before the holder order nothing after this
+ * struct CellClaim - the claim's row as last read from the store
+ * @known: the row, or that there is none, has been read
+ * @unreadable: the row can't be parsed: the name of a planner is not known
+ * @released: the last holder released it and has sent no orders since
+ * @successor: of a released claim: the member that should claim first
+ * @incarnation: of the holder; 0: no holder
+ * @term_count: how many times the claim was taken
+ * @predecessors_until_ms: planners before the holder send no orders to workers
+ *   after this, on our steady clock
  */
 typedef struct
 {
-  bool known;      /* the row, or its absence, has been read */
-  bool unreadable; /* somebody may plan, who can't be told */
-  bool released;   /* by its last holder, which ordered nothing from then on */
+  bool known;
+  bool unreadable;
+  bool released;
   char name[MUX_NAME_LEN];
   char addr[MUX_ADDR_LEN];
-  char successor[MUX_NAME_LEN]; /* of a claim given up: who should take it first
-                                 */
-  uint64_t incarnation;         /* 0: nobody */
+  char successor[MUX_NAME_LEN];
+  uint64_t incarnation;
   uint64_t version;
-  uint32_t term_count; /* how often it was taken */
+  uint32_t term_count;
   int64_t predecessors_until_ms;
 } CellClaim;
 
 /**
- * struct CellGreetings - what a daemon has told the planner of the store
- * @number: of the last greeting
- * @failing_number: of the last one that said that the store fails; 0: none
- * @taken_number: the last one that the holder of the claim has taken; 0: none
- * @taken_sent_ms: when that was sent
- * @served_ms: since then it was surely known at each moment, to the holder,
- * that the store serves this daemon
- * @sent_ms: when each of the last ones was, by their numbers
+ * struct CellHellos - hellos sent to the planner and what they said of the
+ * store
+ * @number: of the last hello sent
+ * @failing_number: of the last one that reported the store as failing; 0: none
+ * @acked_number: the last one that the claim's holder has acknowledged; 0:
+ *   none
+ * @acked_sent_ms: when that one was sent
+ * @served_since_ms: from then on the holder has known without a gap that the
+ *   store serves this daemon
+ * @sent_ms: sent times of the last hellos, indexed by number modulo
+ *   CELL_HELLOS
  */
 typedef struct
 {
@@ -51,10 +60,11 @@
 } CellHellos;
 
 /**
- * struct CellAnswers - how soon the planner hears of its calls to workers
- * @count: answers that @mean_us is of, as far as they count
- * @mean_us: how long they took, in the mean
- * @last_ms: when the last one was taken
+ * struct CellReplyLatency - how long workers' answers take to reach the
+ * planner
+ * @count: answers in the running mean @mean_us, up to its window
+ * @mean_us: running mean of the time from call to answer
+ * @last_ms: when the last answer was processed
  */
 typedef struct
 {
@@ -64,12 +74,12 @@
 } CellReplyLatency;
 
 /**
- * struct CellFormer - the planner before this one
- * @name: "": the claim was given up, or nobody's
- * @addr: where it listened for other daemons
- * @incarnation: its process
- * @earlier_until_ms: those before it order nothing after this
- * @until_ms: nor does it
+ * struct CellPredecessor - the planner before this one
+ * @name: "" if the claim had been released or had no holder
+ * @addr: address at which it listened for other daemons
+ * @incarnation: of its process
+ * @earlier_until_ms: the planners before it send no orders after this
+ * @until_ms: nor does this predecessor
  */
 typedef struct
 {
