--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -5,28 +5,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Time between greetings to the planner; six of them fit into dead_ms. */
-#define HELLO_MS 250
-/* Daemons claim one after the other, spread over this time, so that the first
- * is seen by the others before they try. */
-#define SPREAD_MS 250
-/* An instance of a quarter of a processor, which carries 48 workers with 0.08
- * of it, claims first; one of none would wait so much longer. */
-#define STRONG_MILLI 250
-#define WEAK_WAIT_MS 800
-/* After a failed try. */
+/* Interval of hellos to the planner; six fit into dead_ms. */
+#define HELLO_INTERVAL_MS 250
+/* Claims are spread over this time, so that the other daemons see the first
+ * one before they try. */
+#define JITTER_MS 250
+/* A daemon with a CPU share of a quarter of a core (48 workers take 0.08 of
+ * it) claims without extra delay; one with no share waits WEAK_DELAY_MAX_MS
+ * longer. */
+#define STRONG_SHARE_MILLI 250
+#define WEAK_DELAY_MAX_MS 800
 #define RETRY_MS 300
-/* A planner that the store turns away while it serves others is replaced after
- * this time, */
-#define STORE_BAD_MS 600
-/* in which the store has answered this daemon at least this often. */
-#define PROBE_MS 200
-#define PROBES_APART_MS 500
-/* A planner whose term has ended is told of the claim that ended it within this
- * time, a waiting call's second and some 100 ms; its own is void until then. */
-#define OWN_CLAIM_MS 1500
-/* The heir of a claim given up has so much of a start before the others. */
-#define HEIR_MS 350
+/* A planner that can't reach the store is replaced once this daemon could for
+ * this long, without a gap of more than PROBE_GAP_MAX_MS between answers. */
+#define PLANNER_FAILING_MS 600
+#define PROBE_INTERVAL_MS 200
+#define PROBE_GAP_MAX_MS 500
+/* A planner that steps down claims again only after this time. A pending feed
+ * call, which waits up to a second, shows the claim that ended the term
+ * within it and some 100 ms; until then the claim known here is our own,
+ * which is void. */
+#define STEP_DOWN_WAIT_MS 1500
+/* Head start of the successor that a released claim names. */
+#define SUCCESSOR_HEAD_START_MS 350
 
 void
 cell_step_down (MuxCell *cell, const char *why)
@@ -42,7 +43,7 @@
             (json_int_t) cell->term);
   cell->role = CELL_FOLLOWER;
   cell->term = 0;
-  cell->claim_after_ms = cell->time.now_ms + OWN_CLAIM_MS;
+  cell->claim_after_ms = cell->time.now_ms + STEP_DOWN_WAIT_MS;
   cell->follow[FOLLOW_JOBS].enabled = false;
   cell->follow[FOLLOW_WORKERS].enabled = false;
   HASH_ITER (hh, cell->jobs, job, next_job)
@@ -88,33 +89,34 @@
   cell_load_begin (cell);
 }
 
-/* Planning costs a few thousandths of a processor for each worker; a weak
- * instance leaves it to a stronger one, which claims earlier. */
+/* Planning takes a few thousandths of a core per worker, so daemons with a
+ * small CPU share let others claim first. */
 static int64_t
-weakness_ms (const MuxCell *cell)
+weak_delay_ms (const MuxCell *cell)
 {
-  uint32_t strength = cell->options.strength_milli;
+  uint32_t share_milli = cell->options.strength_milli;
 
-  return strength < STRONG_MILLI
-             ? (int64_t) WEAK_WAIT_MS * (STRONG_MILLI - strength) / STRONG_MILLI
+  return share_milli < STRONG_SHARE_MILLI
+             ? (int64_t) WEAK_DELAY_MAX_MS * (STRONG_SHARE_MILLI - share_milli)
+                   / STRONG_SHARE_MILLI
              : 0;
 }
 
-/* The order in which daemons claim: by chance, but the same daemon does not
- * always come first. */
+/* The jitter is a hash of name and claim version, so that it is not always
+ * the same daemon that claims first. */
 static int64_t
-spread (const MuxCell *cell)
+claim_delay_ms (const MuxCell *cell)
 {
-  return weakness_ms (cell)
+  return weak_delay_ms (cell)
          + (int64_t) (mux_hash_name (cell->options.name,
                                      cell->options.seed ^ cell->claim.version)
-                      % SPREAD_MS);
+                      % JITTER_MS);
 }
 
 /*
- * The row alone says who plans, whatever a commit's answer said: a claim whose
- * answer was lost, or that was carried out late, is found here with our
- * incarnation in it.
+ * The row alone decides who the planner is, whatever the answer to the commit
+ * was: a claim whose answer was lost, or that was applied late, is found here
+ * by our incarnation in it.
  */
 void
 cell_claim_row (MuxCell *cell, const MuxCellRow *row)
@@ -144,7 +146,7 @@
       || row->version <= cell->claim.version)
     return;
   cell_claim_read (cell, &claim, row);
-  /* The copy beside the jobs only hastens what its own table tells. */
+  /* The copy in the jobs table only brings the news earlier. */
   if (claim.unreadable && row->table == MUX_TABLE_JOBS)
     {
       cell_claim_doubt (cell, "claim_unreadable");
@@ -170,10 +172,10 @@
     begin_term (cell);
   else if (!ours)
     cell_step_down (cell, "other_claim");
-  cell->claim_after_ms = cell->time.now_ms + spread (cell);
+  cell->claim_after_ms = cell->time.now_ms + claim_delay_ms (cell);
   if (cell->claim.incarnation == 0 && !cell->claim.unreadable
       && strcmp (cell->claim.successor, cell->options.name) != 0)
-    cell->claim_after_ms += HEIR_MS;
+    cell->claim_after_ms += SUCCESSOR_HEAD_START_MS;
 }
 
 void
@@ -183,15 +185,15 @@
     return;
   cell->claim.known = true;
   cell->claim_read_ms = cell->time.now_ms;
-  cell->claim_after_ms = cell->time.now_ms + spread (cell);
+  cell->claim_after_ms = cell->time.now_ms + claim_delay_ms (cell);
 }
 
-static void look_before_claim (MuxCell *cell);
+static void check_before_claim (MuxCell *cell);
 
 /*
- * Guards against a cell without a planner: the claim stands, its answer is
- * lost, and its owner knows of it by nothing but a feed that may hang for as
- * long.  So the row is read back.
+ * If the answer to a successful claim is lost, its owner learns of the claim
+ * only from a feed, which may hang for as long, and the cell has no planner
+ * meanwhile. So the row is read back.
  */
 static void
 claim_written (MuxCell *cell,
@@ -204,10 +206,10 @@
 
   (void) pending;
   cell->claiming = false;
-  cell->claim_after_ms = cell->time.now_ms + RETRY_MS + spread (cell);
+  cell->claim_after_ms = cell->time.now_ms + RETRY_MS + claim_delay_ms (cell);
   cell->claim_retry_ms = cell->time.now_ms + RETRY_MS;
   if (reply->status == MUX_CELL_UNKNOWN && !cell->stopping)
-    look_before_claim (cell);
+    check_before_claim (cell);
   if (reply->status != MUX_CELL_OK || cell->stopping)
     return;
   row.value = cell_blob_from_json (cell_next_claim (cell));
@@ -219,13 +221,13 @@
   mux_blob_unref (row.value);
 }
 
-/* The claim stands beside the jobs too: whoever follows the jobs sees a new
- * planner before any job that was accepted after it. */
+/* A copy of the claim goes into the jobs table: a daemon that follows the
+ * jobs sees a new planner before any job accepted after it. */
 bool
-cell_write_claim (MuxCell *cell, json_t *value, CellReplyHandler done)
+cell_write_claim (MuxCell *cell, json_t *value, CellReplyHandler on_reply)
 {
   MuxCellCall *call = cell_commit_call ("", 4);
-  CellPending pending = { .on_reply = done, .context = cell->term };
+  CellPending pending = { .on_reply = on_reply, .context = cell->term };
   MuxBlob *blob = cell_blob_from_json (value);
 
   if (call == NULL || blob == NULL)
@@ -235,7 +237,7 @@
       return false;
     }
   cell_call_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->claim.version);
-  /* No later sign of life of the former planner than the one known here. */
+  /* The predecessor has written no heartbeat later than the one known here. */
   if (cell->role == CELL_FOLLOWER)
     cell_call_expect (call, MUX_TABLE_CLAIM, CELL_HEARTBEAT_KEY,
                       cell->heartbeat_exists ? cell->heartbeat_version : 0);
@@ -249,7 +251,7 @@
 }
 
 static void
-claim (MuxCell *cell, const char *why)
+send_claim (MuxCell *cell, const char *why)
 {
   cell_log (cell, "claiming", "{s:s, s:s}", "why", why, "from",
             cell->claim.name);
@@ -263,38 +265,40 @@
 planner_is_silent (const MuxCell *cell)
 {
   return cell->time.now_ms - cell->planner_last_contact_ms
-         > cell->options.dead_ms + spread (cell);
+         > cell->options.dead_ms + claim_delay_ms (cell);
 }
 
 /*
- * Guards against a takeover at the end of each outage of the store: all daemons
- * hear from the planner that the store fails it, which is as true of
- * themselves, and the first one that is served again would replace it.  What
- * the planner says counts from the moment on at which the store answers this
- * daemon, and only while it goes on to answer.
+ * After an outage of the store all daemons have heard from the planner that
+ * the store fails, which is true of themselves too, and the first one served
+ * again would replace it. So what the planner reports counts only from the
+ * moment the store answers this daemon, and only while it keeps answering.
  */
 static bool
-is_turned_away_alone (MuxCell *cell)
+only_planner_is_failing (MuxCell *cell)
 {
   int64_t now = cell->time.now_ms;
 
   if (cell->planner_store_failing_ms == 0)
     return false;
   if (cell->only_planner_failing_ms == 0
-      || now - cell->probed_ms > PROBES_APART_MS)
+      || now - cell->probed_ms > PROBE_GAP_MAX_MS)
     cell->only_planner_failing_ms = now;
   cell->probed_ms = now;
-  return now - cell->only_planner_failing_ms > STORE_BAD_MS + spread (cell);
+  return now - cell->only_planner_failing_ms
+         > PLANNER_FAILING_MS + claim_delay_ms (cell);
 }
 
 static void
-looked (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
+claim_table_read (MuxCell *cell,
+                  const CellPending *pending,
+                  const MuxCellReply *reply)
 {
   uint64_t version = cell->claim.version;
 
   (void) pending;
   cell->claiming = false;
-  cell->next_probe_ms = cell->time.now_ms + PROBE_MS;
+  cell->next_probe_ms = cell->time.now_ms + PROBE_INTERVAL_MS;
   for (uint32_t i = 0; i < reply->row_count; i++)
     cell_claim_row (cell, &reply->row[i]);
   if (reply->status != MUX_CELL_OK)
@@ -306,34 +310,34 @@
   if (cell->claim.version != version || cell->stopping)
     return;
   if (planner_is_silent (cell))
-    claim (cell, "silent");
-  else if (is_turned_away_alone (cell))
-    claim (cell, "store_turns_it_away");
+    send_claim (cell, "silent");
+  else if (only_planner_is_failing (cell))
+    send_claim (cell, "store_turns_it_away");
 }
 
 /*
- * Guards against a takeover at the end of each cut: a daemon that was cut off
- * has not heard the planner for seconds, and the call that follows the claim
- * may hang on a dead connection while others are answered again.  The table is
- * read first; a sign of life there that is newer than the last one known shows
- * that the silence was our own.  A claim is so never sent into a cut, either,
- * where it would lie until the cut ends.
+ * A daemon that was partitioned has not heard the planner for seconds, and its
+ * feed of the claim may hang on a dead connection while others are answered
+ * again. So the table is read before claiming; a heartbeat newer than the last
+ * one known shows that this daemon was cut off, not the planner. It also means
+ * that no claim is sent into a partition, where it would be delivered at its
+ * end.
  */
 static void
-look_before_claim (MuxCell *cell)
+check_before_claim (MuxCell *cell)
 {
-  CellPending pending = { .on_reply = looked };
+  CellPending pending = { .on_reply = claim_table_read };
 
   cell->claiming
       = cell_call (cell, cell_scan_call (MUX_TABLE_CLAIM, ""), &pending);
 }
 
 static void
-hello (MuxCell *cell)
+send_hello (MuxCell *cell)
 {
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_HELLO, cell->claim.name);
 
-  cell->next_hello_ms = cell->time.now_ms + HELLO_MS;
+  cell->next_hello_ms = cell->time.now_ms + HELLO_INTERVAL_MS;
   msg.table_ok = cell_store_available (cell);
   msg.epoch = cell->claim.version;
   msg.call_id = cell_hello_next (cell, msg.table_ok);
@@ -345,13 +349,14 @@
 }
 
 /*
- * Where all processes were killed at once, each finds the claim of one that is
- * gone.  Waiting out its silence would leave the jobs of all callers standing
- * for over a second; the daemon that bears its name knows better, and tells
- * those that greet it (see welcome()).
+ * If all processes were killed at once, each finds the claim of a process that
+ * is gone, and waiting for the planner's timeout would stop all jobs for over
+ * a second. The daemon with the same name as the holder knows that it is gone
+ * and claims at once; it also tells the daemons that send it hellos (see
+ * send_hello_reply()).
  */
 static bool
-is_our_former_life (const MuxCell *cell)
+is_own_previous_incarnation (const MuxCell *cell)
 {
   return cell->claim.incarnation != 0
          && cell->claim.incarnation != cell->options.incarnation
@@ -359,9 +364,9 @@
 }
 
 /*
- * Guards against a cell without a planner: one that was taken in by a row of
- * another writer ends its term, no other claim stands, and as it goes on to
- * answer greetings nobody else claims.
+ * A daemon misled by a row of another writer ends its term while its own claim
+ * still exists; as it goes on to answer hellos, nobody else claims. So it has
+ * to claim again.
  */
 static bool
 is_own_claim (const MuxCell *cell)
@@ -375,25 +380,25 @@
   int64_t now = cell->time.now_ms;
 
   if (cell->claim.incarnation != 0 && now >= cell->next_hello_ms)
-    hello (cell);
+    send_hello (cell);
   if (cell->claiming || cell->stopping || !cell->claim.known
       || !cell_store_available (cell))
     return;
-  if (is_our_former_life (cell) && now >= cell->claim_retry_ms
-      && (weakness_ms (cell) == 0 || now >= cell->claim_after_ms))
-    claim (cell, "own_former_life");
+  if (is_own_previous_incarnation (cell) && now >= cell->claim_retry_ms
+      && (weak_delay_ms (cell) == 0 || now >= cell->claim_after_ms))
+    send_claim (cell, "own_former_life");
   if (cell->claiming || now < cell->claim_after_ms)
     return;
   if (cell->claim.incarnation == 0 && !cell->claim.unreadable)
-    claim (cell, "vacant");
+    send_claim (cell, "vacant");
   else if (is_own_claim (cell))
-    claim (cell, "own_claim");
+    send_claim (cell, "own_claim");
   else if (cell->planner_restarted)
-    claim (cell, "restarted");
+    send_claim (cell, "restarted");
   else if (planner_is_silent (cell)
            || (cell->planner_store_failing_ms != 0
                && now >= cell->next_probe_ms))
-    look_before_claim (cell);
+    check_before_claim (cell);
 }
 
 void
@@ -403,7 +408,8 @@
 
   if (cell->role == CELL_FOLLOWER)
     {
-      /* Silence that was our own is not held against the planner. */
+      /* If this process was paused, the missing contact is not the planner's
+       * fault. */
       if (paused_ms > CELL_PAUSE_MS)
         cell->planner_last_contact_ms = cell->time.now_ms;
       follower_tick (cell);
@@ -412,15 +418,15 @@
     cell_heartbeat_tick (cell, paused_ms);
 }
 
-/* Also from one that does not plan: its incarnation tells that the planner of
- * its name is gone. */
+/* Also sent by a daemon that is not the planner: its incarnation shows that
+ * an earlier process of its name, which held the claim, is gone. */
 static void
-welcome (MuxCell *cell, const MuxPeerMsg *hello, bool taken)
+send_hello_reply (MuxCell *cell, const MuxPeerMsg *hello, bool accepted)
 {
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_HELLO_REPLY, hello->from);
 
   msg.epoch = cell->term;
-  msg.call_id = taken ? hello->call_id : 0;
+  msg.call_id = accepted ? hello->call_id : 0;
   msg.table_ok = cell_store_available (cell);
   if (cell->role != CELL_FOLLOWER)
     {
@@ -434,7 +440,7 @@
 }
 
 static void
-hear_planner (MuxCell *cell, const MuxPeerMsg *msg)
+hello_reply_received (MuxCell *cell, const MuxPeerMsg *msg)
 {
   if (strcmp (msg->from, cell->claim.name) != 0)
     return;
@@ -442,7 +448,7 @@
       && !cell->planner_restarted)
     {
       cell->planner_restarted = true;
-      cell->claim_after_ms = cell->time.now_ms + spread (cell);
+      cell->claim_after_ms = cell->time.now_ms + claim_delay_ms (cell);
     }
   if (msg->from_incarnation != cell->claim.incarnation)
     return;
@@ -465,17 +471,17 @@
 void
 cell_claim_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  bool taken = false;
+  bool accepted = false;
 
   if (msg->verb == MUX_PEER_HELLO_REPLY)
     {
-      hear_planner (cell, msg);
+      hello_reply_received (cell, msg);
       return;
     }
   if (cell->role != CELL_FOLLOWER)
     {
-      taken = cell_member_hello_received (cell, msg);
+      accepted = cell_member_hello_received (cell, msg);
       cell_predecessor_hello (cell, msg);
     }
-  welcome (cell, msg, taken);
+  send_hello_reply (cell, msg, accepted);
 }
--- a/src/cell/claim_lease.c
+++ b/src/cell/claim_lease.c
@@ -1,27 +1,29 @@
 #include "cell_private.h"
 
 /*
- * How long a planner orders without a proof of its claim, and so how long its
- * successor has to wait.
+ * How long a claim is valid without renewal, and so how long a successor has
+ * to wait.
  *
- * A planner whose store fails it can't tell an outage from a cut that leaves
- * the store to the others, and to a successor.  It goes on for long only while
- * each daemon that has greeted it lately says that the store fails it, too.  A
- * daemon whose last greetings said otherwise, and were taken, knows that this
- * planner did not.
+ * A planner whose store calls fail can't tell an outage of the store from a
+ * partition that leaves the store to the other daemons, and to a successor. It
+ * keeps its claim for the longer time only while each daemon that has sent it
+ * hellos lately reports that the store fails as well. A daemon whose last
+ * hellos reported otherwise, and were acknowledged, knows that this planner
+ * did not keep it.
  */
 
-/* Two signs of life and their answers from a slow store fit into it. */
-#define TRUST_MS 2500
-/* What a member says counts for so long: three of its greetings fit. */
-#define SAID_MS 800
-/* Members count that greeted so long before the last proof, or later. */
-#define MEMBER_MS 3000
-/* The same on a clock that differs from the planner's. */
-#define MEMBER_SURELY_MS 2800
+/* Two heartbeats and their answers from a slow store fit into it. */
+#define CLAIM_LEASE_MS 2500
+/* How long a member's report counts; three of its hellos fit. */
+#define REPORT_VALID_MS 800
+/* Members count whose last hello came no earlier than this before the last
+ * renewal. */
+#define MEMBER_WINDOW_MS 3000
+/* The same less the drift between two daemons' clocks. */
+#define MEMBER_WINDOW_MIN_MS 2800
 
 static bool
-store_fails_all (const MuxCell *cell)
+store_fails_all_members (const MuxCell *cell)
 {
   const CellMember *member;
   const CellMember *next;
@@ -29,10 +31,10 @@
   HASH_ITER (hh, cell->members, member, next)
   {
     if (member->incarnation == cell->options.incarnation
-        || member->last_contact_ms < cell->claim_renewed_ms - MEMBER_MS)
+        || member->last_contact_ms < cell->claim_renewed_ms - MEMBER_WINDOW_MS)
       continue;
     if (member->store_available
-        || cell->time.now_ms - member->last_contact_ms > SAID_MS)
+        || cell->time.now_ms - member->last_contact_ms > REPORT_VALID_MS)
       return false;
   }
   return true;
@@ -45,63 +47,63 @@
 
   if (cell->claim_renewed_ms == 0 || age_ms >= CELL_CLAIM_LEASE_MAX_MS)
     return false;
-  return age_ms < TRUST_MS || store_fails_all (cell);
+  return age_ms < CLAIM_LEASE_MS || store_fails_all_members (cell);
 }
 
 uint64_t
 cell_hello_next (MuxCell *cell, bool table_ok)
 {
-  CellHellos *greetings = &cell->hellos;
-  uint64_t number = ++greetings->number;
+  CellHellos *hellos = &cell->hellos;
+  uint64_t number = ++hellos->number;
 
-  greetings->sent_ms[number % CELL_HELLOS] = cell->time.now_ms;
+  hellos->sent_ms[number % CELL_HELLOS] = cell->time.now_ms;
   if (!table_ok)
-    greetings->failing_number = number;
+    hellos->failing_number = number;
   return number;
 }
 
-/* Greetings that said that the store fails were all overtaken by one that the
- * planner has taken: an older one counts no more. */
+/* All hellos that reported the store as failing were sent before one that the
+ * planner has acknowledged: older ones no longer count. */
 static bool
-says_served (const CellHellos *greetings)
+store_reported_served (const CellHellos *hellos)
 {
-  return greetings->acked_number > greetings->failing_number;
+  return hellos->acked_number > hellos->failing_number;
 }
 
 /*
- * Guards against a successor that takes the trust for short though the planner
- * went on for long until a moment ago: while this daemon said that the store
- * fails it, or had not been heard for so long that it did not count.
+ * The planner's claim was possibly extended until a moment ago if this daemon
+ * had reported the store as failing, or had not been heard for so long that it
+ * did not count. A successor must not assume the short time then.
  */
 void
 cell_hello_acked (MuxCell *cell, uint64_t number)
 {
-  CellHellos *greetings = &cell->hellos;
+  CellHellos *hellos = &cell->hellos;
   int64_t now_ms = cell->time.now_ms;
 
-  if (number <= greetings->acked_number || number > greetings->number
-      || greetings->number - number >= CELL_HELLOS)
+  if (number <= hellos->acked_number || number > hellos->number
+      || hellos->number - number >= CELL_HELLOS)
     return;
-  if (!says_served (greetings)
-      || now_ms - greetings->acked_sent_ms > MEMBER_SURELY_MS)
-    greetings->served_since_ms = now_ms;
-  greetings->acked_number = number;
-  greetings->acked_sent_ms = greetings->sent_ms[number % CELL_HELLOS];
+  if (!store_reported_served (hellos)
+      || now_ms - hellos->acked_sent_ms > MEMBER_WINDOW_MIN_MS)
+    hellos->served_since_ms = now_ms;
+  hellos->acked_number = number;
+  hellos->acked_sent_ms = hellos->sent_ms[number % CELL_HELLOS];
 }
 
 bool
 cell_claim_lease_was_short (const MuxCell *cell)
 {
-  const CellHellos *greetings = &cell->hellos;
+  const CellHellos *hellos = &cell->hellos;
 
-  return says_served (greetings)
-         && cell->claim_read_ms - greetings->acked_sent_ms <= MEMBER_SURELY_MS;
+  return store_reported_served (hellos)
+         && cell->claim_read_ms - hellos->acked_sent_ms <= MEMBER_WINDOW_MIN_MS;
 }
 
 int64_t
 cell_claim_lease_until_ms (const MuxCell *cell)
 {
-  int64_t short_ms = cell->claim_read_ms + TRUST_MS;
+  int64_t short_ms = cell->claim_read_ms + CLAIM_LEASE_MS;
   int64_t long_ms = cell->claim_read_ms + CELL_CLAIM_LEASE_MAX_MS;
   int64_t served_ms = cell->hellos.served_since_ms;
 
--- a/src/cell/claim_rows.c
+++ b/src/cell/claim_rows.c
@@ -3,11 +3,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* The row that says who plans, as it is stored. */
+/* The claim's row as it is stored. */
 
-/* Return: the field that keeps it from saying who plans; NULL: none. */
+/* Return: the invalid field; NULL: none. */
 static const char *
-wrong_in_claim (const json_t *json)
+bad_claim_field (const json_t *json)
 {
   const json_t *incarnation = json_object_get (json, "incarnation");
   const char *name = json_string_value (json_object_get (json, "name"));
@@ -22,9 +22,9 @@
   return addr != NULL && addr[0] != 0 ? NULL : "addr";
 }
 
-/* How often the claim was taken is told for information alone. */
+/* For information only. */
 static uint32_t
-read_count (const json_t *json)
+read_term_count (const json_t *json)
 {
   json_int_t count = json_integer_value (json_object_get (json, "term"));
 
@@ -32,40 +32,41 @@
 }
 
 /*
- * Guards against a planner that is taken for one that has left, by a row of
- * another writer that names nobody, or an old one that was put back: the holder
- * tells which claim it gave up.
+ * A row of another writer that names no holder, or an old row that was
+ * restored, must not pass for a released claim, after which the last holder
+ * sends no orders. So a release names the version of the claim that it ends.
  */
 static bool
-is_given_up (const MuxCell *cell, const json_t *json)
+is_released (const MuxCell *cell, const json_t *json)
 {
-  json_int_t of = json_integer_value (json_object_get (json, "gave_up"));
+  json_int_t version = json_integer_value (json_object_get (json, "gave_up"));
 
-  return of > 0
-         && (cell->claim.version == 0 || (uint64_t) of == cell->claim.version);
+  return version > 0
+         && (cell->claim.version == 0
+             || (uint64_t) version == cell->claim.version);
 }
 
 /*
- * Guards against two daemons of which each can't read the other's claim, and
- * which replace each other in turn: one that can't be read says that somebody
- * plans, who is replaced only once its sign of life stays away.
+ * Two daemons that can't parse each other's claims would replace each other in
+ * turn. An unreadable claim therefore counts as held, and its holder is
+ * replaced only once its heartbeats stop.
  */
 void
 cell_claim_read (MuxCell *cell, CellClaim *claim, const MuxCellRow *row)
 {
   json_t *json = cell_row_json (cell, row);
-  const char *wrong = json != NULL ? wrong_in_claim (json) : NULL;
+  const char *bad_field = json != NULL ? bad_claim_field (json) : NULL;
   const char *name = json_string_value (json_object_get (json, "name"));
   const char *addr = json_string_value (json_object_get (json, "addr"));
-  const char *heir = json_string_value (json_object_get (json, "heir"));
+  const char *successor = json_string_value (json_object_get (json, "heir"));
 
   memset (claim, 0, sizeof *claim);
   cell_claim_read_predecessors (cell, claim, json);
   claim->version = row->version;
   claim->known = true;
-  claim->unreadable = !row->removed && (json == NULL || wrong != NULL);
-  if (wrong != NULL)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD, wrong);
+  claim->unreadable = !row->removed && (json == NULL || bad_field != NULL);
+  if (bad_field != NULL)
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD, bad_field);
   if (claim->unreadable)
     {
       json_decref (json);
@@ -74,15 +75,14 @@
   snprintf (claim->name, sizeof claim->name, "%s", name != NULL ? name : "");
   snprintf (claim->addr, sizeof claim->addr, "%s", addr != NULL ? addr : "");
   snprintf (claim->successor, sizeof claim->successor, "%s",
-            heir != NULL ? heir : "");
+            successor != NULL ? successor : "");
   claim->incarnation
       = (uint64_t) json_integer_value (json_object_get (json, "incarnation"));
-  claim->released = claim->incarnation == 0 && is_given_up (cell, json);
-  claim->term_count = read_count (json);
+  claim->released = claim->incarnation == 0 && is_released (cell, json);
+  claim->term_count = read_term_count (json);
   json_decref (json);
 }
 
-/* The next claim, with this daemon as the planner. */
 json_t *
 cell_next_claim (const MuxCell *cell)
 {
--- a/src/cell/handover.c
+++ b/src/cell/handover.c
@@ -1,31 +1,32 @@
 #include "cell_private.h"
 
-/* Who plans next when a planner leaves by itself. */
+/* Handing the claim over when a planner steps down by itself. */
 
-/* The plan goes to a member so many times as strong: less would not be worth
- * the second of a takeover. */
+/* How many times this daemon's CPU share a member needs to take over; for
+ * less the second that a takeover takes is not worth it. */
 #define YIELD_FACTOR 2
-/* Not before a term is so old: the strong members have greeted it by then, and
- * one that does not take the plan is not asked again at once. */
-#define YIELD_AFTER_MS 1000
-/* Between two looks at the members, as far apart as their greetings: one each
- * 4 ms at 299 of them took 2 % of the planner's processor. */
-#define YIELD_LOOK_MS 250
-/* A member that greeted within this time lives: two of its greetings fit. */
-#define HEARD_MS 500
+/* Minimum age of a term: the strong members have sent a hello by then, and
+ * one that does not claim is not asked again at once. */
+#define YIELD_TERM_AGE_MS 1000
+/* Interval of checks of the members, that of their hellos: a check each 4 ms
+ * with 299 members took 2 % of the planner's processor. */
+#define YIELD_CHECK_MS 250
+/* A member is alive if its last hello is no older; two hellos fit. */
+#define MEMBER_ALIVE_MS 500
 
 static bool
-may_inherit (const MuxCell *cell, const CellMember *member)
+may_succeed (const MuxCell *cell, const CellMember *member)
 {
   return member->store_available && !member->stopping
-         && cell->time.processed_ms - member->last_contact_ms < HEARD_MS;
+         && cell->time.processed_ms - member->last_contact_ms < MEMBER_ALIVE_MS;
 }
 
-/* The strongest member, and of these the youngest: where daemons are restarted
- * one after the other, it is the last to be restarted again.
- * Return: NULL if none has @least_milli. */
+/* The member with the largest CPU share and, among equals, the youngest
+ * process: in a rolling restart it is the last one to be restarted again.
+ *
+ * Return: NULL if none has @min_share_milli. */
 static const CellMember *
-choose_heir (const MuxCell *cell, uint32_t least_milli)
+choose_successor (const MuxCell *cell, uint32_t min_share_milli)
 {
   const CellMember *best = NULL;
   const CellMember *member;
@@ -33,7 +34,8 @@
 
   HASH_ITER (hh, cell->members, member, next)
   {
-    if (!may_inherit (cell, member) || member->cpu_share_milli < least_milli)
+    if (!may_succeed (cell, member)
+        || member->cpu_share_milli < min_share_milli)
       continue;
     if (best == NULL || member->cpu_share_milli > best->cpu_share_milli
         || (member->cpu_share_milli == best->cpu_share_milli
@@ -43,19 +45,21 @@
   return best;
 }
 
-/* Write that nobody plans, and who should.  From here on nothing is ordered:
- * the next planner takes the row as a sign of that. */
+/* Writes a claim without a holder that names the successor. No orders are
+ * sent from here on, as the next planner concludes from the row. */
 static bool
-leave_claim (MuxCell *cell, const CellMember *heir, CellReplyHandler done)
+write_release (MuxCell *cell,
+               const CellMember *successor,
+               CellReplyHandler on_reply)
 {
   json_t *row = json_pack (
       "{s:s, s:s, s:s, s:I, s:I, s:i}", "name", "", "addr", "", "heir",
-      heir != NULL ? heir->name : "", "incarnation", (json_int_t) 0, "gave_up",
-      (json_int_t) cell->term, "term", (int) cell->claim.term_count);
+      successor != NULL ? successor->name : "", "incarnation", (json_int_t) 0,
+      "gave_up", (json_int_t) cell->term, "term", (int) cell->claim.term_count);
   bool sent = cell_write_claim (
       cell,
       cell_predecessors_to_json (cell, row, cell_predecessors_left_ms (cell)),
-      done);
+      on_reply);
 
   cell->claim_releasing = cell->claim_releasing || sent;
   return sent;
@@ -65,20 +69,22 @@
 cell_yield_begin (MuxCell *cell)
 {
   cell->yield_busy = false;
-  cell->yield_after_ms = cell->time.now_ms + YIELD_AFTER_MS;
+  cell->yield_after_ms = cell->time.now_ms + YIELD_TERM_AGE_MS;
 }
 
 static void
-yielded (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
+yield_written (MuxCell *cell,
+               const CellPending *pending,
+               const MuxCellReply *reply)
 {
   cell_log (cell, "claim_yielded", "{s:s}", "status",
             mux_cell_status_name (reply->status));
-  /* Late, it would end a newer term of the same process, whose claim would go
-   * on to stand in the store with nobody who plans. */
+  /* A late reply must not end a newer term of this process, whose claim would
+   * stay in the store without a planner. */
   if (pending->context != cell->term)
     return;
   cell_yield_begin (cell);
-  /* It may still be carried out, unless another claim comes before it. */
+  /* The commit may still be applied, unless another claim comes first. */
   if (reply->status == MUX_CELL_OK || reply->status == MUX_CELL_UNKNOWN)
     cell_step_down (cell, "yielded");
   else if (!cell->stopping)
@@ -86,28 +92,29 @@
 }
 
 /*
- * Guards against a small instance that keeps the plan which it took while the
- * strong ones were away: planning for 350 workers needs more than its share of
- * a processor, so that starts, ends and renewals are late and callers are
- * refused for as long as it plans.
+ * A small instance may have become planner while the strong ones were away.
+ * Planning for 350 workers takes more than its share of a processor, so that
+ * starts, ends and renewals would be late, and callers be refused, for as long
+ * as it is the planner.
  */
 void
 cell_yield_tick (MuxCell *cell)
 {
-  const CellMember *heir;
+  const CellMember *successor;
 
   if (cell->yield_busy || cell->time.now_ms < cell->yield_after_ms)
     return;
-  heir = choose_heir (cell, YIELD_FACTOR * cell->options.strength_milli);
-  cell->yield_after_ms = cell->time.now_ms + YIELD_LOOK_MS;
-  if (heir != NULL)
-    cell->yield_busy = leave_claim (cell, heir, yielded);
+  successor
+      = choose_successor (cell, YIELD_FACTOR * cell->options.strength_milli);
+  cell->yield_after_ms = cell->time.now_ms + YIELD_CHECK_MS;
+  if (successor != NULL)
+    cell->yield_busy = write_release (cell, successor, yield_written);
 }
 
 static void
-claim_left (MuxCell *cell,
-            const CellPending *pending,
-            const MuxCellReply *reply)
+release_written (MuxCell *cell,
+                 const CellPending *pending,
+                 const MuxCellReply *reply)
 {
   (void) pending;
   cell_log (cell, "claim_given_up", "{s:s}", "status",
@@ -124,7 +131,8 @@
       cell->claim_released = true;
       return;
     }
-  if (!leave_claim (cell, choose_heir (cell, cell->options.strength_milli),
-                    claim_left))
+  if (!write_release (cell,
+                      choose_successor (cell, cell->options.strength_milli),
+                      release_written))
     cell->claim_released = true;
 }
--- a/src/cell/heartbeat.c
+++ b/src/cell/heartbeat.c
@@ -1,13 +1,12 @@
 #include "cell_private.h"
 
-/* What proves a planner's term: by what right it orders, and when it must not.
- */
+/* The planner's heartbeats in the store, and the checks of its claim that
+ * decide whether it may send orders to workers. */
 
-/* The planner writes a sign of life into the store this often; two of them fit
- * into dead_ms.  Each is a call that is paid for. */
-#define BEAT_MS 500
-/* After a failed reading of the own claim, for which all starts wait: each is
- * paid for, a refused one too. */
+/* Heartbeat interval; two fit into dead_ms. Each is a paid call. */
+#define HEARTBEAT_INTERVAL_MS 500
+/* Retry interval of reading the own claim, for which all starts wait; each
+ * call is paid for, a refused one too. */
 #define VERIFY_RETRY_MS 100
 
 void
@@ -20,7 +19,7 @@
   cell->claim_recheck_busy = false;
   cell->claim_renewed_ms = 0;
   cell->claim_releasing = false;
-  cell->next_heartbeat_ms = cell->time.now_ms + BEAT_MS;
+  cell->next_heartbeat_ms = cell->time.now_ms + HEARTBEAT_INTERVAL_MS;
 }
 
 bool
@@ -30,8 +29,9 @@
          && !cell->claim_releasing && cell_claim_is_valid (cell);
 }
 
-/* What was asked before a doubt arose says nothing about it: an answer that
- * lay in a frozen instance's queue would end the doubt of its own pause. */
+/* A call sent before the doubt arose does not settle it: an answer that lay
+ * in the queue of a frozen instance would end the doubt that the freeze
+ * raised. */
 void
 cell_claim_verified (MuxCell *cell, int64_t at_ms)
 {
@@ -40,8 +40,8 @@
 }
 
 /*
- * A successor takes the claim on condition of the last sign of life that it has
- * read, and so knows the last of these proofs; it knows of no other.
+ * A successor claims on condition of the last heartbeat that it has read, and
+ * so knows of the last of these renewals; it knows of no other.
  */
 void
 cell_claim_renewed (MuxCell *cell, int64_t at_ms)
@@ -82,7 +82,9 @@
 }
 
 static void
-confirmed (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
+claim_rechecked (MuxCell *cell,
+                 const CellPending *pending,
+                 const MuxCellReply *reply)
 {
   cell->claim_recheck_busy = false;
   claim_checked (cell, pending, reply);
@@ -94,17 +96,17 @@
 }
 
 /*
- * Guards against a planner that lost the history of the jobs and was replaced
- * in it.  It reads the jobs anew, part by part, and finds those that its
- * successor has stored and started; the claim, which a feed would have told of
- * before them, stands in none of the parts.  Nothing is placed until the claim
- * has been read once more after the last part: then it stood when they were
- * read, and all that changes later comes by the feed again.
+ * A planner that lost the history of the jobs table, and was replaced
+ * meanwhile, reads the jobs again part by part and finds those that its
+ * successor has stored and started; the claim, which a feed would have
+ * delivered before them, is in none of the parts. So nothing is placed until
+ * the claim has been read once more after the last part: it was then valid
+ * when the parts were read, and all later changes come by the feed again.
  */
 static void
-confirm (MuxCell *cell)
+recheck_claim (MuxCell *cell)
 {
-  CellPending pending = { .on_reply = confirmed,
+  CellPending pending = { .on_reply = claim_rechecked,
                           .term = cell->term,
                           .context = cell->jobs_reread_count };
 
@@ -122,7 +124,9 @@
 }
 
 static void
-beaten (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
+heartbeat_written (MuxCell *cell,
+                   const CellPending *pending,
+                   const MuxCellReply *reply)
 {
   cell->heartbeat_busy = false;
   if (reply->status == MUX_CELL_OK)
@@ -132,19 +136,19 @@
 }
 
 /*
- * Guards against planners that replace each other in turn: a daemon that is
- * cut off from the others, but not from the store, hears no planner and would
- * claim, upon which the others hear none.  All follow the table of the claim;
- * a sign of life there counts like a greeting, so that only a planner that is
- * silent on both ways is replaced.  Its condition confirms the claim besides.
+ * A daemon that is cut off from the others, but not from the store, hears no
+ * planner and would claim, upon which the others hear none and would claim in
+ * turn. All daemons follow the claim's table, where a heartbeat counts as much
+ * as a reply to a hello, so that only a planner that is silent on both ways is
+ * replaced. The heartbeat's condition confirms the claim too.
  */
 static void
-beat (MuxCell *cell)
+write_heartbeat (MuxCell *cell)
 {
   MuxCellCall *call = cell_commit_call ("", 2);
-  CellPending pending = { .on_reply = beaten, .term = cell->term };
+  CellPending pending = { .on_reply = heartbeat_written, .term = cell->term };
 
-  cell->next_heartbeat_ms = cell->time.now_ms + BEAT_MS;
+  cell->next_heartbeat_ms = cell->time.now_ms + HEARTBEAT_INTERVAL_MS;
   if (call == NULL)
     return;
   cell_call_expect (call, MUX_TABLE_CLAIM, CELL_CLAIM_KEY, cell->term);
@@ -156,7 +160,7 @@
 }
 
 static void
-verify (MuxCell *cell)
+verify_claim (MuxCell *cell)
 {
   CellPending pending = { .on_reply = claim_checked, .term = cell->term };
 
@@ -165,10 +169,10 @@
 }
 
 /*
- * Guards against a planner that was frozen, or whose instance was suspended,
- * while another took over: it wakes with all its state and would go on to
- * order.  The steady clock used here counts suspended time, so the pause shows
- * between two ticks; nothing is ordered until the claim has been read again.
+ * A planner that was frozen, or whose instance was suspended, while another
+ * took over wakes with all its state and would go on to send orders. The
+ * steady clock used here counts suspended time, so the pause shows between two
+ * ticks; no order is sent until the claim has been read again.
  */
 void
 cell_heartbeat_tick (MuxCell *cell, int64_t paused_ms)
@@ -180,14 +184,14 @@
   if (cell->claim_verified_ms == 0)
     {
       if (!cell->claim_verify_busy && now >= cell->next_verify_ms)
-        verify (cell);
+        verify_claim (cell);
     }
   else if (!cell->heartbeat_busy
            && (now >= cell->next_heartbeat_ms || cell->claim_renewed_ms == 0))
-    beat (cell);
+    write_heartbeat (cell);
   if (cell->jobs_unverified && !cell->jobs_rereading
       && !cell->claim_recheck_busy && now >= cell->next_verify_ms)
-    confirm (cell);
+    recheck_claim (cell);
   if (cell->claim_verified_ms != 0)
     cell_yield_tick (cell);
 }
