--- a/src/cell/call.c
+++ b/src/cell/call.c
@@ -7,9 +7,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A store that has failed for so long without serving once is taken as away:
- * callers are refused at once rather than held.  Three short tries. */
-#define STORE_AWAY_MS 400
+/* The store counts as unavailable once all calls have failed for this long,
+ * three short attempts: callers are then refused at once instead of waiting. */
+#define STORE_UNAVAILABLE_MS 400
 
 static void
 count_call (MuxCell *cell, MuxCellVerb verb)
@@ -76,7 +76,7 @@
 }
 
 static bool
-of_store (MuxCellVerb verb)
+is_store_call (MuxCellVerb verb)
 {
   return verb == MUX_CELL_COMMIT || verb == MUX_CELL_SCAN
          || verb == MUX_CELL_FEED;
@@ -94,7 +94,7 @@
       if (cell->store_failing_ms != 0)
         cell->store_changed_ms = cell->time.now_ms;
       if (cell->store_failing_ms != 0
-          && cell->time.now_ms - cell->store_failing_ms > STORE_AWAY_MS)
+          && cell->time.now_ms - cell->store_failing_ms > STORE_UNAVAILABLE_MS)
         cell_log (cell, "store_back", "{s:I}", "away_ms",
                   (json_int_t) (cell->time.now_ms - cell->store_failing_ms));
       cell->store_failing_ms = 0;
@@ -120,15 +120,15 @@
 cell_store_available (const MuxCell *cell)
 {
   return cell->store_failing_ms == 0
-         || cell->time.now_ms - cell->store_failing_ms < STORE_AWAY_MS;
+         || cell->time.now_ms - cell->store_failing_ms < STORE_UNAVAILABLE_MS;
 }
 
 /*
- * Guards against a mark in the roster that ends before the worker's lease: an
- * answer tells the store's clock as it was at some moment behind the call, and
- * from a slow store it is under way for a second.  Taken as the clock of the
- * call's own time it is never behind.  A call that waits for changes tells it
- * too vaguely.
+ * An answer holds the store's clock at some moment after the call, and from a
+ * slow store it is under way for a second. Taken as the clock at the time of
+ * the call it is never behind; otherwise an expiry in the roster could be
+ * before the worker's lease ends. A call that waits for changes is too
+ * inexact.
  */
 static void
 take_store_clock (MuxCell *cell,
@@ -142,7 +142,9 @@
 }
 
 static void
-observe (MuxCell *cell, const CellPending *entry, const MuxCellReply *reply)
+record_duration (MuxCell *cell,
+                 const CellPending *entry,
+                 const MuxCellReply *reply)
 {
   int64_t took_ms = cell->time.now_ms - entry->sent_ms;
   MuxCounters *counters = cell->options.counters;
@@ -156,15 +158,15 @@
 }
 
 /*
- * Guards against a store that is said to fail while it serves: calls lost in an
- * outage end when their time is up, one after the other, until 1.5 s after its
- * end, and callers would be refused for each.  A time-out tells of the store
- * only if nothing else was answered lately.  What fails at once tells of now.
+ * Calls lost in an outage of the store time out one after the other until 1.5
+ * s after its end, and callers would be refused for each. So a time-out counts
+ * only if no other call was answered lately. A call that fails at once shows
+ * the present state.
  */
 static bool
-tells_of_now (const MuxCell *cell,
-              const CellPending *entry,
-              const MuxCellReply *reply)
+shows_present_state (const MuxCell *cell,
+                     const CellPending *entry,
+                     const MuxCellReply *reply)
 {
   int64_t now = cell->time.now_ms;
 
@@ -189,16 +191,17 @@
 
   cell_set_time (cell, time);
   HASH_FIND (hh, cell->pending, &reply->call_id, sizeof reply->call_id, entry);
-  /* A call given up that ends in a time-out tells of a store long ago. */
-  if (entry != NULL && of_store (reply->verb)
-      && tells_of_now (cell, entry, reply))
+  /* An abandoned call that times out says nothing of the store now. */
+  if (entry != NULL && is_store_call (reply->verb)
+      && shows_present_state (cell, entry, reply))
     cell_store_result (cell, reply);
   if (entry != NULL)
     {
       HASH_DEL (cell->pending, entry);
       take_store_clock (cell, entry, reply);
-      observe (cell, entry, reply);
-      /* What belongs to an earlier term speaks of state that is gone. */
+      record_duration (cell, entry, reply);
+      /* A reply that belongs to an earlier term refers to state that is gone.
+       */
       cell->reply_clock_ms = reply->store_clock_ms;
       if (entry->term == 0 || entry->term == cell->term)
         entry->on_reply (cell, entry, reply);
@@ -227,22 +230,22 @@
 }
 
 /*
- * Guards against a peer's word that was asked for by a former process of the
- * same name.  Callers are numbered outside of the core; where that begins anew
- * with each process the word would be taken for another caller's, and accept a
- * job that is not stored.  Incarnations of two processes lie further apart than
- * either has callers, so that a number of the other belongs to nobody here.
+ * Callers are numbered outside of the cell, from the start with each process.
+ * A peer's reply to a request of an earlier process of the same name would be
+ * taken for another caller's, and accept a job that is not stored.
+ * Incarnations of two processes are further apart than either has callers, so
+ * that a number of the other process belongs to no caller here.
  */
 uint64_t
-cell_peer_request_id (const MuxCell *cell, uint64_t call)
+cell_peer_request_id (const MuxCell *cell, uint64_t request_id)
 {
-  return cell->options.incarnation + call;
+  return cell->options.incarnation + request_id;
 }
 
 uint64_t
-cell_peer_request_caller (const MuxCell *cell, uint64_t number)
+cell_peer_request_caller (const MuxCell *cell, uint64_t peer_request_id)
 {
-  return number - cell->options.incarnation;
+  return peer_request_id - cell->options.incarnation;
 }
 
 MuxCellChange *
@@ -296,7 +299,7 @@
   cell_call_add_change (call, MUX_CHANGE_EXPECT, table, key)->version = version;
 }
 
-/* A blank sorts before all that a key can hold. */
+/* A space sorts before all characters of a key. */
 void
 cell_key_after (char next[MUX_ROW_NAME_LEN], const char *key)
 {
--- a/src/cell/member.c
+++ b/src/cell/member.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* The daemons that greet the planner. */
+/* The daemons that send hellos to the planner. */
 
 CellMember *
 cell_member_find (MuxCell *cell, const char *name)
@@ -67,13 +67,13 @@
         return false;
       cell_log (cell, "member", "{s:s}", "name", member->name);
     }
-  /* One that was overtaken says what is true no more. */
+  /* A hello that was overtaken by a later one is out of date. */
   if (msg->from_incarnation < member->incarnation
       || (msg->from_incarnation == member->incarnation && msg->call_id != 0
           && msg->call_id <= member->hello_number))
     return false;
-  /* What its former process asked is lost with it, answer and all: the step
-   * asks anew at once. */
+  /* An approval query of its previous process is lost together with the
+   * answer: the step sends a new one at once. */
   if (member->incarnation != msg->from_incarnation)
     cell_approval_query_done (cell, member->query_number, false, NULL, 0, 0);
   snprintf (member->addr, sizeof member->addr, "%s", msg->from_addr);
--- a/src/cell/proxy.c
+++ b/src/cell/proxy.c
@@ -5,52 +5,54 @@
 #include <string.h>
 
 /*
- * On a large cell the planner's calls to workers would cost it more than its
- * processor has: strong daemons carry them.  They decide nothing; an order
- * bears the planner's token, run and last moment, so that one that is carried
- * out late, or whose answer is lost with its carrier, is settled like any
- * other.
+ * On a large cell the planner's calls to workers would take more than its
+ * processor has, so daemons with a large CPU share make them as proxies.
+ * Proxies decide nothing: an order carries the planner's fencing token, the
+ * run number and its deadline, so that one that is carried out late, or whose
+ * answer is lost with its proxy, is resolved like any other.
  */
 
-/* Up to so many workers the planner calls them itself: the calls of 48 cost it
- * 0.08 of a core. */
-#define CARRY_WORKERS 96
-/* A daemon of less than this carries nothing, unless all are weak. */
-#define CARRIER_MILLI 400
-#define MEMBER_SILENT_MS 700
-/* Where none was heard so lately, for so long: a planner that is late hears of
- * all of them late. */
+/* Up to this many workers the planner calls them itself: calls to 48 workers
+ * take 0.08 of a core. */
+#define PROXY_WORKERS_MIN 96
+/* Minimum CPU share of a proxy, in thousandths of a core. */
+#define PROXY_SHARE_MILLI 400
+/* A proxy's last hello is at most this old. */
+#define MEMBER_ALIVE_MS 700
+/* The same if no member has been heard from within that time: a planner
+ * that is overloaded processes all hellos late. */
 #define MEMBER_GONE_MS 4000
-/* A worker's carrier is chosen among all members this often. */
-#define CARRIER_KEPT_MS 1000
-/* For the way to the carrier and back. */
-#define WAY_MS 300
-/* After a call that its carrier got no answer to: the worker may be out of the
- * carrier's reach alone. */
+/* How often a worker's proxy is chosen anew among all members. */
+#define PROXY_KEPT_MS 1000
+/* Added to the time-out for the way to the proxy and back. */
+#define ROUND_TRIP_MS 300
+/* How long a worker is called directly after its proxy got no answer: it may
+ * be unreachable from the proxy alone. */
 #define DIRECT_MS 5000
-/* Workers called directly at a time, where others carry: as many as without
- * carriers, for 0.16 of a core and 30 MB. */
-#define DIRECT_MAX CARRY_WORKERS
-#define OVERDUE_LOOK_MS 100
-/* To another carrier: over all slots, so that it is nobody else's first one. */
-#define DETOUR 65536
-/* Ended at one look: more than a carrier's workers and their starts. */
+/* Limit of workers called directly while others are proxied: as many as
+ * without proxies, which takes 0.16 of a core and 30 MB. */
+#define DIRECT_MAX PROXY_WORKERS_MIN
+#define OVERDUE_CHECK_MS 100
+/* Added to the hash seed to choose another proxy: greater than any slot, so
+ * that no worker's first choice is the same. */
+#define REROUTE_HASH_STEP 65536
+/* Calls ended in one pass: more than a proxy's workers and their starts. */
 #define OVERDUE_MAX 512
-/* A planner's lateness counts no further than this, in ms. */
-#define LATENESS_MAX_MS 3000
+/* Upper bound of the planner's own delay that is taken into account. */
+#define OWN_DELAY_MAX_MS 3000
 
 static bool
-can_carry (const MuxCell *cell, const CellMember *member, int64_t silent_ms)
+can_proxy (const MuxCell *cell, const CellMember *member, int64_t max_age_ms)
 {
-  return !member->stopping && member->cpu_share_milli >= CARRIER_MILLI
-         && cell->time.processed_ms - member->last_contact_ms < silent_ms
+  return !member->stopping && member->cpu_share_milli >= PROXY_SHARE_MILLI
+         && cell->time.processed_ms - member->last_contact_ms < max_age_ms
          && strcmp (member->name, cell->options.name) != 0;
 }
 
-/* The same one for a worker as long as it lives and answers through it, so that
- * its connections are kept. */
+/* The same proxy for a worker as long as it lives and the worker answers
+ * through it, so that its connections are kept. */
 static CellMember *
-choose_carrier (MuxCell *cell, const CellWorker *worker, int64_t silent_ms)
+choose_proxy (MuxCell *cell, const CellWorker *worker, int64_t max_age_ms)
 {
   CellMember *best = NULL;
   uint64_t best_hash = 0;
@@ -62,7 +64,7 @@
     uint64_t hash
         = mux_hash_name (member->name, worker->slot + 1 + worker->reroutes);
 
-    if (!can_carry (cell, member, silent_ms)
+    if (!can_proxy (cell, member, max_age_ms)
         || (best != NULL && hash <= best_hash))
       continue;
     best = member;
@@ -74,21 +76,21 @@
 bool
 cell_uses_proxies (const MuxCell *cell)
 {
-  return HASH_COUNT (cell->workers) > CARRY_WORKERS;
+  return HASH_COUNT (cell->workers) > PROXY_WORKERS_MIN;
 }
 
 static CellMember *
-carrier_of (MuxCell *cell, CellWorker *worker)
+proxy_of (MuxCell *cell, CellWorker *worker)
 {
   if (!cell_uses_proxies (cell) || cell->time.now_ms < worker->direct_until_ms)
     return NULL;
   if (worker->proxy != NULL && cell->time.now_ms < worker->proxy_until_ms
-      && can_carry (cell, worker->proxy, MEMBER_SILENT_MS))
+      && can_proxy (cell, worker->proxy, MEMBER_ALIVE_MS))
     return worker->proxy;
-  worker->proxy = choose_carrier (cell, worker, MEMBER_SILENT_MS);
+  worker->proxy = choose_proxy (cell, worker, MEMBER_ALIVE_MS);
   if (worker->proxy == NULL && cell->direct_workers >= DIRECT_MAX)
-    worker->proxy = choose_carrier (cell, worker, MEMBER_GONE_MS);
-  worker->proxy_until_ms = cell->time.now_ms + CARRIER_KEPT_MS;
+    worker->proxy = choose_proxy (cell, worker, MEMBER_GONE_MS);
+  worker->proxy_until_ms = cell->time.now_ms + PROXY_KEPT_MS;
   return worker->proxy;
 }
 
@@ -98,14 +100,14 @@
                   MuxCellCall *call,
                   const CellPending *pending)
 {
-  CellMember *carrier = carrier_of (cell, worker);
+  CellMember *proxy = proxy_of (cell, worker);
   MuxPeerMsg msg;
   CellPending *entry;
   bool sent;
 
-  if (carrier == NULL || call == NULL)
+  if (proxy == NULL || call == NULL)
     return cell_call (cell, call, pending);
-  msg = cell_message (cell, MUX_PEER_PROXY_CALL, carrier->name);
+  msg = cell_message (cell, MUX_PEER_PROXY_CALL, proxy->name);
   entry = cell_pending_add (cell, pending);
   if (entry == NULL)
     {
@@ -113,11 +115,11 @@
       return false;
     }
   entry->verb = call->verb;
-  entry->overdue_ms = cell->time.now_ms + call->timeout_ms + WAY_MS;
+  entry->overdue_ms = cell->time.now_ms + call->timeout_ms + ROUND_TRIP_MS;
   msg.call_id = entry->call_id;
   msg.body = cell_proxied_call_encode (call);
   sent = msg.body != NULL
-         && cell->options.sink->peer_send (cell->options.sink, carrier->addr,
+         && cell->options.sink->peer_send (cell->options.sink, proxy->addr,
                                            &msg);
   mux_blob_unref (msg.body);
   mux_cell_call_free (call);
@@ -129,10 +131,10 @@
 }
 
 /*
- * Guards against a planner that ends for its memory: when many calls go
- * unanswered at once, as for a carrier's death or a planner that is late, each
- * worker called directly costs a connection.  3,000 of them took over 500 MB
- * and most of a core.  Beyond a few, another daemon carries the next call.
+ * When many calls go unanswered at once, as when a proxy dies or the planner
+ * is overloaded, each worker called directly costs a connection, and the
+ * planner runs out of memory: 3,000 of them took over 500 MB and most of a
+ * core. Beyond a limit another proxy makes the next call instead.
  */
 void
 cell_worker_reroute (MuxCell *cell, CellWorker *worker)
@@ -148,7 +150,7 @@
       worker->direct_until_ms = cell->time.now_ms + DIRECT_MS;
       return;
     }
-  worker->reroutes += DETOUR;
+  worker->reroutes += REROUTE_HASH_STEP;
   worker->proxy = NULL;
 }
 
@@ -170,49 +172,49 @@
   CellWorker *worker = cell_worker_find (cell, entry->worker);
   MuxCellReply *reply = mux_cell_reply_new (&call, MUX_CELL_UNKNOWN);
 
-  /* An unanswered renewal tells so itself. */
+  /* An unanswered renewal reroutes the worker itself. */
   if (worker != NULL && entry->verb != MUX_CELL_RENEW)
     cell_worker_reroute (cell, worker);
   if (reply != NULL)
     mux_cell_reply (cell, cell->time, reply);
 }
 
-/* Answers that wait on connections that are not read in time are not held
- * against their workers, but for so long at most. */
+/* Answers that wait on connections that this daemon reads late don't count
+ * against their workers, up to a limit. */
 static int64_t
-answers_late_ms (const MuxCell *cell)
+own_delay_ms (const MuxCell *cell)
 {
   int64_t late_ms = cell_reply_latency_ms (cell);
 
-  return late_ms < LATENESS_MAX_MS ? late_ms : LATENESS_MAX_MS;
+  return late_ms < OWN_DELAY_MAX_MS ? late_ms : OWN_DELAY_MAX_MS;
 }
 
-/* A carrier that died keeps its answers.  All that are overdue end in one go:
- * with one at a time the last of a carrier's fifty workers would be out of work
- * for five seconds.  What ends may end others with it, so that each is looked
- * up again.
+/* A proxy that died takes its answers with it. All overdue calls end in one
+ * pass: with one at a time the last of a proxy's fifty workers would be
+ * unusable for five seconds. The handler of one may end others, so each is
+ * looked up again.
  *
- * Guards against a planner that has more to do than its processor bears and
- * takes its workers for lost: their answers wait in its own queue when their
- * time is up, each worker is then called directly, which costs the planner
- * more, and once the leases are over running tasks start again.  Time passes
- * here with what was taken: an answer that came in time is found before.  With
- * all taken 2.5 s late 120 workers were lost 641 times in 40 s, now never. */
+ * An overloaded planner must not take its workers for lost: their answers
+ * wait in its own queue when their time is up, each worker is then called
+ * directly, which costs the planner more, and once the leases expire running
+ * tasks start again. So a call is overdue only once all that arrived up to its
+ * time limit has been processed. With all events processed 2.5 s late 120
+ * workers were lost 641 times in 40 s; with this rule, never. */
 void
 cell_proxy_tick (MuxCell *cell)
 {
   uint64_t overdue[OVERDUE_MAX] = { 0 };
-  int64_t heard_ms = cell->time.processed_ms - answers_late_ms (cell);
+  int64_t processed_ms = cell->time.processed_ms - own_delay_ms (cell);
   uint32_t count = 0;
   CellPending *entry;
   CellPending *next;
 
   if (cell->time.now_ms < cell->next_overdue_ms)
     return;
-  cell->next_overdue_ms = cell->time.now_ms + OVERDUE_LOOK_MS;
+  cell->next_overdue_ms = cell->time.now_ms + OVERDUE_CHECK_MS;
   count_direct (cell);
   HASH_ITER (hh, cell->pending, entry, next)
-  if (entry->overdue_ms != 0 && heard_ms > entry->overdue_ms
+  if (entry->overdue_ms != 0 && processed_ms > entry->overdue_ms
       && count < OVERDUE_MAX)
     overdue[count++] = entry->call_id;
   for (uint32_t i = 0; i < count; i++)
@@ -223,10 +225,12 @@
     }
 }
 
-/* The carrier's side. */
+/* The proxy's side. */
 
 static void
-carried (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
+proxied_call_done (MuxCell *cell,
+                   const CellPending *pending,
+                   const MuxCellReply *reply)
 {
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_PROXY_REPLY, pending->peer);
 
@@ -240,9 +244,10 @@
 }
 
 static void
-carry (MuxCell *cell, const MuxPeerMsg *msg)
+proxy_call_received (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  CellPending pending = { .on_reply = carried, .context = msg->call_id };
+  CellPending pending
+      = { .on_reply = proxied_call_done, .context = msg->call_id };
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
   snprintf (pending.peer_addr, sizeof pending.peer_addr, "%s", msg->from_addr);
@@ -250,7 +255,7 @@
 }
 
 static void
-take (MuxCell *cell, const MuxPeerMsg *msg)
+proxy_reply_received (MuxCell *cell, const MuxPeerMsg *msg)
 {
   MuxCellReply *reply = cell_proxied_reply_decode (msg->body, msg->call_id);
 
@@ -262,7 +267,7 @@
 cell_proxy_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
   if (msg->verb == MUX_PEER_PROXY_CALL)
-    carry (cell, msg);
+    proxy_call_received (cell, msg);
   else
-    take (cell, msg);
+    proxy_reply_received (cell, msg);
 }
--- a/src/cell/proxy_wire.c
+++ b/src/cell/proxy_wire.c
@@ -6,9 +6,10 @@
 #include <string.h>
 
 /*
- * Calls to workers and their ends as they travel between daemons: msgpack
- * arrays, in the order of the lines below.  There are thousands a second: as
- * JSON they took a third of the planner's processor on a cell of 350 workers.
+ * Proxied calls to workers and their replies as sent between daemons: msgpack
+ * arrays with the fields in the order of the enums below. There are thousands
+ * a second: as JSON they took a third of the planner's processor on a cell of
+ * 350 workers.
  */
 
 enum
@@ -34,7 +35,7 @@
   REPLY_VERB,
   REPLY_STATUS,
   REPLY_CLOCK,
-  REPLY_BORN,
+  REPLY_STARTED,
   REPLY_REPORTS,
   REPLY_FIELDS
 };
@@ -51,8 +52,8 @@
   REPORT_FIELDS
 };
 
-/* Memory for writing runs out at any step: each tells, all are looked at in the
- * end. */
+/* Each write may fail for lack of memory; @failed collects the results, and
+ * is checked at the end. */
 typedef struct
 {
   msgpack_sbuffer buffer;
@@ -68,7 +69,7 @@
   writer->failed = 0;
 }
 
-/* Return: what was written; NULL: memory is out. */
+/* Return: the bytes written; NULL: out of memory. */
 static MuxBlob *
 writer_end (Writer *writer)
 {
@@ -113,7 +114,7 @@
   put_number (writer, task->index);
 }
 
-/* 0 where there is no number of that size. */
+/* Return: 0 if it is no number in range. */
 static int64_t
 number_at (const msgpack_object *list, uint32_t i)
 {
@@ -214,7 +215,7 @@
   return NULL;
 }
 
-/* Bytes of a number behind a head of one byte; 0: it is none of ours. */
+/* Size of a number with the given head byte; 0: not a number written here. */
 static size_t
 number_bytes (unsigned char head)
 {
@@ -237,8 +238,8 @@
   return value;
 }
 
-/* Bytes of the item at @at, of an array those of its head alone; 0: it is of no
- * kind that is written here, or longer than what is left. */
+/* Size of the item at @at, for an array that of its head alone; 0: it is of a
+ * type not written here, or longer than @left. */
 static size_t
 item_bytes (const unsigned char *at, size_t left)
 {
@@ -260,13 +261,13 @@
 }
 
 /*
- * Guards against a daemon that ends for its memory: the library takes memory
- * for as many items as an array's head names before it reads them, 128 GB for
- * nine bytes.  Each item takes a byte at least, so that no head may name more
- * than what is left.
+ * The library allocates space for as many items as an array's head names
+ * before it reads them: 128 GB for nine bytes, and the daemon runs out of
+ * memory. Each item takes a byte at least, so no head may name more items than
+ * bytes are left.
  */
 static bool
-heads_are_sound (const MuxBlob *blob)
+heads_are_valid (const MuxBlob *blob)
 {
   const unsigned char *bytes = (const unsigned char *) blob->bytes;
   size_t at = 0;
@@ -282,12 +283,12 @@
   return true;
 }
 
-/* Bytes of another version of the program are no array of that length. */
+/* Another version of the program writes arrays of another length. */
 static bool
 unpack (msgpack_unpacked *unpacked, const MuxBlob *blob, uint32_t fields)
 {
   msgpack_unpacked_init (unpacked);
-  return blob != NULL && heads_are_sound (blob)
+  return blob != NULL && heads_are_valid (blob)
          && msgpack_unpack_next (unpacked, blob->bytes, blob->len, NULL)
                 == MSGPACK_UNPACK_SUCCESS
          && is_array (&unpacked->data, fields);
@@ -384,7 +385,7 @@
   if (reply == NULL)
     return NULL;
   reply->worker_clock_ms = number_at (list, REPLY_CLOCK);
-  reply->worker_started_ms = (uint64_t) number_at (list, REPLY_BORN);
+  reply->worker_started_ms = (uint64_t) number_at (list, REPLY_STARTED);
   if (read_reports (&list->via.array.ptr[REPLY_REPORTS], reply))
     return reply;
   mux_cell_reply_free (reply);
--- a/src/cell/relay.c
+++ b/src/cell/relay.c
@@ -5,23 +5,24 @@
 #include <string.h>
 
 /*
- * Jobs are stored by the planner for all daemons, in groups.  A part of the
- * store carries out one transaction after the other: where each takes 300 ms
- * instead of 5, seven daemons with a commit each wait two seconds, and the
- * store turns most of them away; one that speaks for all needs two a second.
- * It also serves callers of a daemon that the store alone turns away.
+ * The planner stores jobs for all daemons, in groups. A part of the store runs
+ * one transaction after the other: where each takes 300 ms instead of 5, seven
+ * daemons with a commit each wait two seconds, and the store refuses most of
+ * them; a single writer needs two commits a second. The planner also serves
+ * callers of a daemon that alone can't reach the store.
  */
 
-/* The planner was heard so lately that it is asked: three of its answers to
- * greetings fit into it. */
-#define HEARD_MS 800
+/* Maximum age of the planner's last reply to a hello for jobs to be relayed
+ * to it; three hellos fit. */
+#define HELLO_REPLY_MAX_AGE_MS 800
 
 bool
 cell_planner_is_reachable (const MuxCell *cell)
 {
   return cell->planner_hello_reply_ms != 0
          && cell->planner_store_failing_ms == 0
-         && cell->time.now_ms - cell->planner_hello_reply_ms < HEARD_MS;
+         && cell->time.now_ms - cell->planner_hello_reply_ms
+                < HELLO_REPLY_MAX_AGE_MS;
 }
 
 bool
@@ -41,25 +42,24 @@
   return submission->relayed;
 }
 
-/* Back to this daemon's own commit.  What the planner was asked to do it may
- * have done. */
+/* This daemon stores the job itself. The planner may have stored it already. */
 static void
-take_back (CellSubmission *submission, bool doubtful)
+take_back (CellSubmission *submission, bool outcome_unknown)
 {
   submission->relayed = false;
-  submission->outcome_unknown = submission->outcome_unknown || doubtful;
+  submission->outcome_unknown = submission->outcome_unknown || outcome_unknown;
 }
 
 void
 cell_relay_tick (MuxCell *cell, CellPart *part)
 {
-  bool near = cell_planner_is_reachable (cell);
+  bool reachable = cell_planner_is_reachable (cell);
   CellSubmission *submission;
   CellSubmission *next;
 
   DL_FOREACH_SAFE (part->submissions, submission, next)
   if (submission->relayed
-      && (!near || cell->time.now_ms >= submission->deadline_ms))
+      && (!reachable || cell->time.now_ms >= submission->deadline_ms))
     take_back (submission, true);
 }
 
@@ -84,7 +84,7 @@
 }
 
 static void
-take_asked (MuxCell *cell, const MuxPeerMsg *msg)
+submit_request_received (MuxCell *cell, const MuxPeerMsg *msg)
 {
   MuxFindings findings = { .count = 0, .dropped = 0 };
   json_t *json = cell_json_from_blob (msg->body);
@@ -108,13 +108,13 @@
 }
 
 static CellSubmission *
-find (MuxCell *cell, uint64_t call, CellPart **part)
+find_relayed (MuxCell *cell, uint64_t request_id, CellPart **part)
 {
   CellSubmission *submission;
 
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     DL_FOREACH (cell->part[i].submissions, submission)
-  if (submission->relayed && submission->request_id == call)
+  if (submission->relayed && submission->request_id == request_id)
     {
       *part = &cell->part[i];
       return submission;
@@ -123,11 +123,11 @@
 }
 
 static void
-take_told (MuxCell *cell, const MuxPeerMsg *msg)
+submit_reply_received (MuxCell *cell, const MuxPeerMsg *msg)
 {
   CellPart *part = NULL;
-  CellSubmission *submission
-      = find (cell, cell_peer_request_caller (cell, msg->call_id), &part);
+  CellSubmission *submission = find_relayed (
+      cell, cell_peer_request_caller (cell, msg->call_id), &part);
 
   if (submission == NULL)
     return;
@@ -137,8 +137,8 @@
                            "planner");
       return;
     }
-  /* A planner that the store serves, and that refuses, has more to store than
-   * the store can take: another daemon's commit would only come on top. */
+  /* A planner that refuses while the store serves it has more to store than
+   * the store can take: another daemon's commit would only add to that. */
   if (msg->outcome == MUX_RESPONSE_REFUSED && msg->table_ok)
     {
       submission->retry_ms = msg->retry_ms;
@@ -154,7 +154,7 @@
 cell_relay_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
   if (msg->verb == MUX_PEER_SUBMIT_REPLY)
-    take_told (cell, msg);
+    submit_reply_received (cell, msg);
   else
-    take_asked (cell, msg);
+    submit_request_received (cell, msg);
 }
