--- a/src/cell/authorize.c
+++ b/src/cell/authorize.c
@@ -3,17 +3,18 @@
 #include <string.h>
 
 /*
- * Whether a caller's key holds, and which jobs a caller may know of.
+ * Checks callers' API keys, and which jobs a caller may see.
  *
- * Where revocation is strict a key counts only as long as the configuration is
- * proved to be the newest: the call to the store that showed it was sent less
- * than the revocation time ago.  A key that was taken away before is then known
- * to be, however long this daemon has been cut off or stood still since: the
- * age is looked at once the caller's whole question has been read.
+ * With strict revocation a key counts only while the configuration is
+ * confirmed as the newest: the call to the store that confirmed it was sent
+ * less than the revocation time ago. A key that was revoked before that is
+ * then known to be revoked, however long this daemon has been cut off or
+ * paused since: the age is checked once the caller's whole request has been
+ * read.
  */
 
-/* Steady clocks of two machines differ by less than one part of so many. */
-#define CLOCK_PARTS 50
+/* Steady clocks of two machines differ by less than one part in this many. */
+#define CLOCK_DRIFT_PARTS 50
 
 int64_t
 cell_config_age_ms (const MuxCell *cell)
@@ -24,30 +25,31 @@
 }
 
 static bool
-is_proved (const MuxCell *cell)
+config_is_confirmed (const MuxCell *cell)
 {
-  int64_t most_ms = cell->options.revoke_timeout_ms;
+  int64_t limit_ms = cell->options.revoke_timeout_ms;
 
-  return most_ms == 0
-         || cell_config_age_ms (cell) < most_ms - most_ms / CLOCK_PARTS;
+  return limit_ms == 0
+         || cell_config_age_ms (cell) < limit_ms - limit_ms / CLOCK_DRIFT_PARTS;
 }
 
 /*
- * Guards against callers who come, or stay, where they will be refused: the
- * platform takes a second or two to send them elsewhere.
+ * Callers are sent elsewhere before they are refused: the platform takes a
+ * second or two for that.
  */
 bool
 cell_keys_are_fresh (const MuxCell *cell)
 {
-  int64_t most_ms = cell->options.revoke_timeout_ms;
+  int64_t limit_ms = cell->options.revoke_timeout_ms;
 
-  return most_ms == 0 || cell->config == NULL
+  return limit_ms == 0 || cell->config == NULL
          || cell->config->workspaces == NULL
-         || cell_config_age_ms (cell) < most_ms / 2;
+         || cell_config_age_ms (cell) < limit_ms / 2;
 }
 
-/* A key that was added while this daemon heard nothing is not known here; a
- * caller who is told that it is nobody's does not come back. */
+/* The key may have been added while this daemon's copy of the configuration
+ * was stale; a caller who is told that the key is unknown does not come back.
+ */
 static MuxResponseOutcome
 unknown_key (const MuxCell *cell)
 {
@@ -58,7 +60,7 @@
 
 MuxResponseOutcome
 cell_authorize (MuxCell *cell,
-                const MuxRequest *question,
+                const MuxRequest *request,
                 const MuxQueueSpec *queue,
                 CellCaller *caller)
 {
@@ -68,17 +70,17 @@
   *caller = (CellCaller){ .is_restricted = workspaces != NULL };
   if (workspaces == NULL || queue->is_public)
     return MUX_RESPONSE_ACCEPTED;
-  if (!question->has_key)
+  if (!request->has_key)
     {
       mux_count_refused (cell->options.counters, MUX_REASON_NO_KEY);
       return MUX_RESPONSE_UNAUTHORIZED;
     }
-  if (!is_proved (cell))
+  if (!config_is_confirmed (cell))
     {
       mux_count_refused (cell->options.counters, MUX_REASON_KEY_UNPROVEN);
       return MUX_RESPONSE_REFUSED;
     }
-  workspace = mux_workspace_of_key (workspaces, &question->key);
+  workspace = mux_workspace_of_key (workspaces, &request->key);
   if (workspace == NULL)
     {
       mux_count_refused (cell->options.counters, MUX_REASON_NO_KEY);
@@ -100,33 +102,33 @@
 {
   json_t *json;
   const char *workspace;
-  bool is_of;
+  bool is_visible;
 
   if (!caller->is_restricted || row->value == NULL)
     return true;
   json = cell_json_from_blob (row->value);
   workspace = json_string_value (json_object_get (json, "workspace"));
-  is_of = cell_caller_may_see (caller, workspace != NULL ? workspace : "");
+  is_visible = cell_caller_may_see (caller, workspace != NULL ? workspace : "");
   json_decref (json);
-  return is_of;
+  return is_visible;
 }
 
 void
 cell_keys_tick (MuxCell *cell)
 {
-  bool proved = cell->config != NULL && is_proved (cell);
+  bool confirmed = cell->config != NULL && config_is_confirmed (cell);
 
-  if (proved == cell->keys_confirmed_logged)
+  if (confirmed == cell->keys_confirmed_logged)
     return;
-  cell->keys_confirmed_logged = proved;
+  cell->keys_confirmed_logged = confirmed;
   if (cell->config != NULL && cell->config->workspaces != NULL)
-    cell_log (cell, proved ? "keys_proved" : "keys_unproved", "{s:I, s:I, s:b}",
-              "version", (json_int_t) cell->config->version, "proof_age_ms",
-              (json_int_t) cell_config_age_ms (cell), "unread",
+    cell_log (cell, confirmed ? "keys_proved" : "keys_unproved",
+              "{s:I, s:I, s:b}", "version", (json_int_t) cell->config->version,
+              "proof_age_ms", (json_int_t) cell_config_age_ms (cell), "unread",
               (int) cell->config_unreadable);
 }
 
-/* A configuration that can't be read may have taken keys away. */
+/* A configuration that can't be parsed may have revoked keys. */
 void
 cell_config_confirmed (MuxCell *cell, int64_t at_ms)
 {
--- a/src/cell/bad_row.c
+++ b/src/cell/bad_row.c
@@ -4,19 +4,19 @@
 #include <string.h>
 
 /*
- * Rows that can't be read.  The store is shared: a row may come from another
- * writer, or from another version of this program.  Such a row is never used;
- * each reader says what that means for its table.
+ * Rows that can't be parsed. The store is shared: a row may come from another
+ * writer, or from another version of this program. Such a row is never used;
+ * each reader decides what that means for its table.
  */
 
-/* Rows remembered, so that one which is read again is not told again; with more
- * the memory begins anew.  An entry of 72 bytes: 72 KB at most. */
+/* Rows remembered so that none is reported twice; when full, the memory
+ * starts over. At 72 bytes an entry: 72 KB at most. */
 #define BAD_ROWS_MAX 1024
 
 /**
- * struct CellBadRow - a row that was told as unreadable
+ * struct CellBadRow - a row that was reported as unreadable
  * @name: hash of its table, part and key
- * @version: the last one told
+ * @version: the last version reported
  */
 struct CellBadRow
 {
@@ -39,16 +39,16 @@
 }
 
 static uint64_t
-name_of (const MuxCellRow *row)
+row_hash (const MuxCellRow *row)
 {
   return mux_hash_name (row->key, mux_hash_name (row->part, row->table));
 }
 
-/* False: this version of it was told before. */
+/* Return: false if this version was reported before. */
 static bool
-is_news (MuxCell *cell, const MuxCellRow *row)
+is_new (MuxCell *cell, const MuxCellRow *row)
 {
-  uint64_t name = name_of (row);
+  uint64_t name = row_hash (row);
   CellBadRow *bad;
 
   HASH_FIND (hh, cell->bad_rows, &name, sizeof name, bad);
@@ -94,7 +94,7 @@
           [CELL_ROW_VALUE] = MUX_COUNT_ROWS_BAD_VALUE,
           [CELL_ROW_FIELD] = MUX_COUNT_ROWS_BAD_FIELD };
 
-  if (row->removed || !is_news (cell, row))
+  if (row->removed || !is_new (cell, row))
     return;
   mux_count (cell->options.counters, counters[fault], 1);
   cell_log (cell, "row_unreadable", "{s:s, s:s, s:s, s:s, s:I}", "table",
@@ -123,7 +123,7 @@
   return NULL;
 }
 
-/* Rows without a key of their own say nothing about how far a page goes. */
+/* Rows without a key don't tell how far the page goes. */
 bool
 cell_next_page (char from[MUX_ROW_NAME_LEN], const MuxCellReply *reply)
 {
--- a/src/cell/follow.c
+++ b/src/cell/follow.c
@@ -3,32 +3,35 @@
 #include <stdio.h>
 
 /*
- * How old what a feed says may be.  A change of the configuration is in force
- * 2 s after it was acknowledged, and for one made around an outage of the store
- * 3 s after the end of that (the platform's bounds); a cancelled job's tasks
- * are gone, and what a draining worker says is known, after as much.  A call
- * that is lost without a sign is given up after WAIT_MS and CELL_ANSWER_MS, and
- * the next one answered within the latter: 2.2 s, from the end of an outage on.
+ * Feeds: copies of tables that are kept up to date.
+ *
+ * A change of the configuration is in force 2 s after it was acknowledged, and
+ * one made around an outage of the store 3 s after the end of that (the
+ * platform's bounds); a cancelled job's tasks have ended, and a worker's drain
+ * is known, after as much. A call that is lost silently is given up after
+ * FEED_WAIT_MS and CELL_ANSWER_MS, and the next one answered within the
+ * latter: 2.2 s, from the end of an outage on.
  */
 
-/* A call waits so long for a change, in ms; each is paid for, and a daemon
- * makes one a second for each table where nothing changes. */
-#define WAIT_MS 1000
-/* Between two calls of which the first failed at once, in ms. */
+/* How long a call waits for a change; each is paid for, and a daemon makes
+ * one a second for each table without changes. */
+#define FEED_WAIT_MS 1000
+/* Between two calls if the first failed at once. */
 #define RETRY_MS 250
-/* What a feed says counts as unknown at this age, in ms.  Two calls follow each
- * other when a change comes at the end of the first one's wait: twice WAIT_MS,
- * and the store's answers. */
-#define UNKNOWN_MS 3000
-/* An answer with more rows than this may have been cut short, so that it does
- * not prove that nothing came after them. */
-#define WHOLE_ROWS 16
-/* Between two answers with changes, in ms: rows that come closely together then
- * share one call, which is paid for; it delays a change by half of it. */
-#define REST_MS 30
+/* Age at which a feed's copy counts as stale. If a change comes at the end of
+ * one call's wait, a second call follows: twice FEED_WAIT_MS and the store's
+ * answers. */
+#define STALE_MS 3000
+/* An answer with more rows may have been cut short, and does not show that
+ * nothing came after them. */
+#define COMPLETE_ROWS_MAX 16
+/* Pause after an answer with changes: rows in quick succession then share one
+ * call, which is paid for; a change is delayed by half of it on average. */
+#define BATCH_PAUSE_MS 30
 
-static void
-followed (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply);
+static void follow_replied (MuxCell *cell,
+                            const CellPending *pending,
+                            const MuxCellReply *reply);
 
 void
 cell_follow_start (CellFollow *follow, uint64_t term, uint64_t version)
@@ -49,11 +52,11 @@
 cell_follow_is_fresh (const MuxCell *cell, const CellFollow *follow)
 {
   return follow->known_until_ms != 0
-         && cell->time.now_ms - follow->known_until_ms < UNKNOWN_MS;
+         && cell->time.now_ms - follow->known_until_ms < STALE_MS;
 }
 
 static bool
-begins (const CellFollow *follow)
+is_at_start (const CellFollow *follow)
 {
   return follow->from[0] == 0 && follow->part == 0;
 }
@@ -61,7 +64,7 @@
 static void
 send_call (MuxCell *cell, CellFollow *follow, MuxCellCall *call)
 {
-  CellPending pending = { .on_reply = followed,
+  CellPending pending = { .on_reply = follow_replied,
                           .term = follow->term,
                           .context = (uint64_t) (follow - cell->follow) };
 
@@ -80,7 +83,7 @@
   if (call == NULL)
     return;
   snprintf (call->from, sizeof call->from, "%s", follow->from);
-  if (begins (follow) && follow->on_full_read != NULL)
+  if (is_at_start (follow) && follow->on_full_read != NULL)
     follow->on_full_read (cell, false);
   send_call (cell, follow, call);
 }
@@ -94,18 +97,18 @@
     return;
   call->table = follow->table;
   call->after = follow->version;
-  /* While the store fails the answer itself is the news: one that waited for
-   * a change would leave callers refused for seconds after its return. */
-  call->wait_ms = cell->store_failing_ms == 0 ? WAIT_MS : 0;
-  call->timeout_ms
-      = cell->store_failing_ms == 0 ? WAIT_MS + CELL_ANSWER_MS : CELL_ANSWER_MS;
+  /* While the store fails any answer is news: a call that waited for a change
+   * would leave callers refused for seconds after the store is back. */
+  call->wait_ms = cell->store_failing_ms == 0 ? FEED_WAIT_MS : 0;
+  call->timeout_ms = cell->store_failing_ms == 0 ? FEED_WAIT_MS + CELL_ANSWER_MS
+                                                 : CELL_ANSWER_MS;
   send_call (cell, follow, call);
 }
 
 static void
-note_loss (MuxCell *cell, CellFollow *follow, const char *why)
+log_loss (MuxCell *cell, CellFollow *follow, const char *why)
 {
-  /* Those that waited for nothing fail all through an outage. */
+  /* Calls without a wait fail all through an outage. */
   if (follow->wait_ms == 0)
     return;
   follow->lost = follow->known_until_ms != 0;
@@ -114,7 +117,7 @@
 }
 
 static void
-note_answer (MuxCell *cell, CellFollow *follow)
+log_answer (MuxCell *cell, CellFollow *follow)
 {
   if (follow->lost)
     cell_log (cell, "feed_back", "{s:s, s:I}", "feed", follow->name,
@@ -124,17 +127,17 @@
 }
 
 /*
- * Guards against a feed that says nothing of changes behind a short outage: its
- * call was lost in it, with no sign of that on its connection, while the
- * daemon's other calls are answered again.  Whenever one of these shows that
- * the store begins or ends to fail, the calls sent before are sent anew; what
- * the old ones are still answered is not heard, as it may be older than what is
- * known by then.  A call that is not out for longer than an answer takes is
- * left alone, so that a store that is slow and fails now and then does not
- * have each call given up before its answer.
+ * After a short outage a feed's call may be lost without a sign on its
+ * connection, while the daemon's other calls are answered again. So whenever
+ * one of these shows that the store begins or stops to fail, the calls sent
+ * before are abandoned and sent anew; late answers to the old ones are
+ * ignored, as they may be older than what is known by then. A call that has
+ * been out for less time than an answer takes is left alone, so that with a
+ * slow store that fails now and then not every call is abandoned before its
+ * answer.
  */
 static void
-give_up_doubtful (MuxCell *cell, CellFollow *follow)
+abandon_suspect_call (MuxCell *cell, CellFollow *follow)
 {
   int64_t now = cell->time.now_ms;
 
@@ -145,8 +148,8 @@
   cell_call_abandon (cell, follow->call_id);
   follow->busy = false;
   follow->next_ms = now;
-  note_loss (cell, follow,
-             cell->store_failing_ms != 0 ? "store_failing" : "store_back");
+  log_loss (cell, follow,
+            cell->store_failing_ms != 0 ? "store_failing" : "store_back");
 }
 
 void
@@ -154,7 +157,7 @@
 {
   if (!follow->enabled)
     return;
-  give_up_doubtful (cell, follow);
+  abandon_suspect_call (cell, follow);
   if (follow->busy || cell->time.now_ms < follow->next_ms)
     return;
   follow->next_ms = cell->time.now_ms + RETRY_MS;
@@ -164,12 +167,13 @@
     send_scan (cell, follow);
 }
 
-/* An answer without changes that came when its wait was over was given then;
- * of any other it is known only that it was given after the call was sent. */
+/* When the store gave the answer: for one without changes that came after its
+ * wait, at the end of the wait; for any other it is only known to be after
+ * the call was sent. */
 static int64_t
-given_ms (const MuxCell *cell,
-          const CellFollow *follow,
-          const MuxCellReply *reply)
+answered_ms (const MuxCell *cell,
+             const CellFollow *follow,
+             const MuxCellReply *reply)
 {
   int64_t waited_ms = follow->sent_ms + follow->wait_ms;
 
@@ -179,7 +183,7 @@
 }
 
 static void
-failed (MuxCell *cell, CellFollow *follow, const MuxCellReply *reply)
+call_failed (MuxCell *cell, CellFollow *follow, const MuxCellReply *reply)
 {
   int64_t now = cell->time.now_ms;
 
@@ -187,27 +191,29 @@
   if (follow->next_ms < now)
     follow->next_ms = now;
   if (reply->status == MUX_CELL_UNKNOWN)
-    note_loss (cell, follow, "silent");
+    log_loss (cell, follow, "silent");
 }
 
 /*
- * All that is known of the configuration by now holds up to the moment at which
- * the call was sent: when it was answered may be long after it was looked at.
+ * The configuration known by now was the newest when the call was sent; the
+ * store may have answered long after it read the table.
  */
 static void
-prove (MuxCell *cell, const CellFollow *follow, const MuxCellReply *reply)
+confirm_config (MuxCell *cell,
+                const CellFollow *follow,
+                const MuxCellReply *reply)
 {
-  if (follow->table == MUX_TABLE_CONFIG && reply->row_count <= WHOLE_ROWS
-      && !reply->more && begins (follow))
+  if (follow->table == MUX_TABLE_CONFIG && reply->row_count <= COMPLETE_ROWS_MAX
+      && !reply->more && is_at_start (follow))
     cell_config_confirmed (cell, follow->sent_ms);
 }
 
-/* The version of a whole reading is that of its first page: what changed
- * while the others were read is then seen again, which does no harm. */
+/* A full read has the version of its first page: what changed while the
+ * others were read is delivered again, which does no harm. */
 static void
 page_read (MuxCell *cell, CellFollow *follow, const MuxCellReply *reply)
 {
-  if (begins (follow))
+  if (is_at_start (follow))
     follow->version = reply->version;
   if (cell_next_page (follow->from, reply))
     return;
@@ -222,12 +228,14 @@
 }
 
 /*
- * Guards against a store that forgot the changes after the version known
- * (MUX_CELL_HISTORY_GONE): they will never be told, so that a follower would go
- * on with what it has for good.  The table is read whole again instead.
+ * If the store has dropped the changes after the version known
+ * (MUX_CELL_HISTORY_GONE), a feed will never deliver them. The table is read
+ * in full again.
  */
 static void
-followed (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
+follow_replied (MuxCell *cell,
+                const CellPending *pending,
+                const MuxCellReply *reply)
 {
   CellFollow *follow = &cell->follow[pending->context];
 
@@ -244,21 +252,22 @@
     }
   if (reply->status != MUX_CELL_OK)
     {
-      failed (cell, follow, reply);
+      call_failed (cell, follow, reply);
       return;
     }
-  note_answer (cell, follow);
-  follow->known_until_ms = given_ms (cell, follow, reply);
+  log_answer (cell, follow);
+  follow->known_until_ms = answered_ms (cell, follow, reply);
   for (uint32_t i = 0; i < reply->row_count; i++)
     {
       follow->on_row (cell, &reply->row[i]);
-      /* The row may have ended the term, and with it this reading. */
+      /* The row may have ended the term, and this feed. */
       if (pending->term != 0 && pending->term != cell->term)
         return;
     }
-  follow->next_ms = cell->time.now_ms
-                    + (reply->row_count > 0 && follow->loaded ? REST_MS : 0);
-  prove (cell, follow, reply);
+  follow->next_ms
+      = cell->time.now_ms
+        + (reply->row_count > 0 && follow->loaded ? BATCH_PAUSE_MS : 0);
+  confirm_config (cell, follow, reply);
   if (reply->verb == MUX_CELL_SCAN)
     page_read (cell, follow, reply);
   else if (reply->version > follow->version)
--- a/src/cell/load.c
+++ b/src/cell/load.c
@@ -37,9 +37,11 @@
 }
 
 static CellPending
-of_part (const MuxCell *cell, const CellPart *part, CellReplyHandler done)
+pending_for_part (const MuxCell *cell,
+                  const CellPart *part,
+                  CellReplyHandler on_reply)
 {
-  return (CellPending){ .on_reply = done,
+  return (CellPending){ .on_reply = on_reply,
                         .term = cell->term,
                         .part = (uint32_t) (part - cell->part) };
 }
@@ -74,13 +76,13 @@
           json_pack ("{s:I}", "term", (json_int_t) cell->term));
 }
 
-/* Both rows in one commit: from then on no former planner can store progress,
- * nor jobs that it would start. */
+/* With both rows in one commit no predecessor can store progress from then
+ * on, nor jobs that it would start. */
 static void
 write_fence (MuxCell *cell, CellPart *part)
 {
   MuxCellCall *call = cell_commit_call (part->name, 3);
-  CellPending pending = of_part (cell, part, fence_written);
+  CellPending pending = pending_for_part (cell, part, fence_written);
 
   if (call == NULL)
     return;
@@ -93,30 +95,30 @@
 }
 
 /*
- * Guards against a fence that no planner can pass: one that can't be read, or
- * that names a claim which there can't have been when it was written (versions
- * rise), as another writer may leave.  It counts as older than any claim and is
- * written over, on condition of its version; whose claim stands is read again
- * before anything is ordered, as a planner of another version may have made it.
+ * Another writer may leave a fence that can't be parsed, or that names a claim
+ * which can't have existed when it was written, as versions rise; no planner
+ * could ever replace it. It counts as older than any claim and is overwritten
+ * on condition of its version. The claim is read again before any order is
+ * sent, as a planner with another version of the program may have written it.
  */
 static uint64_t
 fence_term (MuxCell *cell, const MuxCellRow *row)
 {
   json_t *json = cell_row_json (cell, row);
   json_int_t term = json_integer_value (json_object_get (json, "term"));
-  bool sound = term > 0 && (uint64_t) term <= row->version;
+  bool valid = term > 0 && (uint64_t) term <= row->version;
 
-  if (json != NULL && !sound)
+  if (json != NULL && !valid)
     cell_report_bad_row (cell, row, CELL_ROW_FIELD, "term");
   json_decref (json);
-  if (sound)
+  if (valid)
     return (uint64_t) term;
   cell_claim_doubt (cell, "fence_unreadable");
   return 0;
 }
 
-/* Another writer's, or none: it is written over together with the fence, which
- * shows that no successor has been there. */
+/* If it is another writer's, or missing, it is overwritten together with the
+ * fence, which shows that no successor has fenced the part. */
 static bool
 is_own_term (const MuxCell *cell, const MuxCellRow *row)
 {
@@ -166,18 +168,18 @@
 void
 cell_fence_read (MuxCell *cell, CellPart *part)
 {
-  CellPending pending = of_part (cell, part, fence_read);
+  CellPending pending = pending_for_part (cell, part, fence_read);
 
   part->reading_fence = cell_call (
       cell, cell_scan_call (MUX_TABLE_FENCE, part->name), &pending);
 }
 
 /*
- * Guards against a job that two planners start: where another claimed after
- * this one's fence, and fenced the part in turn, the jobs that it stored and
- * started stand among those that are read here.  Jobs younger than the fence
- * are left to the feed, which begins at the own claim and tells of another one
- * first.  A cancel starts nothing, and counts from the beginning.
+ * Another planner that claimed after this one's fence, and fenced the part in
+ * turn, may have stored and started jobs that are read here; starting them
+ * would run them twice. Jobs younger than the fence are left to the feed,
+ * which begins at our own claim and delivers a later claim first. A cancel
+ * starts nothing, and counts at once.
  */
 static void
 job_read (MuxCell *cell, const CellPart *part, const MuxCellRow *row)
@@ -186,8 +188,8 @@
     cell_jobs_row (cell, row);
 }
 
-/* Without its job it may be of one that will be read later: what it says must
- * not be passed over then. */
+/* If the job is not known it may be read later: its progress must not be
+ * ignored then. */
 static void
 progress_read (MuxCell *cell, const MuxCellRow *row)
 {
@@ -225,7 +227,7 @@
 read_part (MuxCell *cell, CellPart *part)
 {
   MuxCellCall *call = cell_scan_call (part->load_table, part->name);
-  CellPending pending = of_part (cell, part, part_read);
+  CellPending pending = pending_for_part (cell, part, part_read);
 
   if (call == NULL)
     return;
@@ -234,8 +236,8 @@
   part->load_busy = cell_call (cell, call, &pending);
 }
 
-/* Jobs are read after the fence stands: what a former planner stores can't
- * come between any more. */
+/* Jobs are read once the fence is written: a predecessor can store none after
+ * that. */
 static void
 part_tick (MuxCell *cell, CellPart *part)
 {
@@ -265,7 +267,8 @@
   CellJob *next;
 
   cell->role = CELL_PLANNING;
-  cell->all_confirmed_at_ms = -1; /* the roster may just have been read */
+  /* The roster may have been read at this same event time. */
+  cell->all_confirmed_at_ms = -1;
   cell->planning_began_ms = cell->time.now_ms;
   mux_count (cell->options.counters, MUX_COUNT_TERMS, 1);
   mux_observe (cell->options.counters, MUX_HIST_TAKEOVER,
--- a/src/cell/load_log.c
+++ b/src/cell/load_log.c
@@ -1,25 +1,25 @@
 #include "cell_private.h"
 
 /*
- * Tells each second what the planner's two scarce resources are used for: the
- * daemons that ask the policy service, and room that is kept for gangs.
+ * Logs each second how the planner's two scarce resources are used: the
+ * daemons that run approval queries, and room that is kept for gangs.
  */
 
-#define LINE_MS 1000
+#define LOG_INTERVAL_MS 1000
 #define MILLI 1000
 
-/* The cell's processors, in thousandths. */
+/* CPU of the cell, in thousandths of a core. */
 typedef struct
 {
   uint64_t all;
   uint64_t booked;
   uint64_t held;      /* for gangs about to start */
-  uint64_t kept_idle; /* on workers with reservations, beside the held */
-  uint32_t kept;      /* these workers */
-} Room;
+  uint64_t kept_idle; /* free but reserved for gangs */
+  uint32_t kept;      /* workers with such reservations */
+} RoomUse;
 
 static void
-add_worker (Room *room, const CellWorker *worker)
+add_worker (RoomUse *room, const CellWorker *worker)
 {
   MuxSize reserved;
   uint64_t free_milli;
@@ -36,10 +36,10 @@
       += free_milli < reserved.cpu_milli ? free_milli : reserved.cpu_milli;
 }
 
-static Room
-room_of (const MuxCell *cell)
+static RoomUse
+room_use (const MuxCell *cell)
 {
-  Room room = { 0 };
+  RoomUse room = { 0 };
   const CellWorker *worker;
   const CellWorker *next;
 
@@ -50,7 +50,7 @@
 }
 
 static void
-add_one (json_t *counts, const char *name)
+count_name (json_t *counts, const char *name)
 {
   json_int_t count = json_integer_value (json_object_get (counts, name));
 
@@ -58,7 +58,7 @@
 }
 
 static void
-tell (MuxCell *cell, const Room *room)
+log_load (MuxCell *cell, const RoomUse *room)
 {
   static const char *const rank[] = { [CELL_RANK_STARVED] = "owed",
                                       [CELL_RANK_IN_TIME] = "in_time",
@@ -66,17 +66,17 @@
                                       [CELL_RANK_WORTHLESS] = "worthless" };
   json_t *queues = json_object ();
   json_t *ranks = json_object ();
-  const CellApprovalQuery *question;
+  const CellApprovalQuery *query;
   const CellApprovalQuery *next;
 
-  HASH_ITER (hh, cell->approval_queries, question, next)
+  HASH_ITER (hh, cell->approval_queries, query, next)
   {
-    const CellTask *task = cell_task_find (cell, &question->step);
+    const CellTask *task = cell_task_find (cell, &query->step);
 
     if (task == NULL)
       continue;
-    add_one (queues, task->stage->job->spec->queue.name);
-    add_one (ranks, rank[task->stage->rank]);
+    count_name (queues, task->stage->job->spec->queue.name);
+    count_name (ranks, rank[task->stage->rank]);
   }
   cell_log (cell, "planner_load",
             "{s:i, s:i, s:o, s:o, s:I, s:I, s:I, s:I, s:i}", "askers",
@@ -91,15 +91,15 @@
 void
 cell_load_log_tick (MuxCell *cell)
 {
-  Room room;
+  RoomUse room;
 
   if (cell->time.now_ms < cell->next_load_log_ms
       || !cell_is_active_planner (cell)
       || cell->plan_order.visited.root == NULL)
     return;
-  cell->next_load_log_ms = cell->time.now_ms + LINE_MS;
-  room = room_of (cell);
+  cell->next_load_log_ms = cell->time.now_ms + LOG_INTERVAL_MS;
+  room = room_use (cell);
   mux_count (cell->options.counters, MUX_COUNT_KEPT_IDLE,
              room.held + room.kept_idle);
-  tell (cell, &room);
+  log_load (cell, &room);
 }
--- a/src/cell/named_workers.c
+++ b/src/cell/named_workers.c
@@ -4,24 +4,27 @@
 #include <stdlib.h>
 
 /*
- * Workers that the steps of a job may run on, named in the job's own row.
+ * Candidate workers of a job's steps, stored in the job's own row.
  *
- * Guards against urgent jobs that miss their time while the store is slow: a
- * step starts only where a next planner will look for it, and a record made
- * after the policy service's answer is one more commit, as long as the one that
- * accepted the job.  A worker that is approved and not named is recorded first.
+ * A step starts only where a successor will look for it. A record made after
+ * the policy service's answer is one more commit, which takes as long as the
+ * one that accepted the job, and with a slow store urgent jobs would miss
+ * their deadlines. So workers are named before the approval query; one that is
+ * approved but not named is recorded first.
  *
- * Whoever reads the job reads its names.  The planner that wrote them stored
- * the row on condition of the part's term, so that it is older than the fence
- * of a next planner, which waits for the workers named as for those of the
- * progress. Those are more than will be approved, and while one of them is not
- * heard the step waits: workers are named early only where commits take long.
+ * Whoever reads the job reads its candidates. The planner that wrote them
+ * stored the row on condition of the part's term, so that it is older than the
+ * fence of a successor, which waits for the named workers as for those in the
+ * progress. More workers are named than will be approved, and while one of
+ * them has not answered the step waits: so workers are named early only where
+ * commits take long.
  */
 
-/* A commit that takes less is worth waiting for before a step's first start. */
+/* A step's first start waits for a commit that takes less. */
 #define SLOW_COMMIT_MS 50
-/* Names of a step; wider steps record further workers as they are approved. */
-#define NAMES_MAX 32
+/* Candidates of a step; a wider step records further workers as they are
+ * approved. */
+#define CANDIDATES_PER_STEP_MAX 32
 
 static bool
 is_worth_naming (const MuxJobSpec *spec, const MuxStepSpec *step)
@@ -30,17 +33,17 @@
          && !step->long_running;
 }
 
-/* Return: false when memory is out. */
+/* Return: false if out of memory. */
 static bool
-name_workers (MuxCell *cell, CellStage *stage, MuxStepSpec *step)
+name_candidates (MuxCell *cell, CellStage *stage, MuxStepSpec *step)
 {
   CellWorker *worker[CELL_CANDIDATES_MAX];
   uint32_t count;
 
   count = step->after == 0 ? cell_candidates (cell, stage, worker)
                            : cell_candidates_ahead (cell, stage, worker);
-  if (count > NAMES_MAX)
-    count = NAMES_MAX;
+  if (count > CANDIDATES_PER_STEP_MAX)
+    count = CANDIDATES_PER_STEP_MAX;
   free (step->named);
   step->named_count = 0;
   step->named = calloc (count > 0 ? count : 1, sizeof *step->named);
@@ -62,7 +65,7 @@
     {
       if (!is_worth_naming (spec, &spec->step[i]))
         continue;
-      if (!name_workers (cell, draft->stage[i], &spec->step[i]))
+      if (!name_candidates (cell, draft->stage[i], &spec->step[i]))
         return NULL;
       named += spec->step[i].named_count;
     }
--- a/src/cell/occurrence.c
+++ b/src/cell/occurrence.c
@@ -2,12 +2,12 @@
 
 #include <stdlib.h>
 
-/* When the steps of a job that runs several times begin. */
+/* When the occurrences of a repeated job begin. */
 
-/* Times of day of two daemons differ by less. */
-#define CLOCKS_APART_MS 600000
-/* Begun and not done, of one job: the planner's memory for it is some 300 KB
- * where each has 32 tasks. */
+/* Wall clocks of two daemons differ by less. */
+#define WALL_CLOCK_DIFF_MAX_MS 600000
+/* Limit of a job's stages that have begun and not ended: they take the
+ * planner some 300 KB of memory if each has 32 tasks. */
 #define UNFINISHED_STAGES_MAX 128
 
 bool
@@ -41,7 +41,7 @@
   return job->next_occurrence < job->spec->repetitions;
 }
 
-/* By the cell's time of day; negative: it has come. */
+/* By the cell's wall clock; negative: it is past due. */
 static int64_t
 until_due_ms (const MuxCell *cell, const CellJob *job, uint32_t occurrence)
 {
@@ -59,8 +59,8 @@
 }
 
 /*
- * Guards against a planner without memory: a job of a million occurrences at
- * one moment would have a stage for each step of them all.  The next begins
+ * A job of a million occurrences due at one moment would have a stage for each
+ * step of all of them, and the planner run out of memory. The next one begins
  * when one of these has ended.
  */
 static bool
@@ -82,7 +82,7 @@
   if (cell_occurrence_add (cell, job, job->next_occurrence, began_ms))
     return true;
   cell_log (cell, "occurrence_dropped", "{s:s, s:s}", "job", job->id, "why",
-            "memory is out");
+            "out of memory");
   return false;
 }
 
@@ -99,7 +99,8 @@
 cell_occurrences_due (const MuxCell *cell, const CellJob *job)
 {
   const MuxJobSpec *spec = job->spec;
-  int64_t since_ms = cell->time.wall_ms + CLOCKS_APART_MS - spec->first_due_ms;
+  int64_t since_ms
+      = cell->time.wall_ms + WALL_CLOCK_DIFF_MAX_MS - spec->first_due_ms;
   int64_t due;
 
   if (spec->repetitions == 0)
@@ -122,7 +123,7 @@
     cell_job_watch (cell, job);
 }
 
-/* The last that was begun is not due: a worker, or what is stored, names it. */
+/* A worker, or what is stored, may name an occurrence that is not due. */
 bool
 cell_occurrence_is_early (const MuxCell *cell, const CellJob *job)
 {
--- a/src/cell/sweep.c
+++ b/src/cell/sweep.c
@@ -5,18 +5,18 @@
 #include <string.h>
 
 /*
- * Rows of ended jobs are kept as long as callers may ask for them, and then
- * removed by the planner: without it the store would fill with a row for every
- * job that ever was.  A pass reads page by page, with pauses, so that what is
- * read at once stays small beside the store's rate.
+ * Rows of ended jobs are kept as long as callers may query them, and then
+ * removed by the planner, as the store would grow by a row for every job. A
+ * pass reads page by page with pauses, so that its reads are few beside the
+ * store's rate.
  */
 
 /* Passes during the time that a row is kept: rows stay a tenth longer. */
 #define PASSES_PER_KEEP 10
-/* Between two pages of up to 500 rows, and after a failure. */
+/* Between two pages of up to 500 rows. */
 #define PAGE_PAUSE_MS 200
 #define RETRY_MS 5000
-/* Rows of a commit: a call holds 100 entries, a row takes two. */
+/* Rows removed by one commit: a call holds 100 entries, a row takes two. */
 #define REMOVALS_MAX 45
 #define MS_PER_S 1000
 
@@ -27,7 +27,7 @@
 }
 
 static void
-to_next_part (MuxCell *cell)
+advance_part (MuxCell *cell)
 {
   CellSweep *sweep = &cell->sweep;
 
@@ -40,7 +40,7 @@
   sweep->next_ms = cell->time.now_ms + keep_ms (cell) / PASSES_PER_KEEP;
 }
 
-/* A row without a time, or of the future, is left alone. */
+/* A row without a time, or with one in the future, is kept. */
 static bool
 is_old (const MuxCell *cell, const MuxCellRow *row)
 {
@@ -57,7 +57,8 @@
 {
   (void) pending;
   cell->sweep.busy = false;
-  /* Lost, or not done: the same page is read again. */
+  /* If the commit failed or its fate is unknown, the same page is read again.
+   */
   cell->sweep.next_ms
       = cell->time.now_ms
         + (reply->status == MUX_CELL_OK ? PAGE_PAUSE_MS : RETRY_MS);
@@ -65,7 +66,7 @@
     mux_count (cell->options.counters, MUX_COUNT_ROWS_SWEPT, 1);
 }
 
-/* Return: NULL: nothing on the page is old, or memory is out. */
+/* Return: NULL: no row of the page is old, or out of memory. */
 static MuxCellCall *
 removal_call (const MuxCell *cell, const MuxCellReply *reply)
 {
@@ -108,7 +109,7 @@
   if (sweep->busy)
     return;
   if (!cell_next_page (sweep->from, reply))
-    to_next_part (cell);
+    advance_part (cell);
 }
 
 void
--- a/src/cell/time_of_day.c
+++ b/src/cell/time_of_day.c
@@ -3,22 +3,22 @@
 #include <stdlib.h>
 
 /*
- * The time of day that the cell goes by.  The planner takes the median of what
- * it and the daemons that greet it say, and tells them.
+ * The cell's wall clock. The planner takes the median of its own and those in
+ * the members' hellos, and sends it to them.
  *
- * Guards against an instance whose time of day jumps by seconds, and back: as
- * planner it would start occurrences of timed jobs before their time, and count
- * jobs as late that are not; as any daemon it would give the jobs that it takes
- * in a wrong age.  Most daemons are right, and times pass on the steady clock
- * in between, which does not jump.
+ * An instance's wall clock may jump by seconds, and back: as planner it would
+ * start occurrences of timed jobs early, and count jobs as late that are not;
+ * as any daemon it would give the jobs that it accepts a wrong age. Most
+ * daemons' clocks are right, and between readings time passes by the steady
+ * clock, which does not jump.
  */
 
-/* What another daemon said holds so long; it greets four times a second. */
-#define HEARD_MS 3000
-/* What the last planner told holds until the next one has been heard. */
-#define TOLD_MS 10000
-/* Between two looks at what all say. */
-#define LOOK_MS 250
+/* Maximum age of a member's reading; it sends a hello four times a second. */
+#define READING_MAX_AGE_MS 3000
+/* A planner's value is used for this long, until the next planner's arrives. */
+#define PLANNER_VALUE_MAX_AGE_MS 10000
+/* Interval of computing the median. */
+#define MEDIAN_INTERVAL_MS 250
 
 static int
 by_offset (const void *x, const void *y)
@@ -29,7 +29,7 @@
   return *a < *b ? -1 : *a > *b;
 }
 
-/* Of two in the middle the earlier one: nothing starts before its time. */
+/* Of two in the middle the earlier one, so that nothing starts early. */
 static int64_t
 median (int64_t *offset_ms, uint32_t count)
 {
@@ -38,22 +38,24 @@
 }
 
 static bool
-told_lately (const MuxCell *cell)
+has_planner_value (const MuxCell *cell)
 {
   return cell->wall_received_ms != 0
-         && cell->time.now_ms - cell->wall_received_ms < TOLD_MS;
+         && cell->time.now_ms - cell->wall_received_ms
+                < PLANNER_VALUE_MAX_AGE_MS;
 }
 
 static bool
-says (const MuxCell *cell, const CellMember *member)
+has_reading (const MuxCell *cell, const CellMember *member)
 {
   return member->wall_known
-         && cell->time.processed_ms - member->last_contact_ms < HEARD_MS;
+         && cell->time.processed_ms - member->last_contact_ms
+                < READING_MAX_AGE_MS;
 }
 
-/* Return: false when no other daemon has said anything. */
+/* Return: false if no other daemon has sent its wall clock. */
 static bool
-ask_all (MuxCell *cell, int64_t own_ms)
+compute_median (MuxCell *cell, int64_t own_ms)
 {
   int64_t *offset_ms
       = calloc (HASH_COUNT (cell->members) + 1, sizeof *offset_ms);
@@ -64,7 +66,7 @@
   if (offset_ms == NULL)
     return false;
   HASH_ITER (hh, cell->members, member, next)
-  if (says (cell, member))
+  if (has_reading (cell, member))
     offset_ms[count++] = member->wall_offset_ms;
   if (count > 0)
     {
@@ -76,7 +78,7 @@
 }
 
 static void
-look (MuxCell *cell)
+update_offset (MuxCell *cell)
 {
   int64_t own_ms = cell->own_wall_ms - cell->time.now_ms;
 
@@ -84,11 +86,11 @@
     {
       if (cell->time.now_ms < cell->next_wall_check_ms)
         return;
-      cell->next_wall_check_ms = cell->time.now_ms + LOOK_MS;
-      if (ask_all (cell, own_ms))
+      cell->next_wall_check_ms = cell->time.now_ms + MEDIAN_INTERVAL_MS;
+      if (compute_median (cell, own_ms))
         return;
     }
-  if (!told_lately (cell))
+  if (!has_planner_value (cell))
     cell->wall_offset_ms = own_ms;
 }
 
@@ -97,7 +99,7 @@
 {
   cell->time = time;
   cell->own_wall_ms = time.wall_ms;
-  look (cell);
+  update_offset (cell);
   cell->time.wall_ms = time.now_ms + cell->wall_offset_ms;
 }
 
