--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -7,25 +7,27 @@
 /*
  * Runs that were lost with their workers, counted by task.
  *
- * Guards against a task that takes down each worker that starts it, and with it
- * all that runs there, for as long as the cell runs: a run that is lost has no
- * end that a worker could tell, so that no attempt is counted for it.
+ * A task that crashes each worker that starts it, and with it all other runs
+ * there, would do so for as long as the cell runs: a lost run has no end that
+ * a worker could report, so no attempt is counted for it. So losses are
+ * counted here.
  *
- * A worker has crashed under a run that it told of, if it ended without having
- * said that it leaves.  One that is merely out of reach may be cut off and run
- * on: that says nothing against the task until it is heard again, or for so
- * long not that it is taken for gone.
+ * A worker has crashed under a run that it had reported, if it ended without
+ * announcing that it leaves. An unreachable worker may be cut off and running:
+ * that does not count against the task until the worker answers again, or
+ * until it has been unreachable for so long that it is taken as gone.
  */
 
-/* What is meant to last, and ran for so long, in ms, did not crash it. */
-#define LASTED_MS 60000
-/* Between two looks at what time alone decides. */
-#define LOOK_MS 500
-/* A loss is looked at for so long, in ms, for others that went down with it. */
-#define OUTAGE_LOOK_MS 4000
+/* A long-running task that ran for this long did not crash its worker. */
+#define LONG_RUN_MS 60000
+/* Interval of checks that depend on time alone. */
+#define CHECK_INTERVAL_MS 500
+/* A loss is checked for this long against other workers that went down with
+ * it. */
+#define OUTAGE_CHECK_MS 4000
 
 static void
-give_up (MuxCell *cell, const CellTask *task)
+fail_job (MuxCell *cell, const CellTask *task)
 {
   CellJob *job = task->stage->job;
 
@@ -36,14 +38,14 @@
   cell_job_fail (cell, job, "crashes_workers");
 }
 
-/* What is known of the task's losses is to be stored, and may be enough. */
+/* The task's losses changed: they are to be stored, and may be too many. */
 static void
-changed (MuxCell *cell, CellTask *task)
+losses_changed (MuxCell *cell, CellTask *task)
 {
   task->stage->loss_changes++;
   cell_job_mark_dirty (cell, task->stage->job);
   if (cell_losses_exceeded (cell, task))
-    give_up (cell, task);
+    fail_job (cell, task);
 }
 
 static void
@@ -53,9 +55,10 @@
   task->stage->job->loss_count--;
 }
 
-/* Return: whether there was one. */
+/* Drops the record of a start by this planner.
+ * Return: whether there was one. */
 static bool
-drop_open (CellTask *task)
+drop_own_pending (CellTask *task)
 {
   for (uint32_t i = 0; i < task->loss_count; i++)
     if (task->loss[i].outcome_unknown && !task->loss[i].from_predecessor)
@@ -66,9 +69,10 @@
   return false;
 }
 
-/* Rather one of which it is not known whether the run had begun, the oldest. */
+/* The loss that says least: one whose run is not known to have begun, else
+ * the oldest. */
 static uint32_t
-least_telling (const CellTask *task)
+least_significant (const CellTask *task)
 {
   uint32_t least = 0;
 
@@ -89,7 +93,7 @@
   CellLoss *list = task->loss;
 
   if (task->loss_count == CELL_LOSSES_MAX)
-    drop (task, least_telling (task));
+    drop (task, least_significant (task));
   else
     list = realloc (list, (task->loss_count + 1) * sizeof *list);
   if (list == NULL)
@@ -101,18 +105,18 @@
 }
 
 static CellLoss *
-add (MuxCell *cell,
-     CellTask *task,
-     const char *worker,
-     const char *addr,
-     CellLoss what)
+add_loss (MuxCell *cell,
+          CellTask *task,
+          const char *worker,
+          const char *addr,
+          CellLoss value)
 {
   CellLoss *loss = cell_loss_add (task);
 
   if (loss == NULL)
     return NULL;
   cell_loss_list_add (cell, task->stage->job);
-  *loss = what;
+  *loss = value;
   loss->at_wall_ms = cell->time.wall_ms;
   snprintf (loss->worker, sizeof loss->worker, "%s", worker);
   snprintf (loss->addr, sizeof loss->addr, "%s", addr);
@@ -120,19 +124,19 @@
 }
 
 static void
-lose (MuxCell *cell,
-      CellTask *task,
-      const char *worker,
-      const char *addr,
-      CellLoss what)
+record_loss (MuxCell *cell,
+             CellTask *task,
+             const char *worker,
+             const char *addr,
+             CellLoss value)
 {
-  CellLoss *loss = add (cell, task, worker, addr, what);
+  CellLoss *loss = add_loss (cell, task, worker, addr, value);
 
   if (loss == NULL)
     return;
   loss->in_outage = cell_lost_in_outage (cell, task, loss);
   cell_log_loss (cell, task, loss);
-  changed (cell, task);
+  losses_changed (cell, task);
 }
 
 static bool
@@ -145,7 +149,7 @@
          && !job->cancelled && !job->failed;
 }
 
-/* Return: whether there were any. */
+/* Return: whether any were dropped. */
 static bool
 drop_all (CellTask *task)
 {
@@ -167,10 +171,10 @@
 }
 
 static bool
-lasted (const MuxCell *cell, const CellBooking *booking)
+ran_long (const MuxCell *cell, const CellBooking *booking)
 {
   return booking->task->stage->spec->long_running
-         && cell->time.now_ms - booking->booked_ms >= LASTED_MS;
+         && cell->time.now_ms - booking->booked_ms >= LONG_RUN_MS;
 }
 
 static void
@@ -179,20 +183,20 @@
   CellTask *task = booking->task;
   CellWorker *worker = booking->worker;
   CellLoss loss = loss_of (cell, booking);
-  bool bears = lasted (cell, booking);
-  bool counts = loss_counts (booking) && !bears;
+  bool long_run = ran_long (cell, booking);
+  bool counts = loss_counts (booking) && !long_run;
 
   snprintf (loss.addr, sizeof loss.addr, "%s", worker->info.addr);
   cell_unbook (cell, booking);
   cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LEASE_EXPIRED, "");
-  (void) drop_open (task);
-  if (bears || cell_run_clears_task (task, loss.lived_ms))
+  (void) drop_own_pending (task);
+  if (long_run || cell_run_clears_task (task, loss.lived_ms))
     (void) drop_all (task);
   if (!cell_run_was_short (loss.lived_ms)
       && cell_lost_in_outage (cell, task, &loss))
     return;
   if (counts)
-    lose (cell, task, worker->info.id, worker->info.addr, loss);
+    record_loss (cell, task, worker->info.id, worker->info.addr, loss);
 }
 
 void
@@ -200,7 +204,7 @@
 {
   if (cell_run_clears_task (booking->task, cell_run_lived_ms (booking))
       && drop_all (booking->task))
-    changed (cell, booking->task);
+    losses_changed (cell, booking->task);
 }
 
 void
@@ -210,17 +214,17 @@
   CellWorker *worker = booking->worker;
   CellLoss loss = loss_of (cell, booking);
   bool counts = loss_counts (booking);
-  char former[MUX_NAME_LEN];
+  char previous[MUX_NAME_LEN];
 
   loss.worker_ended = true;
   loss.span = booking->previous_span;
-  snprintf (former, sizeof former, "%s", booking->previous_incarnation);
+  snprintf (previous, sizeof previous, "%s", booking->previous_incarnation);
   cell_unbook (cell, booking);
   cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LEASE_EXPIRED, "");
-  (void) drop_open (task);
+  (void) drop_own_pending (task);
   if (counts)
-    lose (cell, task, former, worker->info.addr, loss);
-  cell_incarnation_resolved (cell, former);
+    record_loss (cell, task, previous, worker->info.addr, loss);
+  cell_incarnation_resolved (cell, previous);
 }
 
 void
@@ -235,23 +239,23 @@
 }
 
 /*
- * Guards against a crash that is lost with its planner: a suspect starts only
- * where the store says that it may, so that a next planner knows whose end to
- * count.
+ * A suspect starts only where the store has a record of the start, so that a
+ * crash is not lost with its planner: a successor knows whose end to count.
  */
 bool
 cell_start_is_recorded (MuxCell *cell, CellTask *task, const CellWorker *worker)
 {
-  CellLoss open = { .outcome_unknown = true };
+  CellLoss pending = { .outcome_unknown = true };
 
   for (uint32_t i = 0; i < task->loss_count; i++)
     if (task->loss[i].outcome_unknown
         && strcmp (task->loss[i].worker, worker->info.id) == 0)
       return true;
-  (void) drop_open (task);
-  if (add (cell, task, worker->info.id, worker->info.addr, open) == NULL)
+  (void) drop_own_pending (task);
+  if (add_loss (cell, task, worker->info.id, worker->info.addr, pending)
+      == NULL)
     return false;
-  changed (cell, task);
+  losses_changed (cell, task);
   if (task->stage->job->spec->queue.priority == 0)
     cell->part[task->stage->job->part].commit_now = true;
   return false;
@@ -264,48 +268,53 @@
     if (task->loss[i].outcome_unknown && !task->loss[i].began)
       {
         task->loss[i].began = true;
-        changed (cell, task);
+        losses_changed (cell, task);
       }
 }
 
 void
 cell_loss_run_ended (MuxCell *cell, CellTask *task)
 {
-  if (task->loss_count > 0 && drop_open (task))
-    changed (cell, task);
+  if (task->loss_count > 0 && drop_own_pending (task))
+    losses_changed (cell, task);
 }
 
 /*
- * A run may have begun without a record, while the loss before it was taken for
- * a cut.  It gets one once that loss counts.
+ * A run may have begun without a record while the loss before it was taken for
+ * a partition. It gets one once that loss counts.
+ *
  * Return: whether it did.
  */
 static bool
 record_run (MuxCell *cell, CellTask *task)
 {
   const CellBooking *booking = task->booking;
-  CellLoss open = { .outcome_unknown = true };
-  const char *life;
+  CellLoss pending = { .outcome_unknown = true };
+  const char *incarnation;
 
   if (booking == NULL || cell_start_has_record (task)
       || !cell_start_needs_record (cell, task))
     return false;
-  open.began = booking->began;
-  life = booking->previous_incarnation != NULL ? booking->previous_incarnation
-                                               : booking->worker->info.id;
-  return add (cell, task, life, booking->worker->info.addr, open) != NULL;
+  pending.began = booking->began;
+  incarnation = booking->previous_incarnation != NULL
+                    ? booking->previous_incarnation
+                    : booking->worker->info.id;
+  return add_loss (cell, task, incarnation, booking->worker->info.addr, pending)
+         != NULL;
 }
 
-typedef bool (*TakeLoss) (CellTask *task, uint32_t i, const CellWorker *worker);
+typedef bool (*LossFilter) (CellTask *task,
+                            uint32_t i,
+                            const CellWorker *worker);
 
-/* Of a run that a former planner started. */
+/* The span of a run that a predecessor started. */
 static CellLossSpan
-former_span (const MuxCell *cell, const CellWorker *worker)
+predecessor_span (const MuxCell *cell, const CellWorker *worker)
 {
   return cell_outage_span (cell, worker, cell->term_began_ms);
 }
 
-/* Of one that a former planner recorded. */
+/* The span of a loss that a predecessor recorded. */
 static void
 find_span (const MuxCell *cell,
            const CellWorker *worker,
@@ -316,13 +325,13 @@
 
   if (i >= task->loss_count || loss->outcome_unknown || loss->span.to_ms != 0)
     return;
-  loss->span = former_span (cell, worker);
+  loss->span = predecessor_span (cell, worker);
   loss->in_outage = loss->in_outage || cell_lost_in_outage (cell, task, loss);
 }
 
-/* Of all losses that are known; @take says whether it changed one. */
+/* Calls @take for all losses; it returns whether it changed the loss. */
 static void
-for_losses (MuxCell *cell, const CellWorker *worker, TakeLoss take)
+for_each_loss (MuxCell *cell, const CellWorker *worker, LossFilter take)
 {
   CellJob *job;
   CellJob *next;
@@ -333,18 +342,18 @@
     for (uint32_t j = 0; j < job->stage[i]->spec->count; j++)
       {
         CellTask *task = &job->stage[i]->task[j];
-        bool taken = false;
+        bool any_changed = false;
 
         for (uint32_t k = task->loss_count; k > 0; k--)
           if (take (task, k - 1, worker))
             {
-              taken = true;
+              any_changed = true;
               find_span (cell, worker, task, k - 1);
             }
-        if (taken)
+        if (any_changed)
           {
             (void) record_run (cell, task);
-            changed (cell, task);
+            losses_changed (cell, task);
           }
       }
 }
@@ -356,7 +365,7 @@
 }
 
 static bool
-take_end_of_life (CellTask *task, uint32_t i)
+mark_worker_ended (CellTask *task, uint32_t i)
 {
   CellLoss *loss = &task->loss[i];
 
@@ -368,13 +377,13 @@
 }
 
 static bool
-take_heard (CellTask *task, uint32_t i, const CellWorker *worker)
+take_worker_confirmed (CellTask *task, uint32_t i, const CellWorker *worker)
 {
   CellLoss *loss = &task->loss[i];
 
   if (strcmp (loss->worker, worker->info.id) != 0)
     return strcmp (loss->addr, worker->info.addr) == 0
-           && take_end_of_life (task, i);
+           && mark_worker_ended (task, i);
   if (loss->outcome_unknown && is_booked_at (task, worker))
     loss->from_predecessor = false;
   else if (loss->from_predecessor || !loss->outcome_unknown)
@@ -383,14 +392,14 @@
 }
 
 static bool
-take_ended (CellTask *task, uint32_t i, const CellWorker *worker)
+take_worker_ended (CellTask *task, uint32_t i, const CellWorker *worker)
 {
   return strcmp (task->loss[i].worker, worker->info.id) == 0
-         && take_end_of_life (task, i);
+         && mark_worker_ended (task, i);
 }
 
 static bool
-take_unreachable (CellTask *task, uint32_t i, const CellWorker *worker)
+take_worker_unreachable (CellTask *task, uint32_t i, const CellWorker *worker)
 {
   CellLoss *loss = &task->loss[i];
 
@@ -404,31 +413,35 @@
 void
 cell_losses_worker_confirmed (MuxCell *cell, const CellWorker *worker)
 {
-  for_losses (cell, worker, take_heard);
+  for_each_loss (cell, worker, take_worker_confirmed);
 }
 
 /*
- * Guards against a first crash that is lost with its planner.  The successor
- * hears nothing of a worker that was approved for the step, or finds another
- * life at its address, and can't tell which of the step's tasks had been
- * started there.  A task that is suspected already has a record of its start.
+ * If the planner fails with the first crash, its successor gets no answer from
+ * a worker that was approved for the step, or finds another incarnation at its
+ * address, and can't tell which of the step's tasks had been started there. So
+ * the loss counts for each of them. A task that is already a suspect has a
+ * record of its start.
  */
 static void
-lose_former_runs (MuxCell *cell, CellStage *stage, const CellWorker *worker)
+lose_predecessor_runs_of (MuxCell *cell,
+                          CellStage *stage,
+                          const CellWorker *worker)
 {
   CellLoss loss = { .worker_ended = worker->replaced,
                     .from_predecessor = true,
-                    .span = former_span (cell, worker) };
+                    .span = predecessor_span (cell, worker) };
 
   stage->predecessor_runs_lost = true;
   for (uint32_t i = 0; i < stage->spec->count; i++)
     if (stage->task[i].state == CELL_TASK_WAITING
         && stage->task[i].booking == NULL && stage->task[i].loss_count == 0)
-      lose (cell, &stage->task[i], worker->info.id, worker->info.addr, loss);
+      record_loss (cell, &stage->task[i], worker->info.id, worker->info.addr,
+                   loss);
 }
 
 static void
-lose_runs_of_former (MuxCell *cell, const CellWorker *worker)
+lose_predecessor_runs (MuxCell *cell, const CellWorker *worker)
 {
   CellJob *job;
   CellJob *next;
@@ -441,26 +454,28 @@
       if (stage->ready && !stage->predecessor_runs_lost
           && (!job->spec->queue.approval.required
               || cell_worker_is_recorded (stage, worker)))
-        lose_former_runs (cell, stage, worker);
+        lose_predecessor_runs_of (cell, stage, worker);
     }
 }
 
 void
 cell_losses_worker_dead (MuxCell *cell, const CellWorker *worker)
 {
-  for_losses (cell, worker, worker->replaced ? take_ended : take_unreachable);
+  for_each_loss (cell, worker,
+                 worker->replaced ? take_worker_ended
+                                  : take_worker_unreachable);
   if (!worker->confirmed && !worker->info.draining)
-    lose_runs_of_former (cell, worker);
+    lose_predecessor_runs (cell, worker);
 }
 
-/* Whether others went down in the same moment shows a little later. */
+/* Whether other workers went down at the same moment shows a little later. */
 static bool
-take_outage (const MuxCell *cell, CellTask *task, uint32_t i)
+mark_in_outage (const MuxCell *cell, CellTask *task, uint32_t i)
 {
   CellLoss *loss = &task->loss[i];
 
   if (loss->in_outage || loss->outcome_unknown
-      || cell->time.now_ms - loss->span.to_ms > OUTAGE_LOOK_MS
+      || cell->time.now_ms - loss->span.to_ms > OUTAGE_CHECK_MS
       || !cell_lost_in_outage (cell, task, loss))
     return false;
   loss->in_outage = true;
@@ -470,25 +485,25 @@
 }
 
 static void
-look_at_task (MuxCell *cell, CellTask *task)
+check_task (MuxCell *cell, CellTask *task)
 {
-  bool taken = false;
+  bool any_changed = false;
 
   for (uint32_t i = task->loss_count; i > 0; i--)
-    taken = take_outage (cell, task, i - 1) || taken;
-  if (record_run (cell, task) || taken)
-    changed (cell, task);
+    any_changed = mark_in_outage (cell, task, i - 1) || any_changed;
+  if (record_run (cell, task) || any_changed)
+    losses_changed (cell, task);
   else if (cell_losses_exceeded (cell, task))
-    give_up (cell, task);
+    fail_job (cell, task);
 }
 
 static void
-look_at (MuxCell *cell, const CellJob *job)
+check_job (MuxCell *cell, const CellJob *job)
 {
   for (uint32_t i = 0; i < job->stage_count; i++)
     for (uint32_t j = 0; j < job->stage[i]->spec->count; j++)
       if (job->stage[i]->task[j].loss_count > 0)
-        look_at_task (cell, &job->stage[i]->task[j]);
+        check_task (cell, &job->stage[i]->task[j]);
 }
 
 void
@@ -499,13 +514,13 @@
 
   if (cell->time.now_ms < cell->next_loss_check_ms)
     return;
-  cell->next_loss_check_ms = cell->time.now_ms + LOOK_MS;
+  cell->next_loss_check_ms = cell->time.now_ms + CHECK_INTERVAL_MS;
   mux_count (cell->options.counters, MUX_COUNT_JOB_LOOKS, cell->loss_job_count);
   DL_FOREACH_SAFE2 (cell->loss_jobs, job, next, loss_list_next)
   if (job->loss_count == 0)
     cell_loss_list_remove (cell, job);
   else if (!job->failed && !job->ended)
-    look_at (cell, job);
+    check_job (cell, job);
 }
 
 void
--- a/src/cell/crash_list.c
+++ b/src/cell/crash_list.c
@@ -1,7 +1,7 @@
 #include "cell_private.h"
 
-/* The jobs with lost runs: few of all, and looked at for each worker that is
- * heard first, or no longer. */
+/* The jobs with lost runs, which are few: they are scanned for each worker
+ * that answers for the first time, or stops answering. */
 
 void
 cell_loss_list_add (MuxCell *cell, CellJob *job)
--- a/src/cell/crash_log.c
+++ b/src/cell/crash_log.c
@@ -2,9 +2,9 @@
 
 #include <stdio.h>
 
-/* What the log says of workers that crashed, and of the runs that they had. */
+/* Log lines of workers that crashed, and of the runs lost with them. */
 
-/* Tasks named in the line of a crash. */
+/* Tasks named in the log line of a crash. */
 #define NAMED_MAX 8
 #define NAME_LEN 80
 
--- a/src/cell/crash_rows.c
+++ b/src/cell/crash_rows.c
@@ -3,10 +3,10 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Losses of a stage's tasks as they are stored, by the workers that were lost:
- * [worker, address, whether it has ended, time of day,
- *  [[task, run, marks, in an outage, lived], ...]].  Rows of older versions end
- * at the marks, and these read no further. */
+/* Losses of a stage's tasks as they are stored, grouped by the workers lost:
+ * [worker, address, whether it has ended, wall-clock time, [[task, run,
+ * flags, in an outage, lived_ms], ...]]. Rows of older versions of the
+ * program end at the flags, and those versions ignore what follows. */
 
 enum
 {
@@ -21,26 +21,26 @@
 {
   RUN_TASK,
   RUN_NUMBER,
-  RUN_MARKS,
+  RUN_FLAGS,
   RUN_IN_OUTAGE,
   RUN_LIVED_MS,
 };
 
-/* Marks of a run; see struct CellLoss. */
+/* Flags of a run; see struct CellLoss. */
 enum
 {
-  MARK_BEGAN = 1,
-  MARK_OPEN = 2,
-  MARK_RECORDED = 4,
-  MARKS_ALL = 7,
+  FLAG_BEGAN = 1,
+  FLAG_OUTCOME_UNKNOWN = 2,
+  FLAG_FROM_PREDECESSOR = 4,
+  FLAGS_ALL = 7,
 };
 
 static int
-marks_of (const CellLoss *loss)
+flags_of (const CellLoss *loss)
 {
-  return (loss->began ? MARK_BEGAN : 0)
-         | (loss->outcome_unknown ? MARK_OPEN : 0)
-         | (loss->from_predecessor ? MARK_RECORDED : 0);
+  return (loss->began ? FLAG_BEGAN : 0)
+         | (loss->outcome_unknown ? FLAG_OUTCOME_UNKNOWN : 0)
+         | (loss->from_predecessor ? FLAG_FROM_PREDECESSOR : 0);
 }
 
 static bool
@@ -53,7 +53,7 @@
                 == loss->worker_ended;
 }
 
-/* NULL: memory is out. */
+/* Return: NULL if out of memory. */
 static json_t *
 group_of (json_t *list, const CellLoss *loss)
 {
@@ -79,23 +79,23 @@
         (void) json_array_append_new (
             json_array_get (group_of (list, loss), LOST_RUNS),
             json_pack ("[i, i, i, i, I]", (int) i, (int) loss->run,
-                       marks_of (loss), (int) loss->in_outage,
+                       flags_of (loss), (int) loss->in_outage,
                        (json_int_t) loss->lived_ms));
       }
   return list;
 }
 
 static bool
-is_number (const json_t *value, json_int_t most)
+is_number (const json_t *value, json_int_t max)
 {
   return json_is_integer (value) && json_integer_value (value) >= 0
-         && json_integer_value (value) <= most;
+         && json_integer_value (value) <= max;
 }
 
 static bool
-is_number_if_any (const json_t *value, json_int_t most)
+is_number_if_any (const json_t *value, json_int_t max)
 {
-  return value == NULL || is_number (value, most);
+  return value == NULL || is_number (value, max);
 }
 
 static bool
@@ -103,7 +103,7 @@
 {
   return is_number (json_array_get (run, RUN_TASK), (json_int_t) tasks - 1)
          && is_number (json_array_get (run, RUN_NUMBER), UINT32_MAX)
-         && is_number (json_array_get (run, RUN_MARKS), MARKS_ALL)
+         && is_number (json_array_get (run, RUN_FLAGS), FLAGS_ALL)
          && is_number_if_any (json_array_get (run, RUN_IN_OUTAGE), 1)
          && is_number_if_any (json_array_get (run, RUN_LIVED_MS),
                               INT64_MAX / 2);
@@ -140,7 +140,7 @@
 {
   CellTask *task
       = &stage->task[json_integer_value (json_array_get (run, RUN_TASK))];
-  json_int_t marks = json_integer_value (json_array_get (run, RUN_MARKS));
+  json_int_t flags = json_integer_value (json_array_get (run, RUN_FLAGS));
   CellLoss *loss = cell_loss_add (task);
 
   if (loss == NULL)
@@ -152,13 +152,13 @@
   loss->worker_ended = json_is_true (json_array_get (group, LOST_ENDED));
   loss->at_wall_ms = json_integer_value (json_array_get (group, LOST_AT));
   loss->run = (uint32_t) json_integer_value (json_array_get (run, RUN_NUMBER));
-  loss->began = (marks & MARK_BEGAN) != 0;
-  loss->outcome_unknown = (marks & MARK_OPEN) != 0;
+  loss->began = (flags & FLAG_BEGAN) != 0;
+  loss->outcome_unknown = (flags & FLAG_OUTCOME_UNKNOWN) != 0;
   loss->in_outage
       = json_integer_value (json_array_get (run, RUN_IN_OUTAGE)) != 0;
   loss->lived_ms = json_integer_value (json_array_get (run, RUN_LIVED_MS));
   loss->from_predecessor
-      = loss->outcome_unknown || (marks & MARK_RECORDED) != 0;
+      = loss->outcome_unknown || (flags & FLAG_FROM_PREDECESSOR) != 0;
   if (loss->run > task->last_run)
     task->last_run = loss->run;
 }
--- a/src/cell/outage.c
+++ b/src/cell/outage.c
@@ -1,28 +1,26 @@
 #include "cell_private.h"
 
 /*
- * Outages: workers that went down while a run was there, without any part of
- * its step.
+ * Correlated failures of workers (outages).
  *
- * Guards against a fault of the machines that is taken for one of the task.  If
- * so many others went down meanwhile, any run could have been lost that often,
- * and the loss says little against its task.
+ * If many workers without tasks of the step went down during a run, any run
+ * could have been lost with them, and the loss says little against its task: a
+ * fault of the machines must not count as one of the task.
  */
 
-/* Others that went down make an outage: a share of all workers, not less than
- * so many, and not more; */
+/* It is an outage if one in ALL_SHARE workers went down, and at least ALL_MIN,
+ * or ALL_MAX of them; or one in RACK_SHARE of a rack, and at least RACK_MIN. */
 #define ALL_SHARE 8
 #define ALL_MIN 4
 #define ALL_MAX 64
-/* or a share of those in one rack. */
 #define RACK_SHARE 2
 #define RACK_MIN 3
-/* Answers are on their way for so long, in ms. */
-#define ON_WAY_MS 100
-/* Nothing went down for so long, in ms: no outage goes on. */
-#define CALM_MS 1000
-/* A run that lived for so long, in ms, did not crash its worker at once. */
-#define YOUNG_MS 500
+/* Answers are under way for up to this time. */
+#define ANSWER_DELAY_MS 100
+/* No outage is going on after this time without a failure. */
+#define STABLE_MS 1000
+/* A run that ran for this long did not crash its worker at once. */
+#define SHORT_RUN_MS 500
 
 static uint64_t
 rack_of (const MuxWorkerInfo *info)
@@ -63,18 +61,19 @@
                   const CellWorker *worker,
                   int64_t from_ms)
 {
-  bool went = (worker->dead || worker->unreachable_since_ms != 0)
-              && worker->down_before_ms != 0;
+  bool is_down = (worker->dead || worker->unreachable_since_ms != 0)
+                 && worker->down_before_ms != 0;
   CellLossSpan span
       = { .from_ms = from_ms,
-          .to_ms = went ? worker->down_before_ms : cell->time.now_ms,
+          .to_ms = is_down ? worker->down_before_ms : cell->time.now_ms,
           .rack = rack_of (&worker->info) };
 
   count_workers (cell, &span);
   return span;
 }
 
-/* Of a start that was not answered it is not known when the worker went. */
+/* If the start was not answered, the worker may have gone down at any time
+ * since its last answer. */
 static int64_t
 lost_from_ms (const CellBooking *booking)
 {
@@ -95,51 +94,51 @@
 {
   uint32_t count;
   uint64_t addr[ALL_MAX];
-} Addresses;
+} AddressSet;
 
 static bool
-has (const Addresses *list, uint64_t addr)
+address_set_has (const AddressSet *set, uint64_t addr)
 {
-  for (uint32_t i = 0; i < list->count; i++)
-    if (list->addr[i] == addr)
+  for (uint32_t i = 0; i < set->count; i++)
+    if (set->addr[i] == addr)
       return true;
   return false;
 }
 
 static void
-put (Addresses *list, uint64_t addr)
+address_set_add (AddressSet *set, uint64_t addr)
 {
-  if (list->count < ALL_MAX && !has (list, addr))
-    list->addr[list->count++] = addr;
+  if (set->count < ALL_MAX && !address_set_has (set, addr))
+    set->addr[set->count++] = addr;
 }
 
 static void
-put_losses (const CellTask *task, int64_t from_ms, Addresses *list)
+add_losses (const CellTask *task, int64_t from_ms, AddressSet *set)
 {
   for (uint32_t i = 0; i < task->loss_count; i++)
     {
       const CellLoss *loss = &task->loss[i];
 
-      if (!loss->outcome_unknown && loss->lived_ms < YOUNG_MS
+      if (!loss->outcome_unknown && loss->lived_ms < SHORT_RUN_MS
           && (loss->span.to_ms == 0 || loss->span.to_ms >= from_ms))
-        put (list, mux_hash_name (loss->addr, 0));
+        address_set_add (set, mux_hash_name (loss->addr, 0));
     }
 }
 
-/* Where the step itself may be the cause: young runs of it were lost there, or
- * are out of reach. */
+/* Addresses where the step itself may be the cause: short runs of it were
+ * lost there, or are unreachable. */
 static void
-put_step (const CellStage *stage, int64_t from_ms, Addresses *list)
+add_step (const CellStage *stage, int64_t from_ms, AddressSet *set)
 {
   for (uint32_t i = 0; i < stage->spec->count; i++)
     {
       const CellTask *task = &stage->task[i];
       const CellBooking *booking = task->booking;
 
-      put_losses (task, from_ms, list);
+      add_losses (task, from_ms, set);
       if (booking != NULL && !booking->worker->reachable
-          && cell_run_lived_ms (booking) < YOUNG_MS)
-        put (list, mux_hash_name (booking->worker->info.addr, 0));
+          && cell_run_lived_ms (booking) < SHORT_RUN_MS)
+        address_set_add (set, mux_hash_name (booking->worker->info.addr, 0));
     }
 }
 
@@ -157,7 +156,7 @@
   const CellDownEvent *last
       = &cell->down[(cell->down_next - 1) % CELL_DOWN_MAX];
 
-  return cell->down_next == 0 || cell->time.now_ms - last->to_ms > CALM_MS;
+  return cell->down_next == 0 || cell->time.now_ms - last->to_ms > STABLE_MS;
 }
 
 bool
@@ -166,14 +165,14 @@
                      const CellLoss *loss)
 {
   const CellLossSpan *span = &loss->span;
-  Addresses own = { .count = 0 };
-  Addresses all = { .count = 0 };
-  Addresses rack = { .count = 0 };
+  AddressSet own = { .count = 0 };
+  AddressSet all = { .count = 0 };
+  AddressSet rack = { .count = 0 };
 
   if (span->to_ms == 0)
     return false;
-  put (&own, mux_hash_name (loss->addr, 0));
-  put_step (task->stage, span->from_ms, &own);
+  address_set_add (&own, mux_hash_name (loss->addr, 0));
+  add_step (task->stage, span->from_ms, &own);
   for (uint32_t i = 1; i <= cell->down_next && i <= CELL_DOWN_MAX; i++)
     {
       const CellDownEvent *down
@@ -181,12 +180,13 @@
 
       if (down->at_ms < span->from_ms)
         return false;
-      if (down->to_ms < span->from_ms || down->from_ms > span->to_ms + ON_WAY_MS
-          || has (&own, down->addr))
+      if (down->to_ms < span->from_ms
+          || down->from_ms > span->to_ms + ANSWER_DELAY_MS
+          || address_set_has (&own, down->addr))
         continue;
-      put (&all, down->addr);
+      address_set_add (&all, down->addr);
       if (span->rack != 0 && down->rack == span->rack)
-        put (&rack, down->addr);
+        address_set_add (&rack, down->addr);
       if (is_outage (span, all.count, rack.count))
         return true;
     }
@@ -204,5 +204,5 @@
 bool
 cell_run_was_short (int64_t lived_ms)
 {
-  return lived_ms < YOUNG_MS;
+  return lived_ms < SHORT_RUN_MS;
 }
--- a/src/cell/suspect.c
+++ b/src/cell/suspect.c
@@ -5,26 +5,27 @@
 /*
  * Where and when a task is started again after workers crashed under it.
  *
- * All that ran at a worker that crashes is under suspicion, and all but one of
- * it, as a rule, without reason.  So the suspects of one crash are kept apart,
- * on workers with the least to lose: who is the cause shows with the next one,
- * and the others have run.  From the second crash on a task gets a worker where
- * no other suspect begins, one of its step at a time.
+ * All tasks that ran at a worker when it crashed are suspects, and as a rule
+ * all but one of them without reason. So the suspects of one crash are spread
+ * over the workers with the least to lose: the next crash shows which one is
+ * the cause, and the others have run. From its second crash on a task starts
+ * only at a worker where no other suspect is starting, one task of its step at
+ * a time.
  */
 
-/* A run that began so long ago, in ms, has shown that its worker bears it: by
- * then one that crashed at once is known to be out of reach. */
+/* A run that began this long ago has not crashed its worker: one that crashed
+ * at once would be known to be unreachable by then. */
 #define TRIAL_MS 2000
-/* A step under which more than one of so many workers crashed has no more of
- * its suspects begin at a time. */
+/* If more than one in this many workers crashed under a step, no more of its
+ * suspects start at the same time. */
 #define WORKERS_PER_TRIAL 8
 /* Crashes from which on a task is kept apart from all other suspects. */
 #define STRONG_CRASHES 2
-/* Workers of one step that are told apart for that. */
-#define MANY_MAX 64
-/* In thousandths of a processor: with another suspect, or at an address where a
- * worker crashed under it before. */
-#define SUSPECTS_COST 500000
+/* Crashed workers of one step that are counted for that. */
+#define CRASHED_WORKERS_MAX 64
+/* Costs in thousandths of a core: for each other suspect there, and for an
+ * address where a worker crashed under the task before. */
+#define OTHER_SUSPECT_COST 500000
 #define SAME_ADDR_COST 10000000
 
 uint32_t
@@ -72,7 +73,7 @@
 }
 
 static bool
-is_strong (const MuxCell *cell, const CellTask *task)
+is_strong_suspect (const MuxCell *cell, const CellTask *task)
 {
   return cell_suspected_crashes (cell, task) >= STRONG_CRASHES;
 }
@@ -81,7 +82,7 @@
 {
   uint32_t all;
   uint32_t strong;
-  uint32_t strong_waiting; /* their turn comes first */
+  uint32_t strong_waiting; /* start before others */
 } Trials;
 
 static void
@@ -90,7 +91,7 @@
   if (!is_on_trial (cell, booking))
     return;
   trials->all++;
-  trials->strong += is_strong (cell, booking->task);
+  trials->strong += is_strong_suspect (cell, booking->task);
 }
 
 static Trials
@@ -116,8 +117,8 @@
       if (task->booking != NULL)
         add_trial (cell, task->booking, &trials);
       else if (task->state == CELL_TASK_WAITING)
-        trials.strong_waiting
-            += is_strong (cell, task) && cell_losses_allow_start (cell, task);
+        trials.strong_waiting += is_strong_suspect (cell, task)
+                                 && cell_losses_allow_start (cell, task);
     }
   return trials;
 }
@@ -139,14 +140,14 @@
   return false;
 }
 
-/* Appends those of other workers than are in the list, up to its end. */
+/* Appends losses at workers that are not yet in the list, up to @max. */
 static void
 add_crashed (const CellTask *task,
              const CellLoss **list,
              uint32_t *count,
-             uint32_t most)
+             uint32_t max)
 {
-  for (uint32_t i = 0; i < task->loss_count && *count < most; i++)
+  for (uint32_t i = 0; i < task->loss_count && *count < max; i++)
     {
       const CellLoss *loss = &task->loss[i];
 
@@ -157,36 +158,38 @@
 }
 
 /*
- * Guards against a wide step of which all tasks crash their workers: it takes a
- * worker for each of them at once before anything is known, and would do so
- * again.
+ * A wide step of which all tasks crash their workers would take a worker for
+ * each of them at once before anything is known, and again when they are
+ * restarted.
  */
 static bool
-took_many (const CellStage *stage, uint32_t max)
+crashed_many (const CellStage *stage, uint32_t max)
 {
-  const CellLoss *list[MANY_MAX + 1];
-  uint32_t most = max < MANY_MAX ? max + 1 : MANY_MAX + 1;
+  const CellLoss *list[CRASHED_WORKERS_MAX + 1];
+  uint32_t limit
+      = max < CRASHED_WORKERS_MAX ? max + 1 : CRASHED_WORKERS_MAX + 1;
   uint32_t count = 0;
 
   for (uint32_t i = 0; i < stage->spec->count; i++)
-    add_crashed (&stage->task[i], list, &count, most);
-  return count == most;
+    add_crashed (&stage->task[i], list, &count, limit);
+  return count == limit;
 }
 
-/* A next planner knows of its losses. */
+/* Whether a successor would know of all the task's losses. */
 static bool
-is_stored (const CellTask *task)
+losses_are_stored (const CellTask *task)
 {
   return task->stage->losses_stored == task->stage->loss_changes;
 }
 
-/* As far as its losses are concerned. */
+/* Whether the task's losses allow a start. */
 static bool
-may_be_lost_again (const MuxCell *cell, const CellTask *task)
+losses_allow_start (const MuxCell *cell, const CellTask *task)
 {
   return task->loss_count == 0
          || (cell_losses_allow_start (cell, task)
-             && (!cell_start_needs_record (cell, task) || is_stored (task)));
+             && (!cell_start_needs_record (cell, task)
+                 || losses_are_stored (task)));
 }
 
 bool
@@ -195,22 +198,22 @@
   uint32_t max = trials_max (cell);
   Trials trials;
 
-  if (!may_be_lost_again (cell, task))
+  if (!losses_allow_start (cell, task))
     return false;
   if (cell_suspected_crashes (cell, task) == 0)
     return true;
   trials = trials_of (cell, task->stage);
-  if (is_strong (cell, task))
+  if (is_strong_suspect (cell, task))
     return trials.all == 0;
   return trials.strong == 0 && trials.strong_waiting == 0
-         && (trials.all < max || !took_many (task->stage, max));
+         && (trials.all < max || !crashed_many (task->stage, max));
 }
 
 bool
 cell_gang_may_start (const MuxCell *cell, const CellStage *stage)
 {
   for (uint32_t i = 0; i < stage->spec->count; i++)
-    if (!may_be_lost_again (cell, &stage->task[i]))
+    if (!losses_allow_start (cell, &stage->task[i]))
       return false;
   return true;
 }
@@ -225,7 +228,7 @@
   if (cell_suspected_crashes (cell, task) == 0)
     return true;
   trials = trials_at (cell, worker);
-  return is_strong (cell, task) ? trials.all == 0 : trials.strong == 0;
+  return is_strong_suspect (cell, task) ? trials.all == 0 : trials.strong == 0;
 }
 
 static bool
@@ -237,9 +240,9 @@
   return false;
 }
 
-/* Its start there is recorded already. */
+/* Whether the task's start at the worker is recorded already. */
 static bool
-is_open_there (const CellTask *task, const CellWorker *worker)
+is_recorded_there (const CellTask *task, const CellWorker *worker)
 {
   for (uint32_t i = 0; i < task->loss_count; i++)
     if (task->loss[i].outcome_unknown
@@ -255,8 +258,8 @@
 {
   int64_t cost = worker->booked.cpu_milli;
 
-  if (is_open_there (task, worker))
+  if (is_recorded_there (task, worker))
     return 0;
-  cost += (int64_t) trials_at (cell, worker).all * SUSPECTS_COST;
+  cost += (int64_t) trials_at (cell, worker).all * OTHER_SUSPECT_COST;
   return crashed_there (task, worker) ? cost + SAME_ADDR_COST : cost;
 }
