--- a/src/cell/call.c
+++ b/src/cell/call.c
@@ -131,9 +131,9 @@
  * inexact.
  */
 static void
-take_store_clock (MuxCell *cell,
-                  const CellPending *entry,
-                  const MuxCellReply *reply)
+update_store_clock (MuxCell *cell,
+                    const CellPending *entry,
+                    const MuxCellReply *reply)
 {
   if (reply->store_clock_ms == 0 || reply->verb == MUX_CELL_FEED)
     return;
@@ -198,7 +198,7 @@
   if (entry != NULL)
     {
       HASH_DEL (cell->pending, entry);
-      take_store_clock (cell, entry, reply);
+      update_store_clock (cell, entry, reply);
       record_duration (cell, entry, reply);
       /* A reply that belongs to an earlier term refers to state that is gone.
        */
--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -303,7 +303,7 @@
          != NULL;
 }
 
-typedef bool (*LossFilter) (CellTask *task,
+typedef bool (*LossUpdate) (CellTask *task,
                             uint32_t i,
                             const CellWorker *worker);
 
@@ -329,9 +329,9 @@
   loss->in_outage = loss->in_outage || cell_lost_in_outage (cell, task, loss);
 }
 
-/* Calls @take for all losses; it returns whether it changed the loss. */
+/* Calls @update for all losses; it returns whether it changed the loss. */
 static void
-for_each_loss (MuxCell *cell, const CellWorker *worker, LossFilter take)
+for_each_loss (MuxCell *cell, const CellWorker *worker, LossUpdate update)
 {
   CellJob *job;
   CellJob *next;
@@ -345,7 +345,7 @@
         bool any_changed = false;
 
         for (uint32_t k = task->loss_count; k > 0; k--)
-          if (take (task, k - 1, worker))
+          if (update (task, k - 1, worker))
             {
               any_changed = true;
               find_span (cell, worker, task, k - 1);
@@ -377,7 +377,7 @@
 }
 
 static bool
-take_worker_confirmed (CellTask *task, uint32_t i, const CellWorker *worker)
+update_worker_confirmed (CellTask *task, uint32_t i, const CellWorker *worker)
 {
   CellLoss *loss = &task->loss[i];
 
@@ -392,14 +392,14 @@
 }
 
 static bool
-take_worker_ended (CellTask *task, uint32_t i, const CellWorker *worker)
+update_worker_ended (CellTask *task, uint32_t i, const CellWorker *worker)
 {
   return strcmp (task->loss[i].worker, worker->info.id) == 0
          && mark_worker_ended (task, i);
 }
 
 static bool
-take_worker_unreachable (CellTask *task, uint32_t i, const CellWorker *worker)
+update_worker_unreachable (CellTask *task, uint32_t i, const CellWorker *worker)
 {
   CellLoss *loss = &task->loss[i];
 
@@ -413,7 +413,7 @@
 void
 cell_losses_worker_confirmed (MuxCell *cell, const CellWorker *worker)
 {
-  for_each_loss (cell, worker, take_worker_confirmed);
+  for_each_loss (cell, worker, update_worker_confirmed);
 }
 
 /*
@@ -462,8 +462,8 @@
 cell_losses_worker_dead (MuxCell *cell, const CellWorker *worker)
 {
   for_each_loss (cell, worker,
-                 worker->replaced ? take_worker_ended
-                                  : take_worker_unreachable);
+                 worker->replaced ? update_worker_ended
+                                  : update_worker_unreachable);
   if (!worker->confirmed && !worker->info.draining)
     lose_predecessor_runs (cell, worker);
 }
--- a/src/cell/handover.c
+++ b/src/cell/handover.c
@@ -15,7 +15,7 @@
 #define MEMBER_ALIVE_MS 500
 
 static bool
-may_succeed (const MuxCell *cell, const CellMember *member)
+can_take_over (const MuxCell *cell, const CellMember *member)
 {
   return member->store_available && !member->stopping
          && cell->time.processed_ms - member->last_contact_ms < MEMBER_ALIVE_MS;
@@ -34,7 +34,7 @@
 
   HASH_ITER (hh, cell->members, member, next)
   {
-    if (!may_succeed (cell, member)
+    if (!can_take_over (cell, member)
         || member->cpu_share_milli < min_share_milli)
       continue;
     if (best == NULL || member->cpu_share_milli > best->cpu_share_milli
--- a/src/cell/relay.c
+++ b/src/cell/relay.c
@@ -44,7 +44,7 @@
 
 /* This daemon stores the job itself. The planner may have stored it already. */
 static void
-take_back (CellSubmission *submission, bool outcome_unknown)
+withdraw (CellSubmission *submission, bool outcome_unknown)
 {
   submission->relayed = false;
   submission->outcome_unknown = submission->outcome_unknown || outcome_unknown;
@@ -60,7 +60,7 @@
   DL_FOREACH_SAFE (part->submissions, submission, next)
   if (submission->relayed
       && (!reachable || cell->time.now_ms >= submission->deadline_ms))
-    take_back (submission, true);
+    withdraw (submission, true);
 }
 
 void
@@ -146,7 +146,7 @@
                            msg->retry_ms != 0 ? "backlog" : "behind");
       return;
     }
-  take_back (submission, msg->outcome != MUX_RESPONSE_REFUSED);
+  withdraw (submission, msg->outcome != MUX_RESPONSE_REFUSED);
   cell_submissions_commit (cell, part);
 }
 
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -50,7 +50,7 @@
  * list of workers gives its address, or until the longest lease has expired.
  */
 static void
-take_row (MuxCell *cell, const MuxCellRow *row, int64_t store_clock_ms)
+load_row (MuxCell *cell, const MuxCellRow *row, int64_t store_clock_ms)
 {
   CellWorker *worker = cell_worker_add (cell, row->key);
   json_t *json = cell_row_json (cell, row);
@@ -92,7 +92,7 @@
     if (strcmp (reply->row[i].key, CELL_FENCE_KEY) == 0)
       cell->roster_fence = reply->row[i].version;
     else if (mux_incarnation_valid (reply->row[i].key))
-      take_row (cell, &reply->row[i], reply->store_clock_ms);
+      load_row (cell, &reply->row[i], reply->store_clock_ms);
     else
       cell_report_bad_row (cell, &reply->row[i], CELL_ROW_KEY, "key");
   cell->roster_loaded = !cell_next_page (cell->roster_from, reply);
--- a/src/cell/worker.c
+++ b/src/cell/worker.c
@@ -236,7 +236,7 @@
 }
 
 static void
-take_row (MuxCell *cell, const MuxCellRow *row, const char *incarnation)
+apply_row (MuxCell *cell, const MuxCellRow *row, const char *incarnation)
 {
   CellWorker *worker = cell_worker_add (cell, incarnation);
 
@@ -284,7 +284,7 @@
   if (row->removed || bad_field != NULL)
     drop_entry (cell, row, bad_field);
   else
-    take_row (cell, row, incarnation);
+    apply_row (cell, row, incarnation);
 }
 
 /* A full read names all workers that exist: the others are missing. */
@@ -389,7 +389,7 @@
 }
 
 static bool
-forgettable (const MuxCell *cell, const CellWorker *worker)
+can_be_freed (const MuxCell *cell, const CellWorker *worker)
 {
   bool unused = !cell_in_roster (worker) && worker->bookings == NULL
                 && worker->hold_count == 0;
@@ -430,7 +430,7 @@
       if (worker == NULL)
         continue;
       worker_tick (cell, worker);
-      if (forgettable (cell, worker))
+      if (can_be_freed (cell, worker))
         worker_free (cell, worker);
     }
 }
