--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -268,7 +268,7 @@
 void cell_claim_peer (MuxCell *cell, const MuxPeerMsg *msg);
 void cell_step_down (MuxCell *cell, const char *why);
 /** cell_write_claim() - writes the claim's row if it is still the version
- * known; takes over @value; the pending call's number is the term */
+ * known; takes over @value; the pending call's context is the term */
 bool cell_write_claim (MuxCell *cell, json_t *value, CellReplyHandler on_reply);
 
 /* heartbeat.c: heartbeats and checks of the planner's claim */
@@ -558,7 +558,7 @@
 bool cell_claim_is_valid (const MuxCell *cell);
 /** cell_hello_next() - records a hello that is about to be sent
  * Return: its number. */
-uint64_t cell_hello_next (MuxCell *cell, bool table_ok);
+uint64_t cell_hello_next (MuxCell *cell, bool store_available);
 /** cell_hello_acked() - the planner has acknowledged hello @number */
 void cell_hello_acked (MuxCell *cell, uint64_t number);
 /** cell_claim_lease_was_short() - the holder certainly did not extend its
--- a/src/cell/claim_lease.c
+++ b/src/cell/claim_lease.c
@@ -51,13 +51,13 @@
 }
 
 uint64_t
-cell_hello_next (MuxCell *cell, bool table_ok)
+cell_hello_next (MuxCell *cell, bool store_available)
 {
   CellHellos *hellos = &cell->hellos;
   uint64_t number = ++hellos->number;
 
   hellos->sent_ms[number % CELL_HELLOS] = cell->time.now_ms;
-  if (!table_ok)
+  if (!store_available)
     hellos->failing_number = number;
   return number;
 }
