--- a/include/cell/admission.h
+++ b/include/cell/admission.h
@@ -5,41 +5,48 @@
 #include <stdint.h>
 
 /*
- * Overload control: which new jobs a cell takes.  For each queue the planner
- * counts what waits and measures how fast it is placed; the quotient is how
- * long a new job waits.  One that would begin too late is refused at once.  No
- * I/O and no clock: times are passed in.
+ * Admission control: decides which new jobs a cell accepts.  For each queue the
+ * planner counts the work that waits and measures the rate at which it is
+ * placed on workers; their quotient is the expected wait of a new job.  A job
+ * that would start too late is refused at once.  Does no I/O and reads no
+ * clock: times are passed in.
  */
 
-/* Queues that are told apart; those of any other are never refused here. */
+/* Most queues that are tracked; jobs of further queues are never refused
+ * here. */
 #define MUX_ADMISSION_QUEUES_MAX 64
-/* Longest wait that is told. */
+/* Longest expected wait that is reported. */
 #define MUX_ADMISSION_WAIT_MAX_MS 60000
 
 /**
- * struct MuxAdmissionQueue - one queue
+ * struct MuxAdmissionQueue - backlog and service rate of one queue
  * @queue: hash of its name and priority
  * @priority: 0 is served first
- * @service: hash of the pool that runs its tasks
- * @waiting: steps that wait and can still be in time
+ * @service: hash of the name of the worker pool that runs its tasks
+ * @waiting: steps that wait and can still end in time
  * @work: of their tasks, in core-milliseconds
- * @aged: @work, times the thousandths of its slack that each has waited
- * @placed: core-milliseconds placed since the last count
- * @placed_tasks: tasks, the same
- * @placed_waited_ms: sum of how long these had waited
- * @rate: core-milliseconds placed in a second, while something waited
- * @busy_ms: how long something waited, in all counts
- * @pool_milli: of the pool that runs its tasks, as counted last; 0: not known
- * @free_milli: of it, what nothing runs on
- * @held_milli: of it, what its tasks run on
- * @later_milli: what those of queues run on that are served later
- * @sojourn_ms: how long its tasks wait before they are placed, in the mean
- * @unplaced_ms: since when none was
- * @least_sojourn_ms: of the queues of the pool of which tasks are placed
- * @first_work: of queues that are served first, and whose backlog stands
- * @first_rate: of these
- * @later_rate: of the queues of the pool that are served later
- * @wait_ms: of a new job; 0: it is placed as it comes
+ * @aged_work: sum over the steps of work times the fraction of its slack, in
+ *   thousandths, that the step has waited
+ * @placed_work: core-milliseconds placed since the last count
+ * @placed_tasks: tasks placed since the last count
+ * @placed_wait_sum_ms: sum of the times these tasks had waited
+ * @rate: core-milliseconds placed per second while something waited
+ * @busy_ms: total time in which something waited
+ * @pool_milli: capacity of the pool at the last count, in thousandths of a
+ *   processor; 0: not known
+ * @free_milli: part of it on which nothing runs
+ * @running_milli: part of it used by running tasks of this queue
+ * @lower_priority_milli: part of it used by tasks of queues that are served
+ *   later
+ * @sojourn_ms: mean time that its tasks wait before they are placed
+ * @since_placed_ms: time since the last task was placed, while something waited
+ * @min_sojourn_ms: smallest @sojourn_ms among the queues of the pool that have
+ *   tasks placed; 0: none has
+ * @higher_priority_work: work of queues with a standing backlog that are served
+ *   before this one
+ * @higher_priority_rate: rate of these queues
+ * @lower_priority_rate: rate of the queues of the pool that are served later
+ * @wait_ms: expected wait of a new job; 0: it is placed at once
  */
 typedef struct
 {
@@ -68,7 +75,7 @@
 } MuxAdmissionQueue;
 
 /**
- * struct MuxAdmission - all queues
+ * struct MuxAdmission - state of all tracked queues
  * @counted_ms: time of the last count
  * @count: used entries of @queue
  */
@@ -82,9 +89,9 @@
 /**
  * struct MuxAdmissionJob - a new job
  * @queue: hash of the name and priority of its queue
- * @slack_ms: how long it may wait in all and still end in time
- * @turns: steps that it waits for one after the other
- * @spread: any number that differs between jobs
+ * @slack_ms: how long it may wait in total and still end in time
+ * @chain_length: steps that have to run one after the other
+ * @jitter_seed: any number that differs between jobs
  */
 typedef struct
 {
@@ -95,13 +102,13 @@
 } MuxAdmissionJob;
 
 /**
- * struct MuxAdmissionStep - a step that waits and is worth something
+ * struct MuxAdmissionStep - a waiting step whose result still has value
  * @priority: of its queue
- * @service: hash of the pool that runs its tasks
- * @work: of its tasks, in core-milliseconds
- * @late: it can't be in time any more
- * @waited_ms: since its turn came
- * @slack_ms: from there to its latest start
+ * @service: hash of the name of the worker pool that runs its tasks
+ * @work: of its waiting tasks, in core-milliseconds
+ * @late: it can no longer end in time
+ * @waited_ms: time since it became ready
+ * @slack_ms: time from there to its latest start
  */
 typedef struct
 {
@@ -113,49 +120,56 @@
   int64_t slack_ms;
 } MuxAdmissionStep;
 
-/** mux_admission_work() - core-milliseconds of some tasks, at least one */
+/** mux_admission_work() - core-milliseconds of @tasks tasks, at least one */
 int64_t
 mux_admission_work (uint32_t tasks, uint32_t cpu_milli, uint32_t estimate_ms);
-/** mux_admission_reset() - forget what was measured, not what was told */
+/** mux_admission_reset() - discard what was measured; expected waits received
+ * from another planner stay */
 void mux_admission_reset (MuxAdmission *admission, int64_t now_ms);
-/** mux_admission_find() - the queue's entry, made if needed; NULL: there are
- * too many */
+/** mux_admission_find() - the queue's entry, created if it is new
+ * Return: NULL if MUX_ADMISSION_QUEUES_MAX queues are tracked already. */
 MuxAdmissionQueue *mux_admission_find (MuxAdmission *admission, uint64_t queue);
-/** mux_admission_placed() - a task of the queue was started, after @waited_ms
- */
+/** mux_admission_placed() - record that a task of the queue was started after
+ * it had waited for @waited_ms */
 void mux_admission_placed (MuxAdmission *admission,
                            uint64_t queue,
                            int64_t work,
                            int64_t waited_ms);
-/** mux_admission_count_begin() - before each count of what waits */
+/** mux_admission_count_begin() - called before each count of what waits */
 void mux_admission_count_begin (MuxAdmission *admission);
-/** mux_admission_waits() - such a step of the queue waits */
+/** mux_admission_add_waiting() - count a waiting step of the queue */
 void mux_admission_add_waiting (MuxAdmission *admission,
                                 uint64_t queue,
                                 const MuxAdmissionStep *step);
-/** mux_admission_holds() - a task of the queue runs */
+/** mux_admission_add_running() - count a running task of the queue, of @milli
+ * thousandths of a processor */
 void mux_admission_add_running (MuxAdmission *admission,
                                 uint64_t queue,
                                 int64_t milli);
-/** mux_admission_count_end() - all that waits has been counted */
+/** mux_admission_count_end() - called when all that waits was counted; updates
+ * the measured rates */
 void mux_admission_count_end (MuxAdmission *admission, int64_t now_ms);
 /**
- * mux_admission_judge() - how long new jobs of the queues of a pool wait
- * @pool_milli: its processors, in thousandths; 0: not known
- * @free_milli: those that nothing runs on
+ * mux_admission_update_pool() - update the expected wait of all queues of a
+ * pool
+ * @pool_milli: processors of the pool, in thousandths; 0: not known
+ * @free_milli: those on which nothing runs
  */
 void mux_admission_update_pool (MuxAdmission *admission,
                                 uint64_t service,
                                 int64_t pool_milli,
                                 int64_t free_milli);
-/** mux_admission_has_room() - what waits there does not wait for processors */
+/** mux_admission_has_room() - whether the pool has processors free for the
+ * queue, so that its steps wait for something else */
 bool mux_admission_has_room (const MuxAdmissionQueue *queue);
-/** mux_admission_taken() - a job was taken since the last count */
+/** mux_admission_accepted() - record that a job was accepted since the last
+ * count */
 void
 mux_admission_accepted (MuxAdmission *admission, uint64_t queue, int64_t work);
-/** mux_admission_wait_ms() - of a new job of the queue */
+/** mux_admission_wait_ms() - expected wait of a new job of the queue */
 int64_t mux_admission_wait_ms (const MuxAdmission *admission, uint64_t queue);
-/** mux_admission_retry_ms() - when to come again; 0: the job is taken */
+/** mux_admission_retry_ms() - delay after which the caller is to retry; 0: the
+ * job is accepted */
 uint32_t mux_admission_retry_ms (const MuxAdmission *admission,
                                  const MuxAdmissionJob *job);
 
--- a/include/cell/run_time.h
+++ b/include/cell/run_time.h
@@ -5,25 +5,26 @@
 #include <stdint.h>
 
 /*
- * How long runs of a queue take, by those that were seen.
+ * Estimates how long runs of a queue take, from the runs that were observed.
  *
- * Declared times may be off by any factor, alike or differently for each job.
- * What a run will take is expected between the queue's usual time and the
- * declared one, nearer to the one that was off less so far: both are compared
- * as logarithms, weighted by the inverse of their variances.
+ * Declared run times may be wrong by any factor, the same for all jobs or
+ * different for each.  The expected time lies between the usual time of the
+ * queue and the declared time, nearer to the one that had the smaller error so
+ * far: both are averaged as logarithms, weighted by the inverse of their
+ * variances.
  */
 
-/* Queues that are told apart. */
+/* Most queues that are tracked. */
 #define MUX_RUN_TIMES_MAX 64
 
 /**
- * struct MuxRunTime - of one queue, in logarithms of milliseconds
+ * struct MuxRunTime - statistics of one queue, of logarithms of milliseconds
  * @queue: hash of its name
- * @count: runs seen, up to the number that the means are over
- * @mean: of what runs took
- * @variance: of that
- * @off_mean: of what was declared over what was taken
- * @off_variance: of that
+ * @count: runs observed, up to the number that the means cover
+ * @mean: of the times that runs took
+ * @variance: of these times
+ * @error_mean: of the logarithm of declared time over time taken
+ * @error_variance: of that logarithm
  */
 typedef struct
 {
@@ -36,7 +37,7 @@
 } MuxRunTime;
 
 /**
- * struct MuxRunTimes - of all queues; all zero: nothing was seen
+ * struct MuxRunTimes - statistics of all queues; all zero: nothing was observed
  */
 typedef struct
 {
@@ -44,19 +45,22 @@
   MuxRunTime item[MUX_RUN_TIMES_MAX];
 } MuxRunTimes;
 
-/** mux_run_time_find() - made where it is new; NULL: there are too many */
+/** mux_run_time_find() - the queue's entry, created if it is new
+ * Return: NULL if MUX_RUN_TIMES_MAX queues are tracked already. */
 MuxRunTime *mux_run_time_find (MuxRunTimes *times, uint64_t queue);
-/** mux_run_time_note() - a run for which @declared_ms was given took so long */
+/** mux_run_time_record() - record that a run with the declared time
+ * @declared_ms took @took_ms */
 void mux_run_time_record (MuxRunTimes *times,
                           uint64_t queue,
                           uint32_t declared_ms,
                           int64_t took_ms);
-/** mux_run_time_expect() - what a run will take; as declared until enough were
- * seen */
+/** mux_run_time_expect() - expected time of a run; the declared one until
+ * enough runs were observed */
 uint32_t mux_run_time_expect (const MuxRunTimes *times,
                               uint64_t queue,
                               uint32_t declared_ms);
-/** mux_run_time_is_valid() - it may come from elsewhere */
+/** mux_run_time_is_valid() - whether an entry received from another daemon is
+ * in range */
 bool mux_run_time_is_valid (const MuxRunTime *time);
 
 #endif
--- a/src/cell/admission.c
+++ b/src/cell/admission.c
@@ -3,32 +3,33 @@
 #include <stddef.h>
 
 #define MS_PER_S 1000
-/* Thousandths of a processor in one. */
+/* Thousandths of a processor per processor. */
 #define MILLI 1000
-/* Of one step, in core-milliseconds: sums of them stay in 64 bits. */
+/* Limit of one step in core-milliseconds, so that sums stay within 64 bits. */
 #define WORK_MAX INT64_C (10000000000)
-/* Of the mean of the rate, counted while something waits. */
-#define RATE_MEMORY_MS 4000
-/* A rate that was measured for less is not known. */
+/* Time constant of the mean rate; only time while something waits counts. */
+#define RATE_TIME_CONSTANT_MS 4000
+/* A rate measured for less time than this is not used. */
 #define RATE_KNOWN_MS 2000
-/* As long as the rate is not known, the queue may have this part of its pool:
- * one of so many. */
-#define UNKNOWN_PARTS 2
-/* Fewer steps than this are no backlog, */
+/* While the rate is not known, the queue is assumed to get 1/UNKNOWN_RATE_PARTS
+ * of its pool. */
+#define UNKNOWN_RATE_PARTS 2
+/* Fewer waiting steps than this are not a backlog. */
 #define BACKLOG_STEPS 4
-/* nor what has waited for less than these thousandths of its slack in the mean:
- * a gust that the pool has room for passes within it. */
-#define GUST_AGE 125
-/* From here on the backlog stands. */
+/* Nor is a queue whose steps have waited for less than these thousandths of
+ * their slack on average: a short burst that the pool has room for is placed
+ * within that time. */
+#define BURST_AGE 125
+/* From here on the backlog is a standing one. */
 #define STANDING_AGE 250
-/* A pool is full with less than one of so many parts of it free. */
+/* A pool is full if less than 1/FULL_PARTS of it is free. */
 #define FULL_PARTS 8
-/* In one that is not, jobs are taken until they would wait for so many times as
- * long: they take no room from others. */
+/* In a pool that is not full, jobs are accepted until their wait would be
+ * ROOM_FACTOR times longer, as they take no room from others. */
 #define ROOM_FACTOR 4
-/* Thousandths of its slack that a new job may wait: the rest is for its way to
- * the planner and for what comes first meanwhile. */
-#define WAIT_OF_SLACK 500
+/* Thousandths of its slack that a new job may wait.  The rest is for its way to
+ * the planner and for jobs that overtake it meanwhile. */
+#define WAIT_SLACK_MILLI 500
 #define RETRY_MIN_MS 500
 #define RETRY_MAX_MS 8000
 
@@ -72,16 +73,16 @@
 MuxAdmissionQueue *
 mux_admission_find (MuxAdmission *admission, uint64_t queue)
 {
-  MuxAdmissionQueue *made;
+  MuxAdmissionQueue *entry;
 
   for (uint32_t i = 0; i < admission->count; i++)
     if (admission->queue[i].queue == queue)
       return &admission->queue[i];
   if (admission->count == MUX_ADMISSION_QUEUES_MAX)
     return NULL;
-  made = &admission->queue[admission->count++];
-  *made = (MuxAdmissionQueue){ .queue = queue };
-  return made;
+  entry = &admission->queue[admission->count++];
+  *entry = (MuxAdmissionQueue){ .queue = queue };
+  return entry;
 }
 
 void
@@ -143,15 +144,17 @@
     entry->running_milli += milli;
 }
 
-/* Moves @mean towards @value, as far as @passed_ms is of the memory. */
+/* Moves @mean towards @value by the share that @passed_ms has in the time
+ * constant. */
 static void
 add_to_mean (int64_t *mean, int64_t value, int64_t passed_ms, int64_t busy_ms)
 {
-  int64_t memory_ms = busy_ms < RATE_MEMORY_MS ? busy_ms : RATE_MEMORY_MS;
+  int64_t time_constant_ms
+      = busy_ms < RATE_TIME_CONSTANT_MS ? busy_ms : RATE_TIME_CONSTANT_MS;
 
-  if (memory_ms < passed_ms)
-    memory_ms = passed_ms;
-  *mean += (value - *mean) * passed_ms / memory_ms;
+  if (time_constant_ms < passed_ms)
+    time_constant_ms = passed_ms;
+  *mean += (value - *mean) * passed_ms / time_constant_ms;
 }
 
 static void
@@ -170,8 +173,8 @@
   queue->placed_wait_sum_ms = 0;
 }
 
-/* Time in which nothing waited says nothing of how fast the queue could be
- * served, and does not count. */
+/* Time in which nothing waited does not count: it says nothing about how fast
+ * the queue could be served. */
 static void
 measure (MuxAdmissionQueue *queue, int64_t passed_ms)
 {
@@ -198,7 +201,7 @@
 }
 
 static int64_t
-time_of (int64_t work, int64_t rate)
+time_for_work_ms (int64_t work, int64_t rate)
 {
   int64_t ms;
 
@@ -208,7 +211,7 @@
   return ms < MUX_ADMISSION_WAIT_MAX_MS ? ms : MUX_ADMISSION_WAIT_MAX_MS;
 }
 
-/* Without what was placed since it was counted. */
+/* Returns the work that waits, without what was placed since it was counted. */
 static int64_t
 work_ahead (const MuxAdmissionQueue *queue)
 {
@@ -216,18 +219,19 @@
                                           : 0;
 }
 
-/* Until it is measured, of a part of the pool alone; a planner that does not
- * know the pool yet goes by what the one before it told. */
+/* Used until a rate is measured; assumes a part of the pool.  A planner that
+ * does not know the pool yet uses the value received from its predecessor. */
 static int64_t
 unmeasured_wait_ms (const MuxAdmissionQueue *queue)
 {
   if (queue->pool_milli == 0)
     return queue->wait_ms;
-  return time_of (work_ahead (queue), queue->pool_milli / UNKNOWN_PARTS);
+  return time_for_work_ms (work_ahead (queue),
+                           queue->pool_milli / UNKNOWN_RATE_PARTS);
 }
 
-/* What those that are served later run on is room that this queue gets first.
- */
+/* Room used by queues of lower priority counts as free, as this queue is served
+ * first. */
 bool
 mux_admission_has_room (const MuxAdmissionQueue *queue)
 {
@@ -242,74 +246,75 @@
 }
 
 static bool
-stands (const MuxAdmissionQueue *queue)
+has_standing_backlog (const MuxAdmissionQueue *queue)
 {
   return queue->waiting >= BACKLOG_STEPS && age_of (queue) >= STANDING_AGE;
 }
 
 /*
- * Beside room what waits does not wait for processors: a gang waits for many
- * workers at once, and what no worker can hold waits for good.  Only if what is
- * placed has waited, too, in all queues, is it the planner that can't take
- * more.
+ * If the pool has room, steps do not wait for processors: a gang waits for many
+ * workers at once, and a step that no worker can hold waits forever.  Only if
+ * the tasks that are placed have waited, too, in all queues, is the planner
+ * itself the bottleneck.
  */
 static int64_t
-wait_beside_room_ms (const MuxAdmissionQueue *queue)
+wait_with_room_ms (const MuxAdmissionQueue *queue)
 {
-  if (stands (queue))
+  if (has_standing_backlog (queue))
     return queue->min_sojourn_ms / ROOM_FACTOR;
-  return time_of (work_ahead (queue), queue->pool_milli);
+  return time_for_work_ms (work_ahead (queue), queue->pool_milli);
 }
 
 static int64_t
 measured_wait_ms (const MuxAdmissionQueue *queue)
 {
-  /* Core-milliseconds a second are thousandths of a processor. */
+  /* Core-milliseconds per second equal thousandths of a processor. */
   int64_t spare = queue->free_milli + queue->lower_priority_rate;
 
-  if (stands (queue) || queue->higher_priority_work > 0)
-    return time_of (work_ahead (queue) + queue->higher_priority_work,
-                    queue->rate + queue->higher_priority_rate);
-  /* The whole pool can't be faster. */
-  if (age_of (queue) < GUST_AGE || queue->rate + spare > queue->pool_milli)
+  if (has_standing_backlog (queue) || queue->higher_priority_work > 0)
+    return time_for_work_ms (work_ahead (queue) + queue->higher_priority_work,
+                             queue->rate + queue->higher_priority_rate);
+  /* The rate can't exceed the whole pool. */
+  if (age_of (queue) < BURST_AGE || queue->rate + spare > queue->pool_milli)
     return queue->pool_milli > 0
-               ? time_of (work_ahead (queue), queue->pool_milli)
+               ? time_for_work_ms (work_ahead (queue), queue->pool_milli)
                : 0;
-  return time_of (work_ahead (queue), queue->rate + spare);
+  return time_for_work_ms (work_ahead (queue), queue->rate + spare);
 }
 
 static void
-judge (MuxAdmissionQueue *queue)
+update_wait (MuxAdmissionQueue *queue)
 {
   if (queue->waiting < BACKLOG_STEPS)
     queue->wait_ms = 0;
   else if (queue->pool_milli > 0 && mux_admission_has_room (queue))
-    queue->wait_ms = wait_beside_room_ms (queue);
+    queue->wait_ms = wait_with_room_ms (queue);
   else if (queue->busy_ms < RATE_KNOWN_MS)
     queue->wait_ms = unmeasured_wait_ms (queue);
   else
     queue->wait_ms = measured_wait_ms (queue);
 }
 
-/* Guards against queues that operators put first and that get nothing: tasks of
- * a later one find room in each gap, which a gang needs all at once. */
+/* Lets the backlog of a queue of higher priority count against this one.
+ * Otherwise tasks of this queue take all room that becomes free, and gangs of
+ * the other, which need much room at once, get nothing. */
 static void
-add_first (MuxAdmissionQueue *queue, const MuxAdmissionQueue *first)
+add_higher_priority (MuxAdmissionQueue *queue, const MuxAdmissionQueue *first)
 {
-  if (!stands (first))
+  if (!has_standing_backlog (first))
     return;
   queue->higher_priority_work += first->work;
   queue->higher_priority_rate += first->rate;
 }
 
 static bool
-is_placed (const MuxAdmissionQueue *queue)
+has_placements (const MuxAdmissionQueue *queue)
 {
-  return queue->busy_ms > 0 && queue->since_placed_ms < RATE_MEMORY_MS;
+  return queue->busy_ms > 0 && queue->since_placed_ms < RATE_TIME_CONSTANT_MS;
 }
 
 static void
-add_others (const MuxAdmission *admission, MuxAdmissionQueue *queue)
+sum_other_queues (const MuxAdmission *admission, MuxAdmissionQueue *queue)
 {
   int64_t least_ms = MUX_ADMISSION_WAIT_MAX_MS;
 
@@ -323,17 +328,17 @@
 
       if (other->service != queue->service)
         continue;
-      if (is_placed (other) && other->sojourn_ms < least_ms)
+      if (has_placements (other) && other->sojourn_ms < least_ms)
         least_ms = other->sojourn_ms;
       if (other->priority < queue->priority)
-        add_first (queue, other);
+        add_higher_priority (queue, other);
       else if (other->priority > queue->priority)
         {
           queue->lower_priority_rate += other->rate;
           queue->lower_priority_milli += other->running_milli;
         }
     }
-  /* Nothing is placed: that says nothing of how long it would wait. */
+  /* With no placements at all, the sojourn time is not known. */
   queue->min_sojourn_ms = least_ms < MUX_ADMISSION_WAIT_MAX_MS ? least_ms : 0;
 }
 
@@ -351,14 +356,15 @@
         continue;
       queue->pool_milli = pool_milli;
       queue->free_milli = free_milli;
-      add_others (admission, queue);
-      judge (queue);
+      sum_other_queues (admission, queue);
+      update_wait (queue);
     }
 }
 
 /*
- * Guards against a cell that takes everything between two counts: at ten times
- * what it serves, each count comes too late for seconds of work.
+ * Adjusts the expected wait for jobs accepted between two counts.  At ten times
+ * the load that a cell can serve, each count comes too late for seconds of
+ * work.
  */
 void
 mux_admission_accepted (MuxAdmission *admission, uint64_t queue, int64_t work)
@@ -369,7 +375,7 @@
     return;
   entry->waiting++;
   entry->work += work;
-  judge (entry);
+  update_wait (entry);
 }
 
 int64_t
@@ -387,12 +393,12 @@
   int64_t wait_ms = mux_admission_wait_ms (admission, job->queue);
   uint64_t retry_ms = (uint64_t) wait_ms;
 
-  if (wait_ms * job->chain_length <= job->slack_ms * WAIT_OF_SLACK / MILLI)
+  if (wait_ms * job->chain_length <= job->slack_ms * WAIT_SLACK_MILLI / MILLI)
     return 0;
   if (retry_ms < RETRY_MIN_MS)
     retry_ms = RETRY_MIN_MS;
   if (retry_ms > RETRY_MAX_MS / 2)
     retry_ms = RETRY_MAX_MS / 2;
-  /* Callers who are refused together are told times that lie apart. */
+  /* Callers refused at the same time get different retry delays. */
   return (uint32_t) (retry_ms + job->jitter_seed % retry_ms);
 }
--- a/src/cell/admit.c
+++ b/src/cell/admit.c
@@ -4,28 +4,29 @@
 #include <string.h>
 
 /*
- * Admission of the cell's jobs: the planner counts its backlog and tells the
- * daemons that greet it, all of which refuse by it without asking.
+ * Admission control of the cell: the planner counts its backlog and sends the
+ * expected waits to all daemons, which refuse jobs by them without asking the
+ * planner.
  */
 
-/* Between two counts: as often as daemons greet. */
-#define COUNT_MS 250
-/* Between two lines of the log on a queue with a backlog. */
-#define LINE_MS 1000
-/* What is told is counted up this often. */
-#define TOLD_ANEW_MS 20
-/* What a planner told is forgotten after so long. */
-#define TOLD_KEEP_MS 5000
-/* A wait that is a backlog to be told of. */
-#define BACKLOG_MS 1000
-/* A planner that answers neither asks nor greetings for so long, and has told
- * of a backlog, is overloaded, */
-#define ASK_MS 300
-#define WELCOME_MS 600
-/* and counts as away when it has been silent for this time. */
-#define AWAY_MS 2500
-
-/* Jobs that were accepted under another priority are served apart. */
+/* Interval of counts, the same as that of hellos. */
+#define COUNT_INTERVAL_MS 250
+/* Interval of log lines about a queue with a backlog. */
+#define LOG_INTERVAL_MS 1000
+/* The message for other daemons is rebuilt at most this often. */
+#define MESSAGE_REUSE_MS 20
+/* What the planner sent is ignored after this time. */
+#define RECEIVED_KEEP_MS 5000
+/* Expected wait from which a backlog is logged. */
+#define BACKLOG_WAIT_MS 1000
+/* A planner that reported a backlog or a delay, and has not answered relayed
+ * jobs, or hellos, for these times is overloaded. */
+#define RELAY_TIMEOUT_MS 300
+#define HELLO_TIMEOUT_MS 600
+/* A planner that was silent for this time is unreachable. */
+#define UNREACHABLE_MS 2500
+
+/* Jobs accepted while their queue had another priority are served apart. */
 static uint64_t
 queue_of (const MuxJobSpec *spec)
 {
@@ -48,9 +49,10 @@
                           cell->time.now_ms - stage->ready_ms);
 }
 
-/* What lasts, or comes at set times, waits for no end in time. */
+/* Long-running jobs and jobs with repetitions have no end that a wait
+ * delays. */
 static bool
-is_timed (const MuxJobSpec *spec)
+has_deadline (const MuxJobSpec *spec)
 {
   if (spec->repetitions > 0)
     return false;
@@ -72,8 +74,8 @@
   return work;
 }
 
-/* As long as the planner places nothing of its own accord, that it places
- * nothing is no overload. */
+/* If the planner itself may not place anything, a lack of placements is no sign
+ * of overload. */
 static bool
 may_place (const MuxCell *cell)
 {
@@ -84,12 +86,12 @@
 void
 cell_admission_accepted (MuxCell *cell, const MuxJobSpec *spec)
 {
-  if (cell->role == CELL_PLANNING && may_place (cell) && is_timed (spec))
+  if (cell->role == CELL_PLANNING && may_place (cell) && has_deadline (spec))
     mux_admission_accepted (&cell->admission, queue_of (spec),
                             work_of_job (cell, spec));
 }
 
-/* Jobs that are about to be stored. */
+/* Counts jobs that are about to be stored. */
 static void
 count_submissions (MuxCell *cell)
 {
@@ -105,7 +107,7 @@
               .work = work_of_job (cell, spec),
               .slack_ms = 1 };
 
-      if (is_timed (spec))
+      if (has_deadline (spec))
         mux_admission_add_waiting (&cell->admission, queue_of (spec), &step);
     }
 }
@@ -153,28 +155,28 @@
   mux_admission_count_end (&cell->admission, cell->time.now_ms);
 }
 
-/* Workers that were not heard yet count as well: the pool is as large as it
- * will be in a moment. */
+/* Includes workers that were not heard from yet, as the pool will be complete
+ * in a moment. */
 static void
-judge_pool (MuxCell *cell, uint64_t service)
+update_pool (MuxCell *cell, uint64_t service)
 {
   const CellWorker *worker;
   const CellWorker *next;
-  int64_t all = 0;
+  int64_t capacity = 0;
   int64_t free = 0;
 
   HASH_ITER (hh, cell->workers, worker, next)
   if (worker->service == service && !worker->dead)
     {
-      all += worker->info.capacity.cpu_milli;
+      capacity += worker->info.capacity.cpu_milli;
       free += cell_worker_free (worker).cpu_milli;
     }
-  mux_admission_update_pool (&cell->admission, service, all, free);
+  mux_admission_update_pool (&cell->admission, service, capacity, free);
 }
 
-/* Each pool once, with the first of its queues. */
+/* Updates each pool once, at its first queue. */
 static void
-judge_pools (MuxCell *cell)
+update_pools (MuxCell *cell)
 {
   const MuxAdmission *admission = &cell->admission;
 
@@ -185,7 +187,7 @@
       while (admission->queue[first].service != admission->queue[i].service)
         first++;
       if (first == i)
-        judge_pool (cell, admission->queue[i].service);
+        update_pool (cell, admission->queue[i].service);
     }
 }
 
@@ -211,7 +213,7 @@
 }
 
 static void
-tell_queue (MuxCell *cell, const MuxAdmissionQueue *queue)
+log_queue (MuxCell *cell, const MuxAdmissionQueue *queue)
 {
   cell_log (cell, "queue_waits", "{s:i, s:i, s:I, s:I, s:I, s:I, s:I, s:I}",
             "priority", (int) queue->priority, "steps", (int) queue->waiting,
@@ -223,9 +225,9 @@
 }
 
 static void
-tell_backlog (MuxCell *cell, int64_t longest_ms)
+log_backlog (MuxCell *cell, int64_t longest_ms)
 {
-  bool backlog = longest_ms >= BACKLOG_MS;
+  bool backlog = longest_ms >= BACKLOG_WAIT_MS;
 
   mux_observe (cell->options.counters, MUX_HIST_BACKLOG, longest_ms);
   if (backlog != cell->has_backlog)
@@ -235,11 +237,11 @@
   cell->has_backlog = backlog;
   if (!backlog || cell->time.now_ms < cell->next_backlog_log_ms)
     return;
-  cell->next_backlog_log_ms = cell->time.now_ms + LINE_MS;
+  cell->next_backlog_log_ms = cell->time.now_ms + LOG_INTERVAL_MS;
   for (uint32_t i = 0; i < cell->admission.count; i++)
     if (cell->admission.queue[i].wait_ms > 0
         && cell->admission.queue[i].work > 0)
-      tell_queue (cell, &cell->admission.queue[i]);
+      log_queue (cell, &cell->admission.queue[i]);
 }
 
 static bool
@@ -253,22 +255,22 @@
 }
 
 static int64_t
-delay_ms (const MuxCell *cell)
+planner_delay_ms (const MuxCell *cell)
 {
   int64_t late_ms = cell_late_ms (cell);
-  int64_t turn_ms
+  int64_t scan_wait_ms
       = cell->pool_has_room
             ? mux_throttle_scan_wait_ms (&cell->throttle, cell->unscanned_steps)
             : 0;
 
-  return late_ms > turn_ms ? late_ms : turn_ms;
+  return late_ms > scan_wait_ms ? late_ms : scan_wait_ms;
 }
 
 static void
-throttle (MuxCell *cell)
+update_throttle (MuxCell *cell)
 {
   uint32_t before = cell->throttle.share_milli;
-  int64_t behind_ms = delay_ms (cell);
+  int64_t behind_ms = planner_delay_ms (cell);
 
   mux_throttle_update (&cell->throttle, cell->time.now_ms, behind_ms);
   if (cell->throttle.share_milli != before)
@@ -304,12 +306,13 @@
   cell->admission_blob = NULL;
 }
 
-/* Once for all daemons that greet in these moments: there are hundreds. */
+/* Returns one message for all hellos of a short time: there are hundreds of
+ * daemons. */
 MuxBlob *
 cell_admission_blob (MuxCell *cell)
 {
   if (cell->admission_blob != NULL
-      && cell->time.now_ms - cell->admission_blob_ms < TOLD_ANEW_MS)
+      && cell->time.now_ms - cell->admission_blob_ms < MESSAGE_REUSE_MS)
     return mux_blob_ref (cell->admission_blob);
   cell_admission_blob_reset (cell);
   cell->admission_blob_ms = cell->time.now_ms;
@@ -332,9 +335,9 @@
       return;
     }
   count_backlog (cell);
-  judge_pools (cell);
+  update_pools (cell);
   cell->pool_has_room = some_pool_has_room (cell);
-  tell_backlog (cell, longest_wait_ms (cell));
+  log_backlog (cell, longest_wait_ms (cell));
 }
 
 void
@@ -343,7 +346,7 @@
   int64_t now = cell->time.now_ms;
   bool began = cell->admission_term != cell->term;
 
-  if (!began && now < cell->admission.counted_ms + COUNT_MS)
+  if (!began && now < cell->admission.counted_ms + COUNT_INTERVAL_MS)
     return;
   cell->admission_term = cell->term;
   cell->admission_updated_ms = now;
@@ -353,11 +356,11 @@
       mux_throttle_reset (&cell->throttle, now);
     }
   count (cell);
-  throttle (cell);
+  update_throttle (cell);
 }
 
 static void
-take_waits (MuxCell *cell, const json_t *list)
+apply_waits (MuxCell *cell, const json_t *list)
 {
   const json_t *entry;
   size_t i;
@@ -383,7 +386,7 @@
   json_int_t share_milli = json_integer_value (share);
   json_int_t late_ms = json_integer_value (json_object_get (json, "late_ms"));
 
-  take_waits (cell, json_object_get (json, "waits"));
+  apply_waits (cell, json_object_get (json, "waits"));
   cell_run_times_receive (cell, json_object_get (json, "run_times"));
   cell->throttle.share_milli = share != NULL && share_milli >= 0
                                        && share_milli < MUX_THROTTLE_FULL_MILLI
@@ -396,29 +399,29 @@
 }
 
 static bool
-is_known (const MuxCell *cell)
+is_recent (const MuxCell *cell)
 {
   return cell->admission_updated_ms != 0
-         && cell->time.now_ms - cell->admission_updated_ms < TOLD_KEEP_MS;
+         && cell->time.now_ms - cell->admission_updated_ms < RECEIVED_KEEP_MS;
 }
 
-/* Steps of the longest chain. */
+/* Returns the number of steps in the longest chain of dependent steps. */
 static uint32_t
-turns_of (const MuxJobSpec *spec)
+chain_length_of (const MuxJobSpec *spec)
 {
-  uint32_t turns[MUX_STEPS_MAX] = { 0 };
-  uint32_t most = 1;
+  uint32_t length[MUX_STEPS_MAX] = { 0 };
+  uint32_t longest = 1;
 
   for (uint32_t i = 0; i < spec->step_count; i++)
     {
       for (uint32_t j = 0; j < i; j++)
-        if ((spec->step[i].after >> j & 1) != 0 && turns[j] > turns[i])
-          turns[i] = turns[j];
-      turns[i]++;
-      if (turns[i] > most)
-        most = turns[i];
+        if ((spec->step[i].after >> j & 1) != 0 && length[j] > length[i])
+          length[i] = length[j];
+      length[i]++;
+      if (length[i] > longest)
+        longest = length[i];
     }
-  return most;
+  return longest;
 }
 
 uint32_t
@@ -426,50 +429,51 @@
 {
   MuxAdmissionJob job = { .queue = queue_of (spec) };
 
-  if (!is_known (cell) || !is_timed (spec)
+  if (!is_recent (cell) || !has_deadline (spec)
       || mux_admission_wait_ms (&cell->admission, job.queue) == 0)
     return 0;
   job.slack_ms = cell_job_slack_ms (cell, spec);
-  job.chain_length = turns_of (spec);
+  job.chain_length = chain_length_of (spec);
   job.jitter_seed = mux_hash_name (spec->id, cell->claim.version);
   return mux_admission_retry_ms (&cell->admission, &job);
 }
 
 /*
- * Guards against a cell that takes all that comes while its planner can't look
- * at it: with most of the room free, thousands of jobs were accepted, and the
- * more there were the fewer began.  Between two updates the planner goes by
- * what waits for it now.
+ * Refuses part of the new jobs while the planner can't scan them soon enough.
+ * Without it a cell with most of its room free accepts thousands of jobs, and
+ * the more there are the fewer of them start.  Between two updates the planner
+ * uses its current delay.
  */
 uint32_t
 cell_throttle_retry_ms (const MuxCell *cell, const MuxJobSpec *spec)
 {
   uint32_t share_milli = cell->throttle.share_milli;
 
-  if (!is_known (cell))
+  if (!is_recent (cell))
     return 0;
   if (cell->role == CELL_PLANNING)
-    share_milli = mux_throttle_share_now (&cell->throttle, delay_ms (cell));
+    share_milli
+        = mux_throttle_share_now (&cell->throttle, planner_delay_ms (cell));
   return mux_throttle_retry_ms (share_milli, mux_hash_name (spec->id, 0));
 }
 
 static bool
-has_old_ask (const MuxCell *cell)
+has_overdue_relay (const MuxCell *cell)
 {
   const CellSubmission *submission;
 
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     DL_FOREACH (cell->part[i].submissions, submission)
   if (submission->relayed
-      && cell->time.now_ms - submission->relayed_ms >= ASK_MS)
+      && cell->time.now_ms - submission->relayed_ms >= RELAY_TIMEOUT_MS)
     return true;
   return false;
 }
 
 /*
- * Guards against a planner that gets more the less it can take: one that does
- * not answer for its load would be asked on and on, each ask of unknown fate,
- * or have all daemons store jobs for it.
+ * Keeps daemons from sending more to a planner that does not answer because of
+ * its load.  Else they would relay to it again and again, each time with an
+ * unknown outcome, or all store jobs for it.
  */
 bool
 cell_planner_is_overloaded (const MuxCell *cell)
@@ -477,9 +481,10 @@
   int64_t silent_ms = cell->time.now_ms - cell->planner_hello_reply_ms;
 
   if (cell->role != CELL_FOLLOWER || cell->planner_hello_reply_ms == 0
-      || cell->planner_store_failing_ms != 0 || silent_ms >= AWAY_MS)
+      || cell->planner_store_failing_ms != 0 || silent_ms >= UNREACHABLE_MS)
     return false;
-  if (longest_wait_ms (cell) < BACKLOG_MS && cell->planner_late_ms < ASK_MS)
+  if (longest_wait_ms (cell) < BACKLOG_WAIT_MS
+      && cell->planner_late_ms < RELAY_TIMEOUT_MS)
     return false;
-  return silent_ms >= WELCOME_MS || has_old_ask (cell);
+  return silent_ms >= HELLO_TIMEOUT_MS || has_overdue_relay (cell);
 }
--- a/src/cell/run_time.c
+++ b/src/cell/run_time.c
@@ -3,17 +3,18 @@
 #include <math.h>
 #include <stddef.h>
 
-/* Runs that the means are over, the latest ones most. */
-#define MEMORY_RUNS 150
-/* Fewer say too little. */
-#define RUNS_LEAST 12
-/* Variances are taken as at least this: no declaration is exact, and runs that
- * were alike so far need not stay so. */
-#define VARIANCE_LEAST 0.0025
-/* What is seen of a run has the time of its order and of its end's way in it:
- * expectations that differ by less than this, as a logarithm, are alike. */
-#define ALIKE 0.15
-/* Logarithms of milliseconds, either way. */
+/* Runs that the means cover; the latest ones have most weight. */
+#define MEAN_RUNS 150
+/* With fewer runs the declared time is used. */
+#define RUNS_MIN 12
+/* Lower bound of variances: no declared time is exact, and runs that took the
+ * same time so far may still differ later. */
+#define VARIANCE_MIN 0.0025
+/* An observed time includes the delay of the order and of the report of the
+ * end.  An expected time whose logarithm differs by less than this from that of
+ * the declared one counts as equal to it. */
+#define SAME_LOG_DIFF 0.15
+/* Bound of logarithms of milliseconds, positive and negative. */
 #define LOG_MAX 30.0
 
 static const MuxRunTime *
@@ -28,26 +29,26 @@
 MuxRunTime *
 mux_run_time_find (MuxRunTimes *times, uint64_t queue)
 {
-  MuxRunTime *made;
+  MuxRunTime *entry;
 
   for (uint32_t i = 0; i < times->count; i++)
     if (times->item[i].queue == queue)
       return &times->item[i];
   if (times->count == MUX_RUN_TIMES_MAX)
     return NULL;
-  made = &times->item[times->count++];
-  *made = (MuxRunTime){ .queue = queue };
-  return made;
+  entry = &times->item[times->count++];
+  *entry = (MuxRunTime){ .queue = queue };
+  return entry;
 }
 
 static void
-add (double *mean, double *variance, double value, uint32_t count)
+update_mean (double *mean, double *variance, double value, uint32_t count)
 {
-  double part = 1.0 / count;
-  double off = value - *mean;
+  double share = 1.0 / count;
+  double diff = value - *mean;
 
-  *mean += off * part;
-  *variance += (off * (value - *mean) - *variance) * part;
+  *mean += diff * share;
+  *variance += (diff * (value - *mean) - *variance) * share;
 }
 
 void
@@ -57,22 +58,22 @@
                      int64_t took_ms)
 {
   MuxRunTime *time = mux_run_time_find (times, queue);
-  double taken;
+  double took_log;
 
   if (time == NULL || took_ms <= 0 || declared_ms == 0)
     return;
-  taken = log ((double) took_ms);
-  if (time->count < MEMORY_RUNS)
+  took_log = log ((double) took_ms);
+  if (time->count < MEAN_RUNS)
     time->count++;
-  add (&time->mean, &time->variance, taken, time->count);
-  add (&time->error_mean, &time->error_variance, log (declared_ms) - taken,
-       time->count);
+  update_mean (&time->mean, &time->variance, took_log, time->count);
+  update_mean (&time->error_mean, &time->error_variance,
+               log (declared_ms) - took_log, time->count);
 }
 
 static double
 weight (double variance)
 {
-  return 1.0 / (variance > VARIANCE_LEAST ? variance : VARIANCE_LEAST);
+  return 1.0 / (variance > VARIANCE_MIN ? variance : VARIANCE_MIN);
 }
 
 uint32_t
@@ -86,29 +87,29 @@
   double expected;
   double ms;
 
-  if (time == NULL || time->count < RUNS_LEAST || declared_ms == 0)
+  if (time == NULL || time->count < RUNS_MIN || declared_ms == 0)
     return declared_ms;
   usual = weight (time->variance);
   declared = weight (time->error_variance);
   expected
       = (time->mean * usual + (log (declared_ms) - time->error_mean) * declared)
         / (usual + declared);
-  if (fabs (expected - log (declared_ms)) < ALIKE)
+  if (fabs (expected - log (declared_ms)) < SAME_LOG_DIFF)
     return declared_ms;
   ms = exp (expected);
   return ms < UINT32_MAX ? (uint32_t) ms : UINT32_MAX;
 }
 
 static bool
-is_within (double value, double least)
+is_within (double value, double min)
 {
-  return value >= least && value <= LOG_MAX;
+  return value >= min && value <= LOG_MAX;
 }
 
 bool
 mux_run_time_is_valid (const MuxRunTime *time)
 {
-  return time->count <= MEMORY_RUNS && is_within (time->mean, -LOG_MAX)
+  return time->count <= MEAN_RUNS && is_within (time->mean, -LOG_MAX)
          && is_within (time->error_mean, -LOG_MAX)
          && is_within (time->variance, 0)
          && is_within (time->error_variance, 0);
--- a/src/cell/run_time_learn.c
+++ b/src/cell/run_time_learn.c
@@ -3,14 +3,15 @@
 #include <math.h>
 
 /*
- * What the planner learns of run times, and tells the other daemons: the next
- * planner goes on with it, and all refuse by the same promised times.
+ * The planner learns run times and sends them to the other daemons: the next
+ * planner continues with them, and all daemons compute the same promised end of
+ * a job when they refuse jobs.
  */
 
-/* Between two lines of the log. */
-#define LINE_MS 10000
-/* Numbers are told in so many parts of one. */
-#define PARTS 1000.0
+/* Interval of the run_times log lines. */
+#define LOG_INTERVAL_MS 10000
+/* Numbers are sent as integers, in thousandths. */
+#define FIXED_POINT_SCALE 1000.0
 
 static uint64_t
 queue_of (const MuxJobSpec *spec)
@@ -18,8 +19,8 @@
   return mux_hash_name (spec->queue.name, 0);
 }
 
-/* Occurrences of one job go on being started in their order only while all of
- * them are ranked by one time. */
+/* Occurrences of one job start in their order only if all of them are ranked by
+ * the same run time. */
 static bool
 is_learned (const MuxJobSpec *spec, const MuxStepSpec *step)
 {
@@ -37,8 +38,8 @@
                               step->estimate_ms);
 }
 
-/* A run that resumes what was saved, or that a former planner started, tells
- * nothing of a whole one; a gang ends once. */
+/* Skips runs that resumed a checkpoint or were started by a predecessor, as
+ * their full run time is not known, and counts a gang once. */
 void
 cell_run_time_record (MuxCell *cell, const CellBooking *booking)
 {
@@ -55,9 +56,9 @@
 }
 
 static json_int_t
-in_parts (double value)
+to_fixed_point (double value)
 {
-  return (json_int_t) lround (value * PARTS);
+  return (json_int_t) lround (value * FIXED_POINT_SCALE);
 }
 
 json_t *
@@ -70,19 +71,20 @@
       const MuxRunTime *time = &cell->run_times.item[i];
 
       (void) json_array_append_new (
-          list,
-          json_pack ("[I, i, I, I, I, I]", (json_int_t) time->queue,
-                     (int) time->count, in_parts (time->mean),
-                     in_parts (time->variance), in_parts (time->error_mean),
-                     in_parts (time->error_variance)));
+          list, json_pack ("[I, i, I, I, I, I]", (json_int_t) time->queue,
+                           (int) time->count, to_fixed_point (time->mean),
+                           to_fixed_point (time->variance),
+                           to_fixed_point (time->error_mean),
+                           to_fixed_point (time->error_variance)));
     }
   return list;
 }
 
 static double
-part_at (const json_t *entry, size_t index)
+fixed_point_at (const json_t *entry, size_t index)
 {
-  return (double) json_integer_value (json_array_get (entry, index)) / PARTS;
+  return (double) json_integer_value (json_array_get (entry, index))
+         / FIXED_POINT_SCALE;
 }
 
 void
@@ -93,21 +95,21 @@
 
   json_array_foreach (list, i, entry)
   {
-    MuxRunTime told = {
+    MuxRunTime received = {
       .queue = (uint64_t) json_integer_value (json_array_get (entry, 0)),
       .count = (uint32_t) json_integer_value (json_array_get (entry, 1)),
-      .mean = part_at (entry, 2),
-      .variance = part_at (entry, 3),
-      .error_mean = part_at (entry, 4),
-      .error_variance = part_at (entry, 5),
+      .mean = fixed_point_at (entry, 2),
+      .variance = fixed_point_at (entry, 3),
+      .error_mean = fixed_point_at (entry, 4),
+      .error_variance = fixed_point_at (entry, 5),
     };
     MuxRunTime *time;
 
-    if (!mux_run_time_is_valid (&told))
+    if (!mux_run_time_is_valid (&received))
       continue;
-    time = mux_run_time_find (&cell->run_times, told.queue);
+    time = mux_run_time_find (&cell->run_times, received.queue);
     if (time != NULL)
-      *time = told;
+      *time = received;
   }
 }
 
@@ -116,7 +118,7 @@
 {
   if (cell->time.now_ms < cell->next_run_times_log_ms)
     return;
-  cell->next_run_times_log_ms = cell->time.now_ms + LINE_MS;
+  cell->next_run_times_log_ms = cell->time.now_ms + LOG_INTERVAL_MS;
   for (uint32_t i = 0; i < cell->run_times.count; i++)
     {
       const MuxRunTime *time = &cell->run_times.item[i];
@@ -124,8 +126,8 @@
       cell_log (cell, "run_times", "{s:I, s:i, s:I, s:I, s:I, s:I}", "queue",
                 (json_int_t) time->queue, "runs", (int) time->count, "usual_ms",
                 (json_int_t) exp (time->mean), "spread_milli",
-                in_parts (sqrt (time->variance)), "off_milli",
-                in_parts (exp (time->error_mean)), "off_spread_milli",
-                in_parts (sqrt (time->error_variance)));
+                to_fixed_point (sqrt (time->variance)), "off_milli",
+                to_fixed_point (exp (time->error_mean)), "off_spread_milli",
+                to_fixed_point (sqrt (time->error_variance)));
     }
 }
