--- a/src/cell/candidate.c
+++ b/src/cell/candidate.c
@@ -3,19 +3,19 @@
 #include <stdlib.h>
 
 /*
- * Workers that a policy question, or a job's row, names for a step that is no
- * gang.
+ * Chooses the workers that an approval query, or the stored row of a job, names
+ * for a step that is not a gang.
  */
 
 /* Room of the workers named, as a multiple of what the tasks need: only a part
  * of them is approved. */
 #define ROOM_FACTOR 3
-/* In a large cell a look ends with so many times the workers, and the room,
- * that are named. */
+/* In a large cell a scan ends once it has found so many times the workers, and
+ * the room, that are named. */
 #define PLENTY_FACTOR 3
-/* A step that no worker has room for asks again after so long. */
+/* A stage for which no worker has room is tried again after this long. */
 #define NO_ROOM_MS 8
-/* Odd, with its bits spread: 2 to the 64 over the golden ratio. */
+/* 2 to the 64 divided by the golden ratio: odd, with its bits well mixed. */
 #define HASH_MULTIPLIER UINT64_C (0x9e3779b97f4a7c15)
 
 typedef struct
@@ -23,17 +23,17 @@
   CellWorker *worker;
   uint32_t tasks;
   bool approved;
-  bool recorded; /* a start there waits for no commit */
-  bool outside;  /* the step's data centre */
-  bool delays;   /* it takes room that is kept for a gang */
-  bool near;     /* it can start there once its approval is recorded */
-  uint64_t turn;
+  bool recorded;       /* a start there does not have to wait for a commit */
+  bool outside;        /* not in the data centre chosen for the stage */
+  bool delays_gang;    /* a task there takes room reserved for a gang */
+  bool being_recorded; /* usable once its approval is stored */
+  uint64_t tie_break;
 } Candidate;
 
 /*
- * Guards against steps that all name the same workers: with many alike, an
- * order that is the same for every job fills a few dozen, and most of a large
- * cell stands idle.
+ * Orders equal workers differently for each job.  With one order for all jobs,
+ * all steps would name the same few dozen workers of a large cell and leave
+ * most of it idle.
  */
 uint64_t
 cell_worker_tie_break (uint64_t job_hash, const CellWorker *worker)
@@ -41,8 +41,8 @@
   return (job_hash ^ worker->slot) * HASH_MULTIPLIER;
 }
 
-/* Those with least room first: workers stay empty for gangs, which need many
- * at once. */
+/* Sorts workers with least room first: others stay empty for gangs, which need
+ * many at once. */
 static int
 by_room (const void *x, const void *y)
 {
@@ -55,15 +55,15 @@
     return a->recorded ? -1 : 1;
   if (a->outside != b->outside)
     return a->outside ? 1 : -1;
-  if (a->delays != b->delays)
-    return a->delays ? 1 : -1;
+  if (a->delays_gang != b->delays_gang)
+    return a->delays_gang ? 1 : -1;
   if (a->tasks != b->tasks)
     return a->tasks < b->tasks ? -1 : 1;
   return a->worker->slot < b->worker->slot ? -1 : 1;
 }
 
 static int
-by_turn (const void *x, const void *y)
+by_tie_break (const void *x, const void *y)
 {
   const Candidate *a = x;
   const Candidate *b = y;
@@ -72,10 +72,10 @@
     return a->recorded ? -1 : 1;
   if (a->outside != b->outside)
     return a->outside ? 1 : -1;
-  return a->turn < b->turn ? -1 : 1;
+  return a->tie_break < b->tie_break ? -1 : 1;
 }
 
-/* Of a look, and those approved. */
+/* Allocates entries for the workers of a scan and for the approved ones. */
 static Candidate *
 candidates_new (const MuxCell *cell, const CellStage *stage)
 {
@@ -84,10 +84,10 @@
 }
 
 /**
- * struct Found - workers that a look has found
+ * struct Found - workers found by a scan
  * @count: all of them
- * @inside: those of the step's data centre
- * @tasks: that have room at these
+ * @inside: those in the stage's data centre
+ * @tasks: tasks that have room at these
  */
 typedef struct
 {
@@ -97,20 +97,20 @@
 } Found;
 
 static void
-add (Found *found, Candidate *candidate, Candidate one)
+add (Found *found, Candidate *candidate, Candidate added)
 {
-  candidate[found->count++] = one;
-  if (one.outside)
+  candidate[found->count++] = added;
+  if (added.outside)
     return;
   found->inside++;
-  found->tasks += one.tasks;
+  found->tasks += added.tasks;
 }
 
-/* Several times what is named: there is something to choose from. */
+/* Whether there is enough to choose from: several times what is named. */
 static bool
-is_plenty (const Found *found, uint32_t waiting, uint32_t least)
+is_plenty (const Found *found, uint32_t waiting, uint32_t name_min)
 {
-  return found->inside >= PLENTY_FACTOR * least
+  return found->inside >= PLENTY_FACTOR * name_min
          && found->tasks >= PLENTY_FACTOR * ROOM_FACTOR * waiting;
 }
 
@@ -133,8 +133,8 @@
            .approved = approval != NULL && approval->approved,
            .recorded = cell_worker_is_recorded (stage, worker),
            .outside = cell_is_outside_data_centre (stage, worker),
-           .delays = cell_delays_gang (cell, stage, worker),
-           .near = cell_approval_is_being_recorded (cell, approval),
+           .delays_gang = cell_delays_gang (cell, stage, worker),
+           .being_recorded = cell_approval_is_being_recorded (cell, approval),
        });
 }
 
@@ -156,26 +156,26 @@
 }
 
 static void
-collect_unasked (MuxCell *cell,
-                 CellStage *stage,
-                 uint32_t waiting,
-                 Found *found,
-                 Candidate *candidate)
+collect_unqueried (MuxCell *cell,
+                   CellStage *stage,
+                   uint32_t waiting,
+                   Found *found,
+                   Candidate *candidate)
 {
-  CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
+  CellWorkerScan scan = cell_worker_scan_begin (cell, stage);
   CellWorker *worker;
 
-  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
+  while ((worker = cell_worker_scan_next (cell, &scan)) != NULL)
     {
       const CellApproval *approval = cell_approval_find (stage, worker);
 
       if (approval != NULL && (approval->queried || approval->approved))
         continue;
       add_with_room (cell, stage, worker, approval, found, candidate);
-      if (sample.is_partial && is_plenty (found, waiting, CELL_CANDIDATES_MIN))
+      if (scan.is_partial && is_plenty (found, waiting, CELL_CANDIDATES_MIN))
         break;
     }
-  cell_worker_scan_end (stage, &sample);
+  cell_worker_scan_end (stage, &scan);
 }
 
 static uint32_t
@@ -187,23 +187,23 @@
   Found found = { .count = 0 };
 
   collect_approved (cell, stage, &found, candidate);
-  collect_unasked (cell, stage, waiting, &found, candidate);
+  collect_unqueried (cell, stage, waiting, &found, candidate);
   if (found.count > 0)
     qsort (candidate, found.count, sizeof *candidate, by_room);
   return found.count;
 }
 
-/* Whatever room they have now: it will be another when the step's turn comes.
- */
+/* Ignores the current room: it will have changed when the stage becomes
+ * ready. */
 static uint32_t
-collect_later (MuxCell *cell, CellStage *stage, Candidate *candidate)
+collect_ahead (MuxCell *cell, CellStage *stage, Candidate *candidate)
 {
-  CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
+  CellWorkerScan scan = cell_worker_scan_begin (cell, stage);
   uint64_t hash = mux_hash_name (stage->job->id, stage->step);
   Found found = { .count = 0 };
   CellWorker *worker;
 
-  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
+  while ((worker = cell_worker_scan_next (cell, &scan)) != NULL)
     {
       uint32_t tasks = cell_stage_cap_per_worker (
           stage, cell_tasks_that_fit (stage, worker->info.capacity));
@@ -216,32 +216,33 @@
                .tasks = tasks,
                .recorded = cell_worker_is_recorded (stage, worker),
                .outside = cell_is_outside_data_centre (stage, worker),
-               .turn = cell_worker_tie_break (hash, worker),
+               .tie_break = cell_worker_tie_break (hash, worker),
            });
-      if (sample.is_partial
+      if (scan.is_partial
           && is_plenty (&found, stage->spec->count, CELL_CANDIDATES_AHEAD_MIN))
         break;
     }
-  cell_worker_scan_end (stage, &sample);
+  cell_worker_scan_end (stage, &scan);
   if (found.count > 0)
-    qsort (candidate, found.count, sizeof *candidate, by_turn);
+    qsort (candidate, found.count, sizeof *candidate, by_tie_break);
   return found.count;
 }
 
-/* Enough workers that the share usually approved holds all tasks; those known
- * to be approved count in full. */
+/* Returns how many of the candidates to name so that the share of them that is
+ * usually approved holds all tasks.  Workers known to be approved count in
+ * full. */
 static uint32_t
-enough (const Candidate *candidate,
-        uint32_t count,
-        uint32_t waiting,
-        uint32_t least)
+name_count (const Candidate *candidate,
+            uint32_t count,
+            uint32_t waiting,
+            uint32_t name_min)
 {
   uint32_t held = 0;
   uint32_t n;
 
   for (n = 0; n < count && n < CELL_CANDIDATES_MAX; n++)
     {
-      if (n >= least && held >= ROOM_FACTOR * waiting)
+      if (n >= name_min && held >= ROOM_FACTOR * waiting)
         break;
       if (candidate[n].approved && held >= ROOM_FACTOR * waiting)
         break;
@@ -252,12 +253,12 @@
 }
 
 static uint32_t
-near_tasks (const Candidate *candidate, uint32_t count)
+tasks_being_recorded (const Candidate *candidate, uint32_t count)
 {
   uint32_t tasks = 0;
 
   for (uint32_t i = 0; i < count; i++)
-    tasks += candidate[i].near ? candidate[i].tasks : 0;
+    tasks += candidate[i].being_recorded ? candidate[i].tasks : 0;
   return tasks;
 }
 
@@ -283,13 +284,13 @@
     return 0;
   cell_choose_data_centre (cell, stage);
   count = collect (cell, stage, waiting, candidate);
-  /* Nobody has room: asked again when something can have changed. */
+  /* No worker has room: try again when something may have changed. */
   if (count == 0)
     stage->no_query_until_ms = cell->time.now_ms + NO_ROOM_MS;
-  /* The record of what was approved is on its way. */
-  if (near_tasks (candidate, count) >= waiting)
+  /* The approvals that suffice are being stored. */
+  if (tasks_being_recorded (candidate, count) >= waiting)
     count = 0;
-  count = enough (candidate, count, waiting, CELL_CANDIDATES_MIN);
+  count = name_count (candidate, count, waiting, CELL_CANDIDATES_MIN);
   copy_workers (worker, candidate, count);
   free (candidate);
   return count;
@@ -306,9 +307,9 @@
   if (candidate == NULL)
     return 0;
   cell_choose_data_centre (cell, stage);
-  count = collect_later (cell, stage, candidate);
-  count = enough (candidate, count, stage->spec->count,
-                  CELL_CANDIDATES_AHEAD_MIN);
+  count = collect_ahead (cell, stage, candidate);
+  count = name_count (candidate, count, stage->spec->count,
+                      CELL_CANDIDATES_AHEAD_MIN);
   copy_workers (worker, candidate, count);
   free (candidate);
   return count;
--- a/src/cell/failure_domain.c
+++ b/src/cell/failure_domain.c
@@ -1,27 +1,27 @@
 #include "cell_private.h"
 
 /*
- * In which data centre the tasks of a step run.
+ * Chooses the data centre in which the tasks of a stage run.
  *
- * Nothing is heard of a task on the far side of a cut until the cut ends, and
- * its job waits for it.  With tasks spread over all data centres a cut of any
- * one delays nearly every job under way; with all of them in one it delays the
- * jobs of that one.  The instance that accepted the job is cut off together
- * with the tasks, so that its data centre is the first choice: callers of the
- * others are served as before.
+ * During a network partition nothing is known of tasks on the other side, and
+ * their jobs wait until it ends.  With tasks spread over all data centres, a
+ * partition of any one delays nearly every running job; with all tasks of a job
+ * in one it delays only the jobs there.  The instance that accepted the job is
+ * cut off together with its data centre, which is therefore the first choice:
+ * callers of the other data centres are served as before.
  *
- * Where it lacks room, the data centre with most room that holds the whole step
- * is taken; where none does, tasks go to any.  Tasks that last go to any, too:
- * a service outlives the loss of a part of them, not that of all.
+ * If that one lacks room, the data centre with most room that holds the whole
+ * step is chosen; if none holds it, tasks go to any.  Long-running tasks go to
+ * any as well: a service survives the loss of some of them, but not of all.
  */
 
-/* Data centres that are told apart; those beyond are chosen by no step. */
+/* Most data centres that are tracked; further ones are never chosen. */
 #define DATA_CENTRES_MAX 16
 
 typedef struct
 {
   uint64_t data_centre;
-  uint32_t tasks; /* of the step that have room there now */
+  uint32_t tasks; /* tasks of the stage that have room there now */
 } Room;
 
 typedef struct
@@ -52,21 +52,22 @@
   return 0;
 }
 
-/* Of a large cell no further than until the first choice is known to do. */
+/* In a large cell the scan ends once the first choice is known to have enough
+ * room. */
 static void
-sum_up (MuxCell *cell, const CellStage *stage, uint64_t first, Rooms *rooms)
+sum_rooms (MuxCell *cell, const CellStage *stage, uint64_t first, Rooms *rooms)
 {
-  CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
+  CellWorkerScan scan = cell_worker_scan_begin (cell, stage);
   uint32_t most = cell_stage_waiting_tasks (stage);
   CellWorker *worker;
 
-  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
+  while ((worker = cell_worker_scan_next (cell, &scan)) != NULL)
     {
       uint32_t tasks = cell_worker_startable_tasks (cell, stage, worker);
 
       if (tasks > 0)
         add_room (rooms, worker->data_centre, tasks < most ? tasks : most);
-      if (sample.is_partial && worker->data_centre == first
+      if (scan.is_partial && worker->data_centre == first
           && room_in (rooms, first) >= most)
         return;
     }
@@ -100,7 +101,7 @@
 
   if (stage->spec->long_running)
     return;
-  sum_up (cell, stage, first, &rooms);
+  sum_rooms (cell, stage, first, &rooms);
   stage->data_centre = choose (&rooms, first, cell_stage_waiting_tasks (stage));
 }
 
--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -3,61 +3,61 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Workers named in the first policy question about a gang, as many as the
- * service takes at once: one more question is dearer than many names. */
+/* Workers named in the first approval query about a gang, as many as the policy
+ * service takes at once: a second query costs more than many names. */
 #define CANDIDATES_MAX 100
-/* So many workers are named for each that is expected to be approved. */
-#define APPROVED_ONE_IN 3
-/* No more workers are asked about once those approved would hold the gang so
- * many times over if they were empty: it waits for room. */
-#define KNOWN_FACTOR 5
-/* In a large cell a look ends with so many workers: twice those of a question.
- */
-#define PLENTY (2 * CANDIDATES_MAX)
-/* A later question has at least so many names as make it longer by a quarter.
- */
-#define CHEAP_SHARE 4
-/* Room is held no longer than this for proofs; a question takes half of it. */
+/* One worker is expected to be approved for so many that are named. */
+#define NAMED_PER_APPROVED 3
+/* No more workers are queried once the approved ones, if they were empty, would
+ * hold the gang so many times: then it only waits for room. */
+#define KNOWN_ROOM_FACTOR 5
+/* In a large cell a scan ends after so many workers, twice those of a query. */
+#define SCAN_FOUND_MAX (2 * CANDIDATES_MAX)
+/* A later query names at least as many workers as make it longer by
+ * 1/CHEAP_NAMES_PARTS, a quarter. */
+#define CHEAP_NAMES_PARTS 4
+/* Longest time that room is held for proofs; a query takes half of it. */
 #define HOLD_MAX_MS 900
 
 typedef struct
 {
   CellWorker *worker;
-  uint32_t now;  /* members that fit at once */
-  uint32_t ever; /* members that fit once all that ends there has ended */
-  bool asked;
-  bool yes;
+  uint32_t fits_now;        /* members that fit at once */
+  uint32_t fits_eventually; /* members that fit beside long-running tasks */
+  bool queried;
+  bool approved;
   bool proven;
-  bool near;     /* proven once its approval is recorded */
-  bool reserved; /* for the gang, in this pass or the one before */
-  uint64_t turn; /* decides among workers that are alike */
+  bool being_recorded; /* its proof becomes valid once its approval is stored */
+  bool reserved;       /* for the gang, in this pass or the one before */
+  uint64_t tie_break;  /* decides among equal workers */
 } Place;
 
-/* Return: 1: it is one for some member, @p is filled in; 0: it is none. */
+/* Returns 1 and fills in @p if the worker can hold a member, else 0. */
 static uint32_t
-look_at (const MuxCell *cell,
-         const CellStage *stage,
-         CellWorker *worker,
-         const CellApproval *approval,
-         uint64_t hash,
-         Place *p)
+fill_place (const MuxCell *cell,
+            const CellStage *stage,
+            CellWorker *worker,
+            const CellApproval *approval,
+            uint64_t hash,
+            Place *p)
 {
   bool needed = stage->job->spec->queue.approval.required;
 
   if (!cell_worker_is_eligible (cell, stage, worker))
     return 0;
   p->worker = worker;
-  p->asked = approval != NULL && approval->queried;
-  p->now = cell_stage_cap_per_worker (
+  p->queried = approval != NULL && approval->queried;
+  p->fits_now = cell_stage_cap_per_worker (
       stage, cell_worker_spare_tasks (cell, stage, worker));
   p->reserved = cell_was_reserved (stage, worker);
-  p->turn = cell_worker_tie_break (hash, worker);
-  p->ever = cell_stage_cap_per_worker (
+  p->tie_break = cell_worker_tie_break (hash, worker);
+  p->fits_eventually = cell_stage_cap_per_worker (
       stage, cell_tasks_that_fit (stage, cell_room_eventual (worker)));
-  p->yes = !needed || (approval != NULL && approval->approved);
+  p->approved = !needed || (approval != NULL && approval->approved);
   p->proven = !needed || cell_usable_proof (cell, approval) != NULL;
-  p->near = !p->proven && cell_approval_is_being_recorded (cell, approval);
-  return p->ever > 0;
+  p->being_recorded
+      = !p->proven && cell_approval_is_being_recorded (cell, approval);
+  return p->fits_eventually > 0;
 }
 
 static uint32_t
@@ -75,12 +75,12 @@
       CellWorker *worker = cell->worker_at[approval->slot];
 
       if (worker != NULL && approval->approved)
-        n += look_at (cell, stage, worker, approval, hash, &place[n]);
+        n += fill_place (cell, stage, worker, approval, hash, &place[n]);
     }
   return n;
 }
 
-/* The others matter for a question alone. */
+/* Other workers matter only for a query. */
 static uint32_t
 collect_reserved (MuxCell *cell, CellStage *stage, uint64_t hash, Place *place)
 {
@@ -89,7 +89,7 @@
 
   DL_FOREACH2 (cell->reserved, worker, reserved_next)
   if (cell_was_reserved (stage, worker))
-    n += look_at (cell, stage, worker, NULL, hash, &place[n]);
+    n += fill_place (cell, stage, worker, NULL, hash, &place[n]);
   return n;
 }
 
@@ -104,54 +104,55 @@
 }
 
 static uint32_t
-collect_sample (MuxCell *cell, CellStage *stage, uint64_t hash, Place *place)
+collect_scanned (MuxCell *cell, CellStage *stage, uint64_t hash, Place *place)
 {
-  CellWorkerScan sample = cell_worker_scan_begin (cell, stage);
+  CellWorkerScan scan = cell_worker_scan_begin (cell, stage);
   CellWorker *worker;
   uint32_t n = 0;
 
-  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
+  while ((worker = cell_worker_scan_next (cell, &scan)) != NULL)
     {
       const CellApproval *approval = cell_approval_find (stage, worker);
 
       if (is_collected (stage, worker, approval))
         continue;
-      n += look_at (cell, stage, worker, approval, hash, &place[n]);
-      if (sample.is_partial && n >= PLENTY)
+      n += fill_place (cell, stage, worker, approval, hash, &place[n]);
+      if (scan.is_partial && n >= SCAN_FOUND_MAX)
         break;
     }
-  cell_worker_scan_end (stage, &sample);
+  cell_worker_scan_end (stage, &scan);
   return n;
 }
 
 static uint32_t
-collect (MuxCell *cell, CellStage *stage, bool may_ask, Place *place)
+collect (MuxCell *cell, CellStage *stage, bool may_query, Place *place)
 {
   bool needed = stage->job->spec->queue.approval.required;
   uint64_t hash = mux_hash_name (stage->job->id, stage->step);
   uint32_t n = needed ? collect_approved (cell, stage, hash, place)
                       : collect_reserved (cell, stage, hash, place);
 
-  if (may_ask || !needed)
-    n += collect_sample (cell, stage, hash, &place[n]);
+  if (may_query || !needed)
+    n += collect_scanned (cell, stage, hash, &place[n]);
   return n;
 }
 
-/* Those reserved so far first, else the gang would change its mind in each
- * pass and none would ever be free; then the roomiest: fewest workers. */
+/* Sorts the workers reserved so far to the front, as the gang would otherwise
+ * choose others in each pass and none would ever become free; then those with
+ * most room, so that few workers are used. */
 static int
 by_room (const void *x, const void *y)
 {
   const Place *a = x;
   const Place *b = y;
 
-  if (a->yes != b->yes)
-    return a->yes ? -1 : 1;
+  if (a->approved != b->approved)
+    return a->approved ? -1 : 1;
   if (a->reserved != b->reserved)
     return a->reserved ? -1 : 1;
-  if (a->now != b->now)
-    return a->now > b->now ? -1 : 1;
-  return a->turn < b->turn ? -1 : 1;
+  if (a->fits_now != b->fits_now)
+    return a->fits_now > b->fits_now ? -1 : 1;
+  return a->tie_break < b->tie_break ? -1 : 1;
 }
 
 static void
@@ -162,28 +163,29 @@
 }
 
 /*
- * Those approved alone, which then stand in front as in the whole order: to put
- * all in order for each waiting gang in each pass takes too long.
- * Return: how many there are.
+ * Moves the approved places to the front and sorts these alone, in the order
+ * that sort() gives them: sorting all places for each waiting gang in each pass
+ * takes too long.  Returns their number.
  */
 static uint32_t
 sort_approved (Place *place, uint32_t count)
 {
-  uint32_t yes = 0;
+  uint32_t approved = 0;
 
   for (uint32_t i = 0; i < count; i++)
-    if (place[i].yes)
+    if (place[i].approved)
       {
         Place first = place[i];
 
-        place[i] = place[yes];
-        place[yes++] = first;
+        place[i] = place[approved];
+        place[approved++] = first;
       }
-  sort (place, yes);
-  return yes;
+  sort (place, approved);
+  return approved;
 }
 
-/* The worker that each member goes to is stored where it has to be. */
+/* Whether each start that has to be recorded before it is sent is stored.  Goes
+ * on after the first that is not, so that all of them get into one commit. */
 static bool
 starts_are_recorded (MuxCell *cell,
                      CellStage *stage,
@@ -194,8 +196,8 @@
   bool recorded = true;
 
   for (uint32_t i = 0; i < count && member < stage->spec->count; i++)
-    for (uint32_t j = 0;
-         place[i].proven && j < place[i].now && member < stage->spec->count;
+    for (uint32_t j = 0; place[i].proven && j < place[i].fits_now
+                         && member < stage->spec->count;
          j++, member++)
       if (cell_start_needs_record (cell, &stage->task[member])
           && !cell_start_is_recorded (cell, &stage->task[member],
@@ -212,8 +214,8 @@
   uint32_t member = 0;
 
   for (uint32_t i = 0; i < count && member < stage->spec->count; i++)
-    for (uint32_t j = 0;
-         place[i].proven && j < place[i].now && member < stage->spec->count;
+    for (uint32_t j = 0; place[i].proven && j < place[i].fits_now
+                         && member < stage->spec->count;
          j++, member++)
       if (!cell_start_run (cell, &stage->task[member], place[i].worker, run,
                            checkpoint))
@@ -222,61 +224,61 @@
 }
 
 static uint32_t
-cheap_names (const CellStage *stage)
+cheap_name_count (const CellStage *stage)
 {
   const MuxApprovalSpec *spec = &stage->job->spec->queue.approval;
 
   return spec->per_worker_us > 0
-             ? spec->base_us / CHEAP_SHARE / spec->per_worker_us
+             ? spec->base_us / CHEAP_NAMES_PARTS / spec->per_worker_us
              : CANDIDATES_MAX;
 }
 
-/* About workers that are not known yet, those with most room first, until those
- * that are expected to be approved would hold @lacking members when empty. */
+/* Queries workers that are not known yet, those with most room first, until
+ * those expected to be approved would hold @missing members if they were
+ * empty. */
 static void
-ask_about (MuxCell *cell,
-           CellStage *stage,
-           const Place *place,
-           uint32_t count,
-           uint32_t lacking)
+query_unknown (MuxCell *cell,
+               CellStage *stage,
+               const Place *place,
+               uint32_t count,
+               uint32_t missing)
 {
   CellWorker *worker[CANDIDATES_MAX];
-  uint32_t least
-      = stage->approval_count == 0 ? CANDIDATES_MAX : cheap_names (stage);
+  uint32_t name_min
+      = stage->approval_count == 0 ? CANDIDATES_MAX : cheap_name_count (stage);
   uint32_t room = 0;
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < count && n < CANDIDATES_MAX
-                       && (n < least || room < APPROVED_ONE_IN * lacking);
+                       && (n < name_min || room < NAMED_PER_APPROVED * missing);
        i++)
     {
-      if (place[i].asked)
+      if (place[i].queried)
         continue;
       worker[n++] = place[i].worker;
-      room += place[i].ever;
+      room += place[i].fits_eventually;
     }
   (void) cell_approval_query_send (cell, stage, worker, n);
 }
 
-/* Hold room for those of @left members that fit on workers whose proofs last
- * over a question, or on the others.
- * Return: members left. */
+/* Holds room for up to @left members on workers whose proofs outlast a query,
+ * or (@proof_lasts is false) on the others.  Returns the members left. */
 static uint32_t
-hold_where (MuxCell *cell,
-            CellStage *stage,
-            const Place *place,
-            uint32_t count,
-            uint32_t left,
-            bool lasts)
+hold_members (MuxCell *cell,
+              CellStage *stage,
+              const Place *place,
+              uint32_t count,
+              uint32_t left,
+              bool proof_lasts)
 {
   for (uint32_t i = 0; i < count && left > 0; i++)
     {
-      uint32_t take = place[i].now < left ? place[i].now : left;
+      uint32_t take = place[i].fits_now < left ? place[i].fits_now : left;
 
-      if (!place[i].yes || take == 0
+      if (!place[i].approved || take == 0
           || cell_proof_outlasts_query (cell, stage, place[i].worker,
                                         CANDIDATES_MAX)
-                 != lasts)
+                 != proof_lasts)
         continue;
       if (!cell_hold_add (stage, place[i].worker, take))
         return left;
@@ -286,13 +288,17 @@
 }
 
 /*
- * Those that the gang is about to start on; their room is held until the
- * answer.  Guards against a gang that waits for good as it needs more workers
- * than a question names: their proofs come with several questions, one after
- * the other, so that each asks for those alone that would not outlast it.
+ * Renews the proofs of the workers that the gang is about to start on and holds
+ * their room until the answer.  A gang may need more workers than one query
+ * names, and then gets its proofs by several queries in turn.  Each query names
+ * only workers whose proofs would expire before its answer; else the gang could
+ * wait forever.
  */
 static void
-ask_again (MuxCell *cell, CellStage *stage, const Place *place, uint32_t count)
+renew_proofs (MuxCell *cell,
+              CellStage *stage,
+              const Place *place,
+              uint32_t count)
 {
   CellWorker *worker[CANDIDATES_MAX];
   uint32_t left = stage->spec->count;
@@ -300,9 +306,9 @@
   uint32_t n = 0;
 
   cell_holds_release (stage);
-  left = hold_where (cell, stage, place, count, left, true);
+  left = hold_members (cell, stage, place, count, left, true);
   lasting = stage->hold_count;
-  left = hold_where (cell, stage, place, count, left, false);
+  left = hold_members (cell, stage, place, count, left, false);
   for (uint32_t i = lasting; i < stage->hold_count && n < CANDIDATES_MAX; i++)
     worker[n++] = stage->hold[i].worker;
   if (left == 0 && cell_approval_query_send (cell, stage, worker, n))
@@ -311,9 +317,12 @@
     cell_holds_release (stage);
 }
 
-/* The room is held until the approvals are recorded. */
+/* Holds room until the approvals are stored. */
 static void
-hold_near (MuxCell *cell, CellStage *stage, const Place *place, uint32_t count)
+hold_until_recorded (MuxCell *cell,
+                     CellStage *stage,
+                     const Place *place,
+                     uint32_t count)
 {
   uint32_t left = stage->spec->count;
 
@@ -322,9 +331,9 @@
   cell_holds_release (stage);
   for (uint32_t i = 0; i < count && left > 0; i++)
     {
-      uint32_t take = place[i].now < left ? place[i].now : left;
+      uint32_t take = place[i].fits_now < left ? place[i].fits_now : left;
 
-      if ((!place[i].proven && !place[i].near) || take == 0)
+      if ((!place[i].proven && !place[i].being_recorded) || take == 0)
         continue;
       if (!cell_hold_add (stage, place[i].worker, take))
         return;
@@ -335,40 +344,40 @@
 typedef struct
 {
   uint32_t proven_now;
-  uint32_t near_now; /* with those proven now */
-  uint32_t yes_now;
-  uint32_t yes_ever;
-  uint32_t unasked;
+  uint32_t proven_soon; /* includes proven_now */
+  uint32_t approved_now;
+  uint32_t approved_eventually;
+  uint32_t unqueried;
 } Room;
 
 static Room
-sum_up (const Place *place, uint32_t count)
+sum_room (const Place *place, uint32_t count)
 {
   Room room = { .proven_now = 0 };
 
   for (uint32_t i = 0; i < count; i++)
     {
-      if (!place[i].asked)
-        room.unasked++;
-      if (!place[i].yes)
+      if (!place[i].queried)
+        room.unqueried++;
+      if (!place[i].approved)
         continue;
-      room.yes_now += place[i].now;
-      room.yes_ever += place[i].ever;
+      room.approved_now += place[i].fits_now;
+      room.approved_eventually += place[i].fits_eventually;
       if (place[i].proven)
-        room.proven_now += place[i].now;
-      if (place[i].proven || place[i].near)
-        room.near_now += place[i].now;
+        room.proven_now += place[i].fits_now;
+      if (place[i].proven || place[i].being_recorded)
+        room.proven_soon += place[i].fits_now;
     }
   return room;
 }
 
-/* Room on the first @count places, which are approved. */
+/* Reserves room on the first @count places, which are approved. */
 static void
-gather (MuxCell *cell,
-        CellStage *stage,
-        const Place *place,
-        uint32_t count,
-        bool may_ask)
+reserve (MuxCell *cell,
+         CellStage *stage,
+         const Place *place,
+         uint32_t count,
+         bool may_query)
 {
   CellWorker **worker = calloc (count + 1, sizeof (CellWorker *));
 
@@ -377,7 +386,7 @@
   for (uint32_t i = 0; i < count; i++)
     worker[i] = place[i].worker;
   cell_gang_reserve (cell, stage, worker, count,
-                     may_ask && !stage->query_pending);
+                     may_query && !stage->query_pending);
   free (worker);
 }
 
@@ -387,75 +396,82 @@
   uint32_t room = 0;
 
   for (uint32_t i = 0; i < count; i++)
-    if (place[i].yes && strcmp (place[i].worker->info.rack, rack) == 0)
-      room += place[i].now;
+    if (place[i].approved && strcmp (place[i].worker->info.rack, rack) == 0)
+      room += place[i].fits_now;
   return room;
 }
 
-/* Tasks that are slower over several racks use one, if it has room for all. */
+/* Restricts members that run slower across racks to one rack if one has room
+ * for all. */
 static void
-keep_to_one_rack (const CellStage *stage, Place *place, uint32_t count)
+restrict_to_one_rack (const CellStage *stage, Place *place, uint32_t count)
 {
   const char *rack = NULL;
 
   for (uint32_t i = 0; i < count && rack == NULL; i++)
-    if (place[i].yes
+    if (place[i].approved
         && room_in_rack (place, count, place[i].worker->info.rack)
                >= stage->spec->count)
       rack = place[i].worker->info.rack;
   for (uint32_t i = 0; rack != NULL && i < count; i++)
     if (strcmp (place[i].worker->info.rack, rack) != 0)
-      place[i].now = 0;
+      place[i].fits_now = 0;
 }
 
 static void
-ask (MuxCell *cell,
-     CellStage *stage,
-     Place *place,
-     uint32_t count,
-     const Room *room)
+query_workers (MuxCell *cell,
+               CellStage *stage,
+               Place *place,
+               uint32_t count,
+               const Room *room)
 {
   uint32_t need = stage->spec->count;
 
-  if (room->yes_now >= need)
+  if (room->approved_now >= need)
     {
-      ask_again (cell, stage, place, sort_approved (place, count));
+      renew_proofs (cell, stage, place, sort_approved (place, count));
       return;
     }
-  if (room->unasked == 0 || room->yes_ever >= KNOWN_FACTOR * need)
+  if (room->unqueried == 0
+      || room->approved_eventually >= KNOWN_ROOM_FACTOR * need)
     return;
   sort (place, count);
-  ask_about (cell, stage, place, count, KNOWN_FACTOR * need - room->yes_ever);
+  query_unknown (cell, stage, place, count,
+                 KNOWN_ROOM_FACTOR * need - room->approved_eventually);
 }
 
-/* Of a gang that nobody was asked about in this look. */
+/* Returns what blocks a gang for which no query was sent in this attempt. */
 static CellBlockedOn
-what_lacks (const CellStage *stage, const Room *room)
+blocked_on (const CellStage *stage, const Room *room)
 {
   uint32_t need = stage->spec->count;
-  bool asks = stage->job->spec->queue.approval.required
-              && (room->yes_now >= need || room->yes_ever < need);
+  bool needs_query
+      = stage->job->spec->queue.approval.required
+        && (room->approved_now >= need || room->approved_eventually < need);
 
-  return asks ? CELL_BLOCKED_ON_QUERIER : CELL_BLOCKED_ON_ROOM;
+  return needs_query ? CELL_BLOCKED_ON_QUERIER : CELL_BLOCKED_ON_ROOM;
 }
 
-/* What is left to gangs of its rank, of @reservations of those in time. */
+/* Late gangs have a limit of their own; @reservations_left is for those in
+ * time. */
 static uint32_t *
-reservations_of (MuxCell *cell, const CellStage *stage, uint32_t *reservations)
+reservations_of (MuxCell *cell,
+                 const CellStage *stage,
+                 uint32_t *reservations_left)
 {
   return cell_stage_is_late (stage) ? &cell->late_reservations_left
-                                    : reservations;
+                                    : reservations_left;
 }
 
 static void
-place_in (MuxCell *cell,
-          CellStage *stage,
-          Place *place,
-          uint32_t count,
-          bool may_ask,
-          uint32_t *reservations)
+place_members (MuxCell *cell,
+               CellStage *stage,
+               Place *place,
+               uint32_t count,
+               bool may_query,
+               uint32_t *reservations_left)
 {
-  Room room = sum_up (place, count);
+  Room room = sum_room (place, count);
   uint32_t need = stage->spec->count;
 
   if (stage->hold_count > 0 && cell->time.now_ms > stage->holds_expire_ms)
@@ -466,7 +482,7 @@
       count = sort_approved (place, count);
       if (!starts_are_recorded (cell, stage, place, count))
         {
-          hold_near (cell, stage, place, count);
+          hold_until_recorded (cell, stage, place, count);
           cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_RECORD);
           return;
         }
@@ -475,25 +491,27 @@
       cell_stage_update (cell, stage);
       return;
     }
-  if (room.near_now >= need)
+  if (room.proven_soon >= need)
     {
       count = sort_approved (place, count);
-      hold_near (cell, stage, place, count);
+      hold_until_recorded (cell, stage, place, count);
       cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_RECORD);
       return;
     }
-  if (may_ask)
-    ask (cell, stage, place, count, &room);
+  if (may_query)
+    query_workers (cell, stage, place, count, &room);
   if (!stage->query_pending)
-    cell_step_blocked_on (cell, stage, what_lacks (stage, &room));
-  reservations = reservations_of (cell, stage, reservations);
-  if (*reservations == 0 || room.yes_ever < need || stage->hold_count > 0)
+    cell_step_blocked_on (cell, stage, blocked_on (stage, &room));
+  reservations_left = reservations_of (cell, stage, reservations_left);
+  if (*reservations_left == 0 || room.approved_eventually < need
+      || stage->hold_count > 0)
     return;
-  (*reservations)--;
-  gather (cell, stage, place, sort_approved (place, count), may_ask);
+  (*reservations_left)--;
+  reserve (cell, stage, place, sort_approved (place, count), may_query);
 }
 
-/* Those of a look, and those collected before. */
+/* Returns an upper bound for the workers of a scan and those collected before
+ * it. */
 static size_t
 places_max (const MuxCell *cell, const CellStage *stage)
 {
@@ -504,30 +522,30 @@
   return cell_worker_scan_max (cell) + stage->approval_count + reserved + 1;
 }
 
-/* What is reserved for a gang stays so while it asks; what is held for it takes
- * the place of that. */
+/* Keeps the reservations of a gang while a query for it is pending.  Held room
+ * replaces them. */
 static void
-keep_reservations (MuxCell *cell, CellStage *stage, uint32_t *reservations)
+keep_reservations (MuxCell *cell, CellStage *stage, uint32_t *reservations_left)
 {
-  reservations = reservations_of (cell, stage, reservations);
-  if (*reservations == 0 || stage->hold_count > 0
+  reservations_left = reservations_of (cell, stage, reservations_left);
+  if (*reservations_left == 0 || stage->hold_count > 0
       || !cell_reservations_keep (cell, stage))
     return;
   stage->has_reservation = true;
-  (*reservations)--;
+  (*reservations_left)--;
 }
 
 void
-cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations)
+cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations_left)
 {
   bool needed = stage->job->spec->queue.approval.required;
   Place *place;
   uint32_t count;
-  bool may_ask;
+  bool may_query;
 
   if (stage->query_pending)
     {
-      keep_reservations (cell, stage, reservations);
+      keep_reservations (cell, stage, reservations_left);
       return;
     }
   if (!cell_gang_may_start (cell, stage))
@@ -544,10 +562,10 @@
   place = calloc (places_max (cell, stage), sizeof *place);
   if (place == NULL)
     return;
-  may_ask = needed && cell_can_query (cell, stage, CANDIDATES_MAX);
-  count = collect (cell, stage, may_ask, place);
+  may_query = needed && cell_can_query (cell, stage, CANDIDATES_MAX);
+  count = collect (cell, stage, may_query, place);
   if (stage->spec->rack_sensitive)
-    keep_to_one_rack (stage, place, count);
-  place_in (cell, stage, place, count, may_ask, reservations);
+    restrict_to_one_rack (stage, place, count);
+  place_members (cell, stage, place, count, may_query, reservations_left);
   free (place);
 }
--- a/src/cell/gang_reserve.c
+++ b/src/cell/gang_reserve.c
@@ -3,31 +3,32 @@
 #include <stdlib.h>
 
 /*
- * Room for a gang that finds too little now.  The earliest moment is worked out
- * at which its approved workers together have room for all members; that room
- * is reserved from then on, and proofs that will be taken then are asked for in
- * time.
+ * Reserves room for a gang that finds too little now.  Computes the earliest
+ * time at which its approved workers together have room for all members,
+ * reserves that room from then on, and renews the proofs early enough that they
+ * are valid at that time.
  */
 
-/* Of one worker that are looked at. */
-#define GAPS_MAX 8
-/* Proofs are asked for workers with room for so much more than all members, in
- * percent: some tasks end later than is expected. */
+/* Most openings of one worker that are considered. */
+#define OPENINGS_MAX 8
+/* Proofs are requested for workers with room for so many percent more than all
+ * members, as some tasks end later than expected. */
 #define SPARE_PERCENT 25
 #define PERCENT 100
 
 /**
- * struct Gaps - of the gang's approved workers, in the order of time
+ * struct Openings - openings of the gang's approved workers, sorted by time
  */
 typedef struct
 {
   uint32_t count;
-  CellOpening *gap;
-} Gaps;
+  CellOpening *opening;
+} Openings;
 
-/* Fewer workers where several have room at the same time. */
+/* At equal times the larger opening goes first, so that fewer workers are
+ * used. */
 static int
-soonest_first (const void *x, const void *y)
+by_time (const void *x, const void *y)
 {
   const CellOpening *a = x;
   const CellOpening *b = y;
@@ -39,32 +40,34 @@
   return a->worker->slot < b->worker->slot ? -1 : 1;
 }
 
-static Gaps
-gaps_of (const MuxCell *cell,
-         const CellStage *stage,
-         CellWorker *const *worker,
-         uint32_t count)
+static Openings
+openings_of (const MuxCell *cell,
+             const CellStage *stage,
+             CellWorker *const *worker,
+             uint32_t count)
 {
-  Gaps gaps
-      = { .gap = calloc ((size_t) count * GAPS_MAX + 1, sizeof *gaps.gap) };
-
-  for (uint32_t i = 0; i < count && gaps.gap != NULL; i++)
-    gaps.count += cell_worker_openings (cell, stage, worker[i],
-                                        &gaps.gap[gaps.count], GAPS_MAX);
-  if (gaps.count > 0)
-    qsort (gaps.gap, gaps.count, sizeof *gaps.gap, soonest_first);
-  return gaps;
+  Openings openings = { .opening = calloc ((size_t) count * OPENINGS_MAX + 1,
+                                           sizeof *openings.opening) };
+
+  for (uint32_t i = 0; i < count && openings.opening != NULL; i++)
+    openings.count += cell_worker_openings (cell, stage, worker[i],
+                                            &openings.opening[openings.count],
+                                            OPENINGS_MAX);
+  if (openings.count > 0)
+    qsort (openings.opening, openings.count, sizeof *openings.opening, by_time);
+  return openings;
 }
 
-/* How many of the first gaps hold @tasks; 0: all of them hold fewer. */
+/* Returns how many of the first openings hold @tasks; 0: all of them hold
+ * fewer. */
 static uint32_t
-first_that_hold (const Gaps *gaps, uint32_t tasks)
+count_that_hold (const Openings *openings, uint32_t tasks)
 {
   uint32_t held = 0;
 
-  for (uint32_t i = 0; i < gaps->count; i++)
+  for (uint32_t i = 0; i < openings->count; i++)
     {
-      held += gaps->gap[i].tasks;
+      held += openings->opening[i].tasks;
       if (held >= tasks)
         return i + 1;
     }
@@ -81,40 +84,43 @@
 }
 
 static void
-reserve (MuxCell *cell, CellStage *stage, const Gaps *gaps, uint32_t count)
+reserve (MuxCell *cell,
+         CellStage *stage,
+         const Openings *openings,
+         uint32_t count)
 {
-  int64_t at_ms = gaps->gap[count - 1].from_ms;
+  int64_t at_ms = openings->opening[count - 1].from_ms;
   uint32_t left = stage->spec->count;
 
   for (uint32_t i = 0; i < count && left > 0; i++)
     {
-      const CellOpening *gap = &gaps->gap[i];
-      uint32_t take = gap->tasks < left ? gap->tasks : left;
+      const CellOpening *opening = &openings->opening[i];
+      uint32_t take = opening->tasks < left ? opening->tasks : left;
 
-      if (cell_reserve (cell, stage, gap->worker, take, at_ms))
+      if (cell_reserve (cell, stage, opening->worker, take, at_ms))
         left -= take;
     }
 }
 
 static void
-ask_for_proofs (MuxCell *cell,
-                CellStage *stage,
-                const Gaps *gaps,
-                int64_t at_ms)
+query_proofs (MuxCell *cell,
+              CellStage *stage,
+              const Openings *openings,
+              int64_t at_ms)
 {
   CellWorker *worker[CELL_CANDIDATES_MAX];
   uint32_t members = stage->spec->count;
   uint32_t count
-      = first_that_hold (gaps, members + members * SPARE_PERCENT / PERCENT);
+      = count_that_hold (openings, members + members * SPARE_PERCENT / PERCENT);
   uint32_t n = 0;
 
   if (count == 0)
-    count = gaps->count;
+    count = openings->count;
   for (uint32_t i = 0; i < count && n < CELL_CANDIDATES_MAX; i++)
-    if (!contains (worker, n, gaps->gap[i].worker)
-        && !cell_proof_outlasts_query (cell, stage, gaps->gap[i].worker,
+    if (!contains (worker, n, openings->opening[i].worker)
+        && !cell_proof_outlasts_query (cell, stage, openings->opening[i].worker,
                                        CELL_CANDIDATES_MAX))
-      worker[n++] = gaps->gap[i].worker;
+      worker[n++] = openings->opening[i].worker;
   if (at_ms - cell->time.now_ms <= cell_approval_query_ms (stage, n))
     (void) cell_approval_query_send (cell, stage, worker, n);
 }
@@ -124,21 +130,24 @@
                    CellStage *stage,
                    CellWorker *const *worker,
                    uint32_t count,
-                   bool may_ask)
+                   bool may_query)
 {
-  Gaps gaps;
+  Openings openings;
   uint32_t first;
 
   cell_reservations_mark_stale (cell, stage);
-  gaps = gaps_of (cell, stage, worker, count);
-  cell->scan_cost += gaps.count;
-  first = gaps.gap != NULL ? first_that_hold (&gaps, stage->spec->count) : 0;
+  openings = openings_of (cell, stage, worker, count);
+  cell->scan_cost += openings.count;
+  first = openings.opening != NULL
+              ? count_that_hold (&openings, stage->spec->count)
+              : 0;
   if (first > 0)
     {
       stage->has_reservation = true;
-      reserve (cell, stage, &gaps, first);
-      if (may_ask)
-        ask_for_proofs (cell, stage, &gaps, gaps.gap[first - 1].from_ms);
+      reserve (cell, stage, &openings, first);
+      if (may_query)
+        query_proofs (cell, stage, &openings,
+                      openings.opening[first - 1].from_ms);
     }
-  free (gaps.gap);
+  free (openings.opening);
 }
--- a/src/cell/place.c
+++ b/src/cell/place.c
@@ -3,11 +3,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A question is put so long before its answer is needed. */
-#define ASK_BEFORE_MS 900
+/* A query is sent this long before its answer is needed. */
+#define QUERY_AHEAD_MS 900
 
 static uint32_t
-running_there (const CellStage *stage, const CellWorker *worker)
+bookings_at (const CellStage *stage, const CellWorker *worker)
 {
   uint32_t n = 0;
 
@@ -23,31 +23,32 @@
                              const CellWorker *worker)
 {
   uint32_t n;
-  uint32_t there;
+  uint32_t running;
 
   if (!cell_worker_is_eligible (cell, stage, worker))
     return 0;
   n = cell_worker_spare_tasks (cell, stage, worker);
   if (stage->spec->per_worker_max == 0 || n == 0)
     return n;
-  there = running_there (stage, worker);
-  if (there >= stage->spec->per_worker_max)
+  running = bookings_at (stage, worker);
+  if (running >= stage->spec->per_worker_max)
     return 0;
-  return n < stage->spec->per_worker_max - there
+  return n < stage->spec->per_worker_max - running
              ? n
-             : stage->spec->per_worker_max - there;
+             : stage->spec->per_worker_max - running;
 }
 
-/* What a worker costs beyond its room, in thousandths of a processor: a task
- * goes where it failed before last, and rather outside the step's data centre
- * than away from its data. */
-#define DELAY_COST 250000
-#define OUTSIDE_COST 500000
-#define FAR_COST 1000000
-#define FAILED_COST 10000000
-
-/* Smaller is better: the least room left over, so that wide gaps stay for
- * tasks that need them. */
+/* Costs of a worker beyond its free room, in thousandths of a processor.  A
+ * worker where the task has failed before is the last choice; one outside the
+ * stage's data centre is better than one away from its input data. */
+#define GANG_DELAY_COST 250000
+#define OUTSIDE_DATA_CENTRE_COST 500000
+#define AWAY_FROM_DATA_COST 1000000
+#define FAILED_BEFORE_COST 10000000
+
+/* Returns the cost of placing the task there; smaller is better.  The smallest
+ * remaining room wins, so that large free room at one worker stays for tasks
+ * that need it. */
 static int64_t
 cost_of (const MuxCell *cell, const CellTask *task, const CellWorker *worker)
 {
@@ -58,13 +59,13 @@
 
   if (spec->data_rack[0] != 0
       && strcmp (spec->data_rack, worker->info.rack) != 0)
-    cost += FAR_COST;
+    cost += AWAY_FROM_DATA_COST;
   if (task->failed_slot == worker->slot + 1)
-    cost += FAILED_COST;
+    cost += FAILED_BEFORE_COST;
   if (cell_is_outside_data_centre (task->stage, worker))
-    cost += OUTSIDE_COST;
+    cost += OUTSIDE_DATA_CENTRE_COST;
   if (cell_delays_gang (cell, task->stage, worker))
-    cost += DELAY_COST;
+    cost += GANG_DELAY_COST;
   return cost;
 }
 
@@ -72,7 +73,7 @@
 {
   CellWorker *worker; /* NULL: none so far */
   int64_t cost;
-  bool kept_apart; /* from what begins on one that has room */
+  bool kept_apart; /* a worker with room does not accept the suspect */
 } Choice;
 
 static void
@@ -97,7 +98,8 @@
   best->cost = cost;
 }
 
-/* Where workers are approved, those alone are looked at: a dozen, not all. */
+/* Scans only the approved workers, a dozen instead of all, where approval is
+ * needed. */
 static Choice
 best_approved (MuxCell *cell, const CellTask *task)
 {
@@ -120,21 +122,21 @@
 best_worker (MuxCell *cell, const CellTask *task)
 {
   Choice best = { .worker = NULL };
-  CellWorkerScan sample;
+  CellWorkerScan scan;
   CellWorker *worker;
 
   if (task->stage->job->spec->queue.approval.required)
     return best_approved (cell, task);
-  sample = cell_worker_scan_begin (cell, task->stage);
-  while ((worker = cell_worker_scan_next (cell, &sample)) != NULL)
+  scan = cell_worker_scan_begin (cell, task->stage);
+  while ((worker = cell_worker_scan_next (cell, &scan)) != NULL)
     consider (cell, task, worker, &best);
   if (best.worker == NULL)
-    cell_worker_scan_end (task->stage, &sample);
+    cell_worker_scan_end (task->stage, &scan);
   return best;
 }
 
 static uint32_t
-may_start (const MuxCell *cell, const CellStage *stage)
+startable_tasks (const MuxCell *cell, const CellStage *stage)
 {
   uint32_t n = 0;
 
@@ -146,15 +148,15 @@
 }
 
 /*
- * Guards against a task that is to last and never runs in a full pool: the room
- * that a worker has as the policy service is asked about it is taken before the
- * answer and its record are there.  So it is held meanwhile, where the worker
- * is known to be approved.
+ * Holds room on workers that are known to be approved until their proofs and
+ * their record are there.  Otherwise other tasks take the room that a worker
+ * has while the policy service is queried, and a long-running task never starts
+ * in a full pool.
  */
 static void
 hold_approved (MuxCell *cell, CellStage *stage)
 {
-  uint32_t left = may_start (cell, stage);
+  uint32_t left = startable_tasks (cell, stage);
 
   cell_holds_release (stage);
   for (uint32_t i = 0; i < stage->approval_count && left > 0; i++)
@@ -174,7 +176,7 @@
 }
 
 static void
-ask (MuxCell *cell, CellStage *stage)
+query_candidates (MuxCell *cell, CellStage *stage)
 {
   CellWorker *worker[CELL_CANDIDATES_MAX];
   uint32_t count;
@@ -194,32 +196,32 @@
       || !stage->job->spec->queue.approval.required)
     return;
   wait_ms = cell_stage_settles_in_ms (cell, stage);
-  if (wait_ms > ASK_BEFORE_MS
+  if (wait_ms > QUERY_AHEAD_MS
       || stage->proofs_expire_ms > cell->time.now_ms + wait_ms)
     return;
-  ask (cell, stage);
+  query_candidates (cell, stage);
 }
 
 /**
- * struct Placing - one look at a step's waiting tasks
- * @sent: starts on their way
- * @over_quota: its workspace may have no more running
- * @short_of_workers: some task has none to go to
+ * struct Placement - state of one attempt to place the waiting tasks of a stage
+ * @sent: starts sent
+ * @over_quota: the quota of the workspace allows no more tasks
+ * @short_of_workers: some task has no worker to run on
  */
 typedef struct
 {
   uint32_t sent;
   bool over_quota;
   bool short_of_workers;
-} Placing;
+} Placement;
 
-/* Of a step that nobody was asked about in this look. */
+/* Returns what blocks a stage for which no query was sent in this attempt. */
 static CellBlockedOn
-what_lacks (MuxCell *cell, const CellStage *stage, const Placing *placing)
+blocked_on (MuxCell *cell, const CellStage *stage, const Placement *placement)
 {
-  if (placing->over_quota)
+  if (placement->over_quota)
     return CELL_BLOCKED_ON_QUOTA;
-  if (!placing->short_of_workers)
+  if (!placement->short_of_workers)
     return CELL_BLOCKED_ON_RECORD;
   return !stage->job->spec->queue.approval.required
                  || cell_can_query (cell, stage, CELL_CANDIDATES_MIN)
@@ -227,15 +229,16 @@
              : CELL_BLOCKED_ON_QUERIER;
 }
 
-/* Return: false when its start can't be made: memory or a ring is out. */
+/* Returns false if the start can't be sent: out of memory, or a ring is
+ * full. */
 static bool
-place_task (MuxCell *cell, CellTask *task, Placing *placing)
+place_task (MuxCell *cell, CellTask *task, Placement *placement)
 {
   Choice best = best_worker (cell, task);
 
   if (best.worker == NULL)
     {
-      placing->short_of_workers = !best.kept_apart;
+      placement->short_of_workers = !best.kept_apart;
       return true;
     }
   if (cell_start_needs_record (cell, task)
@@ -244,14 +247,14 @@
   if (!cell_start_run (cell, task, best.worker,
                        cell_next_run (cell, task->last_run), task->checkpoint))
     return false;
-  placing->sent++;
+  placement->sent++;
   return true;
 }
 
 static bool
-place_all (MuxCell *cell, CellStage *stage, Placing *placing)
+place_waiting (MuxCell *cell, CellStage *stage, Placement *placement)
 {
-  for (uint32_t i = 0; i < stage->spec->count && !placing->short_of_workers;
+  for (uint32_t i = 0; i < stage->spec->count && !placement->short_of_workers;
        i++)
     {
       CellTask *task = &stage->task[i];
@@ -259,10 +262,10 @@
       if (task->state != CELL_TASK_WAITING || task->booking != NULL
           || !cell_task_may_start (cell, task))
         continue;
-      placing->over_quota = cell_quota_tasks_allowed (cell, stage) == 0;
-      if (placing->over_quota)
+      placement->over_quota = cell_quota_tasks_allowed (cell, stage) == 0;
+      if (placement->over_quota)
         return true;
-      if (!place_task (cell, task, placing))
+      if (!place_task (cell, task, placement))
         return false;
     }
   return true;
@@ -272,30 +275,30 @@
 cell_place_tasks (MuxCell *cell, CellStage *stage)
 {
   bool needed = stage->job->spec->queue.approval.required;
-  Placing placing = {
+  Placement placement = {
     .over_quota = cell_quota_tasks_allowed (cell, stage) == 0,
-    /* Without a proof that is taken now no worker needs to be looked at. */
+    /* Without a valid proof no worker needs to be scanned. */
     .short_of_workers = needed && cell->time.now_ms >= stage->proofs_expire_ms,
   };
 
-  if (placing.over_quota)
+  if (placement.over_quota)
     {
       cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_QUOTA);
       return;
     }
   if (!needed)
     cell_choose_data_centre (cell, stage);
-  if (!place_all (cell, stage, &placing))
+  if (!place_waiting (cell, stage, &placement))
     return;
-  if (placing.sent > 0 && cell_stage_waiting_tasks (stage) == 0)
+  if (placement.sent > 0 && cell_stage_waiting_tasks (stage) == 0)
     {
-      cell_stage_log_placed (cell, stage, placing.sent);
+      cell_stage_log_placed (cell, stage, placement.sent);
       cell_query_ahead (cell, stage);
     }
-  if (placing.short_of_workers && needed)
-    ask (cell, stage);
+  if (placement.short_of_workers && needed)
+    query_candidates (cell, stage);
   if (!stage->query_pending && cell_stage_waiting_tasks (stage) > 0)
-    cell_step_blocked_on (cell, stage, what_lacks (cell, stage, &placing));
+    cell_step_blocked_on (cell, stage, blocked_on (cell, stage, &placement));
   if (stage->rank == CELL_RANK_STARVED)
     hold_approved (cell, stage);
   cell_stage_update (cell, stage);
--- a/src/cell/plan.c
+++ b/src/cell/plan.c
@@ -2,36 +2,39 @@
 
 #include <string.h>
 
-/* Between two passes: what several events in a row change is planned once. */
-#define PASS_MS 4
-/* A pass without any event: proofs run out and avoided workers come back. */
-#define IDLE_PASS_MS 100
-/* Between two passes over all stages; those between look at urgent ones alone.
- * The others may wait seconds, so that this delay is nothing to them, and each
- * look costs a pass over the workers. */
-#define SLOW_PASS_MS 16
-/* Workers looked at in a pass over all stages, at some 40 ns each, and in one
- * over the urgent ones.  A backlog of thousands would otherwise take all of the
- * processor, new urgent jobs with it, and never shrink.  A pass that is cut
- * goes on with those behind, until all have had their turn. */
-#define PASS_LOOKS 25000
-/* A stage costs as much as so many workers, also where none is looked at. */
-#define STEP_LOOKS 10
-/* Those first in order have this part of each pass: the policy service takes
- * few questions, and would be asked for those behind while the proofs of those
- * in front run out. */
-#define FRONT_LOOKS 12500
-#define URGENT_PASS_LOOKS 6000
-/* Between two passes, for so many looks that started nothing: what waits takes
- * no more than this of the planner's processor from what can start. */
-#define IDLE_LOOKS_PER_MS 500
-/* Gangs that room is reserved for at once: so many, or one for so many
- * workers.  More of them would leave much of the cell idle while none of them
- * can start. */
-#define RESERVATIONS_LEAST 3
-#define WORKERS_PER_RESERVATION 70
-/* And late ones, beside these: one, and another for so many workers. */
-#define WORKERS_PER_LATE_RESERVATION 170
+/* Shortest time between two planning passes, so that several events in a row
+ * cause one pass. */
+#define PASS_INTERVAL_MS 4
+/* Longest time between two passes while nothing happens: proofs expire and
+ * avoided workers become usable again. */
+#define IDLE_PASS_INTERVAL_MS 100
+/* Shortest time between two passes over all stages.  Passes in between cover
+ * urgent stages only: the others may wait for seconds, and each costs a scan
+ * over the workers. */
+#define FULL_PASS_INTERVAL_MS 16
+/* Scan budget of a pass over all stages and of one over the urgent stages, in
+ * workers; scanning one takes some 40 ns.  Without a limit a backlog of
+ * thousands of steps would use the whole processor, delay new urgent jobs and
+ * never shrink.  A pass that exhausts its budget is continued by the next ones
+ * until all stages have been scanned. */
+#define FULL_PASS_SCAN_BUDGET 25000
+/* Cost of a stage in the scan budget even if no worker is scanned for it. */
+#define STAGE_SCAN_COST 10
+/* Part of each pass's budget for the stages that are first in planning order.
+ * The policy service takes few approval queries; without this part they would
+ * go to stages further back while the proofs of those in front expire. */
+#define FRONT_SCAN_BUDGET 12500
+#define URGENT_PASS_SCAN_BUDGET 6000
+/* Scan cost without a start that delays the next pass by 1 ms, so that stages
+ * that can't start take only a limited part of the planner's processor. */
+#define IDLE_SCAN_COST_PER_MS 500
+/* Gangs that room is reserved for at the same time: the larger of this minimum
+ * and one per so many workers.  More would leave much of the cell idle while
+ * none of them can start. */
+#define RESERVING_GANGS_MIN 3
+#define WORKERS_PER_RESERVING_GANG 70
+/* In addition, late gangs: one, and another one per so many workers. */
+#define WORKERS_PER_LATE_RESERVING_GANG 170
 
 MuxSize
 cell_worker_free (const CellWorker *worker)
@@ -40,7 +43,7 @@
                        mux_size_add (worker->booked, worker->held));
 }
 
-/* How many tasks of the stage fit into @free. */
+/* Returns how many tasks of the stage fit into @free. */
 uint32_t
 cell_tasks_that_fit (const CellStage *stage, MuxSize free)
 {
@@ -74,7 +77,8 @@
              || strcmp (worker->info.rack, label) == 0);
 }
 
-/* The worker may run the stage at all, whatever room it has now. */
+/* Whether the worker may run tasks of the stage at all, whatever room it has
+ * now. */
 bool
 cell_worker_is_eligible (const MuxCell *cell,
                          const CellStage *stage,
@@ -132,7 +136,7 @@
 }
 
 static void
-clear_reservations (MuxCell *cell)
+begin_reservations (MuxCell *cell)
 {
   CellStage *stage;
   CellStage *next_stage;
@@ -144,17 +148,17 @@
 }
 
 static uint32_t
-reservations_max (const MuxCell *cell)
+reserving_gangs_max (const MuxCell *cell)
 {
-  uint32_t n = HASH_COUNT (cell->workers) / WORKERS_PER_RESERVATION;
+  uint32_t n = HASH_COUNT (cell->workers) / WORKERS_PER_RESERVING_GANG;
 
-  return n > RESERVATIONS_LEAST ? n : RESERVATIONS_LEAST;
+  return n > RESERVING_GANGS_MIN ? n : RESERVING_GANGS_MIN;
 }
 
 static void
-place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations)
+place_gang_stage (MuxCell *cell, CellStage *stage, uint32_t *reservations_left)
 {
-  cell_place_gang (cell, stage, reservations);
+  cell_place_gang (cell, stage, reservations_left);
   if (!stage->ready || !stage->has_reservation || stage->is_in_reserving)
     return;
   stage->is_in_reserving = true;
@@ -162,110 +166,112 @@
 }
 
 static void
-place (MuxCell *cell, CellStage *stage, uint32_t *reservations)
+place_stage (MuxCell *cell, CellStage *stage, uint32_t *reservations_left)
 {
-  uint32_t looks = cell->scan_cost;
+  uint32_t cost_before = cell->scan_cost;
 
   stage->scanned_ms = cell->time.now_ms;
   cell->unscanned_steps -= stage->is_unscanned;
   cell->throttle.scanned += stage->is_unscanned;
   stage->is_unscanned = false;
   cell->steps_scanned++;
-  cell->scan_cost += STEP_LOOKS;
-  /* What a former planner may have started is looked for first. */
+  cell->scan_cost += STAGE_SCAN_COST;
+  /* Runs that a predecessor may have started have to be found first. */
   if (cell_stage_is_settled (cell, stage))
     {
       if (stage->spec->gang)
-        place_gang (cell, stage, reservations);
+        place_gang_stage (cell, stage, reservations_left);
       else
         cell_place_tasks (cell, stage);
     }
   else
     cell_place_unsettled (cell, stage);
   if (stage->ready)
-    cell->idle_scan_cost += cell->scan_cost - looks;
+    cell->idle_scan_cost += cell->scan_cost - cost_before;
 }
 
 static void
-pass_over_urgent (MuxCell *cell)
+scan_urgent (MuxCell *cell)
 {
-  uint32_t reservations = reservations_max (cell);
+  uint32_t reservations_left = reserving_gangs_max (cell);
   CellStage *stage;
 
   cell_plan_order_begin_urgent (&cell->plan_order);
-  while (cell->scan_cost <= URGENT_PASS_LOOKS
+  while (cell->scan_cost <= URGENT_PASS_SCAN_BUDGET
          && (stage = cell_plan_order_next_urgent (&cell->plan_order)) != NULL)
-    place (cell, stage, &reservations);
+    place_stage (cell, stage, &reservations_left);
 }
 
 static void
-pass_over_front (MuxCell *cell, uint32_t *reservations)
+scan_front (MuxCell *cell, uint32_t *reservations_left)
 {
   CellStage *stage;
 
   cell_plan_order_begin (&cell->plan_order);
-  while (cell->scan_cost <= FRONT_LOOKS
+  while (cell->scan_cost <= FRONT_SCAN_BUDGET
          && (stage = cell_plan_order_next_front (&cell->plan_order)) != NULL)
     {
       stage->scan_round = cell->scan_round;
-      place (cell, stage, reservations);
+      place_stage (cell, stage, reservations_left);
     }
 }
 
-/* Those before @stage that keep their workers, as this pass passes over them.
- */
+/* Counts the stages before @stage in planning order that keep their
+ * reservations because this pass skips them. */
 static void
-count_reserving (MuxCell *cell, const CellStage *stage, uint32_t *reservations)
+count_reserving (MuxCell *cell,
+                 const CellStage *stage,
+                 uint32_t *reservations_left)
 {
   int64_t now_ms = cell->time.now_ms;
   CellStage *other;
 
   DL_FOREACH2 (cell->reserving_stages, other, reserving_next)
   {
-    if (*reservations == 0)
+    if (*reservations_left == 0)
       return;
     if (!cell_stage_is_scanned (cell, other) || other->scanned_ms == now_ms
         || other->reserving_counted_ms == now_ms
         || cell_stage_compare (other, stage) > 0)
       continue;
     other->reserving_counted_ms = now_ms;
-    (*reservations)--;
+    (*reservations_left)--;
   }
 }
 
-/* Return: false: some are left for the next pass. */
+/* Returns false if some stages are left for the next pass. */
 static bool
-pass_over_rest (MuxCell *cell, uint32_t *reservations)
+scan_rest (MuxCell *cell, uint32_t *reservations_left)
 {
   CellStage *stage;
 
-  while (cell->scan_cost <= PASS_LOOKS)
+  while (cell->scan_cost <= FULL_PASS_SCAN_BUDGET)
     {
       stage = cell_plan_order_next_in_round (&cell->plan_order);
       if (stage == NULL)
         return true;
       if (cell_stage_is_scanned (cell, stage))
         {
-          cell->scan_cost += STEP_LOOKS;
+          cell->scan_cost += STAGE_SCAN_COST;
           continue;
         }
       stage->scan_round = cell->scan_round;
       if (stage->spec->gang)
-        count_reserving (cell, stage, reservations);
-      place (cell, stage, reservations);
+        count_reserving (cell, stage, reservations_left);
+      place_stage (cell, stage, reservations_left);
     }
   return cell_plan_order_is_done (&cell->plan_order);
 }
 
 static void
-pass_over_all (MuxCell *cell)
+scan_all (MuxCell *cell)
 {
-  uint32_t reservations = reservations_max (cell);
+  uint32_t reservations_left = reserving_gangs_max (cell);
 
   cell->late_reservations_left
-      = 1 + HASH_COUNT (cell->workers) / WORKERS_PER_LATE_RESERVATION;
-  pass_over_front (cell, &reservations);
-  if (!pass_over_rest (cell, &reservations))
+      = 1 + HASH_COUNT (cell->workers) / WORKERS_PER_LATE_RESERVING_GANG;
+  scan_front (cell, &reservations_left);
+  if (!scan_rest (cell, &reservations_left))
     {
       mux_count (cell->options.counters, MUX_COUNT_PLAN_CUT, 1);
       return;
@@ -275,8 +281,8 @@
 }
 
 /*
- * Guards against work on room that a worker no longer has: its room may shrink
- * at any moment, and only the list of workers tells.
+ * Nothing is placed on outdated data: the room of a worker may shrink at any
+ * moment, and only the list of workers shows it.
  */
 bool
 cell_room_is_current (const MuxCell *cell)
@@ -284,22 +290,22 @@
   return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_WORKERS]);
 }
 
-/* A step of many tasks is looked at beyond the pass's limit, and may have
- * started most of them: what is behind it waits no longer for that. */
+/* A step of many tasks may exceed the scan budget of its pass and start most of
+ * them; the cost is capped so that stages behind it don't wait for that. */
 static int64_t
-pause_ms (const MuxCell *cell, int64_t least_ms, uint32_t most_looks)
+pass_interval_ms (const MuxCell *cell, int64_t min_ms, uint32_t cost_max)
 {
-  uint32_t looks
-      = cell->idle_scan_cost < most_looks ? cell->idle_scan_cost : most_looks;
-  int64_t idle_ms = looks / IDLE_LOOKS_PER_MS;
+  uint32_t cost
+      = cell->idle_scan_cost < cost_max ? cell->idle_scan_cost : cost_max;
+  int64_t idle_ms = cost / IDLE_SCAN_COST_PER_MS;
 
-  return idle_ms > least_ms ? idle_ms : least_ms;
+  return idle_ms > min_ms ? idle_ms : min_ms;
 }
 
 void
 cell_plan (MuxCell *cell)
 {
-  bool all = cell->time.now_ms >= cell->next_full_pass_ms;
+  bool is_full_pass = cell->time.now_ms >= cell->next_full_pass_ms;
 
   if (!cell_is_active_planner (cell) || cell->stopping || cell->jobs_unverified
       || !cell_room_is_current (cell))
@@ -309,23 +315,26 @@
   if (cell->time.now_ms < cell->next_pass_ms)
     return;
   cell->replan = false;
-  cell->next_plan_ms = cell->time.now_ms + IDLE_PASS_MS;
+  cell->next_plan_ms = cell->time.now_ms + IDLE_PASS_INTERVAL_MS;
   cell_plan_order_rerank (cell);
   cell->scan_cost = 0;
   cell->idle_scan_cost = 0;
   cell->steps_scanned = 0;
-  if (all)
+  if (is_full_pass)
     {
-      clear_reservations (cell);
-      pass_over_all (cell);
-      cell->next_full_pass_ms
-          = cell->time.now_ms + pause_ms (cell, SLOW_PASS_MS, PASS_LOOKS);
+      begin_reservations (cell);
+      scan_all (cell);
+      cell->next_full_pass_ms = cell->time.now_ms
+                                + pass_interval_ms (cell, FULL_PASS_INTERVAL_MS,
+                                                    FULL_PASS_SCAN_BUDGET);
     }
   else
-    pass_over_urgent (cell);
+    scan_urgent (cell);
   cell->next_pass_ms
       = cell->time.now_ms
-        + (all ? PASS_MS : pause_ms (cell, PASS_MS, URGENT_PASS_LOOKS));
+        + (is_full_pass ? PASS_INTERVAL_MS
+                        : pass_interval_ms (cell, PASS_INTERVAL_MS,
+                                            URGENT_PASS_SCAN_BUDGET));
   mux_count (cell->options.counters, MUX_COUNT_PLAN_LOOKS, cell->scan_cost);
   mux_count (cell->options.counters, MUX_COUNT_PLAN_STEPS, cell->steps_scanned);
 }
--- a/src/cell/plan_order.c
+++ b/src/cell/plan_order.c
@@ -1,12 +1,13 @@
 #include "cell_private.h"
 
 /*
- * The plan: steps with waiting tasks, in planning order.
+ * The plan: stages with waiting tasks, in planning order.
  *
- * It is kept in order as steps come, go and change their rank, which happens at
- * times known before, so that a pass costs what it looks at and not what waits.
- * Steps that no pass has looked at yet stand in a set of their own, in the same
- * order: those behind the round's place in the plan have their turn in it, too.
+ * Stages are inserted, removed and moved one at a time, and a rank changes only
+ * at times known in advance, so that the cost of a pass depends on the stages
+ * it scans and not on all that wait.  Stages not visited by any pass yet are
+ * kept in a separate set with the same order, so that those that sort before
+ * the cursor of the current round still get their turn in it.
  */
 
 #define STAGE_OF(node, member) \
@@ -24,34 +25,34 @@
 }
 
 static bool
-planned_before (const CellNode *a, const CellNode *b)
+plan_node_before (const CellNode *a, const CellNode *b)
 {
   return goes_before (CONST_STAGE_OF (a, plan_node),
                       CONST_STAGE_OF (b, plan_node));
 }
 
 static bool
-urgent_before (const CellNode *a, const CellNode *b)
+urgent_node_before (const CellNode *a, const CellNode *b)
 {
   return goes_before (CONST_STAGE_OF (a, urgent_node),
                       CONST_STAGE_OF (b, urgent_node));
 }
 
 static bool
-ranked_before (const CellNode *a, const CellNode *b)
+rank_node_before (const CellNode *a, const CellNode *b)
 {
   return CONST_STAGE_OF (a, rank_node)->rank_expires_ms
          < CONST_STAGE_OF (b, rank_node)->rank_expires_ms;
 }
 
 static CellStage *
-planned_of (CellNode *node)
+stage_of_plan_node (CellNode *node)
 {
   return node != NULL ? STAGE_OF (node, plan_node) : NULL;
 }
 
 static CellStage *
-urgent_of (CellNode *node)
+stage_of_urgent_node (CellNode *node)
 {
   return node != NULL ? STAGE_OF (node, urgent_node) : NULL;
 }
@@ -59,10 +60,10 @@
 void
 cell_plan_order_init (CellPlanOrder *order)
 {
-  *order = (CellPlanOrder){ .visited = { .before = planned_before },
-                            .unvisited = { .before = planned_before },
-                            .urgent = { .before = urgent_before },
-                            .by_rank_expiry = { .before = ranked_before } };
+  *order = (CellPlanOrder){ .visited = { .before = plan_node_before },
+                            .unvisited = { .before = plan_node_before },
+                            .urgent = { .before = urgent_node_before },
+                            .by_rank_expiry = { .before = rank_node_before } };
 }
 
 static bool
@@ -72,7 +73,7 @@
 }
 
 static void
-insert (MuxCell *cell, CellStage *stage)
+insert_stage (MuxCell *cell, CellStage *stage)
 {
   CellPlanOrder *order = &cell->plan_order;
   int64_t now_ms = cell->time.now_ms;
@@ -88,24 +89,27 @@
   mux_count (cell->options.counters, MUX_COUNT_PLAN_MOVES, 1);
 }
 
-/* Where a pass stands stays valid. */
+/* Moves the cursors that point to @stage to its successor. */
 static void
-leave_cursors (CellPlanOrder *order, const CellStage *stage)
+advance_cursors (CellPlanOrder *order, const CellStage *stage)
 {
   if (order->front_cursor == stage)
-    order->front_cursor = planned_of (cell_tree_next (&stage->plan_node));
+    order->front_cursor
+        = stage_of_plan_node (cell_tree_next (&stage->plan_node));
   if (order->round_cursor == stage)
-    order->round_cursor = planned_of (cell_tree_next (&stage->plan_node));
+    order->round_cursor
+        = stage_of_plan_node (cell_tree_next (&stage->plan_node));
   if (order->urgent_cursor == stage)
-    order->urgent_cursor = urgent_of (cell_tree_next (&stage->urgent_node));
+    order->urgent_cursor
+        = stage_of_urgent_node (cell_tree_next (&stage->urgent_node));
 }
 
 static void
-take_out (MuxCell *cell, CellStage *stage)
+remove_stage (MuxCell *cell, CellStage *stage)
 {
   CellPlanOrder *order = &cell->plan_order;
 
-  leave_cursors (order, stage);
+  advance_cursors (order, stage);
   cell_tree_remove (stage->is_unvisited ? &order->unvisited : &order->visited,
                     &stage->plan_node);
   if (is_urgent (stage))
@@ -119,13 +123,13 @@
 {
   stage->is_unvisited = true;
   stage->number = ++cell->plan_order.last_number;
-  insert (cell, stage);
+  insert_stage (cell, stage);
 }
 
 void
 cell_plan_order_remove (MuxCell *cell, CellStage *stage)
 {
-  take_out (cell, stage);
+  remove_stage (cell, stage);
 }
 
 void
@@ -139,23 +143,25 @@
 
       if (cell->time.now_ms < stage->rank_expires_ms)
         return;
-      take_out (cell, stage);
-      insert (cell, stage);
+      remove_stage (cell, stage);
+      insert_stage (cell, stage);
     }
 }
 
-/* The first of those not looked at yet, if it goes before @planned. */
+/* Returns the first unvisited stage if it goes before @visited, else NULL. */
 static CellStage *
-take_fresh (CellPlanOrder *order, const CellStage *planned)
+take_unvisited (CellPlanOrder *order, const CellStage *visited)
 {
-  CellStage *fresh = planned_of (cell_tree_first (&order->unvisited));
+  CellStage *unvisited
+      = stage_of_plan_node (cell_tree_first (&order->unvisited));
 
-  if (fresh == NULL || (planned != NULL && goes_before (planned, fresh)))
+  if (unvisited == NULL
+      || (visited != NULL && goes_before (visited, unvisited)))
     return NULL;
-  cell_tree_remove (&order->unvisited, &fresh->plan_node);
-  fresh->is_unvisited = false;
-  cell_tree_add (&order->visited, &fresh->plan_node);
-  return fresh;
+  cell_tree_remove (&order->unvisited, &unvisited->plan_node);
+  unvisited->is_unvisited = false;
+  cell_tree_add (&order->visited, &unvisited->plan_node);
+  return unvisited;
 }
 
 static void
@@ -176,18 +182,18 @@
 void
 cell_plan_order_begin (CellPlanOrder *order)
 {
-  order->front_cursor = planned_of (cell_tree_first (&order->visited));
+  order->front_cursor = stage_of_plan_node (cell_tree_first (&order->visited));
 }
 
 CellStage *
 cell_plan_order_next_front (CellPlanOrder *order)
 {
-  CellStage *stage = take_fresh (order, order->front_cursor);
+  CellStage *stage = take_unvisited (order, order->front_cursor);
 
   if (stage != NULL || order->front_cursor == NULL)
     return stage;
   stage = order->front_cursor;
-  order->front_cursor = planned_of (cell_tree_next (&stage->plan_node));
+  order->front_cursor = stage_of_plan_node (cell_tree_next (&stage->plan_node));
   if (order->round_cursor == stage)
     order->round_cursor = order->front_cursor;
   return stage;
@@ -196,12 +202,12 @@
 CellStage *
 cell_plan_order_next_in_round (CellPlanOrder *order)
 {
-  CellStage *stage = take_fresh (order, order->round_cursor);
+  CellStage *stage = take_unvisited (order, order->round_cursor);
 
   if (stage != NULL || order->round_cursor == NULL)
     return stage;
   stage = order->round_cursor;
-  order->round_cursor = planned_of (cell_tree_next (&stage->plan_node));
+  order->round_cursor = stage_of_plan_node (cell_tree_next (&stage->plan_node));
   return stage;
 }
 
@@ -214,13 +220,14 @@
 void
 cell_plan_order_new_round (CellPlanOrder *order)
 {
-  order->round_cursor = planned_of (cell_tree_first (&order->visited));
+  order->round_cursor = stage_of_plan_node (cell_tree_first (&order->visited));
 }
 
 void
 cell_plan_order_begin_urgent (CellPlanOrder *order)
 {
-  order->urgent_cursor = urgent_of (cell_tree_first (&order->urgent));
+  order->urgent_cursor
+      = stage_of_urgent_node (cell_tree_first (&order->urgent));
 }
 
 CellStage *
@@ -229,6 +236,7 @@
   CellStage *stage = order->urgent_cursor;
 
   if (stage != NULL)
-    order->urgent_cursor = urgent_of (cell_tree_next (&stage->urgent_node));
+    order->urgent_cursor
+        = stage_of_urgent_node (cell_tree_next (&stage->urgent_node));
   return stage;
 }
--- a/src/cell/rank.c
+++ b/src/cell/rank.c
@@ -1,38 +1,39 @@
 #include "cell_private.h"
 
 /*
- * In which order waiting steps get room and questions to the policy service.
- * It matters under overload alone: with room for all, none waits for another.
+ * The order in which waiting stages get room and approval queries.  It matters
+ * under overload only: with room for all, none waits for another.
  *
- * What is to last and is away goes first: its tasks are small against the room
- * that they are owed.  What can still be in time goes before what can't, by the
- * declared time of its tasks: a step that has passed its latest start would
- * take the room of one that has not, and be late all the same.  Among these the
- * operators' order of queues decides, then the latest start: by the latest
- * start alone the tasks of a patient queue, of which any gap holds one, take
- * the room that a gang of a more urgent queue needs all at once.
+ * Long-running tasks that have waited for a while go first: they are small
+ * compared with the room.  Stages that can still end in time, by their expected
+ * run time, go before those that can't: a stage past its latest start would
+ * take the room of one that is not, and be late all the same.  Within a rank
+ * the configured priority of the queue decides, then the latest start.  With
+ * the latest start alone, small tasks of a queue with late deadlines, which fit
+ * into any free room, would take the room that a gang of a more urgent queue
+ * needs all at once.
  */
 
-/* What is to last and has waited for so long, in ms, goes first. */
-#define OWED_AFTER_MS 1000
+/* A long-running stage that has waited for this long goes first. */
+#define STARVED_AFTER_MS 1000
 
 /*
- * What runs until it is cancelled is owed as long as it is away.  Guards
- * against tasks of a patient queue that never run again in a full pool: each
- * gap there is taken by a queue that is served before.
+ * A long-running stage keeps this rank until it runs again.  Otherwise such
+ * stages of a queue with low priority would never run in a full pool, as queues
+ * of higher priority take all room that becomes free.
  */
 static CellRank
-rank_of_lasting (const CellStage *stage, int64_t now_ms)
+long_running_rank (const CellStage *stage, int64_t now_ms)
 {
-  return now_ms < stage->ready_ms + OWED_AFTER_MS ? CELL_RANK_IN_TIME
-                                                  : CELL_RANK_STARVED;
+  return now_ms < stage->ready_ms + STARVED_AFTER_MS ? CELL_RANK_IN_TIME
+                                                     : CELL_RANK_STARVED;
 }
 
 CellRank
 cell_stage_rank (const CellStage *stage, int64_t now_ms)
 {
   if (stage->spec->long_running)
-    return rank_of_lasting (stage, now_ms);
+    return long_running_rank (stage, now_ms);
   if (now_ms < stage->deadline_ms - stage->expected_ms)
     return CELL_RANK_IN_TIME;
   return now_ms < stage->worthless_ms ? CELL_RANK_LATE : CELL_RANK_WORTHLESS;
@@ -44,8 +45,8 @@
   int64_t late_ms = stage->deadline_ms - stage->expected_ms;
 
   if (stage->spec->long_running)
-    return now_ms < stage->ready_ms + OWED_AFTER_MS
-               ? stage->ready_ms + OWED_AFTER_MS
+    return now_ms < stage->ready_ms + STARVED_AFTER_MS
+               ? stage->ready_ms + STARVED_AFTER_MS
                : INT64_MAX;
   if (now_ms < late_ms)
     return late_ms;
--- a/src/cell/reserve.c
+++ b/src/cell/reserve.c
@@ -1,19 +1,19 @@
 #include "cell_private.h"
 
 /*
- * Room of workers that is reserved for waiting gangs, each from the moment on
- * at which it is expected to start.  Reservations are made anew in each pass,
- * in planning order; those of the pass before are remembered until its end.
- * Workers with any stand in a list of their own, as each step that leaves the
- * plan gives up its own.
+ * Room of workers that is reserved for waiting gangs, each from the time at
+ * which the gang is expected to start.  Reservations are made anew in each full
+ * pass, in planning order; those of the pass before are kept as stale until it
+ * ends.  Workers with reservations are in a list, as each stage that leaves the
+ * plan has to give up its own.
  */
 
-/* Declared times may be exceeded by so much. */
+/* Declared times may be exceeded by so many percent. */
 #define OVERRUN_PERCENT 25
 #define PERCENT 100
 
 static void
-update (MuxCell *cell, CellWorker *worker)
+update_list (MuxCell *cell, CellWorker *worker)
 {
   bool is_reserved = worker->reservation_count > 0;
 
@@ -39,7 +39,7 @@
 drop (MuxCell *cell, CellWorker *worker, CellReservation *reservation)
 {
   *reservation = worker->reservation[--worker->reservation_count];
-  update (cell, worker);
+  update_list (cell, worker);
 }
 
 bool
@@ -62,7 +62,7 @@
     size = mux_size_add (reservation->size, size);
   *reservation
       = (CellReservation){ .stage = stage, .size = size, .from_ms = at_ms };
-  update (cell, worker);
+  update_list (cell, worker);
   return true;
 }
 
@@ -130,7 +130,8 @@
   return false;
 }
 
-/* A gang that goes before needs its room all at once, and takes it. */
+/* A gang that comes before the reservation's gang in planning order takes the
+ * room: it needs all its room at once. */
 static bool
 is_for_another (const CellReservation *reservation, const CellStage *stage)
 {
@@ -154,7 +155,7 @@
   return size;
 }
 
-/* A task of @stage that starts now will have ended by then. */
+/* Whether a task of @stage that starts now will have ended by @at_ms. */
 static bool
 ends_by (const MuxCell *cell, const CellStage *stage, int64_t at_ms)
 {
@@ -164,20 +165,22 @@
   return cell->time.now_ms + takes_ms <= at_ms;
 }
 
-/* Urgent tasks can't wait, and go to other workers first.  One that is to last
- * is owed its room as long as it is away, and fits into a small part of it. */
+/* Urgent tasks can't wait; they prefer other workers by their cost.  A
+ * long-running task is to run again as soon as possible and needs only a small
+ * part of the room. */
 static bool
-passes_over (const CellStage *stage)
+ignores_reservations (const CellStage *stage)
 {
   return stage->job->spec->queue.priority == 0 || stage->spec->long_running;
 }
 
-/* How many of @tasks that have room there now leave each gang its own. */
+/* Returns how many of @tasks, which fit there now, leave each gang its reserved
+ * room. */
 static uint32_t
-beside (const MuxCell *cell,
-        const CellStage *stage,
-        const CellWorker *worker,
-        uint32_t tasks)
+tasks_beside_reserved (const MuxCell *cell,
+                       const CellStage *stage,
+                       const CellWorker *worker,
+                       uint32_t tasks)
 {
   for (uint32_t i = 0; i < worker->reservation_count && tasks > 0; i++)
     {
@@ -205,7 +208,9 @@
   uint32_t now
       = cell_tasks_that_fit (stage, cell_worker_free_for (stage, worker));
 
-  return passes_over (stage) ? now : beside (cell, stage, worker, now);
+  return ignores_reservations (stage)
+             ? now
+             : tasks_beside_reserved (cell, stage, worker, now);
 }
 
 bool
@@ -213,7 +218,7 @@
                   const CellStage *stage,
                   const CellWorker *worker)
 {
-  return beside (cell, stage, worker, 1) == 0;
+  return tasks_beside_reserved (cell, stage, worker, 1) == 0;
 }
 
 void
@@ -235,5 +240,5 @@
 cell_reservations_clear_worker (MuxCell *cell, CellWorker *worker)
 {
   worker->reservation_count = 0;
-  update (cell, worker);
+  update_list (cell, worker);
 }
--- a/src/cell/room.c
+++ b/src/cell/room.c
@@ -1,6 +1,6 @@
 #include "cell_private.h"
 
-/* Room of workers that tasks of ours have. */
+/* Room of workers that is booked by runs. */
 
 void
 cell_room_book (CellWorker *worker, const CellStage *stage)
@@ -23,8 +23,8 @@
 }
 
 /*
- * Guards against room that is waited for, and kept from others, though it never
- * becomes free: tasks that run until they are cancelled hold it.
+ * Returns the capacity without long-running tasks.  These hold their room until
+ * they are cancelled, so that nothing should wait for it or reserve it.
  */
 MuxSize
 cell_room_eventual (const CellWorker *worker)
