--- a/src/cell/approval_list.c
+++ b/src/cell/approval_list.c
@@ -4,15 +4,15 @@
 #include <string.h>
 
 /*
- * What is known of workers' right to run a stage: an entry for each worker that
- * was asked about, by their slots.  An entry for each worker of a large cell
- * would end a planner with a backlog of thousands of stages for its memory.
+ * What is known of the approval of workers for a stage: a list of the workers
+ * that were queried, sorted by slot.  One entry for each worker of a large cell
+ * would exhaust the memory of a planner with a backlog of thousands of stages.
  */
 
-/* Entries that a list grows by, as many as a question names. */
-#define GROW 32
+/* Entries added when a list grows, as many as a query names. */
+#define GROW_ENTRIES 32
 
-/* The first entry that is not below @slot. */
+/* Returns the index of the first entry whose slot is not below @slot. */
 static uint32_t
 position (const CellStage *stage, uint32_t slot)
 {
@@ -48,18 +48,18 @@
 }
 
 static bool
-make_room (CellStage *stage)
+reserve_entry (CellStage *stage)
 {
   CellApproval *list;
 
   if (stage->approval_count < stage->approval_capacity)
     return true;
   list = realloc (stage->approval,
-                  (stage->approval_capacity + GROW) * sizeof *list);
+                  (stage->approval_capacity + GROW_ENTRIES) * sizeof *list);
   if (list == NULL)
     return false;
   stage->approval = list;
-  stage->approval_capacity += GROW;
+  stage->approval_capacity += GROW_ENTRIES;
   return true;
 }
 
@@ -71,7 +71,7 @@
 
   if (approval != NULL)
     return approval;
-  if (!make_room (stage))
+  if (!reserve_entry (stage))
     return NULL;
   approval = &stage->approval[i];
   memmove (approval + 1, approval,
--- a/src/cell/approval_query.c
+++ b/src/cell/approval_query.c
@@ -5,36 +5,36 @@
 #include <string.h>
 
 /*
- * The policy service takes one question at a time from each daemon, so that
- * questions are spread: the planner sends each to a daemon that has none
- * under way, itself among them.
+ * Approval queries to the policy service.  The service takes one query at a
+ * time from each daemon, so that the planner spreads them: it sends each to a
+ * daemon that has none pending, itself included.
  */
 
-/* A proof is used no later than this before its end: a start takes some ms on
- * its way, more to a worker that is busy. */
+/* A proof is used no later than this before it expires: a start takes some ms
+ * on its way, and longer to a busy worker. */
 #define PROOF_MARGIN_MS 150
-/* The record of a new approval is stored within this time. */
-#define RECORD_MS 100
-/* An answer that is later than it should be by this counts as lost; */
+/* Longest time in which a new approval is stored. */
+#define RECORD_MAX_MS 100
+/* An answer counts as lost when it is later than expected by this time, */
 #define OVERDUE_MS 400
-/* by twice as much after each lost one in a row, up to so many times: 3.2 s. */
+/* doubled after each lost one in a row, up to so many times, i.e. 3.2 s. */
 #define OVERDUE_DOUBLINGS 3
-/* A daemon that did not answer is asked nothing for so long. */
-#define ASKER_REST_MS 1500
-/* A daemon not heard of for so long is asked nothing. */
+/* A daemon that did not answer gets no query for this long. */
+#define QUERIER_BACKOFF_MS 1500
+/* A daemon without contact for this long gets no query. */
 #define MEMBER_SILENT_MS 700
-/* After a question that was lost or refused. */
-#define RETRY_MS 60
-/* Questions longer than this may not take up every daemon: urgent ones would
- * wait behind them. */
-#define LONG_MS 150
+/* Back-off after a query that was lost or refused. */
+#define QUERY_BACKOFF_MS 60
+/* Queries that take longer than this may not occupy all daemons, as urgent ones
+ * would wait behind them. */
+#define LONG_QUERY_MS 150
 #define US_PER_MS 1000
 
 /*
- * Guards against jobs that wait for the whole cell after a takeover: the
- * workers that a stage may run on are stored before the first start there, so
- * that a next planner knows where runs can be that it has not heard of, and
- * waits for these alone.  A step without a record has not run.
+ * A proof is used only after the approval is stored.  The stored workers of a
+ * stage tell the next planner where runs may be that it does not know, so that
+ * jobs wait for these workers alone after a takeover and not for the whole
+ * cell.  A stage without such a record has not run.
  */
 const char *
 cell_usable_proof (const MuxCell *cell, const CellApproval *approval)
@@ -55,9 +55,8 @@
 }
 
 /*
- * Guards against a question for what is known: between an answer and the commit
- * that records it no proof of it is taken yet, and the step asked again at
- * once.
+ * Without this test a stage would repeat its query between the answer and the
+ * commit that stores it, as no proof is usable then.
  */
 bool
 cell_approval_is_being_recorded (const MuxCell *cell,
@@ -65,19 +64,19 @@
 {
   return approval != NULL && approval->approved && approval->proof != NULL
          && !approval->stored
-         && cell->time.now_ms + RECORD_MS
+         && cell->time.now_ms + RECORD_MAX_MS
                 <= approval->proof_expires_ms - PROOF_MARGIN_MS;
 }
 
 static bool
-member_can_ask (const MuxCell *cell, const CellMember *member)
+member_can_query (const MuxCell *cell, const CellMember *member)
 {
   return member->query_number == 0 && !member->stopping
          && cell->time.processed_ms - member->last_contact_ms < MEMBER_SILENT_MS
          && cell->time.now_ms >= member->no_query_until_ms;
 }
 
-/* The planner asks, too, as a member that needs no message. */
+/* The planner is a querier as well; it needs no message to itself. */
 static CellMember *
 own_member (MuxCell *cell)
 {
@@ -91,9 +90,10 @@
   return member;
 }
 
-/* Once for each moment: waiting steps ask in each pass. */
+/* Counts once for each event time, as waiting stages ask for it in each
+ * pass. */
 static void
-count_askers (MuxCell *cell)
+count_queriers (MuxCell *cell)
 {
   const CellMember *member;
   const CellMember *next;
@@ -109,14 +109,14 @@
       continue;
     cell->queriers_alive++;
     cell->queriers_with_long_query
-        += member->query_number != 0 && member->query_cost_ms > LONG_MS;
+        += member->query_number != 0 && member->query_cost_ms > LONG_QUERY_MS;
   }
 }
 
 uint32_t
 cell_queriers_alive (MuxCell *cell)
 {
-  count_askers (cell);
+  count_queriers (cell);
   return cell->queriers_alive;
 }
 
@@ -132,13 +132,13 @@
       own->last_contact_ms = cell->time.now_ms;
       own->store_available = true;
     }
-  count_askers (cell);
+  count_queriers (cell);
   if (is_long && cell->queriers_alive > 1
       && cell->queriers_with_long_query + 1 >= cell->queriers_alive)
     return NULL;
   DL_FOREACH2 (cell->free_members, member, free_next)
   {
-    if (!member_can_ask (cell, member))
+    if (!member_can_query (cell, member))
       continue;
     best = member;
     if (best != own)
@@ -148,10 +148,10 @@
 }
 
 static json_t *
-question_json (const CellStage *stage,
-               CellWorker *const *candidates,
-               uint32_t count,
-               uint32_t timeout_ms)
+query_json (const CellStage *stage,
+            CellWorker *const *candidates,
+            uint32_t count,
+            uint32_t timeout_ms)
 {
   json_t *list = json_array ();
 
@@ -164,9 +164,9 @@
 }
 
 static void
-own_answer (MuxCell *cell,
-            const CellPending *pending,
-            const MuxCellReply *reply)
+own_query_reply (MuxCell *cell,
+                 const CellPending *pending,
+                 const MuxCellReply *reply)
 {
   cell_approval_query_done (cell, pending->context,
                             reply->status == MUX_CELL_OK, reply->approval,
@@ -174,25 +174,26 @@
 }
 
 static bool
-send_question (MuxCell *cell,
-               const CellMember *member,
-               uint64_t number,
-               json_t *question)
+send_query (MuxCell *cell,
+            const CellMember *member,
+            uint64_t number,
+            json_t *query)
 {
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_APPROVAL_QUERY, member->name);
   bool sent;
 
   if (strcmp (member->name, cell->options.name) == 0)
     {
-      CellPending pending
-          = { .on_reply = own_answer, .term = cell->term, .context = number };
+      CellPending pending = { .on_reply = own_query_reply,
+                              .term = cell->term,
+                              .context = number };
 
-      sent = cell_call (cell, cell_approval_query_call (question), &pending);
-      json_decref (question);
+      sent = cell_call (cell, cell_approval_query_call (query), &pending);
+      json_decref (query);
       return sent;
     }
   msg.call_id = number;
-  msg.body = cell_blob_from_json (question);
+  msg.body = cell_blob_from_json (query);
   sent = msg.body != NULL
          && cell->options.sink->peer_send (cell->options.sink, member->addr,
                                            &msg);
@@ -209,7 +210,7 @@
   return true;
 }
 
-/* All of them are known to be approved. */
+/* Whether all candidates are known to be approved. */
 static bool
 is_renewal (const CellStage *stage,
             CellWorker *const *candidates,
@@ -226,41 +227,39 @@
 }
 
 static void
-mark_asked (CellStage *stage,
-            CellApprovalQuery *question,
-            CellWorker *const *candidates)
+mark_queried (CellStage *stage,
+              CellApprovalQuery *query,
+              CellWorker *const *candidates)
 {
-  for (uint32_t i = 0; i < question->candidate_count; i++)
+  for (uint32_t i = 0; i < query->candidate_count; i++)
     {
-      question->slot[i] = candidates[i]->slot;
+      query->slot[i] = candidates[i]->slot;
       cell_approval_find (stage, candidates[i])->queried = true;
     }
 }
 
 /*
- * Guards against a step that never runs: a question that was lost with the
- * daemon that asked it would leave its workers marked as asked and not
- * approved, and a gang that needs them would wait for good.
+ * Called when a query is lost.  Its workers would stay marked as queried and
+ * not approved, and a gang that needs them would wait forever.
  */
 static void
-unmark_asked (CellStage *stage, const CellApprovalQuery *question)
+unmark_queried (CellStage *stage, const CellApprovalQuery *query)
 {
-  for (uint32_t i = 0; i < question->candidate_count; i++)
+  for (uint32_t i = 0; i < query->candidate_count; i++)
     {
-      CellApproval *approval
-          = cell_approval_find_slot (stage, question->slot[i]);
+      CellApproval *approval = cell_approval_find_slot (stage, query->slot[i]);
 
       approval->queried = approval->approved;
     }
 }
 
 static void
-question_free (CellApprovalQuery *question)
+query_free (CellApprovalQuery *query)
 {
-  if (question == NULL)
+  if (query == NULL)
     return;
-  free (question->slot);
-  free (question);
+  free (query->slot);
+  free (query);
 }
 
 uint32_t
@@ -274,13 +273,13 @@
 bool
 cell_approval_query_is_short (const CellStage *stage, uint32_t count)
 {
-  return cell_approval_query_ms (stage, count) <= LONG_MS;
+  return cell_approval_query_ms (stage, count) <= LONG_QUERY_MS;
 }
 
 /*
- * Guards against a step that asks for good: a service, or a daemon, that is
- * slower than the queue says would answer each question just after it was given
- * up.
+ * The time limit grows with lost answers.  Otherwise a policy service or daemon
+ * slower than configured would answer each query just after it was given up,
+ * and the stage would query forever.
  */
 static uint32_t
 overdue_ms_of (const CellStage *stage)
@@ -310,8 +309,8 @@
 cell_can_query (MuxCell *cell, const CellStage *stage, uint32_t count)
 {
   return !stage->query_pending && cell->time.now_ms >= stage->no_query_until_ms
-         && choose_member (cell,
-                           cell_approval_query_ms (stage, count) > LONG_MS)
+         && choose_member (cell, cell_approval_query_ms (stage, count)
+                                     > LONG_QUERY_MS)
                 != NULL;
 }
 
@@ -323,53 +322,52 @@
 {
   uint32_t cost_ms = cell_approval_query_ms (stage, count);
   uint32_t timeout_ms = cost_ms + overdue_ms_of (stage);
-  CellMember *member = choose_member (cell, cost_ms > LONG_MS);
-  CellApprovalQuery *question;
+  CellMember *member = choose_member (cell, cost_ms > LONG_QUERY_MS);
+  CellApprovalQuery *query;
 
   if (member == NULL || count == 0 || !add_entries (stage, candidates, count))
     return false;
-  question = calloc (1, sizeof *question);
-  if (question != NULL)
-    question->slot = calloc (count, sizeof *question->slot);
-  if (question == NULL || question->slot == NULL)
+  query = calloc (1, sizeof *query);
+  if (query != NULL)
+    query->slot = calloc (count, sizeof *query->slot);
+  if (query == NULL || query->slot == NULL)
     {
-      question_free (question);
+      query_free (query);
       return false;
     }
-  question->number = ++cell->last_approval_query;
-  question->step = cell_task_ref (&stage->task[0]);
-  question->candidate_count = count;
-  question->is_renewal = is_renewal (stage, candidates, count);
-  question->sent_ms = cell->time.now_ms;
-  question->expected_by_ms = cell->time.now_ms + cost_ms + OVERDUE_MS;
-  question->expires_ms = cell->time.now_ms + timeout_ms;
-  snprintf (question->querier, sizeof question->querier, "%s", member->name);
-  if (!send_question (cell, member, question->number,
-                      question_json (stage, candidates, count, timeout_ms)))
+  query->number = ++cell->last_approval_query;
+  query->step = cell_task_ref (&stage->task[0]);
+  query->candidate_count = count;
+  query->is_renewal = is_renewal (stage, candidates, count);
+  query->sent_ms = cell->time.now_ms;
+  query->expected_by_ms = cell->time.now_ms + cost_ms + OVERDUE_MS;
+  query->expires_ms = cell->time.now_ms + timeout_ms;
+  snprintf (query->querier, sizeof query->querier, "%s", member->name);
+  if (!send_query (cell, member, query->number,
+                   query_json (stage, candidates, count, timeout_ms)))
     {
-      question_free (question);
+      query_free (query);
       return false;
     }
-  HASH_ADD (hh, cell->approval_queries, number, sizeof question->number,
-            question);
-  mark_asked (stage, question, candidates);
-  cell_step_query_sent (cell, stage, question);
+  HASH_ADD (hh, cell->approval_queries, number, sizeof query->number, query);
+  mark_queried (stage, query, candidates);
+  cell_step_query_sent (cell, stage, query);
   stage->query_pending = true;
   stage->queried_ms = cell->time.now_ms;
-  cell_member_set_query (cell, member, question->number);
+  cell_member_set_query (cell, member, query->number);
   member->query_cost_ms = cost_ms;
-  cell->queriers_with_long_query += cost_ms > LONG_MS;
-  member->no_query_until_ms = question->expires_ms;
+  cell->queriers_with_long_query += cost_ms > LONG_QUERY_MS;
+  member->no_query_until_ms = query->expires_ms;
   return true;
 }
 
 static void
-take_approval (MuxCell *cell,
-               CellStage *stage,
-               const MuxApproval *given,
-               int64_t until_ms)
+apply_approval (MuxCell *cell,
+                CellStage *stage,
+                const MuxApproval *granted,
+                int64_t expires_ms)
 {
-  CellWorker *worker = cell_worker_find (cell, given->worker);
+  CellWorker *worker = cell_worker_find (cell, granted->worker);
   CellApproval *approval;
 
   if (worker == NULL)
@@ -387,42 +385,43 @@
     }
   approval->approved = true;
   free (approval->proof);
-  approval->proof = strdup (given->proof);
-  approval->proof_expires_ms = until_ms;
-  if (until_ms > stage->proofs_expire_ms)
-    stage->proofs_expire_ms = until_ms;
+  approval->proof = strdup (granted->proof);
+  approval->proof_expires_ms = expires_ms;
+  if (expires_ms > stage->proofs_expire_ms)
+    stage->proofs_expire_ms = expires_ms;
 }
 
 static void
-release_member (MuxCell *cell, const CellApprovalQuery *question, bool answered)
+release_member (MuxCell *cell, const CellApprovalQuery *query, bool answered)
 {
-  CellMember *member = cell_member_find (cell, question->querier);
+  CellMember *member = cell_member_find (cell, query->querier);
 
-  if (member == NULL || member->query_number != question->number)
+  if (member == NULL || member->query_number != query->number)
     return;
   cell_member_set_query (cell, member, 0);
   cell->queriers_counted_ms = 0;
-  member->no_query_until_ms = answered ? 0 : cell->time.now_ms + ASKER_REST_MS;
+  member->no_query_until_ms
+      = answered ? 0 : cell->time.now_ms + QUERIER_BACKOFF_MS;
 }
 
-/* The step may ask again; with more time where answers were late. */
+/* Lets the stage query again, with a longer time limit if answers were late. */
 static void
-end_asking (MuxCell *cell,
-            CellStage *stage,
-            const CellApprovalQuery *question,
-            bool answered)
+end_query (MuxCell *cell,
+           CellStage *stage,
+           const CellApprovalQuery *query,
+           bool answered)
 {
   stage->query_pending = false;
   stage->scan_round = 0;
   if (answered)
     {
-      if (cell->time.now_ms <= question->expected_by_ms)
+      if (cell->time.now_ms <= query->expected_by_ms)
         stage->lost_queries = 0;
       return;
     }
   stage->lost_queries++;
-  unmark_asked (stage, question);
-  stage->no_query_until_ms = cell->time.now_ms + RETRY_MS;
+  unmark_queried (stage, query);
+  stage->no_query_until_ms = cell->time.now_ms + QUERY_BACKOFF_MS;
 }
 
 void
@@ -433,59 +432,59 @@
                           uint32_t count,
                           uint32_t valid_ms)
 {
-  CellApprovalQuery *question;
+  CellApprovalQuery *query;
   CellTask *task;
 
-  HASH_FIND (hh, cell->approval_queries, &number, sizeof number, question);
-  if (question == NULL)
+  HASH_FIND (hh, cell->approval_queries, &number, sizeof number, query);
+  if (query == NULL)
     return;
-  task = cell_task_find (cell, &question->step);
-  release_member (cell, question, answered);
+  task = cell_task_find (cell, &query->step);
+  release_member (cell, query, answered);
   if (task != NULL)
     {
-      end_asking (cell, task->stage, question, answered);
-      cell_step_query_done (cell, task->stage, question, count);
+      end_query (cell, task->stage, query, answered);
+      cell_step_query_done (cell, task->stage, query, count);
       for (uint32_t i = 0; i < count; i++)
-        take_approval (cell, task->stage, &approvals[i],
-                       cell->time.processed_ms + valid_ms);
+        apply_approval (cell, task->stage, &approvals[i],
+                        cell->time.processed_ms + valid_ms);
     }
   cell_log (cell, "approvals", "{s:s, s:i, s:s, s:b, s:b, s:i, s:i, s:I}",
-            "job", question->step.job, "step", (int) question->step.step,
-            "asker", question->querier, "answered", (int) answered, "renewal",
-            (int) question->is_renewal, "asked",
-            (int) question->candidate_count, "approved", (int) count, "took_ms",
-            (json_int_t) (cell->time.now_ms - question->sent_ms));
-  HASH_DEL (cell->approval_queries, question);
-  question_free (question);
+            "job", query->step.job, "step", (int) query->step.step, "asker",
+            query->querier, "answered", (int) answered, "renewal",
+            (int) query->is_renewal, "asked", (int) query->candidate_count,
+            "approved", (int) count, "took_ms",
+            (json_int_t) (cell->time.now_ms - query->sent_ms));
+  HASH_DEL (cell->approval_queries, query);
+  query_free (query);
   cell->replan = true;
 }
 
 /*
- * Guards against a step that never runs: its question went to a daemon that
- * died, or the answer was lost on the way, and a step with a question under
- * way is not planned.  The time belongs to the question, so that it ends
- * whatever has become of the daemon since.
+ * Gives up queries without an answer in time: the daemon may have died or the
+ * answer may be lost, and a stage with a pending query is not planned.  The
+ * time limit belongs to the query, so that it ends whatever has become of the
+ * daemon.
  */
 void
 cell_approvals_tick (MuxCell *cell)
 {
-  CellApprovalQuery *question;
+  CellApprovalQuery *query;
   CellApprovalQuery *next;
 
-  HASH_ITER (hh, cell->approval_queries, question, next)
-  if (cell->time.processed_ms > question->expires_ms)
-    cell_approval_query_done (cell, question->number, false, NULL, 0, 0);
+  HASH_ITER (hh, cell->approval_queries, query, next)
+  if (cell->time.processed_ms > query->expires_ms)
+    cell_approval_query_done (cell, query->number, false, NULL, 0, 0);
 }
 
 void
 cell_approval_queries_free (MuxCell *cell)
 {
-  CellApprovalQuery *question;
+  CellApprovalQuery *query;
   CellApprovalQuery *next;
 
-  HASH_ITER (hh, cell->approval_queries, question, next)
+  HASH_ITER (hh, cell->approval_queries, query, next)
   {
-    HASH_DEL (cell->approval_queries, question);
-    question_free (question);
+    HASH_DEL (cell->approval_queries, query);
+    query_free (query);
   }
 }
--- a/src/cell/approval_query_peer.c
+++ b/src/cell/approval_query_peer.c
@@ -3,14 +3,14 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Questions to the policy service as they travel between the planner and the
- * daemons that ask on its behalf. */
+/* Messages of approval queries between the planner and the daemons that put
+ * them to the policy service for it. */
 
 MuxCellCall *
-cell_approval_query_call (const json_t *question)
+cell_approval_query_call (const json_t *query)
 {
-  const json_t *workers = json_object_get (question, "workers");
-  const char *job = json_string_value (json_object_get (question, "job"));
+  const json_t *workers = json_object_get (query, "workers");
+  const char *job = json_string_value (json_object_get (query, "job"));
   MuxCellCall *call = mux_cell_call_new (MUX_CELL_QUERY_APPROVAL);
   size_t count = json_array_size (workers);
 
@@ -23,12 +23,12 @@
       return NULL;
     }
   snprintf (call->task.job, sizeof call->task.job, "%s", job);
-  call->task.occurrence = (uint32_t) json_integer_value (
-      json_object_get (question, "occurrence"));
+  call->task.occurrence
+      = (uint32_t) json_integer_value (json_object_get (query, "occurrence"));
   call->task.step
-      = (uint32_t) json_integer_value (json_object_get (question, "step"));
-  call->timeout_ms = (uint32_t) json_integer_value (
-      json_object_get (question, "timeout_ms"));
+      = (uint32_t) json_integer_value (json_object_get (query, "step"));
+  call->timeout_ms
+      = (uint32_t) json_integer_value (json_object_get (query, "timeout_ms"));
   for (size_t i = 0; i < count; i++)
     {
       const char *id = json_string_value (json_array_get (workers, i));
@@ -40,12 +40,12 @@
 }
 
 static void
-tell (MuxCell *cell,
-      const char *name,
-      const char *addr,
-      uint64_t number,
-      json_t *body,
-      bool answered)
+send_reply (MuxCell *cell,
+            const char *name,
+            const char *addr,
+            uint64_t number,
+            json_t *body,
+            bool answered)
 {
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_APPROVAL_REPLY, name);
 
@@ -57,9 +57,9 @@
 }
 
 static void
-asked_answer (MuxCell *cell,
-              const CellPending *pending,
-              const MuxCellReply *reply)
+query_reply (MuxCell *cell,
+             const CellPending *pending,
+             const MuxCellReply *reply)
 {
   json_t *list = json_array ();
 
@@ -67,27 +67,28 @@
     (void) json_array_append_new (list,
                                   json_pack ("[ss]", reply->approval[i].worker,
                                              reply->approval[i].proof));
-  tell (cell, pending->peer, pending->peer_addr, pending->context,
-        json_pack ("{s:i, s:o}", "valid_ms", (int) reply->valid_ms, "approved",
-                   list),
-        reply->status == MUX_CELL_OK);
+  send_reply (cell, pending->peer, pending->peer_addr, pending->context,
+              json_pack ("{s:i, s:o}", "valid_ms", (int) reply->valid_ms,
+                         "approved", list),
+              reply->status == MUX_CELL_OK);
 }
 
 static void
-ask_for_planner (MuxCell *cell, const MuxPeerMsg *msg)
+query_for_planner (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  json_t *question = cell_json_from_blob (msg->body);
-  CellPending pending = { .on_reply = asked_answer, .context = msg->call_id };
+  json_t *query = cell_json_from_blob (msg->body);
+  CellPending pending = { .on_reply = query_reply, .context = msg->call_id };
 
   snprintf (pending.peer, sizeof pending.peer, "%s", msg->from);
   snprintf (pending.peer_addr, sizeof pending.peer_addr, "%s", msg->from_addr);
-  if (!cell_call (cell, cell_approval_query_call (question), &pending))
-    tell (cell, msg->from, msg->from_addr, msg->call_id, json_object (), false);
-  json_decref (question);
+  if (!cell_call (cell, cell_approval_query_call (query), &pending))
+    send_reply (cell, msg->from, msg->from_addr, msg->call_id, json_object (),
+                false);
+  json_decref (query);
 }
 
 static void
-take_told (MuxCell *cell, const MuxPeerMsg *msg)
+receive_reply (MuxCell *cell, const MuxPeerMsg *msg)
 {
   json_t *json = cell_json_from_blob (msg->body);
   const json_t *list = json_object_get (json, "approved");
@@ -116,7 +117,7 @@
 cell_approval_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
   if (msg->verb == MUX_PEER_APPROVAL_QUERY)
-    ask_for_planner (cell, msg);
+    query_for_planner (cell, msg);
   else
-    take_told (cell, msg);
+    receive_reply (cell, msg);
 }
--- a/src/cell/approval_record.c
+++ b/src/cell/approval_record.c
@@ -4,8 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The workers that a stage may run on, as they are stored for a next planner;
- * see approve.c for when a start waits for it. */
+/* The stored list of workers that a stage may run on, for the next planner.  A
+ * start waits until its worker is in it, see cell_usable_proof(). */
 
 void
 cell_approvals_in_commit (CellStage *stage)
@@ -32,7 +32,7 @@
 }
 
 static bool
-is_former (const CellStage *stage, const char *id)
+was_recorded (const CellStage *stage, const char *id)
 {
   return contains (stage->recorded, stage->recorded_count, id);
 }
@@ -42,7 +42,7 @@
 {
   return contains (stage->spec->named, stage->spec->named_count,
                    worker->info.id)
-         || is_former (stage, worker->info.id);
+         || was_recorded (stage, worker->info.id);
 }
 
 static bool
@@ -53,7 +53,7 @@
   return approval != NULL && approval->approved;
 }
 
-/* An earlier task runs at the same worker. */
+/* Whether an earlier task of the stage has a booking at the same worker. */
 static bool
 added_before (const CellStage *stage, uint32_t index)
 {
@@ -67,14 +67,14 @@
 }
 
 static void
-add_adopted (const CellStage *stage, json_t *list)
+add_workers_of_runs (const CellStage *stage, json_t *list)
 {
   for (uint32_t i = 0; i < stage->spec->count; i++)
     {
       const CellBooking *booking = stage->task[i].booking;
 
       if (booking == NULL || is_approved (stage, booking->worker)
-          || is_former (stage, booking->worker->info.id)
+          || was_recorded (stage, booking->worker->info.id)
           || added_before (stage, i))
         continue;
       (void) json_array_append_new (list,
@@ -83,11 +83,11 @@
 }
 
 /*
- * Guards against a run that a third planner starts again: the next one waits
- * for the workers of this list alone.  Those of a former planner stay in it,
- * and where that one left no record, as one of an older version may, those
- * where its runs were found are added, for no approval of this planner may ever
- * name them.
+ * Builds the list to be stored.  The next planner waits for the workers in it
+ * alone, and might start a run again that is at another one.  Workers recorded
+ * by predecessors stay in the list.  If a predecessor left no record, as one of
+ * an older version may, workers at which its runs were found are added, since
+ * no approval of this planner may ever name them.
  */
 json_t *
 cell_approvals_json (MuxCell *cell, const CellStage *stage)
@@ -101,11 +101,11 @@
       const CellWorker *worker = cell->worker_at[stage->approval[i].slot];
 
       if (stage->approval[i].approved && worker != NULL
-          && !is_former (stage, worker->info.id))
+          && !was_recorded (stage, worker->info.id))
         (void) json_array_append_new (list, json_string (worker->info.id));
     }
   if (cell_stage_is_settled (cell, stage))
-    add_adopted (stage, list);
+    add_workers_of_runs (stage, list);
   return list;
 }
 
@@ -128,8 +128,9 @@
 }
 
 /*
- * Guards against a successor that asks anew what is known: which workers are
- * approved for a step does not change, only proofs age.
+ * Takes over approvals from the predecessor's record, so that they are not
+ * queried again: whether a worker is approved for a step does not change, only
+ * proofs expire.
  */
 void
 cell_approvals_add_recorded (MuxCell *cell, CellStage *stage)
@@ -151,9 +152,9 @@
     }
 }
 
-/* Nothing of a former planner can run there without being known. */
+/* Whether no run of a predecessor can be there without being known. */
 static bool
-is_heard (MuxCell *cell, const char *id)
+is_confirmed (MuxCell *cell, const char *id)
 {
   const CellWorker *worker = cell_worker_find (cell, id);
 
@@ -161,23 +162,24 @@
 }
 
 static bool
-all_heard (MuxCell *cell, char (*list)[MUX_NAME_LEN], uint32_t count)
+all_confirmed (MuxCell *cell, char (*list)[MUX_NAME_LEN], uint32_t count)
 {
   for (uint32_t i = 0; i < count; i++)
-    if (!is_heard (cell, list[i]))
+    if (!is_confirmed (cell, list[i]))
       return false;
   return true;
 }
 
-/* The longest wait for any of them. */
+/* Returns the longest time until the leases of all listed workers not heard
+ * from are over. */
 static int64_t
-unheard_ms (MuxCell *cell, char (*list)[MUX_NAME_LEN], uint32_t count)
+unconfirmed_ms (MuxCell *cell, char (*list)[MUX_NAME_LEN], uint32_t count)
 {
   int64_t longest_ms = 0;
 
   for (uint32_t i = 0; i < count; i++)
     {
-      int64_t left_ms = is_heard (cell, list[i])
+      int64_t left_ms = is_confirmed (cell, list[i])
                             ? 0
                             : cell_unconfirmed_lease_left (
                                 cell, cell_worker_find (cell, list[i]));
@@ -191,11 +193,12 @@
 int64_t
 cell_stage_settles_in_ms (MuxCell *cell, const CellStage *stage)
 {
-  int64_t former_ms = unheard_ms (cell, stage->recorded, stage->recorded_count);
+  int64_t recorded_ms
+      = unconfirmed_ms (cell, stage->recorded, stage->recorded_count);
   int64_t named_ms
-      = unheard_ms (cell, stage->spec->named, stage->spec->named_count);
+      = unconfirmed_ms (cell, stage->spec->named, stage->spec->named_count);
 
-  return former_ms > named_ms ? former_ms : named_ms;
+  return recorded_ms > named_ms ? recorded_ms : named_ms;
 }
 
 bool
@@ -208,9 +211,9 @@
   if (!queue->approval.required)
     return cell_all_workers_confirmed (cell)
            && cell_late_starts_are_over (cell);
-  /* Where it may run stood in what can't be read. */
+  /* The record of its workers can't be read. */
   if (stage->job->progress_unreadable)
     return cell_all_workers_confirmed (cell);
-  return all_heard (cell, stage->recorded, stage->recorded_count)
-         && all_heard (cell, stage->spec->named, stage->spec->named_count);
+  return all_confirmed (cell, stage->recorded, stage->recorded_count)
+         && all_confirmed (cell, stage->spec->named, stage->spec->named_count);
 }
--- a/src/cell/query_ahead.c
+++ b/src/cell/query_ahead.c
@@ -1,18 +1,19 @@
 #include "cell_private.h"
 
 /*
- * Questions about steps whose turn comes when those that run now have ended.
+ * Sends approval queries about steps that become ready when the running ones
+ * have ended.
  *
- * Their proofs, and the record of where they may run, are there when it comes;
- * else each step of a chain waits for a question and a commit.  It is tried
- * once, when the steps before have been placed; if no daemon is free to ask, or
- * the proofs would not last, the step asks when its turn has come.
+ * Their proofs and the record of their workers are then there in time; else
+ * each step of a chain waits for a query and a commit.  This is tried once,
+ * when the preceding steps have been placed.  If no daemon is free, or the
+ * proofs would expire too early, the query is sent when the step is ready.
  */
 
-/* By which tasks exceed their declared time. */
+/* Time by which tasks exceed their declared run time. */
 #define OVERRUN_MS 500
 
-/* Long questions keep daemons from urgent ones. */
+/* Long queries would keep daemons from urgent ones. */
 static bool
 is_short (const CellStage *stage)
 {
@@ -22,10 +23,10 @@
          && cell_approval_query_is_short (stage, CELL_CANDIDATES_AHEAD_MIN);
 }
 
-/* Of the steps that @stage comes after, all tasks have been sent to workers.
- * Return: the longest declared time of those that run; -1: some wait. */
+/* Returns the longest expected time of the running steps that @stage depends
+ * on, or -1 if some of their tasks have not been sent to workers. */
 static int64_t
-longest_before_ms (const CellStage *stage)
+longest_dependency_ms (const CellStage *stage)
 {
   const CellJob *job = stage->job;
   uint32_t first = stage->occurrence * job->spec->step_count;
@@ -46,9 +47,9 @@
 }
 
 static bool
-is_next (const CellStage *stage)
+can_query_ahead (const CellStage *stage)
 {
-  int64_t longest_ms = longest_before_ms (stage);
+  int64_t longest_ms = longest_dependency_ms (stage);
 
   return stage->tasks_left > 0 && !stage->ready && !stage->query_pending
          && !stage->spec->gang && stage->approval_count == 0 && longest_ms > 0
@@ -57,7 +58,7 @@
 }
 
 static void
-ask (MuxCell *cell, CellStage *stage)
+query_candidates (MuxCell *cell, CellStage *stage)
 {
   CellWorker *worker[CELL_CANDIDATES_MAX];
   uint32_t count;
@@ -78,6 +79,6 @@
     return;
   for (uint32_t i = placed->step + 1; i < job->spec->step_count; i++)
     if ((job->spec->step[i].after >> placed->step & 1) != 0
-        && is_next (job->stage[first + i]))
-      ask (cell, job->stage[first + i]);
+        && can_query_ahead (job->stage[first + i]))
+      query_candidates (cell, job->stage[first + i]);
 }
