--- a/src/cell/quota.c
+++ b/src/cell/quota.c
@@ -4,19 +4,20 @@
 #include <string.h>
 
 /*
- * Quotas of workspaces: what each has running at all workers together.
+ * Quotas of workspaces: limits on what a workspace has running on all workers
+ * together.
  *
- * Whatever may run holds room, as a booking, until it is known not to; the sum
- * of a workspace's bookings is what it may have running.  Of a former planner's
- * starts a successor knows once it has heard the workers.  Until then a
- * workspace may have running, besides, at most what those workers can hold, and
- * at most those of its tasks that the former planner may have started: the
- * smaller of the two counts as running.
+ * Each run that may exist has a booking until it is known to have ended, and
+ * the bookings of a workspace are summed up.  A planner knows the runs of its
+ * predecessors only after it has heard from their workers.  Until then two
+ * bounds hold for the runs of a workspace that it does not know: what those
+ * workers can hold, and the tasks that a predecessor may have started.  The
+ * smaller one counts as running.
  */
 
-/* A gang that has waited for so long has a claim to what becomes free before
- * more urgent tasks of its workspace, in ms. */
-#define CLAIM_AFTER_MS 1000
+/* After this time a waiting gang gets the quota that becomes free even before
+ * more urgent tasks of its workspace. */
+#define GANG_FIRST_AFTER_MS 1000
 
 CellWorkspace *
 cell_workspace_get (MuxCell *cell, const char *name)
@@ -82,11 +83,11 @@
     workspace->booked = mux_quota_sub (workspace->booked, stage->spec->size, 1);
 }
 
-/* What a gang needs stays free of others that come behind it. */
+/* Returns what is kept free for a waiting gang and denied to @stage. */
 static MuxQuota
-claimed_by_gang (const MuxCell *cell,
-                 const CellWorkspace *workspace,
-                 const CellStage *stage)
+kept_for_gang (const MuxCell *cell,
+               const CellWorkspace *workspace,
+               const CellStage *stage)
 {
   const CellStage *gang = workspace->waiting_gang;
   MuxQuota none = { 0 };
@@ -94,20 +95,21 @@
   if (gang == NULL || gang == stage)
     return none;
   if (cell_stage_compare (stage, gang) < 0
-      && cell->time.now_ms - workspace->gang_waiting_since_ms < CLAIM_AFTER_MS)
+      && cell->time.now_ms - workspace->gang_waiting_since_ms
+             < GANG_FIRST_AFTER_MS)
     return none;
   return mux_quota_add (none, gang->spec->size, gang->spec->count);
 }
 
-/* What starts whole or not at all, a gang or a task, and is larger than the
- * quota by no more than that may be overrun would never start. */
+/* A task, or a gang, that exceeds the quota by itself would never start.  It
+ * may overrun the quota by the configured share. */
 static MuxQuota
 limit_for (const MuxCell *cell, const CellStage *stage)
 {
   MuxQuota quota = stage->job->workspace->spec.quota;
-  uint32_t whole = stage->spec->gang ? stage->spec->count : 1;
+  uint32_t unit = stage->spec->gang ? stage->spec->count : 1;
 
-  if (mux_quota_tasks_left (quota, (MuxQuota){ 0 }, stage->spec->size) >= whole)
+  if (mux_quota_tasks_left (quota, (MuxQuota){ 0 }, stage->spec->size) >= unit)
     return quota;
   return mux_quota_raise (quota, cell->options.quota_overrun_milli);
 }
@@ -122,7 +124,7 @@
     return UINT32_MAX;
   used = mux_quota_min (workspace->unsettled, cell->unconfirmed_room);
   used = mux_quota_sum (used, workspace->booked);
-  used = mux_quota_sum (used, claimed_by_gang (cell, workspace, stage));
+  used = mux_quota_sum (used, kept_for_gang (cell, workspace, stage));
   return mux_quota_tasks_left (limit_for (cell, stage), used,
                                stage->spec->size);
 }
@@ -150,7 +152,7 @@
 }
 
 static MuxSize
-largest_room (MuxCell *cell)
+largest_capacity (MuxCell *cell)
 {
   MuxSize largest = { 0 };
   const CellWorker *worker;
@@ -169,12 +171,13 @@
   return largest;
 }
 
-/* Of workers that may run something and were not heard yet; what one holds that
- * the list does not name any more is not known. */
+/* Sums up workers that may run something and were not heard from yet.  Each
+ * counts as the largest one, since the size of those no longer in the worker
+ * list is not known. */
 static MuxQuota
-unheard_room (MuxCell *cell)
+room_of_unconfirmed (MuxCell *cell)
 {
-  MuxSize largest = largest_room (cell);
+  MuxSize largest = largest_capacity (cell);
   MuxQuota room = { 0 };
   const CellWorker *worker;
 
@@ -185,7 +188,7 @@
 }
 
 static uint32_t
-unbooked (const CellStage *stage)
+unbooked_tasks (const CellStage *stage)
 {
   uint32_t n = 0;
 
@@ -207,30 +210,30 @@
         && !cell_stage_is_settled (cell, job->stage[i]))
       workspace->unsettled
           = mux_quota_add (workspace->unsettled, job->stage[i]->spec->size,
-                           unbooked (job->stage[i]));
+                           unbooked_tasks (job->stage[i]));
 }
 
-/* Once all workers were heard in a term nothing of a former planner is left to
- * be found. */
+/* Once all workers were heard from in a term, no run of a predecessor is left
+ * to be found. */
 void
 cell_quota_tick (MuxCell *cell)
 {
   CellWorkspace *workspace;
   const CellJob *job;
-  bool all_heard;
+  bool all_confirmed;
 
   if (cell->workspaces == NULL || cell->quota_term == cell->term)
     return;
-  all_heard = cell_all_workers_confirmed (cell);
-  if (all_heard)
+  all_confirmed = cell_all_workers_confirmed (cell);
+  if (all_confirmed)
     cell->quota_term = cell->term;
   cell->unconfirmed_room = (MuxQuota){ 0 };
-  if (!all_heard)
-    cell->unconfirmed_room = unheard_room (cell);
+  if (!all_confirmed)
+    cell->unconfirmed_room = room_of_unconfirmed (cell);
   for (workspace = cell->workspaces; workspace != NULL;
        workspace = workspace->hh.next)
     workspace->unsettled = (MuxQuota){ 0 };
-  for (job = cell->jobs; job != NULL && !all_heard; job = job->hh.next)
+  for (job = cell->jobs; job != NULL && !all_confirmed; job = job->hh.next)
     count_unsettled (cell, job);
 }
 
--- a/src/cell/workspace_types.h
+++ b/src/cell/workspace_types.h
@@ -8,9 +8,9 @@
 typedef struct CellStage CellStage;
 
 /**
- * struct CellCaller - for whom a question is answered
- * @is_bound: it may not know of jobs of other workspaces
- * @workspace: of its key; "": it needs none
+ * struct CellCaller - the caller for whom a request is answered
+ * @is_restricted: it may not see jobs of other workspaces
+ * @workspace: that its key belongs to; "": it needs no key
  */
 typedef struct
 {
@@ -19,12 +19,14 @@
 } CellCaller;
 
 /**
- * struct CellWorkspace - what a workspace may have running, and has
+ * struct CellWorkspace - quota of a workspace and what counts against it
  * @spec: of the newest configuration that names it
  * @booked: sum of its bookings
- * @unsettled: its tasks that a former planner may have started
- * @gang: a gang that waits until enough of the quota is free; NULL: none
- * @gang_since_ms: since then
+ * @unsettled: its tasks that a predecessor may have started without this
+ *   planner knowing of the run
+ * @waiting_gang: a gang that waits until enough of the quota is free; NULL:
+ *   none
+ * @gang_waiting_since_ms: when that gang began to wait
  */
 typedef struct
 {
