--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -119,29 +119,31 @@
 /** cell_late_tick() - the planner tells how late it is */
 void cell_late_tick (MuxCell *cell);
 
-/* admit.c: which new jobs are taken */
-/** cell_admission_placed() - a task of the stage was started */
+/* admit.c: admission of new jobs */
+/** cell_admission_placed() - record that a task of the stage was started */
 void cell_admission_placed (MuxCell *cell, const CellStage *stage);
-/** cell_admission_taken() - the planner goes to store the job */
+/** cell_admission_accepted() - count a job that the planner is about to
+ * store */
 void cell_admission_accepted (MuxCell *cell, const MuxJobSpec *spec);
-/** cell_admission_tick() - the planner counts its backlog */
+/** cell_admission_tick() - count the planner's backlog if it is time */
 void cell_admission_tick (MuxCell *cell);
-/** cell_admission_blob() - what is told to other daemons; NULL: memory is out
- */
+/** cell_admission_blob() - the message about expected waits for other daemons
+ * Return: a reference; NULL when memory is out. */
 MuxBlob *cell_admission_blob (MuxCell *cell);
-/** cell_admission_forget() - a term begins: what was told last is another one's
- */
+/** cell_admission_blob_reset() - drop the message kept for reuse, as a term
+ * begins */
 void cell_admission_blob_reset (MuxCell *cell);
-/** cell_throttle_retry_ms() - the planner can't take the job, when to come
- * again; 0: it is taken */
+/** cell_throttle_retry_ms() - retry delay of a job for which the planner has no
+ * capacity; 0: the job is accepted */
 uint32_t cell_throttle_retry_ms (const MuxCell *cell, const MuxJobSpec *spec);
-/** cell_admission_told() - by the planner, in a message or beside its sign of
- * life; NULL: it takes all */
+/** cell_admission_receive() - apply expected waits sent by the planner, in a
+ * message or beside its heartbeat; @body is NULL: it accepts all jobs */
 void cell_admission_receive (MuxCell *cell, const MuxBlob *body);
-/** cell_admission_retry_ms() - the job would begin too late, when to come
- * again; 0: it is taken */
+/** cell_admission_retry_ms() - retry delay of a job that would start too late;
+ * 0: the job is accepted */
 uint32_t cell_admission_retry_ms (const MuxCell *cell, const MuxJobSpec *spec);
-/** cell_planner_is_busy() - it lives, and does not answer for its load */
+/** cell_planner_is_overloaded() - whether the planner is alive and does not
+ * answer because of its load */
 bool cell_planner_is_overloaded (const MuxCell *cell);
 
 /* authorize.c: callers and their keys */
@@ -166,28 +168,30 @@
  * workspace's */
 bool cell_row_is_visible_to (const MuxCellRow *row, const CellCaller *caller);
 
-/* quota.c: what workspaces have running */
-/** cell_workspace() - of that name, made where it is new
+/* quota.c: quotas of workspaces */
+/** cell_workspace_get() - the workspace of that name, created if it is new
  * Return: NULL for "", or when memory is out. */
 CellWorkspace *cell_workspace_get (MuxCell *cell, const char *name);
-/** cell_workspaces_configure() - as the configuration in force says */
+/** cell_workspaces_configure() - apply the quotas of the current
+ * configuration */
 void cell_workspaces_configure (MuxCell *cell);
 void cell_workspaces_free (MuxCell *cell);
-/** cell_quota_take() - a run of the stage may hold room from now on */
+/** cell_quota_charge() - count a run of the stage that may hold room from now
+ * on */
 void cell_quota_charge (const CellStage *stage);
 void cell_quota_release (const CellStage *stage);
-/** cell_quota_spares() - tasks of the stage that may start now beside what its
- * workspace has running, or may have */
+/** cell_quota_tasks_allowed() - number of tasks of the stage that may start now
+ * beside what its workspace has running, or may have */
 uint32_t cell_quota_tasks_allowed (const MuxCell *cell, const CellStage *stage);
-/** cell_quota_wait() - a gang has less than it needs: others of its workspace
- * leave it what becomes free */
+/** cell_quota_reserve() - a gang has too little quota: other stages of its
+ * workspace leave it what becomes free */
 void cell_quota_reserve (const MuxCell *cell, const CellStage *stage);
-/** cell_quota_leave() - the stage waits no longer */
+/** cell_quota_unreserve() - the stage no longer waits for quota */
 void cell_quota_unreserve (const CellStage *stage);
-/** cell_quota_tick() - count what a former planner may have started */
+/** cell_quota_tick() - count the runs that predecessors may have started */
 void cell_quota_tick (MuxCell *cell);
-/** cell_quota_never_holds() - a task of the job, or a gang, by the quota of the
- * configuration in force */
+/** cell_quota_never_fits() - whether a task of the job, or a gang, exceeds the
+ * configured quota by itself */
 bool cell_quota_never_fits (const MuxCell *cell, const MuxJobSpec *spec);
 
 /* submit.c, job_query.c: callers */
@@ -491,11 +495,11 @@
 /** cell_worker_take_entry() - what the list says of it, but for its name */
 void cell_worker_set_info (CellWorker *worker, const MuxWorkerInfo *entry);
 
-/* room.c */
-/** cell_room_take() - for a task of @stage */
+/* room.c: room booked by runs */
+/** cell_room_book() - count room for a task of @stage */
 void cell_room_book (CellWorker *worker, const CellStage *stage);
 void cell_room_release (CellWorker *worker, const CellStage *stage);
-/** cell_room_ever() - once all that ends there has ended */
+/** cell_room_eventual() - room once all but long-running tasks have ended */
 MuxSize cell_room_eventual (const CellWorker *worker);
 
 /* renew.c */
@@ -603,16 +607,18 @@
 /** cell_evacuate() - stop what would be lost with it */
 void cell_evacuate (MuxCell *cell, CellWorker *worker);
 
-/* run_time_learn.c: how long runs take */
-/** cell_expected_ms() - a run of the step */
+/* run_time_learn.c: observed run times */
+/** cell_expected_ms() - expected time of a run of the step */
 uint32_t cell_expected_ms (const MuxCell *cell,
                            const MuxJobSpec *spec,
                            const MuxStepSpec *step);
-/** cell_learn_run() - that ended well just now */
+/** cell_run_time_record() - record the time of a run that has just ended
+ * successfully */
 void cell_run_time_record (MuxCell *cell, const CellBooking *booking);
-/** cell_run_times_json() - for other daemons; owned by the caller */
+/** cell_run_times_json() - statistics for other daemons; owned by the caller */
 json_t *cell_run_times_json (const MuxCell *cell);
-/** cell_run_times_told() - by the planner; NULL: nothing */
+/** cell_run_times_receive() - apply statistics sent by the planner; @list may
+ * be NULL */
 void cell_run_times_receive (MuxCell *cell, const json_t *list);
 void cell_run_times_tick (MuxCell *cell);
 
@@ -760,22 +766,25 @@
                          CellWorker *worker,
                          const MuxCellReply *reply);
 
-/* approval_list.c */
-/** cell_approval() - what is known of the worker; NULL: it was not asked about
- */
+/* approval_list.c: approvals of workers for a stage */
+/** cell_approval_find() - the entry of the worker
+ * Return: NULL if it was not queried. */
 CellApproval *cell_approval_find (const CellStage *stage,
                                   const CellWorker *worker);
 CellApproval *cell_approval_find_slot (const CellStage *stage, uint32_t slot);
-/** cell_approval_add() - the entry of the worker; NULL: memory is out */
+/** cell_approval_add() - the entry of the worker, created if it is new
+ * Return: NULL when memory is out. */
 CellApproval *cell_approval_add (CellStage *stage, const CellWorker *worker);
 void cell_approvals_free (CellStage *stage);
 
-/* approval_query.c */
-/** cell_askers() - daemons that were heard lately, busy or not */
+/* approval_query.c: approval queries */
+/** cell_queriers_alive() - number of daemons with recent contact, busy or
+ * not */
 uint32_t cell_queriers_alive (MuxCell *cell);
-/** cell_question_ms() - what a question about @count workers takes */
+/** cell_approval_query_ms() - time that a query about @count workers takes */
 uint32_t cell_approval_query_ms (const CellStage *stage, uint32_t count);
-/** cell_can_ask() - some daemon is free to ask about @count workers */
+/** cell_can_query() - whether some daemon is free for a query about @count
+ * workers */
 bool cell_can_query (MuxCell *cell, const CellStage *stage, uint32_t count);
 bool cell_approval_query_send (MuxCell *cell,
                                CellStage *stage,
@@ -784,40 +793,42 @@
 const char *cell_approval_proof (const MuxCell *cell,
                                  const CellStage *stage,
                                  const CellWorker *worker);
-/** cell_proof_taken() - the proof to show now; NULL: there is none, or
- * @approval is NULL */
+/** cell_usable_proof() - the proof to send with a start now
+ * Return: NULL if there is none, or @approval is NULL. */
 const char *cell_usable_proof (const MuxCell *cell,
                                const CellApproval *approval);
-/** cell_approval_is_near() - its proof is taken once the record of the approval
- * is stored, which is on its way; false for NULL */
+/** cell_approval_is_being_recorded() - whether the proof becomes usable once a
+ * commit that is on its way stores the approval; false for NULL */
 bool cell_approval_is_being_recorded (const MuxCell *cell,
                                       const CellApproval *approval);
-/** cell_approval_lasts() - its proof is still taken when a question about
- * @count workers that is sent now was answered */
+/** cell_proof_outlasts_query() - whether the proof is still usable when a query
+ * about @count workers that is sent now has been answered */
 bool cell_proof_outlasts_query (const MuxCell *cell,
                                 const CellStage *stage,
                                 const CellWorker *worker,
                                 uint32_t count);
-/** cell_approvals_stored() - what was known when the job's progress was
- * written stands in the store */
+/** cell_approvals_stored() - called when the commit of the approvals that were
+ * part of the job's progress was stored */
 void cell_approvals_stored (CellStage *stage);
-/** cell_approvals_written() - they go into a commit */
+/** cell_approvals_in_commit() - called when the approvals become part of a
+ * commit */
 void cell_approvals_in_commit (CellStage *stage);
-/** cell_approvals_json() - ids of workers that the stage may run on */
+/** cell_approvals_json() - ids of the workers that the stage may run on */
 json_t *cell_approvals_json (MuxCell *cell, const CellStage *stage);
-/** cell_is_recorded() - the stored record names the worker */
+/** cell_worker_is_recorded() - whether the stored record names the worker */
 bool cell_worker_is_recorded (const CellStage *stage, const CellWorker *worker);
 void cell_approvals_apply (CellStage *stage, const json_t *json);
-/** cell_approvals_take_former() - what is recorded of a former planner is
- * known, but for proofs */
+/** cell_approvals_add_recorded() - take over approvals recorded by a
+ * predecessor; their proofs are not known */
 void cell_approvals_add_recorded (MuxCell *cell, CellStage *stage);
-/** cell_stage_is_settled() - no run of it that a former planner started can
- * be anywhere without being known */
+/** cell_stage_is_settled() - whether no run of the stage that a predecessor
+ * started can exist without being known */
 bool cell_stage_is_settled (MuxCell *cell, const CellStage *stage);
-/** cell_stage_settles_in_ms() - until then some may be, as far as its workers
- * are recorded */
+/** cell_stage_settles_in_ms() - longest time until that is so, as far as the
+ * workers of the stage are recorded */
 int64_t cell_stage_settles_in_ms (MuxCell *cell, const CellStage *stage);
-/** cell_took_answer() - the question of that number was answered, or is lost */
+/** cell_approval_query_done() - called when the query of that number was
+ * answered, or is lost */
 void cell_approval_query_done (MuxCell *cell,
                                uint64_t number,
                                bool answered,
@@ -827,27 +838,29 @@
 void cell_approvals_tick (MuxCell *cell);
 void cell_approval_queries_free (MuxCell *cell);
 
-/** cell_question_is_short() - one about @count workers takes no daemon from
- * urgent steps */
+/** cell_approval_query_is_short() - whether a query about @count workers is too
+ * short to keep daemons from urgent stages */
 bool cell_approval_query_is_short (const CellStage *stage, uint32_t count);
 
 /* query_ahead.c */
-/** cell_ask_ahead() - about the steps that come after @placed */
+/** cell_query_ahead() - send queries about the steps that come after @placed */
 void cell_query_ahead (MuxCell *cell, const CellStage *placed);
 
 /* approval_query_peer.c */
-/** cell_question_call() - the call that asks what @question says
- * Return: NULL if it can't be understood, or memory is out. */
-MuxCellCall *cell_approval_query_call (const json_t *question);
+/** cell_approval_query_call() - the call to the policy service for a query
+ * Return: NULL if @query is malformed, or memory is out. */
+MuxCellCall *cell_approval_query_call (const json_t *query);
 void cell_approval_peer (MuxCell *cell, const MuxPeerMsg *msg);
 
-/* rank.c: the order of waiting steps */
+/* rank.c: the order of waiting stages */
 CellRank cell_stage_rank (const CellStage *stage, int64_t now_ms);
-/** cell_stage_ranked_until() - when that rank changes; INT64_MAX: never */
+/** cell_stage_rank_expires_ms() - time at which that rank changes; INT64_MAX:
+ * never */
 int64_t cell_stage_rank_expires_ms (const CellStage *stage, int64_t now_ms);
-/** cell_stage_order() - negative: @a goes first; of steps that were ranked */
-/** cell_stage_is_late() - it goes behind all that is in time */
+/** cell_stage_is_late() - whether it goes behind all stages that are in time */
 bool cell_stage_is_late (const CellStage *stage);
+/** cell_stage_compare() - planning order; negative: @a goes first
+ * Both have to be ranked. */
 int cell_stage_compare (const CellStage *a, const CellStage *b);
 
 /* tree.c: sets in order */
@@ -860,120 +873,134 @@
 void cell_plan_order_init (CellPlanOrder *order);
 void cell_plan_order_add (MuxCell *cell, CellStage *stage);
 void cell_plan_order_remove (MuxCell *cell, CellStage *stage);
-/** cell_order_rank() - of those whose rank has changed by now */
+/** cell_plan_order_rerank() - move the stages whose rank has changed by now */
 void cell_plan_order_rerank (MuxCell *cell);
 typedef void (*CellStageVisit) (MuxCell *cell, const CellStage *stage);
-/** cell_order_visit() - all stages of the plan, in no order; it must not change
- * the plan */
+/** cell_plan_order_visit() - call @visit for all stages of the plan, in no
+ * order; it must not change the plan */
 void cell_plan_order_visit (MuxCell *cell, CellStageVisit visit);
-/** cell_order_begin() - a pass, with the first in order */
+/** cell_plan_order_begin() - begin a pass at the first stage */
 void cell_plan_order_begin (CellPlanOrder *order);
-/** cell_order_front() - the next in order; NULL: that was the last */
+/** cell_plan_order_next_front() - next stage of the pass; NULL: that was the
+ * last */
 CellStage *cell_plan_order_next_front (CellPlanOrder *order);
-/** cell_order_turn() - the next in the round, which may have been looked at
- * before if its rank changed; NULL: all had their turn */
+/** cell_plan_order_next_in_round() - next stage of the round; one whose rank
+ * changed may be returned again
+ * Return: NULL when all stages had their turn. */
 CellStage *cell_plan_order_next_in_round (CellPlanOrder *order);
-/** cell_order_is_done() - all had their turn in the round */
+/** cell_plan_order_is_done() - whether all stages had their turn in the
+ * round */
 bool cell_plan_order_is_done (const CellPlanOrder *order);
 void cell_plan_order_new_round (CellPlanOrder *order);
-/** cell_order_begin_urgent() - a pass over those of urgent queues */
+/** cell_plan_order_begin_urgent() - begin a pass over stages of urgent
+ * queues */
 void cell_plan_order_begin_urgent (CellPlanOrder *order);
 CellStage *cell_plan_order_next_urgent (CellPlanOrder *order);
 
-/* worker_scan.c: which workers a look at a step passes over */
-/** cell_is_sampled() - the cell has more workers than one look passes over */
+/* worker_scan.c: scans over workers for one stage */
+/** cell_worker_scan_is_partial() - whether one scan does not cover all
+ * workers */
 bool cell_worker_scan_is_partial (const MuxCell *cell);
-/** cell_sample_max() - most workers of one look */
+/** cell_worker_scan_max() - most workers of one scan */
 uint32_t cell_worker_scan_max (const MuxCell *cell);
-/** cell_sample_begin() - a look of the stage, behind its last one */
+/** cell_worker_scan_begin() - begin a scan where the stage's last one ended */
 CellWorkerScan cell_worker_scan_begin (const MuxCell *cell,
                                        const CellStage *stage);
-/** cell_sample_next() - NULL: that was the last */
+/** cell_worker_scan_next() - the next worker; NULL: that was the last */
 CellWorker *cell_worker_scan_next (MuxCell *cell, CellWorkerScan *sample);
-/** cell_sample_end() - the stage's next look begins where this one stands */
+/** cell_worker_scan_end() - let the stage's next scan continue from here */
 void cell_worker_scan_end (CellStage *stage, const CellWorkerScan *sample);
 
-/* forecast.c: when running tasks will have ended */
-/** cell_booking_left_ms() - its run is expected to take so much longer */
+/* forecast.c: expected ends of running tasks */
+/** cell_booking_remaining_ms() - expected time until its run ends */
 int64_t cell_booking_remaining_ms (const MuxCell *cell,
                                    const CellBooking *booking);
-/** cell_worker_free_at() - for @stage, if nothing starts there until @at_ms */
+/** cell_worker_free_at() - expected free room for @stage at @at_ms if nothing
+ * starts there until then */
 MuxSize cell_worker_free_at (const MuxCell *cell,
                              const CellStage *stage,
                              const CellWorker *worker,
                              int64_t at_ms);
-/** cell_worker_gaps() - for members of @stage there, in the order of time
- * Return: how many, @gap_max at most. */
+/** cell_worker_openings() - find openings for members of @stage, sorted by time
+ * Return: their number, @opening_max at most. */
 uint32_t cell_worker_openings (const MuxCell *cell,
                                const CellStage *stage,
                                CellWorker *worker,
-                               CellOpening *gap,
-                               uint32_t gap_max);
+                               CellOpening *opening,
+                               uint32_t opening_max);
 
 /* gang_reserve.c */
-/** cell_gather() - reserve room at @count approved workers for a gang that has
- * too little now, and ask for proofs if the time has come and it @may_ask */
+/** cell_gang_reserve() - reserve room at @count approved workers for a gang
+ * that has too little now, and, if @may_query, query for proofs when it is
+ * time */
 void cell_gang_reserve (MuxCell *cell,
                         CellStage *stage,
                         CellWorker *const *worker,
                         uint32_t count,
-                        bool may_ask);
+                        bool may_query);
 
-/* reserve.c: room kept for gangs */
-/** cell_reserve() - for @tasks more members of @stage, from @at_ms on
- * Return: false: too many gangs have room there. */
+/* reserve.c: room reserved for gangs */
+/** cell_reserve() - reserve room for @tasks more members of @stage from @at_ms
+ * on
+ * Return: false if too many gangs have reservations there. */
 bool cell_reserve (MuxCell *cell,
                    CellStage *stage,
                    CellWorker *worker,
                    uint32_t tasks,
                    int64_t at_ms);
-/** cell_reservations_begin() - a pass begins: only those of stages that rest
- * stay */
+/** cell_reservations_new_pass() - called before a full pass: of stages not yet
+ * scanned in this round, stale reservations are dropped and the others become
+ * stale, those of late gangs one pass later */
 void cell_reservations_new_pass (MuxCell *cell);
-/** cell_reservations_drop() - those of this pass */
+/** cell_reservations_mark_stale() - mark the stage's reservations as stale */
 void cell_reservations_mark_stale (MuxCell *cell, const CellStage *stage);
-/** cell_reservations_stand() - those of the pass before stay in this one
- * Return: false: there were none. */
+/** cell_reservations_keep() - keep stale reservations of the stage in this pass
+ * Return: false if there were none. */
 bool cell_reservations_keep (MuxCell *cell, const CellStage *stage);
-/** cell_was_reserved() - in this pass or the one before */
+/** cell_was_reserved() - whether room is reserved, in this pass or the one
+ * before */
 bool cell_was_reserved (const CellStage *stage, const CellWorker *worker);
-/** cell_reserved_for_others() - than @stage, up to @at_ms */
+/** cell_reserved_for_others() - room reserved at @at_ms for gangs that keep it
+ * from @stage */
 MuxSize cell_reserved_for_others (const CellStage *stage,
                                   const CellWorker *worker,
                                   int64_t at_ms);
-/** cell_worker_spares() - tasks of @stage that may start there now, beside what
- * is kept for another */
+/** cell_worker_spare_tasks() - tasks of @stage that may start there now without
+ * taking reserved room */
 uint32_t cell_worker_spare_tasks (const MuxCell *cell,
                                   const CellStage *stage,
                                   const CellWorker *worker);
-/** cell_delays_gang() - a task of @stage that starts there takes room that is
- * kept for another */
+/** cell_delays_gang() - whether a task of @stage that starts there takes room
+ * reserved for another */
 bool cell_delays_gang (const MuxCell *cell,
                        const CellStage *stage,
                        const CellWorker *worker);
-/** cell_reservations_clear() - nothing is kept for the stage any more */
+/** cell_reservations_clear() - drop all reservations of the stage */
 void cell_reservations_clear (MuxCell *cell, const CellStage *stage);
-/** cell_reservation_forget() - the worker goes */
+/** cell_reservations_clear_worker() - drop all reservations at the worker,
+ * which is about to be removed */
 void cell_reservations_clear_worker (MuxCell *cell, CellWorker *worker);
 
-/* failure_domain.c: what a cut between data centres separates */
-/** cell_choose_data_centre() - for the tasks of the stage that wait */
+/* failure_domain.c: the data centre in which a stage runs */
+/** cell_choose_data_centre() - choose one for the waiting tasks of the stage */
 void cell_choose_data_centre (MuxCell *cell, CellStage *stage);
-/** cell_is_outside() - of the data centre that the stage's tasks go to */
+/** cell_is_outside_data_centre() - whether the worker is not in the data centre
+ * chosen for the stage */
 bool cell_is_outside_data_centre (const CellStage *stage,
                                   const CellWorker *worker);
 
-/* candidate.c: workers to ask the policy service about, those of the data
- * centre that is chosen for the stage before others */
-/** cell_candidates() - that have room for tasks of the stage now
- * Return: how many; 0 also when enough approvals are being recorded. */
+/* candidate.c: workers to name in approval queries; those in the data centre
+ * chosen for the stage come first */
+/** cell_candidates() - workers with room for tasks of the stage now
+ * Return: their number; 0 also if enough approvals are being stored. */
 uint32_t cell_candidates (MuxCell *cell,
                           CellStage *stage,
                           CellWorker *worker[CELL_CANDIDATES_MAX]);
-/** cell_worker_turn() - decides among workers that are alike for a job */
+/** cell_worker_tie_break() - number that orders workers which are equal for a
+ * job */
 uint64_t cell_worker_tie_break (uint64_t job_hash, const CellWorker *worker);
-/** cell_candidates_later() - that can hold tasks of the stage once its turn has
- * come */
+/** cell_candidates_ahead() - workers that can hold tasks of the stage when it
+ * becomes ready */
 uint32_t cell_candidates_ahead (MuxCell *cell,
                                 CellStage *stage,
                                 CellWorker *worker[CELL_CANDIDATES_MAX]);
@@ -984,18 +1011,21 @@
  * Return: NULL when there are none to name, or memory is out. */
 MuxBlob *cell_row_with_candidates (MuxCell *cell, const MuxBlob *value);
 
-/* plan.c, place.c, gang.c */
+/* plan.c, place.c, gang.c: planning passes */
 void cell_plan (MuxCell *cell);
-/** cell_room_is_known() - what workers last said of their room is young enough
- * to start something there */
+/** cell_room_is_current() - whether the list of workers is recent enough to
+ * start tasks by it */
 bool cell_room_is_current (const MuxCell *cell);
 void cell_plan_add (MuxCell *cell, CellStage *stage);
 void cell_plan_drop (MuxCell *cell, CellStage *stage);
-/** cell_stage_rests() - it was looked at in this round, and others were not */
+/** cell_stage_is_scanned() - whether the stage was scanned in this round, while
+ * others were not */
 bool cell_stage_is_scanned (const MuxCell *cell, const CellStage *stage);
-/** cell_stage_bounded() - so many of @tasks may run on one worker */
+/** cell_stage_cap_per_worker() - @tasks, or the most tasks of the stage that
+ * may run on one worker */
 uint32_t cell_stage_cap_per_worker (const CellStage *stage, uint32_t tasks);
-/** cell_worker_serves() - it is of the stage's service and has its label */
+/** cell_worker_matches() - whether the worker is in the stage's pool and has
+ * its label */
 bool cell_worker_matches (const CellStage *stage, const CellWorker *worker);
 bool cell_worker_is_eligible (const MuxCell *cell,
                               const CellStage *stage,
@@ -1006,13 +1036,14 @@
 /** cell_size_of() - of @tasks of the stage's tasks */
 MuxSize cell_tasks_size (const CellStage *stage, uint32_t tasks);
 uint32_t cell_tasks_that_fit (const CellStage *stage, MuxSize free);
-/** cell_worker_takes() - tasks of the stage that it has room for now */
+/** cell_worker_startable_tasks() - tasks of the stage that may start there
+ * now */
 uint32_t cell_worker_startable_tasks (const MuxCell *cell,
                                       const CellStage *stage,
                                       const CellWorker *worker);
 void cell_place_tasks (MuxCell *cell, CellStage *stage);
-/** cell_place_soon() - a former planner may have started tasks of it: ask for
- * what it needs once that is known */
+/** cell_place_unsettled() - query about a stage of which a predecessor may have
+ * started tasks, shortly before that is known */
 void cell_place_unsettled (MuxCell *cell, CellStage *stage);
 /** cell_hold() - keep room for @tasks of the stage at @worker
  * Return: false when memory is out. */
@@ -1020,6 +1051,7 @@
 void cell_holds_release (CellStage *stage);
 /** cell_held() - tasks whose room the stage holds at @worker */
 uint32_t cell_hold_tasks (const CellStage *stage, const CellWorker *worker);
-void cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations);
+void
+cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations_left);
 
 #endif
