--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -786,10 +786,13 @@
 /** cell_can_query() - whether some daemon is free for a query about @count
  * workers */
 bool cell_can_query (MuxCell *cell, const CellStage *stage, uint32_t count);
+/** cell_approval_query_send() - query about the candidates by a free daemon
+ * Return: false if nothing was sent. */
 bool cell_approval_query_send (MuxCell *cell,
                                CellStage *stage,
                                CellWorker *const *candidates,
                                uint32_t count);
+/** cell_approval_proof() - cell_usable_proof() of the worker's approval */
 const char *cell_approval_proof (const MuxCell *cell,
                                  const CellStage *stage,
                                  const CellWorker *worker);
@@ -807,8 +810,8 @@
                                 const CellStage *stage,
                                 const CellWorker *worker,
                                 uint32_t count);
-/** cell_approvals_stored() - called when the commit of the approvals that were
- * part of the job's progress was stored */
+/** cell_approvals_stored() - called when the commit that they became part of
+ * was stored */
 void cell_approvals_stored (CellStage *stage);
 /** cell_approvals_in_commit() - called when the approvals become part of a
  * commit */
@@ -817,6 +820,8 @@
 json_t *cell_approvals_json (MuxCell *cell, const CellStage *stage);
 /** cell_worker_is_recorded() - whether the stored record names the worker */
 bool cell_worker_is_recorded (const CellStage *stage, const CellWorker *worker);
+/** cell_approvals_apply() - take the record of a predecessor, as made by
+ * cell_approvals_json() */
 void cell_approvals_apply (CellStage *stage, const json_t *json);
 /** cell_approvals_add_recorded() - take over approvals recorded by a
  * predecessor; their proofs are not known */
@@ -835,24 +840,26 @@
                                const MuxApproval *approvals,
                                uint32_t count,
                                uint32_t valid_ms);
+/** cell_approvals_tick() - give up queries that were not answered in time */
 void cell_approvals_tick (MuxCell *cell);
 void cell_approval_queries_free (MuxCell *cell);
-
 /** cell_approval_query_is_short() - whether a query about @count workers is too
  * short to keep daemons from urgent stages */
 bool cell_approval_query_is_short (const CellStage *stage, uint32_t count);
 
-/* query_ahead.c */
+/* query_ahead.c: approval queries before a step is ready */
 /** cell_query_ahead() - send queries about the steps that come after @placed */
 void cell_query_ahead (MuxCell *cell, const CellStage *placed);
 
-/* approval_query_peer.c */
+/* approval_query_peer.c: approval queries made by other daemons */
 /** cell_approval_query_call() - the call to the policy service for a query
  * Return: NULL if @query is malformed, or memory is out. */
 MuxCellCall *cell_approval_query_call (const json_t *query);
+/** cell_approval_peer() - handle a query of the planner, or the reply to one */
 void cell_approval_peer (MuxCell *cell, const MuxPeerMsg *msg);
 
 /* rank.c: the order of waiting stages */
+/** cell_stage_rank() - rank at @now_ms */
 CellRank cell_stage_rank (const CellStage *stage, int64_t now_ms);
 /** cell_stage_rank_expires_ms() - time at which that rank changes; INT64_MAX:
  * never */
@@ -891,10 +898,13 @@
 /** cell_plan_order_is_done() - whether all stages had their turn in the
  * round */
 bool cell_plan_order_is_done (const CellPlanOrder *order);
+/** cell_plan_order_new_round() - begin a round at the first stage */
 void cell_plan_order_new_round (CellPlanOrder *order);
 /** cell_plan_order_begin_urgent() - begin a pass over stages of urgent
  * queues */
 void cell_plan_order_begin_urgent (CellPlanOrder *order);
+/** cell_plan_order_next_urgent() - next stage of that pass; NULL: that was the
+ * last */
 CellStage *cell_plan_order_next_urgent (CellPlanOrder *order);
 
 /* worker_scan.c: scans over workers for one stage */
@@ -907,9 +917,9 @@
 CellWorkerScan cell_worker_scan_begin (const MuxCell *cell,
                                        const CellStage *stage);
 /** cell_worker_scan_next() - the next worker; NULL: that was the last */
-CellWorker *cell_worker_scan_next (MuxCell *cell, CellWorkerScan *sample);
+CellWorker *cell_worker_scan_next (MuxCell *cell, CellWorkerScan *scan);
 /** cell_worker_scan_end() - let the stage's next scan continue from here */
-void cell_worker_scan_end (CellStage *stage, const CellWorkerScan *sample);
+void cell_worker_scan_end (CellStage *stage, const CellWorkerScan *scan);
 
 /* forecast.c: expected ends of running tasks */
 /** cell_booking_remaining_ms() - expected time until its run ends */
@@ -929,7 +939,7 @@
                                CellOpening *opening,
                                uint32_t opening_max);
 
-/* gang_reserve.c */
+/* gang_reserve.c: reservations of a gang */
 /** cell_gang_reserve() - reserve room at @count approved workers for a gang
  * that has too little now, and, if @may_query, query for proofs when it is
  * time */
@@ -1012,11 +1022,14 @@
 MuxBlob *cell_row_with_candidates (MuxCell *cell, const MuxBlob *value);
 
 /* plan.c, place.c, gang.c: planning passes */
+/** cell_plan() - make a planning pass if it is time */
 void cell_plan (MuxCell *cell);
 /** cell_room_is_current() - whether the list of workers is recent enough to
  * start tasks by it */
 bool cell_room_is_current (const MuxCell *cell);
+/** cell_plan_add() - the stage is ready and has waiting tasks */
 void cell_plan_add (MuxCell *cell, CellStage *stage);
+/** cell_plan_drop() - remove the stage from the plan, if it is in it */
 void cell_plan_drop (MuxCell *cell, CellStage *stage);
 /** cell_stage_is_scanned() - whether the stage was scanned in this round, while
  * others were not */
@@ -1027,20 +1040,26 @@
 /** cell_worker_matches() - whether the worker is in the stage's pool and has
  * its label */
 bool cell_worker_matches (const CellStage *stage, const CellWorker *worker);
+/** cell_worker_is_eligible() - whether the worker may run tasks of the stage,
+ * whatever room it has now */
 bool cell_worker_is_eligible (const MuxCell *cell,
                               const CellStage *stage,
                               const CellWorker *worker);
+/** cell_worker_free() - room without what is booked or held */
 MuxSize cell_worker_free (const CellWorker *worker);
 /** cell_worker_free_for() - with the room that @stage holds there */
 MuxSize cell_worker_free_for (const CellStage *stage, const CellWorker *worker);
 /** cell_size_of() - of @tasks of the stage's tasks */
 MuxSize cell_tasks_size (const CellStage *stage, uint32_t tasks);
+/** cell_tasks_that_fit() - number of tasks of the stage that fit into @free */
 uint32_t cell_tasks_that_fit (const CellStage *stage, MuxSize free);
 /** cell_worker_startable_tasks() - tasks of the stage that may start there
  * now */
 uint32_t cell_worker_startable_tasks (const MuxCell *cell,
                                       const CellStage *stage,
                                       const CellWorker *worker);
+/** cell_place_tasks() - start waiting tasks of a stage that is no gang, or
+ * query about workers for them */
 void cell_place_tasks (MuxCell *cell, CellStage *stage);
 /** cell_place_unsettled() - query about a stage of which a predecessor may have
  * started tasks, shortly before that is known */
@@ -1051,6 +1070,8 @@
 void cell_holds_release (CellStage *stage);
 /** cell_held() - tasks whose room the stage holds at @worker */
 uint32_t cell_hold_tasks (const CellStage *stage, const CellWorker *worker);
+/** cell_place_gang() - start a gang, query about workers for it or reserve room
+ * @reservations_left: gangs in time that may still get reservations */
 void
 cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations_left);
 
--- a/src/cell/plan.c
+++ b/src/cell/plan.c
@@ -43,7 +43,6 @@
                        mux_size_add (worker->booked, worker->held));
 }
 
-/* Returns how many tasks of the stage fit into @free. */
 uint32_t
 cell_tasks_that_fit (const CellStage *stage, MuxSize free)
 {
@@ -77,8 +76,6 @@
              || strcmp (worker->info.rack, label) == 0);
 }
 
-/* Whether the worker may run tasks of the stage at all, whatever room it has
- * now. */
 bool
 cell_worker_is_eligible (const MuxCell *cell,
                          const CellStage *stage,
