--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -11,46 +11,53 @@
 #include <stdint.h>
 
 /*
- * The core of stepped jobs: every daemon lets callers hand in, watch and
- * cancel jobs; one of them, the planner, holds the cell's claim and carries
- * all jobs.  It does no I/O and reads no clock: what happens is told to it
- * with the time, and what it wants goes to its sink.
+ * The scheduler of one daemon.  Every daemon accepts, queries and cancels jobs
+ * for its callers; one of them, the planner, holds the cell's claim and runs
+ * all jobs.  It does no I/O and reads no clock: events come with the time by
+ * the functions below, and its output goes to a MuxCellSink.
  */
 typedef struct MuxCell MuxCell;
 
-/* What the core wants done; called from its own thread alone. */
+/* Output of the scheduler; called from its thread, inside its functions. */
 typedef struct MuxCellSink MuxCellSink;
 struct MuxCellSink
 {
-  /* Takes @call over.  True: mux_cell_reply() follows; false: it never will. */
+  /* Takes @call over.  Return: true: one mux_cell_reply() follows; false: none
+   * does. */
   bool (*call) (MuxCellSink *sink, MuxCellCall *call);
+  /* Responds to a request; @reply stays the caller's. */
   void (*respond) (MuxCellSink *sink, const MuxResponse *reply);
+  /* Sends @msg, which stays the caller's, to the daemon at @addr.  Return:
+   * false: it was dropped. */
   bool (*peer_send) (MuxCellSink *sink,
                      const char *addr,
                      const MuxPeerMsg *msg);
-  /* Takes @fields over; NULL: memory was out, the line is lost. */
+  /* Takes @fields over; NULL: memory was out, and the line is dropped. */
   void (*log) (MuxCellSink *sink, const char *event, json_t *fields);
 };
 
 /**
- * struct MuxCellOptions - construction
+ * struct MuxCellOptions - options of mux_cell_new(); strings are borrowed until
+ *   mux_cell_free()
  * @sink: borrowed
  * @counters: borrowed
- * @name: this instance
- * @data_centre: where it stands
- * @peer_addr: where other daemons reach it
- * @incarnation: differs from that of every other process of the cell
- * @seed: of what has to differ between daemons, such as who claims first
- * @lease_ms: lease asked of workers; also how long the tasks of a worker that
- *   can't be reached stay out of work
- * @strength_milli: share of a processor, in thousandths: the strongest plans
+ * @name: of this instance, unique in the cell
+ * @data_centre: of this instance
+ * @peer_addr: "ip:port" where it listens for other daemons
+ * @incarnation: unique to this process; higher than that of any earlier process
+ *   of this instance
+ * @seed: of delays that should differ between daemons, such as before claiming
+ * @lease_ms: lease requested from workers; tasks of an unreachable worker are
+ *   not started elsewhere for as long
  * @dead_ms: silence of the planner after which another daemon claims
- * @ended_keep_s: how long the state of an ended job can be asked for, at least
- * @revoke_timeout_ms: no key is taken any more so long after its removal from
- *   the configuration, whatever this daemon hears of it; 0: as soon as it does
- * @quota_overrun_milli: thousandths of a quota that may be held beyond it
- * @unread_max: jobs whose row can't be read that are remembered; 0: as many as
- *   usual
+ * @strength_milli: this instance's share of a processor, in thousandths; the
+ *   daemon with the largest becomes the planner
+ * @ended_retention_s: how long, at least, the state of an ended job is kept
+ * @revoke_timeout_ms: a key is rejected so long after its removal from the
+ *   configuration, even if this daemon can't read that; 0: only once it does
+ * @quota_overrun_milli: by how many thousandths a workspace may exceed its
+ *   quota
+ * @unreadable_max: jobs with an unreadable row that are remembered; 0: default
  */
 typedef struct
 {
@@ -71,11 +78,11 @@
 } MuxCellOptions;
 
 /**
- * struct MuxCellTime - the two clocks at one moment
- * @now_ms: steady, goes on while the instance is suspended
- * @wall_ms: time of day
- * @heard_ms: on the steady clock: all that arrived by then has been taken; the
- *   longer events wait for this core, the further it is behind @now_ms
+ * struct MuxCellTime - time of an event
+ * @now_ms: monotonic clock that includes time suspended, in ms
+ * @wall_ms: time of day, in ms since 1970
+ * @processed_ms: on the monotonic clock: all events that arrived by then have
+ *   been processed; it falls behind @now_ms as events wait
  */
 typedef struct
 {
@@ -84,23 +91,28 @@
   int64_t processed_ms;
 } MuxCellTime;
 
-/** mux_cell_new() - NULL with @err set when memory is out */
+/** mux_cell_new() - creates the scheduler; @options is copied
+ * Return: NULL with @err set when memory is out. */
 MuxCell *mux_cell_new (const MuxCellOptions *options, MuxError *err);
 void mux_cell_free (MuxCell *cell);
-/** mux_cell_question() - takes @question over; one answer follows */
-void mux_cell_request (MuxCell *cell, MuxCellTime time, MuxRequest *question);
-/** mux_cell_reply() - takes @reply over */
+/** mux_cell_request() - takes @request of a caller over; one response follows
+ */
+void mux_cell_request (MuxCell *cell, MuxCellTime time, MuxRequest *request);
+/** mux_cell_reply() - takes @reply to a call over */
 void mux_cell_reply (MuxCell *cell, MuxCellTime time, MuxCellReply *reply);
-/** mux_cell_peer() - @msg stays the caller's */
+/** mux_cell_peer() - handles a message of another daemon; @msg stays the
+ * caller's */
 void mux_cell_peer (MuxCell *cell, MuxCellTime time, const MuxPeerMsg *msg);
-/** mux_cell_tick() - do what is due
- * Return: when it wants to be called again at the latest. */
+/** mux_cell_tick() - does what is due
+ * Return: latest time of the next call, on the monotonic clock in ms. */
 int64_t mux_cell_tick (MuxCell *cell, MuxCellTime time);
-/** mux_cell_ready() - callers may be sent here */
+/** mux_cell_ready() - this daemon can serve callers */
 bool mux_cell_ready (const MuxCell *cell);
-/** mux_cell_stop() - take no new jobs, give the claim to another daemon */
+/** mux_cell_stop() - begins to shut down: no new jobs, and the claim is
+ * released
+ */
 void mux_cell_stop (MuxCell *cell, MuxCellTime time);
-/** mux_cell_stopped() - nothing of this daemon's is left to do */
+/** mux_cell_stopped() - after mux_cell_stop(): nothing is left to do */
 bool mux_cell_stopped (const MuxCell *cell);
 
 #endif
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -93,8 +93,10 @@
 bool cell_next_page (char from[MUX_ROW_NAME_LEN], const MuxCellReply *reply);
 void cell_bad_rows_free (MuxCell *cell);
 
-/* service.c: pools of workers that queues have named */
+/* service.c: pools of workers that queues name */
+/** cell_service_add() - records a pool; "" is ignored */
 void cell_service_add (MuxCell *cell, const char *name);
+/** cell_service_is_known() - whether a pool of that hash was recorded */
 bool cell_service_is_known (const MuxCell *cell, uint64_t hash);
 void cell_services_free (MuxCell *cell);
 
@@ -104,19 +106,21 @@
 /** cell_follow_is_known() - what the feed says is as young as it should be */
 bool cell_follow_is_fresh (const MuxCell *cell, const CellFollow *follow);
 
-/* late.c: a planner that has more to do than its processor bears */
-/** cell_answer_heard() - a worker has answered a call */
+/* late.c: overload of the planner */
+/** cell_reply_latency_record() - adds the call that a worker has just answered
+ * to the mean */
 void cell_reply_latency_record (MuxCell *cell, const CellPending *pending);
-/** cell_answers_late_ms() - how long answers of workers take in these moments,
- * in the mean */
+/** cell_reply_latency_ms() - mean latency of the last proxied calls
+ * Return: 0: too few of late. */
 int64_t cell_reply_latency_ms (const MuxCell *cell);
-/** cell_late_ms() - how long what arrives here waits until it is taken */
+/** cell_late_ms() - how long events wait here until they are processed */
 int64_t cell_late_ms (const MuxCell *cell);
-/** cell_planner_late_ms() - the same of the planner; 0: it is not heard */
+/** cell_planner_late_ms() - the same at the planner
+ * Return: 0: it has not been heard from of late. */
 int64_t cell_planner_late_ms (const MuxCell *cell);
-/** cell_takes_jobs() - what is accepted now can start in time */
+/** cell_accepts_jobs() - the planner is not too late for new jobs */
 bool cell_accepts_jobs (const MuxCell *cell);
-/** cell_late_tick() - the planner tells how late it is */
+/** cell_late_tick() - logs and measures how late the planner is */
 void cell_late_tick (MuxCell *cell);
 
 /* admit.c: which new jobs are taken */
@@ -190,13 +194,17 @@
  * configuration in force */
 bool cell_quota_never_fits (const MuxCell *cell, const MuxJobSpec *spec);
 
-/* submit.c, job_query.c: callers */
+/* submit.c, job_query.c: requests of callers */
+/** cell_submit() - takes the job of @request, which is answered later */
 void cell_submit (MuxCell *cell, MuxRequest *question);
-/** cell_submission_queue() - takes @submission over */
+/** cell_submission_enqueue() - relays, commits or refuses; takes @submission
+ * over */
 void cell_submission_enqueue (MuxCell *cell, CellSubmission *submission);
-/** cell_submit_direct() - by this daemon's own commit */
+/** cell_submissions_commit() - sends the next commit of the part's submissions,
+ * unless one is outstanding */
 void cell_submissions_commit (MuxCell *cell, CellPart *part);
-/** cell_submission_end() - answer and forget it */
+/** cell_submission_end() - answers whoever waits for it and frees it
+ * @why: for the log */
 void cell_submission_end (MuxCell *cell,
                           CellPart *part,
                           CellSubmission *submission,
@@ -204,6 +212,8 @@
                           const char *why);
 void cell_submit_tick (MuxCell *cell);
 void cell_submit_free (MuxCell *cell);
+/** cell_job_query_begin() - answers a query or cancel, at once or after calls
+ * @id: "": asks for the number of waiting jobs of @queue */
 void cell_job_query_begin (MuxCell *cell,
                            const MuxRequest *question,
                            const CellCaller *caller,
@@ -214,20 +224,19 @@
 void cell_job_query_peer (MuxCell *cell, const MuxPeerMsg *msg);
 void cell_respond (MuxCell *cell, uint64_t call, MuxResponseOutcome outcome);
 void cell_respond_state (MuxCell *cell, uint64_t call, MuxJobState state);
-/** cell_state_of() - what the planner says of one of its jobs; false: nothing
- * to that caller */
+/** cell_job_state() - state of a job in the planner's memory
+ * Return: false: not known here, or not visible to @caller. */
 bool cell_job_state (MuxCell *cell,
                      const CellCaller *caller,
                      const char *id,
                      MuxJobState *state);
 
-/* queue_count.c */
-/** cell_queue_update() - the job waits, or no longer; only of one in the table
- */
+/* queue_count.c: waiting jobs by queue */
+/** cell_queue_count_update() - after a change of a job in MuxCell.jobs */
 void cell_queue_count_update (MuxCell *cell, CellJob *job);
-/** cell_queue_uncount() - the job goes */
+/** cell_queue_count_remove() - the job is removed */
 void cell_queue_count_remove (MuxCell *cell, CellJob *job);
-/** cell_pending_of() - jobs of the queue that wait */
+/** cell_queue_waiting() - number of jobs of the queue that wait */
 uint32_t cell_queue_waiting (const MuxCell *cell, const char *queue);
 
 /* relay.c: jobs handed to the planner */
@@ -312,28 +321,34 @@
 cell_fence_add (const MuxCell *cell, const CellPart *part, MuxCellCall *call);
 
 /* jobs.c */
+/** cell_job_add() - creates a job in MuxCell.jobs; takes @spec over
+ * Return: NULL when memory is out. */
 CellJob *cell_job_add (MuxCell *cell, MuxJobSpec *spec, uint64_t version);
-/** cell_job_new() - a job in no table yet; takes @spec over
+/** cell_job_new() - creates a job outside MuxCell.jobs; takes @spec over
  * Return: NULL when memory is out. */
 CellJob *cell_job_new (MuxCell *cell, MuxJobSpec *spec);
-/** cell_job_delete() - one that is in no table; NULL: nothing */
+/** cell_job_delete() - frees a job outside MuxCell.jobs; NULL is ignored */
 void cell_job_delete (MuxCell *cell, CellJob *job);
 CellJob *cell_job_find (MuxCell *cell, const char *id);
-/** cell_job_slack_ms() - how long it may wait in all and still end in time */
+/** cell_job_slack_ms() - how long the job may wait in all and still end by its
+ * deadline */
 int64_t cell_job_slack_ms (const MuxCell *cell, const MuxJobSpec *spec);
+/** cell_job_remove() - frees a job of MuxCell.jobs */
 void cell_job_remove (MuxCell *cell, CellJob *job);
-/** cell_known_as_ended() - it ended while this daemon planned */
+/** cell_job_ended_recently() - it is in MuxCell.ended_jobs */
 bool cell_job_ended_recently (MuxCell *cell, const char *id);
 void cell_job_cancel (MuxCell *cell, CellJob *job);
-/** cell_attempts_max() - failed runs of a task after which the job has failed
- */
+/** cell_attempts_max() - failed runs of a task after which its job fails */
 uint32_t cell_attempts_max (const CellJob *job);
+/** cell_job_fail() - stops all its runs; @why: for the log */
 void cell_job_fail (MuxCell *cell, CellJob *job, const char *why);
+/** cell_job_advance() - begins, ends and plans what the job's state allows */
 void cell_job_advance (MuxCell *cell, CellJob *job);
-/** cell_job_resume() - go on with a job that was read from the store */
+/** cell_job_resume() - advances a job whose progress was read from the store */
 void cell_job_resume (MuxCell *cell, CellJob *job);
+/** cell_job_mark_dirty() - its progress or end is to be stored */
 void cell_job_mark_dirty (MuxCell *cell, CellJob *job);
-/** cell_job_watch() - time alone may change it from now on */
+/** cell_job_watch() - checks the job periodically from now on */
 void cell_job_watch (MuxCell *cell, CellJob *job);
 void cell_jobs_tick (MuxCell *cell);
 CellTask *cell_task_find (MuxCell *cell, const MuxTaskRef *ref);
@@ -361,93 +376,107 @@
 /** cell_job_occurrences() - those that a former planner had begun */
 void cell_occurrences_restore (MuxCell *cell, CellJob *job, uint32_t count);
 
-/* job_rows.c: the jobs' table */
-/** cell_jobs_take() - a job that this planner stored itself, as @row */
+/* job_rows.c: rows of the table of jobs */
+/** cell_job_add_committed() - adds a job that this planner has just stored */
 void
 cell_job_add_committed (MuxCell *cell, const MuxBlob *row, uint64_t version);
+/** cell_jobs_row() - takes a row that was read or came by the feed */
 void cell_jobs_row (MuxCell *cell, const MuxCellRow *row);
-/** cell_is_cancel() - the row of the jobs' table is a job's cancel */
+/** cell_row_is_cancel() - the row is the cancel of a job */
 bool cell_row_is_cancel (const MuxCellRow *row);
 
-/* unreadable.c: jobs whose row can't be read, and the ends of their tasks */
-/** cell_unread_note() - there is such a job
- * @seen: by its row; else by what stands beside it */
+/* unreadable.c: jobs whose row can't be read, and the ends of their runs */
+/** cell_unreadable_add() - records an unreadable job
+ * @seen: its row exists; else only its ends are known */
 void cell_unreadable_add (MuxCell *cell, const char *id, bool seen);
-/** cell_unread_mended() - its row can be read
- * Return: true, and @spec is taken over, if it was not before. */
+/** cell_unreadable_recover() - the row of the job could be read
+ * Return: true, and @spec is taken over, if it could not before. */
 bool
 cell_unreadable_recover (MuxCell *cell, MuxJobSpec *spec, uint64_t version);
-/** cell_unread_end() - a worker lists an end of a job that is not known
+/** cell_unreadable_keep_end() - keeps an end of a run of a job not known here
  * Return: false: it can't be kept, and must not be acknowledged. */
 bool cell_unreadable_keep_end (MuxCell *cell, const MuxRunReport *report);
-/** cell_unread_row() - while loading: false: it is not a row of such ends */
+/** cell_unreadable_load_row() - takes a row that the takeover reads
+ * Return: false: it is not a row of ends. */
 bool cell_unreadable_load_row (MuxCell *cell, const MuxCellRow *row);
-/** cell_unread_add_rows() - to a commit of the part's progress
- * Return: false when some were left out. */
+/** cell_unreadable_add_rows() - adds rows of ends to a commit of the part
+ * Return: false: some did not fit. */
 bool cell_unreadable_add_rows (MuxCell *cell,
                                const CellPart *part,
                                MuxCellCall *call);
-/** cell_unread_committed() - the end of that commit */
+/** cell_unreadable_committed() - that commit is done; @stored: it succeeded */
 void cell_unreadable_committed (MuxCell *cell, CellPart *part, bool stored);
 void cell_unreadable_tick (MuxCell *cell);
-/** cell_unread_add_end() - false: it was known before */
+/** cell_unreadable_add_end() - Return: false: the end is known already. */
 bool cell_unreadable_add_end (CellUnreadable *unread,
                               const CellUnreadableEnd *end);
 
-/* unreadable_rows.c */
-/** cell_unread_row_of() - the job of such a row; false: it is another one */
+/* unreadable_rows.c: their rows */
+/** cell_unreadable_row_job() - the job whose ends a row of that key holds
+ * Return: false: it is no such row. */
 bool cell_unreadable_row_job (const char *key, char id[MUX_ROW_NAME_LEN]);
+/** cell_unreadable_put_row() - adds the row, or its removal, to a commit */
 void cell_unreadable_put_row (const MuxCell *cell,
                               MuxCellCall *call,
                               CellUnreadable *unread);
-/** cell_unread_read_row() - beside the ends that @unread has */
+/** cell_unreadable_read_row() - adds the ends of the row to those of @unread */
 void cell_unreadable_read_row (MuxCell *cell,
                                const MuxCellRow *row,
                                CellUnreadable *unread);
-/** cell_unread_remove_row() - the job's own progress holds those ends now */
+/** cell_unreadable_remove_row() - adds the row's removal to a commit of the
+ * job's own progress, which holds those ends */
 void cell_unreadable_remove_row (MuxCellCall *call, const CellJob *job);
 void cell_unreadable_free (MuxCell *cell);
 
 /* stage.c */
-/** cell_stage_new() - @began_ms: when its occurrence was due to begin */
+/** cell_stage_new() - creates a stage
+ * @began_ms: when its occurrence was due to begin
+ * Return: NULL when memory is out. */
 CellStage *cell_stage_new (const MuxCell *cell,
                            CellJob *job,
                            uint32_t occurrence,
                            uint32_t step,
                            int64_t began_ms);
 void cell_stage_free (MuxCell *cell, CellStage *stage);
-/** cell_stage_leave_plan() - and give up what is reserved for it */
+/** cell_stage_leave_plan() - takes it out of the plan and drops its
+ * reservations */
 void cell_stage_leave_plan (MuxCell *cell, CellStage *stage);
+/** cell_stage_update() - puts it into the plan or takes it out, by its state */
 void cell_stage_update (MuxCell *cell, CellStage *stage);
+/** cell_stage_waiting_tasks() - number of tasks that wait for a start */
 uint32_t cell_stage_waiting_tasks (const CellStage *stage);
+/** cell_stage_gang_has_ended() - no run of the gang holds room */
 bool cell_stage_gang_has_ended (const CellStage *stage);
+/** cell_stage_gang_checkpoint() - what the gang resumes from; "": nothing */
 const char *cell_stage_gang_checkpoint (const CellStage *stage);
-/** cell_stage_placed() - the last @tasks that waited were sent to workers */
+/** cell_stage_log_placed() - logs that starts of its last @tasks waiting tasks
+ * were sent */
 void
 cell_stage_log_placed (MuxCell *cell, const CellStage *stage, uint32_t tasks);
 
-/* step_wait.c: what a step waits for, and what its questions brought */
-/** cell_step_wait_begin() - it has become ready */
+/* step_wait.c: what a step is blocked on, and its approval queries */
+/** cell_step_wait_begin() - the step has become ready */
 void cell_step_wait_begin (const MuxCell *cell, CellStage *stage);
-/** cell_step_lacks() - from now on it waits for that */
+/** cell_step_blocked_on() - sets what it is blocked on from now on */
 void cell_step_blocked_on (const MuxCell *cell,
                            CellStage *stage,
                            CellBlockedOn lack);
-/** cell_step_asks() - @question about it is on its way */
+/** cell_step_query_sent() - an approval query about it was sent */
 void cell_step_query_sent (const MuxCell *cell,
                            CellStage *stage,
                            const CellApprovalQuery *question);
-/** cell_step_answered() - or it is lost, with no workers @approved */
+/** cell_step_query_done() - a query was answered with so many @approved, or is
+ * lost */
 void cell_step_query_done (const MuxCell *cell,
                            CellStage *stage,
                            const CellApprovalQuery *question,
                            uint32_t approved);
-/** cell_step_used() - a start with a proof goes to @worker */
+/** cell_step_proof_used() - a start with a proof was sent to @worker */
 void cell_step_proof_used (const MuxCell *cell,
                            CellStage *stage,
                            const CellWorker *worker);
-/** cell_step_wait_json() - how long it lacked what, in ms; owned by the caller
- */
+/** cell_step_wait_json() - time blocked on each, in ms
+ * Return: owned by the caller. */
 json_t *cell_step_wait_json (const MuxCell *cell, const CellStage *stage);
 
 /* load_log.c */
@@ -455,19 +484,23 @@
 void cell_load_log_tick (MuxCell *cell);
 
 /* wait.c */
-/** cell_waits_tick() - tell why the step that waits longest does */
+/** cell_wait_log_tick() - logs why the step that waits longest does */
 void cell_wait_log_tick (MuxCell *cell);
 
-/* progress_rows.c */
+/* progress_rows.c: rows of the jobs' progress */
+/** cell_progress_json() - Return: owned by the caller. */
 json_t *cell_progress_json (MuxCell *cell, const CellJob *job);
-/** cell_progress_apply() - what a former planner had stored of the job
- * Return: the field that can't be read, and nothing is applied; NULL: done. */
+/** cell_progress_apply() - applies the progress stored of the job
+ * Return: name of the first bad field, and nothing is applied; NULL: done. */
 const char *
 cell_progress_apply (MuxCell *cell, CellJob *job, const json_t *json);
-/** cell_progress_row() - as read, of a job that is known */
+/** cell_progress_row() - takes a row that was read; ignored if its job is not
+ * known */
 void cell_progress_row (MuxCell *cell, const MuxCellRow *row);
-/* progress.c: their commits */
+
+/* progress.c: commits of progress */
 void cell_progress_tick (MuxCell *cell);
+/** cell_stored_seq() - all changes up to this number are stored */
 uint64_t cell_stored_seq (const MuxCell *cell);
 
 /* worker.c */
@@ -587,14 +620,15 @@
 /** cell_lease_of_former() - what a former planner may have asked of it */
 void cell_lease_of_predecessor (const MuxCell *cell, CellWorker *worker);
 
-/* late_start.c: starts that a worker's next life may still carry out */
-/** cell_start_may_come() - the booking's start, or a run of it is left */
+/* late_start.c: starts that a later incarnation of a worker may carry out */
+/** cell_start_may_arrive_late() - the booking's start may still be carried out,
+ * or its run may be there */
 bool cell_start_may_arrive_late (const MuxCell *cell,
                                  const CellBooking *booking);
-/** cell_late_starts_of_former() - those of former planners at the worker, whose
- * lease is over */
+/** cell_late_starts_of_predecessor() - takes into account those that
+ * predecessors sent to the worker, whose lease is over */
 void cell_late_starts_of_predecessor (MuxCell *cell, const CellWorker *worker);
-/** cell_late_starts_are_over() - of all former planners at all such workers */
+/** cell_late_starts_are_over() - none of those can be carried out any more */
 bool cell_late_starts_are_over (const MuxCell *cell);
 
 /* evacuate.c: what runs at a worker that leaves */
@@ -626,35 +660,45 @@
 /** cell_in_roster() - the roster names it, or may do so */
 bool cell_in_roster (const CellWorker *worker);
 
-/* run.c: starts, stops, ends */
+/* run.c: starts, stops and ends of runs */
+/** cell_book() - books room for a run; NULL: memory is out */
 CellBooking *
 cell_book (MuxCell *cell, CellTask *task, CellWorker *worker, uint32_t run);
+/** cell_unbook() - frees the booking and its room */
 void cell_unbook (MuxCell *cell, CellBooking *booking);
+/** cell_start_run() - books the run and sends its start
+ * @checkpoint: what to resume from; "": nothing
+ * Return: false: it was not sent, and nothing is booked. */
 bool cell_start_run (MuxCell *cell,
                      CellTask *task,
                      CellWorker *worker,
                      uint32_t run,
                      const char *checkpoint);
+/** cell_stop_booking() - stops the run; repeated until it is confirmed */
 void cell_stop_booking (MuxCell *cell, CellBooking *booking);
+/** cell_stops_tick() - sends the stops that are due at the worker */
 void cell_stops_tick (MuxCell *cell, CellWorker *worker);
+/** cell_run_ended() - applies the end of a run and advances its job
+ * @checkpoint: what the run saved; "": nothing */
 void cell_run_ended (MuxCell *cell,
                      CellTask *task,
                      CellWorker *worker,
                      uint32_t run,
                      MuxRunEnd end,
                      const char *checkpoint);
-/** cell_end_apply() - what the end of a run means for its task, and nothing
- * beyond: no order, no count of attempts */
+/** cell_end_apply() - applies the end of a run to its task alone: no orders, no
+ * check of attempts */
 void cell_end_apply (MuxCell *cell,
                      CellTask *task,
                      uint32_t run,
                      MuxRunEnd end,
                      const char *checkpoint);
-/** cell_stop_stray() - stop a run that no booking stands for */
+/** cell_stop_orphan() - sends a stop of a run without a booking */
 void cell_stop_orphan (MuxCell *cell,
                        CellWorker *worker,
                        const MuxTaskRef *task,
                        uint32_t run);
+/** cell_next_run() - the run number after @last, in the range of this term */
 uint32_t cell_next_run (const MuxCell *cell, uint32_t last);
 /* loss.c: what lost runs say of their task */
 /** cell_task_losses() - what became of the workers, as is known now */
@@ -755,7 +799,8 @@
                            const CellTask *task,
                            const CellWorker *worker);
 
-/* reports.c: what a worker lists */
+/* reports.c: runs that a worker lists */
+/** cell_reports_apply() - takes the answer to a RENEW call */
 void cell_reports_apply (MuxCell *cell,
                          CellWorker *worker,
                          const MuxCellReply *reply);
@@ -850,10 +895,12 @@
 bool cell_stage_is_late (const CellStage *stage);
 int cell_stage_compare (const CellStage *a, const CellStage *b);
 
-/* tree.c: sets in order */
+/* tree.c: ordered sets */
 void cell_tree_add (CellTree *tree, CellNode *node);
 void cell_tree_remove (CellTree *tree, CellNode *node);
+/** cell_tree_first() - NULL: the set is empty */
 CellNode *cell_tree_first (const CellTree *tree);
+/** cell_tree_next() - NULL: @node is the last */
 CellNode *cell_tree_next (const CellNode *node);
 
 /* plan_order.c: stages with waiting tasks, in planning order */
@@ -1001,9 +1048,9 @@
                               const CellStage *stage,
                               const CellWorker *worker);
 MuxSize cell_worker_free (const CellWorker *worker);
-/** cell_worker_free_for() - with the room that @stage holds there */
+/** cell_worker_free_for() - free room, with what @stage itself holds there */
 MuxSize cell_worker_free_for (const CellStage *stage, const CellWorker *worker);
-/** cell_size_of() - of @tasks of the stage's tasks */
+/** cell_tasks_size() - room that @tasks of the stage's tasks need */
 MuxSize cell_tasks_size (const CellStage *stage, uint32_t tasks);
 uint32_t cell_tasks_that_fit (const CellStage *stage, MuxSize free);
 /** cell_worker_takes() - tasks of the stage that it has room for now */
@@ -1014,11 +1061,11 @@
 /** cell_place_soon() - a former planner may have started tasks of it: ask for
  * what it needs once that is known */
 void cell_place_unsettled (MuxCell *cell, CellStage *stage);
-/** cell_hold() - keep room for @tasks of the stage at @worker
+/** cell_hold_add() - holds room at @worker for @tasks of the stage
  * Return: false when memory is out. */
 bool cell_hold_add (CellStage *stage, CellWorker *worker, uint32_t tasks);
 void cell_holds_release (CellStage *stage);
-/** cell_held() - tasks whose room the stage holds at @worker */
+/** cell_hold_tasks() - number of tasks whose room the stage holds at @worker */
 uint32_t cell_hold_tasks (const CellStage *stage, const CellWorker *worker);
 void cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations);
 
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -11,45 +11,55 @@
 #include <uthash.h>
 #include <utlist.h>
 
-/* Parts that jobs are spread over by their ids.  A part carries out one
- * transaction after the other, and a commit holds 30 jobs; where a store takes
- * 300 ms for each, with the commits of progress between, a part stores 50 jobs
- * a second.  The number belongs to what is stored: with another one, open jobs
- * are looked for in parts where they are not. */
+/*
+ * Types of the scheduler's state.  All of it belongs to one MuxCell and is used
+ * by its thread alone.
+ *
+ * Fields that end in _ms are milliseconds.  Those that hold a moment are on the
+ * monotonic clock of the daemon (MuxCellTime.now_ms), 0 where it has not come;
+ * those with "wall" in their name are a time of day.  Fields named prev, next
+ * and hh, also with a list's name before them, link a utlist or uthash entry.
+ */
+
+/* Parts that jobs are spread over by a hash of their ids.  A part carries out
+ * one transaction after the other, and a commit holds 30 jobs: where a store
+ * takes 300 ms for each, with commits of progress between, a part stores 50
+ * jobs a second.  The number is part of the stored format: with another one,
+ * stored jobs are looked up in the wrong part. */
 #define CELL_PARTS 4
-/* Entries of a commit, as many as the store takes. */
+/* Entries of one commit: the store's limit. */
 #define CELL_COMMIT_CHANGES_MAX 100
-/* Of these, rows with ends of jobs that can't be read. */
+/* Of these, rows with the ends of unreadable jobs. */
 #define CELL_UNREADABLE_ROWS_MAX 2
-/* Most jobs of one commit: a call holds 100 entries, a job takes three. */
+/* Jobs of one commit: a job takes three of its 100 entries. */
 #define CELL_COMMIT_JOBS_MAX 30
-/* A commit, scan or worker call without an answer for so long counts as lost;
- * an answer takes some 10 ms, one of a loaded store under 100. */
+/* A commit, scan or worker call without a reply for so long counts as lost.  A
+ * reply takes some 10 ms, under 100 ms from a loaded store. */
 #define CELL_STORE_TIMEOUT_MS 1500
 #define CELL_WORKER_TIMEOUT_MS 700
-/* An answer that waits for nothing comes within so many ms, or not at all:
- * twice what the slowest store seen takes. */
+/* A reply to a call that does not wait for changes comes within this time or
+ * not at all: twice what a slow store takes. */
 #define CELL_ANSWER_MS 600
-/* A planner orders nothing when its claim has not been confirmed for so long:
- * longer than the store's usual outages of some 5 s, so that they leave the
- * running tasks alone.  Where the store serves others it stops sooner. */
+/* A planner sends no orders once its claim has not been confirmed for so long:
+ * longer than the store's usual outages of some 5 s, so that running tasks
+ * survive them.  It stops sooner if the store serves other daemons. */
 #define CELL_CLAIM_LEASE_MAX_MS 8000
-/* A pause of this thread's work after which the claim is read again before
- * anything is ordered: the instance may have been frozen while another took
- * over.  Well over what a busy core takes between two ticks. */
+/* After a pause of this length between two events the claim is read again
+ * before any order is sent: the instance may have been frozen while another
+ * daemon took over.  Well above the time between two ticks on a busy core. */
 #define CELL_PAUSE_MS 700
-/* Orders that went unanswered are carried out after this time at the latest. */
+/* An order without a reply is carried out within this time or never. */
 #define CELL_LATE_ORDERS_MS 15000
-/* Run numbers of one planner's term.  A later planner does not know which
- * numbers its predecessor gave to starts that it never heard of, so that each
- * term has a range of its own: a start each second for a quarter of an hour. */
+/* Run numbers of one term.  A planner does not know which numbers its
+ * predecessor gave to starts that it has not heard of, so that each term has a
+ * range of its own: a start each second for a quarter of an hour. */
 #define CELL_RUNS_PER_TERM 1024
-/* Terms are counted up to here and from 1 again, so that a run is a positive
- * number of 32 bits: some 5,000 years at a claim a day. */
+/* Terms are counted up to here and then from 1 again, so that a run number is a
+ * positive 32-bit integer: some 5,000 years at one claim a day. */
 #define CELL_TERMS_MAX (INT32_MAX / CELL_RUNS_PER_TERM)
-/* Keys of the rows of the claim and its sign of life, and of each part's fence:
- * one that each commit of progress renews, and one that stays for as long as a
- * planner's term. */
+/* Keys of stored rows: the claim, the planner's heartbeat, and two fence rows
+ * of each part, one renewed by each commit of progress, one written once a
+ * term. */
 #define CELL_CLAIM_KEY "claim"
 #define CELL_HEARTBEAT_KEY "beat"
 #define CELL_FENCE_KEY "fence"
@@ -68,25 +78,29 @@
 typedef struct CellService CellService;
 typedef struct CellQueueCount CellQueueCount;
 
+/* Called once with the reply to a call; both arguments stay the caller's. */
 typedef void (*CellReplyHandler) (MuxCell *cell,
                                   const CellPending *pending,
                                   const MuxCellReply *reply);
 
 /**
- * struct CellPending - a call whose reply is awaited
- * @call_id: key
- * @done: told of the reply
- * @sent_ms: when
- * @term: of the planner's state that it belongs to; 0: of none
- * @part: index of the part meant
- * @number: whatever @done wants to know again
- * @worker: life of the worker called
- * @task: the task meant
- * @run: its run
- * @wait_ms: RENEW: so long of it the worker may wait
- * @overdue_ms: then it counts as unanswered; 0: its port answers by itself
- * @peer: daemon that waits for the outcome
- * @peer_addr: its address
+ * struct CellPending - a call whose reply is outstanding; owned by
+ *   MuxCell.pending
+ * @call_id: key of the table
+ * @on_reply: called with the reply
+ * @sent_ms: when the call was sent
+ * @term: dropped without a call of @on_reply once this term is over; 0: never
+ * @part: index of the part the call is about
+ * @context: value for @on_reply, whose meaning is its own
+ * @worker: incarnation of the worker called
+ * @task: START, STOP: the task meant
+ * @run: START, STOP: its run
+ * @verb: of the call
+ * @wait_ms: RENEW: how long the worker may hold its reply back
+ * @overdue_ms: proxied calls: the call counts as lost from this moment; 0: the
+ *   call's port ends it
+ * @peer: daemon this one makes the call for; "": none
+ * @peer_addr: address of @peer
  */
 struct CellPending
 {
@@ -107,29 +121,31 @@
   UT_hash_handle hh;
 };
 
-/* Called for each row that a followed table had or got. */
+/* Called for each row of a followed table, when it is read or changes. */
 typedef void (*CellRowHandler) (MuxCell *cell, const MuxCellRow *row);
 
 /**
- * struct CellFollow - a table kept up with: read whole, then its changes
+ * struct CellFollow - keeps up with a stored table: reads it in full, then its
+ *   feed of changes; embedded in MuxCell
  * @name: in the log
- * @table: which
- * @seen: told of each row
- * @whole: told when a whole reading begins (false) and ends (true); or NULL
- * @term: only in that term of the planner; 0: always
- * @on: wanted at all
- * @loaded: read whole once
- * @busy: a call is on its way
+ * @table: the table followed
+ * @on_row: called for each row
+ * @on_full_read: called when a full read begins (@ended false) and ends (true);
+ *   or NULL
+ * @term: the planner's term it belongs to; 0: runs in any role
+ * @enabled: calls are made at all
+ * @loaded: a full read has ended
+ * @busy: a call is outstanding
  * @call_id: of the last call
- * @sent_ms: when that was sent
- * @wait_ms: how long its answer may wait for a change
- * @known_ms: all changes up to then are known; 0: of none
- * @lost: a call that waited for changes was lost, none was answered since
- * @parted: its rows lie in the parts of the jobs, else in part ""
- * @part: part that is read now
- * @from: next page's first key
- * @version: known up to here
- * @next_ms: no call before
+ * @sent_ms: when it was sent
+ * @wait_ms: how long its reply may wait for a change
+ * @known_until_ms: all changes made up to here are known; 0: none is
+ * @lost: a call that waited for changes was lost and none was answered since
+ * @by_part: rows lie in the parts of the jobs; else in part ""
+ * @part: part a full read is at
+ * @from: first key of its next page
+ * @version: version that the next feed call continues from
+ * @next_ms: no call before this
  */
 typedef struct
 {
@@ -157,24 +173,27 @@
 {
   FOLLOW_CONFIG,
   FOLLOW_CLAIM,
-  FOLLOW_WORKERS, /* planner alone */
-  FOLLOW_JOBS,    /* planner alone; its changes, the parts are read apart */
+  FOLLOW_WORKERS, /* planner only */
+  FOLLOW_JOBS,    /* planner only; the takeover reads the parts itself */
   FOLLOW_COUNT
 };
 
 /**
- * struct CellSubmission - a job on its way into the store
- * @job: what is stored
- * @call: caller who waits
- * @value: its row
- * @row: as it was last sent to the store; NULL: not yet
- * @give_up_ms: when the caller is answered, stored or not
- * @doubtful: a commit that held it went unanswered, or the planner did
- * @sent: it is in the commit on its way
- * @relayed: the planner was asked to store it, at @relayed_ms
- * @retry_ms: told to its caller if it is refused; 0: as usual
- * @peer: daemon that asked for it; "": a caller of this one
- * @peer_addr: its address
+ * struct CellSubmission - a submitted job until its caller is answered; owned
+ *   by CellPart.submissions
+ * @job: owned
+ * @request_id: the caller's request, for the response
+ * @value: encoded row of @job; owned
+ * @sent_value: row in the last commit, which may name candidate workers, too;
+ *   owned; NULL: not sent yet
+ * @deadline_ms: when the caller is answered, stored or not
+ * @outcome_unknown: a commit with the job, or the planner, did not answer: it
+ *   may be stored, and is never reported as refused
+ * @in_commit: in the outstanding commit
+ * @relayed: waits for the planner's word, since @relayed_ms
+ * @retry_ms: when the caller is to retry, if refused; 0: the default
+ * @peer: daemon that relayed the job here; "": submitted to this one
+ * @peer_addr: address of @peer
  */
 typedef struct CellSubmission CellSubmission;
 struct CellSubmission
@@ -196,15 +215,18 @@
 };
 
 /**
- * struct CellInquiry - a question about one job that needs several calls
- * @call: caller who waits
- * @caller: jobs of others are not shown
- * @verb: state or cancel
- * @id: of the job; "": the queue's count of waiting jobs
+ * struct CellJobQuery - a caller's query about a job, or cancel of it, that
+ *   needs calls; owned by MuxCell.job_queries
+ * @request_id: the caller's request, for the response; key of the table
+ * @caller: who asks; other callers' jobs do not exist for it
+ * @verb: QUERY or CANCEL
+ * @id: of the job; "": asks how many jobs of @queue wait
  * @queue: name of the queue
- * @give_up_ms: when the caller is answered in any case
- * @step: how far it is
+ * @deadline_ms: when the caller is answered in any case
+ * @next_ms: no call before this
+ * @phase: next call to make, see job_query.c
  * @version: CANCEL: of the job's row as read
+ * @outcome_unknown: a commit of the cancel did not answer
  */
 typedef struct CellJobQuery CellJobQuery;
 struct CellJobQuery
@@ -223,9 +245,22 @@
 };
 
 /**
- * struct CellMember - a daemon that greets the planner
- * @greeting: number of its last greeting
- * @is_free: it works on no approval question, and is in the list of such
+ * struct CellMember - a daemon that sends hellos to the planner, or the planner
+ *   itself; owned by MuxCell.members
+ * @name: key of the table
+ * @addr: where it listens for other daemons
+ * @incarnation: of its process
+ * @hello_number: number of its last hello
+ * @last_contact_ms: when that was received
+ * @store_available: the store answers it, by its last hello
+ * @cpu_share_milli: processor share, in thousandths
+ * @stopping: it is shutting down
+ * @wall_known: @wall_offset_ms is known
+ * @wall_offset_ms: its time of day minus this daemon's monotonic clock
+ * @query_number: approval query it is putting; 0: none
+ * @query_cost_ms: expected duration of that
+ * @no_query_until_ms: no query is sent to it before this
+ * @is_free: puts no query, and is in MuxCell.free_members
  */
 struct CellMember
 {
@@ -238,34 +273,34 @@
   uint32_t cpu_share_milli;
   bool stopping;
   bool wall_known;
-  int64_t wall_offset_ms; /* its time of day over our steady clock */
-  uint64_t query_number;  /* number of the approval question it works on */
+  int64_t wall_offset_ms;
+  uint64_t query_number;
   uint32_t query_cost_ms;
-  int64_t no_query_until_ms; /* it is asked nothing before */
+  int64_t no_query_until_ms;
   bool is_free;
   CellMember *free_prev;
   CellMember *free_next;
   UT_hash_handle hh;
 };
 
-/* Workers named in a policy question: so many at least, */
+/* Workers named in an approval query: at least, */
 #define CELL_CANDIDATES_MIN 6
-/* and as many as the service takes. */
+/* and at most, the service's limit. */
 #define CELL_CANDIDATES_MAX 100
-/* Workers named for a step whose turn has not come, at least: its tasks may
- * find others free than those of now. */
+/* At least so many for a step that is not ready yet: other workers than now may
+ * have room by then. */
 #define CELL_CANDIDATES_AHEAD_MIN 12
 
 /**
- * struct CellApproval - what is known of one worker's right to run a stage
- * @slot: the worker's
- * @asked: the service has been asked about it
- * @yes: it may
- * @proof: to be shown at a start; owned; NULL: none
- * @until_ms: the proof is taken until then
- * @written: it is in the progress on its way to the store
- * @stored: a next planner will know that tasks may run there
- * @used: a start went there with a proof
+ * struct CellApproval - whether one worker may run a stage; owned by the stage
+ * @slot: slot of the worker
+ * @queried: a query has named the worker
+ * @approved: the worker may run the stage
+ * @used: a start with a proof was sent to it
+ * @proof: shown to the worker with a start; owned; NULL: none
+ * @proof_expires_ms: the worker accepts @proof up to here
+ * @in_commit: part of the outstanding commit of the job's progress
+ * @stored: recorded, so that a successor knows that runs may be there
  */
 typedef struct
 {
@@ -280,12 +315,17 @@
 } CellApproval;
 
 /**
- * struct CellQuestion - a question to the policy service on its way
- * @slot: of the workers named; owned
- * @is_renewal: all of them are known to be approved
- * @due_ms: an answer by then is no later than usual
- * @until_ms: then it counts as lost
- * @member: the daemon that puts it
+ * struct CellApprovalQuery - an approval query in flight; owned by
+ *   MuxCell.approval_queries
+ * @number: key of the table
+ * @step: stage it is about; its task index is unused
+ * @candidate_count: entries of @slot
+ * @slot: slots of the workers named; owned
+ * @is_renewal: all of them are approved; only new proofs are wanted
+ * @sent_ms: when it was sent
+ * @expected_by_ms: an answer by then is in the usual time
+ * @expires_ms: the query counts as lost from then on
+ * @querier: name of the daemon that puts it
  */
 struct CellApprovalQuery
 {
@@ -302,26 +342,32 @@
 };
 
 /**
- * enum CellTaskState - where a task is in its life
+ * enum CellTaskState - state of a task
+ *
+ * WAITING to STARTING with a start, to RUNNING once the worker confirms it, to
+ * DONE when a run ends well.  STARTING or RUNNING to STOPPING when a stop is
+ * wanted; any of these back to WAITING when the run is known to be gone.  A run
+ * that a worker lists and that is not known here takes its task from WAITING to
+ * RUNNING.  DONE is final, and reached from any state.
  */
 typedef enum
 {
   CELL_TASK_WAITING,
-  CELL_TASK_STARTING, /* a start is on its way */
+  CELL_TASK_STARTING, /* its start is outstanding */
   CELL_TASK_RUNNING,
-  CELL_TASK_STOPPING, /* it is to end, or its start's fate is not known */
+  CELL_TASK_STOPPING, /* to be stopped, or its start went unanswered */
   CELL_TASK_DONE,
 } CellTaskState;
 
-/* Most failed runs of a task, or gang, that are told apart.  Queues allow a
- * handful of attempts; where one allows more, so many are made. */
+/* Failed runs of a task or gang that are told apart.  Queues allow a handful of
+ * attempts; where one allows more, this is the limit. */
 #define CELL_FAILED_RUNS_MAX 16
 
 /**
- * struct CellFailures - failed runs, each counted once
- * A list may tell an end again after a change of planner, and in any order.
- * @count: used entries
- * @run: their numbers
+ * struct CellFailures - failed runs by number, so that each counts once: after
+ *   a change of planner workers report ends again, in any order
+ * @count: used entries of @run
+ * @run: run numbers
  */
 typedef struct
 {
@@ -329,20 +375,20 @@
   uint32_t run[CELL_FAILED_RUNS_MAX];
 } CellFailures;
 
-/* Most lost runs of a task that are told apart: more than it is started again
- * for. */
+/* Lost runs kept of a task: above the limit after which it is not started
+ * again. */
 #define CELL_LOSSES_MAX 8
 
-/* Workers that went down, as far as they are remembered. */
+/* Entries of the ring of workers that went down. */
 #define CELL_DOWN_MAX 1024
 
 /**
- * struct CellDown - a worker that went out of reach
+ * struct CellDownEvent - a worker became unreachable; in the ring MuxCell.down
  * @addr: hash of its address
  * @rack: hash of its rack's name; 0: none
- * @from_ms: it went after this
- * @to_ms: and before this
- * @at_ms: when it was found to be
+ * @from_ms: it was up at this moment,
+ * @to_ms: and down by this one
+ * @at_ms: when this was recorded
  */
 typedef struct
 {
@@ -354,12 +400,12 @@
 } CellDownEvent;
 
 /**
- * struct CellLossSpan - when a run was at the worker with which it was lost
- * @from_ms: since then at most
- * @to_ms: the worker was out of reach by then; 0: another planner lost it
- * @rack: hash of the name of its rack; 0: none
- * @rack_workers: known there then
- * @workers: known then
+ * struct CellLossSpan - while a lost run was at its worker
+ * @from_ms: it was there from this moment on at the earliest
+ * @to_ms: the worker was down by then; 0: not known, a predecessor lost the run
+ * @rack: hash of the worker's rack; 0: none
+ * @rack_workers: workers listed in that rack then
+ * @workers: workers listed in all then
  */
 typedef struct
 {
@@ -371,18 +417,21 @@
 } CellLossSpan;
 
 /**
- * struct CellLoss - a run that was lost with its worker, or may be
+ * struct CellLoss - a run that was, or may have been, lost with its worker;
+ *   owned by its task, stored with the job's progress
  * @run: its number; 0: not known
- * @open: a start there is recorded, and nothing else is known of it
- * @recorded: by a former planner
- * @began: the worker told that it had begun
- * @ended: that life of the worker is over; else it is out of reach
- * @in_outage: so many others went down meanwhile that it may be chance
- * @lived_ms: the worker told of it for so long at least
- * @span: when it was there
- * @at_wall_ms: when it was lost, by the cell's time of day
- * @worker: life of it
- * @addr: its address
+ * @outcome_unknown: only its start is recorded: it may not be lost
+ * @from_predecessor: recorded by a planner of an earlier term
+ * @began: the worker confirmed that the run had begun
+ * @worker_ended: that incarnation of the worker has ended; else it is
+ *   unreachable
+ * @in_outage: so many other workers went down at the time that the loss may
+ *   not be the task's doing
+ * @lived_ms: how long the run was reported for, at least
+ * @span: when it was at the worker
+ * @at_wall_ms: when it was lost
+ * @worker: incarnation of the worker
+ * @addr: address of the worker
  */
 typedef struct
 {
@@ -400,16 +449,16 @@
 } CellLoss;
 
 /**
- * struct CellLosses - what became of the workers under lost runs of a task
- * @crashed: they ended while the run was there
- * @untold: they ended, and whether the run had begun there is not known
- * @unreachable: they may run on
- * @unreachable_recorded: those of them that a former planner lost
- * @crashed_in_outages: as @crashed, in an outage; none of these is counted
- * above
- * @unreachable_in_outages: as @unreachable, the same
- * @untold_in_outages: as @untold, the same
- * @recorded: those of all these that a former planner lost
+ * struct CellLosses - lost runs of a task, counted by what became of their
+ *   workers
+ * @crashed: the worker ended while the run was there
+ * @unconfirmed: the worker ended, and may not have begun the run
+ * @unreachable: the worker may still run it
+ * @unreachable_from_predecessor: those of @unreachable that a predecessor lost
+ * @crashed_in_outages: as @crashed, lost in an outage and not counted there
+ * @unreachable_in_outages: as @unreachable, in an outage
+ * @unconfirmed_in_outages: as @unconfirmed, in an outage
+ * @from_predecessor: those of all that a predecessor lost
  */
 typedef struct
 {
@@ -424,12 +473,17 @@
 } CellLosses;
 
 /**
- * struct CellTask - one task
- * @run: highest number given to a run of it
- * @failures: runs that failed
- * @loss: runs that were lost; owned
- * @booking: room that a run of it holds, or may hold; NULL: none
- * @saved: what a next run resumes
+ * struct CellTask - a task of a stage; owned by the stage
+ * @stage: the stage
+ * @index: of the task in it
+ * @state: see enum CellTaskState
+ * @last_run: highest run number given to it
+ * @failures: failed runs
+ * @failed_slot: slot + 1 of the worker of the last failed run; 0: none
+ * @loss_count: entries of @loss
+ * @loss: lost runs; owned
+ * @booking: the run that is, or may be, at a worker; NULL: none
+ * @checkpoint: what the next run resumes from; "": nothing
  */
 struct CellTask
 {
@@ -438,7 +492,7 @@
   CellTaskState state;
   uint32_t last_run;
   CellFailures failures;
-  uint32_t failed_slot; /* worker of it, by slot + 1; 0: none */
+  uint32_t failed_slot;
   uint32_t loss_count;
   CellLoss *loss;
   CellBooking *booking;
@@ -446,19 +500,26 @@
 };
 
 /**
- * struct CellBooking - room held at a worker by one run of a task
- * @since_ms: when the start was sent, or the run first listed
- * @told_ms: when the worker first told that it runs; 0: it has not
- * @percent: of its work, as last listed
- * @moved_ms: when that changed last
- * @stop_at_ms: when a stop is to be sent (again); 0: none wanted
- * @stop_clock_ms: worker's clock at the answered stop; 0: not answered
- * @stopped_ms: when it was first to be stopped
- * @resumed: the run goes on with what an earlier one had saved
- * @began: the worker told that the run had begun
- * @confirmed: a list of this life of the worker named it
- * @former: life that the start was sent to, if another; owned; NULL: none
- * @former_span: when the run was there, then
+ * struct CellBooking - room held at a worker by one run of a task, from its
+ *   start until the run is known to be gone; owned by the worker's list
+ * @task: the task
+ * @worker: the worker
+ * @run: number of the run
+ * @booked_ms: when the start was sent, or a run not known here was first listed
+ * @first_report_ms: when the worker first confirmed the run; 0: it has not
+ * @percent: of the work done, as last listed
+ * @usage: as last listed, see MuxRunReport
+ * @progressed_ms: when @percent changed last
+ * @next_stop_ms: when a stop is to be sent, or sent again; 0: none is wanted
+ * @stop_clock_ms: the worker's clock when it confirmed the stop; 0: it has not
+ * @stop_since_ms: since when a stop is wanted
+ * @resumed: the run was started from a checkpoint
+ * @began: the worker confirmed that the run has begun
+ * @was_listed: named in some list of this incarnation of the worker
+ * @listed: named in its last list
+ * @previous_incarnation: incarnation that the start was sent to, if not
+ *   @worker; owned; NULL: none
+ * @previous_span: with @previous_incarnation: when the run was there
  */
 struct CellBooking
 {
@@ -484,7 +545,10 @@
 };
 
 /**
- * struct CellHold - room of a worker that only one gang may use
+ * struct CellHold - room at a worker held for a gang about to start; owned by
+ *   the gang's stage
+ * @worker: the worker
+ * @tasks: members that the room is for
  */
 typedef struct
 {
@@ -493,9 +557,10 @@
 } CellHold;
 
 /**
- * struct CellGap - room for members of a gang at a worker
- * @at_ms: it is free from then on
- * @tasks: members that it holds, besides those of earlier gaps
+ * struct CellOpening - room that becomes free at a worker for members of a gang
+ * @worker: the worker
+ * @from_ms: expected to be free from then on
+ * @tasks: members that fit, beyond those of earlier openings there
  */
 typedef struct
 {
@@ -504,15 +569,19 @@
   uint32_t tasks;
 } CellOpening;
 
-/* Gangs that one worker's room is reserved for. */
+/* Gangs that may have a reservation at one worker. */
 #define CELL_RESERVATIONS_MAX 6
 
 /**
- * struct CellReservation - room of a worker kept for a waiting gang
- * @size: so much,
- * @at_ms: from then on
- * @is_old: it was made in the pass before, and not in this one
- * @stands: the same, and holds until its stage's turn in this one
+ * struct CellReservation - room at a worker reserved for a waiting gang; owned
+ *   by the worker
+ * @stage: the gang
+ * @size: how much room
+ * @from_ms: from when on
+ * @is_stale: made in the last pass and not renewed in this one: no longer
+ *   respected, remembered until the pass ends
+ * @is_kept: made in the last pass and still respected, until the stage is
+ *   scanned
  */
 typedef struct
 {
@@ -524,11 +593,11 @@
 } CellReservation;
 
 /**
- * struct CellSample - workers that one look at a step passes over
- * @slot: of the next one
- * @slots: left to be passed over, with or without a worker
- * @workers: left to be looked at
- * @is_part: they are not all of the cell
+ * struct CellWorkerScan - cursor over the workers considered for a step
+ * @slot: next slot
+ * @slots_left: slots left, used or not
+ * @workers_left: scan budget left
+ * @is_partial: the scan does not cover all workers
  */
 typedef struct
 {
@@ -538,11 +607,11 @@
   bool is_partial;
 } CellWorkerScan;
 
-/* Of a step whose tasks are placed in any data centre. */
+/* CellStage.data_centre of a stage that may be placed anywhere. */
 #define CELL_ANY_DATA_CENTRE 0
 
 /**
- * struct CellNode - what a member of a CellTree holds for it
+ * struct CellNode - links of a member of a CellTree, embedded in it
  */
 typedef struct CellNode CellNode;
 struct CellNode
@@ -553,9 +622,11 @@
 };
 
 /**
- * struct CellTree - a set in order; all zero but @before: empty
- * @before: the first comes before the second; never changes for two members
- * @chance: state of what draws the weights
+ * struct CellTree - an ordered set (a treap); empty if all but @before is zero
+ * @root: NULL: the set is empty
+ * @before: whether the first argument sorts before the second; must not change
+ *   for two members
+ * @random_state: of the generator of the nodes' priorities
  */
 typedef struct
 {
@@ -565,15 +636,16 @@
 } CellTree;
 
 /**
- * struct CellOrder - stages with waiting tasks, in planning order
- * @planned: those that a pass has looked at
- * @fresh: the others, in the same order
- * @urgent: of both, those of urgent queues
- * @ranked: of both, those whose rank will change, the next one first
- * @front: where the present pass stands among @planned; NULL: at its end
- * @turn: and the present round
- * @next_urgent: and the present pass among @urgent
- * @numbers: given to stages so far
+ * struct CellPlanOrder - stages with waiting tasks, in planning order; embedded
+ *   in MuxCell, which does not own the stages
+ * @visited: stages scanned since they became ready
+ * @unvisited: the others, in the same order
+ * @urgent: those of both that are in urgent queues
+ * @by_rank_expiry: those of both whose rank will change, by the time of that
+ * @front_cursor: position of the current pass in @visited; NULL: at the end
+ * @round_cursor: position of the current round in @visited; NULL: at the end
+ * @urgent_cursor: position of the current pass in @urgent; NULL: at the end
+ * @last_number: last CellStage.number given out
  */
 typedef struct
 {
@@ -588,40 +660,42 @@
 } CellPlanOrder;
 
 /**
- * enum CellRank - what the end of a step that starts now would be worth
+ * enum CellRank - main planning order, by what an end of the step is worth if
+ *   it starts now
  */
 typedef enum
 {
-  CELL_RANK_STARVED, /* it is to last, and has been away for a while */
+  CELL_RANK_STARVED, /* a long-running step that has not run for a while */
   CELL_RANK_IN_TIME,
   CELL_RANK_LATE,
-  CELL_RANK_WORTHLESS, /* it still ends, as was promised */
+  CELL_RANK_WORTHLESS, /* worth nothing; still run, as it was accepted */
 } CellRank;
 
 /**
- * enum CellLack - what keeps a step from its start
+ * enum CellBlockedOn - what keeps a step from starting
  */
 typedef enum
 {
-  CELL_BLOCKED_ON_TURN,    /* no pass has looked at it */
-  CELL_BLOCKED_ON_QUERIER, /* no daemon is free to put its question */
-  CELL_BLOCKED_ON_ANSWER,  /* which workers are approved is being asked */
+  CELL_BLOCKED_ON_TURN,    /* not scanned yet */
+  CELL_BLOCKED_ON_QUERIER, /* no daemon is free to put its approval query */
+  CELL_BLOCKED_ON_ANSWER,  /* its approval query is in flight */
   CELL_BLOCKED_ON_PROOF,   /* proofs of approved workers are being renewed */
-  CELL_BLOCKED_ON_RECORD,  /* the approvals are not stored yet */
+  CELL_BLOCKED_ON_RECORD,  /* its approvals are not stored yet */
   CELL_BLOCKED_ON_ROOM,
-  CELL_BLOCKED_ON_QUOTA, /* its workspace has as much running as it may */
+  CELL_BLOCKED_ON_QUOTA, /* its workspace's quota is used up */
   CELL_BLOCKED_ON_COUNT
 } CellBlockedOn;
 
 /**
- * struct CellStepWait - what a step has waited for since it became ready
- * @lacks: what it lacks now
+ * struct CellStepWait - what a step was blocked on since it became ready, for
+ *   the log; embedded in its stage
+ * @blocked_on: what it is blocked on now
  * @since_ms: since when
- * @lacked_ms: how long it lacked each before
- * @questions: put to the policy service for it
- * @names: workers named in these
- * @approved: approvals in the answers
- * @used: workers that a start went to with a proof
+ * @blocked_ms: time blocked on each before that
+ * @queries: approval queries sent for it
+ * @candidates: workers named in these
+ * @approved: workers approved in their answers
+ * @used: approved workers that a start was sent to
  */
 typedef struct
 {
@@ -635,35 +709,62 @@
 } CellStepWait;
 
 /**
- * struct CellStage - one step of one occurrence of a job
- * @ready: its turn has come and some task waits: it is in the plan
+ * struct CellStage - one step of one occurrence of a job; owned by the job
+ *
+ * The stage is in the plan while it is @ready: the steps before it are done,
+ * its occurrence is due and a task waits.
+ * @job: the job
+ * @spec: the step, in the job's spec
+ * @occurrence: index of the occurrence
+ * @step: index of the step
+ * @ready: see above
  * @ready_ms: since when
- * @round: the planner's round of looks in which it was last looked at
- * @looked_ms: when that was
- * @is_unlooked: it is counted among those that no pass has looked at
- * @told_ms: when the log last told that it waits; 0: never
- * @is_fresh: no pass has looked at it since it became ready
- * @number: decides among stages that are equal in planning order
- * @ranked_until_ms: its rank changes then; INT64_MAX: never
- * @reserving: room is reserved for it
- * @counted_ms: they were counted in the pass of that time
- * @sample_slot: where its next look at workers begins; 0: nowhere yet
- * @left: tasks not yet done
- * @run: GANG: number of its last run
- * @failures: GANG: runs that failed
- * @loss_changes: counts what came to be known of its tasks' losses
- * @losses_written: so much of it is in the progress on its way to the store
- * @losses_stored: and so much is stored
- * @former_lost: a worker has ended that may have run tasks of it for a former
- *   planner
- * @approval: of workers asked about, by their slots
- * @asking: an approval question is under way
- * @asked_ms: when the last one was sent
- * @lost_answers: not answered since one was in the usual time
- * @wait: as the log tells it when all its tasks were sent to workers
- * @due_ms: when its occurrence should have ended
- * @worthless_ms: after which that end is worth nothing
- * @latest_ms: latest start of this stage that still meets that
+ * @scan_round: planning round that scanned it last; 0: scan it again in any
+ * @scanned_ms: when it was scanned last
+ * @is_unscanned: counted in MuxCell.unscanned_steps
+ * @logged_ms: when the log last said that it waits; 0: never
+ * @is_unvisited: in the plan, and no pass has scanned it since it became ready
+ * @number: tie-break in planning order
+ * @rank_expires_ms: when @rank changes; INT64_MAX: never
+ * @plan_node: in CellPlanOrder.visited or unvisited
+ * @urgent_node: in CellPlanOrder.urgent
+ * @rank_node: in CellPlanOrder.by_rank_expiry
+ * @has_reservation: room is reserved for it
+ * @is_in_reserving: in MuxCell.reserving_stages
+ * @reserving_counted_ms: the pass of that moment has counted its reservations
+ * @scan_slot: slot that its next partial scan begins with; 0: none yet
+ * @service: hash of the pool of workers that runs it
+ * @data_centre: hash of the data centre its tasks are placed in, or
+ *   CELL_ANY_DATA_CENTRE
+ * @proofs_expire_ms: all proofs for it have expired by then
+ * @tasks_left: tasks not done
+ * @last_run: gang: highest run number given to it
+ * @expected_ms: expected duration of a run
+ * @failures: gang: failed runs
+ * @loss_changes: counts changes of its tasks' losses
+ * @losses_written: value of @loss_changes in the outstanding commit
+ * @losses_stored: value of @loss_changes in the store
+ * @predecessor_runs_lost: a worker has ended that may have run tasks of it for
+ *   a predecessor
+ * @approval_count: entries of @approval
+ * @approval_capacity: entries allocated
+ * @approval: by slot of the worker; owned
+ * @recorded_count: entries of @recorded
+ * @recorded: workers that a predecessor recorded as approved; owned
+ * @recorded_added: these are among @approval
+ * @query_pending: an approval query about it is in flight
+ * @queried_ms: when the last one was sent
+ * @lost_queries: queries lost since one was answered in the usual time
+ * @no_query_until_ms: no query about it before this
+ * @wait: what it is blocked on
+ * @deadline_ms: when its occurrence should have ended
+ * @worthless_ms: an end after this is worth nothing
+ * @latest_start_ms: latest start that meets @deadline_ms
+ * @rank: its rank in planning order
+ * @hold_count: entries of @hold
+ * @hold: gang: room held while its proofs are renewed; owned
+ * @holds_expire_ms: when that room is released
+ * @task: spec->count tasks; owned
  */
 struct CellStage
 {
@@ -684,15 +785,15 @@
   CellNode urgent_node;
   CellNode rank_node;
   bool has_reservation;
-  bool is_in_reserving; /* among those that room is reserved for */
+  bool is_in_reserving;
   int64_t reserving_counted_ms;
   uint32_t scan_slot;
-  uint64_t service;         /* hash of the pool that runs it */
-  uint64_t data_centre;     /* hash of the one that its tasks are placed in */
-  int64_t proofs_expire_ms; /* no proof is taken after this */
+  uint64_t service;
+  uint64_t data_centre;
+  int64_t proofs_expire_ms;
   uint32_t tasks_left;
   uint32_t last_run;
-  uint32_t expected_ms; /* that a run of it will take */
+  uint32_t expected_ms;
   CellFailures failures;
   uint32_t loss_changes;
   uint32_t losses_written;
@@ -702,8 +803,8 @@
   uint32_t approval_capacity;
   CellApproval *approval;
   uint32_t recorded_count;
-  char (*recorded)[MUX_NAME_LEN]; /* workers that a former planner could use */
-  bool recorded_added;            /* they stand among @approval */
+  char (*recorded)[MUX_NAME_LEN];
+  bool recorded_added;
   bool query_pending;
   int64_t queried_ms;
   uint32_t lost_queries;
@@ -714,7 +815,7 @@
   int64_t latest_start_ms;
   CellRank rank;
   uint32_t hold_count;
-  CellHold *hold; /* GANG: room kept while its proofs are renewed */
+  CellHold *hold;
   int64_t holds_expire_ms;
   CellTask *task;
   CellStage *reserving_prev;
@@ -722,41 +823,61 @@
 };
 
 /**
- * enum CellOrigin - how the planner came to know of a job
+ * enum CellOrigin - how the planner learned of a job
  */
 typedef enum
 {
-  CELL_ORIGIN_LOAD,   /* read at its takeover */
-  CELL_ORIGIN_FEED,   /* stored by another daemon meanwhile */
-  CELL_ORIGIN_COMMIT, /* stored by itself */
+  CELL_ORIGIN_LOAD,   /* read at the takeover */
+  CELL_ORIGIN_FEED,   /* stored by another daemon since */
+  CELL_ORIGIN_COMMIT, /* stored by this planner */
 } CellOrigin;
 
 /**
- * struct CellJob - a job that the planner carries
+ * struct CellJob - a job that the planner runs; owned by MuxCell.jobs
+ *
+ * It is queued until a task has @started, then active.  @cancelled, @failed or
+ * the end of all tasks lead to @ended once no run holds room any more; it is
+ * removed once its end is stored.
+ * @id: key of the table
+ * @spec: owned
+ * @workspace: borrowed; NULL: it has none
+ * @payload: sent with each start; holds a reference
+ * @part: index of its part
  * @version: of its row
- * @began_ms: accepted, on this daemon's steady clock
- * @due_ms: promised end
- * @worthless_ms: after which its end is worth nothing
- * @old: its row is older than this planner's fence of the part: a former
- *   planner may have started tasks of it anywhere
- * @early: an occurrence was begun before its time
+ * @accepted_ms: when it was accepted; may be before this daemon started
+ * @deadline_ms: promised end
+ * @worthless_ms: an end after this is worth nothing
+ * @predates_term: its row is older than the part's fence of this term: a
+ *   predecessor may have started its tasks anywhere
+ * @origin: see enum CellOrigin
+ * @began_early: its last occurrence begun is not due yet
  * @started: some task has run
  * @cancelled: by its caller
- * @failed: a task failed too often
- * @ended: nothing is left to do but to store the end
- * @dirty: something is to be stored
- * @watched: it is among those that are looked at from time to time
- * @losing: it is among those with lost runs
- * @counted: among those of its queue that wait
- * @progress_stored: a row of its progress stands
- * @progress_lost: it can't be read
- * @ends_stored: a row stands with ends that came while it could not be read
+ * @failed: a task has used up its attempts
+ * @ended: only its end remains to be stored
+ * @end_state: with @ended: how it ended
+ * @dirty: in CellPart.dirty: something of it is to be stored
+ * @watched: in MuxCell.watched
+ * @in_loss_list: in MuxCell.loss_jobs
+ * @counted_waiting: counted in its queue's CellQueueCount
+ * @in_commit: in the outstanding commit of its part
+ * @end_stored: its end is stored
+ * @dirty_again: it changed after the outstanding commit was made
+ * @progress_stored: it has a progress row
+ * @progress_unreadable: the progress row could not be read
+ * @unreadable_ends_stored: it has a row of ends from the time when its own row
+ *   was unreadable
+ * @booking_count: runs that hold room
+ * @loss_count: lost runs of all its tasks
+ * @next_occurrence: index of the next occurrence to begin
+ * @stage_count: entries of @stage
+ * @stage: stages of the occurrences begun, in order; owned
  */
 struct CellJob
 {
   char id[MUX_JOB_ID_LEN];
   MuxJobSpec *spec;
-  CellWorkspace *workspace; /* NULL: it has none */
+  CellWorkspace *workspace;
   MuxBlob *payload;
   uint32_t part;
   uint64_t version;
@@ -777,12 +898,12 @@
   bool counted_waiting;
   bool in_commit;
   bool end_stored;
-  bool dirty_again; /* changed since the commit on its way was made */
+  bool dirty_again;
   bool progress_stored;
   bool progress_unreadable;
   bool unreadable_ends_stored;
   uint32_t booking_count;
-  uint32_t loss_count; /* of all its tasks */
+  uint32_t loss_count;
   uint32_t next_occurrence;
   uint32_t stage_count;
   CellStage **stage;
@@ -796,8 +917,11 @@
 };
 
 /**
- * struct CellUnreadEnd - an end of a run of such a job
- * @task: which; its job is the one that holds this
+ * struct CellUnreadableEnd - end of a run of an unreadable job; owned by that
+ * @task: the task; its job field is unused
+ * @run: number of the run
+ * @end: how it ended
+ * @checkpoint: what it saved; "": nothing
  */
 typedef struct
 {
@@ -808,16 +932,27 @@
 } CellUnreadableEnd;
 
 /**
- * struct CellUnread - a job whose row can't be read
- * @seen: there is such a row; else only something stored beside it
- * @noted_wall_ms: time of day when its ends were last stored; 0: they are not
- * @overflow: more ends came than are kept
+ * struct CellUnreadable - a job whose row can't be read; owned by
+ *   MuxCell.unreadable
+ *
+ * It becomes a CellJob once its row can be read: first @spec is set, then the
+ * job's progress rows are read.  Its ends alone are removed if its row is gone
+ * for as long as ended jobs are kept.
+ * @id: key of the table
+ * @part: index of its part
+ * @has_row: its row exists; else only ends of it are known
+ * @stored_wall_ms: when its ends were last stored; 0: they are not
+ * @overflow: some of its ends were not kept
  * @dirty: its ends, or their removal, are to be stored
- * @dirty_again: more came since the commit on its way was made
- * @spec: as it can be read now, while what stands beside it is; owned
- * @version: of that row
- * @reading: the call that reads it is on its way
- * @next_ms: no such call before
+ * @in_commit: in the outstanding commit of its part
+ * @dirty_again: it changed after that commit was made
+ * @expired: its stored ends are to be removed
+ * @end_count: entries of @end
+ * @end: owned
+ * @spec: the job, now readable, until its progress is read; owned; NULL: none
+ * @version: with @spec: of the job's row
+ * @reading: the call that reads its progress is outstanding
+ * @next_ms: no such call before this
  */
 struct CellUnreadable
 {
@@ -840,7 +975,12 @@
 };
 
 /**
- * struct CellEnded - a job that ended while this daemon planned
+ * struct CellEndedJob - a job that ended lately under this planner; owned by
+ *   MuxCell.ended_jobs, in the order of the ends
+ * @id: key of the table
+ * @workspace: "": it had none
+ * @state: how it ended
+ * @ended_ms: when it was removed from MuxCell.jobs
  */
 typedef struct
 {
@@ -852,17 +992,20 @@
 } CellEndedJob;
 
 /**
- * enum CellRosterState - what the stored roster says of a worker
+ * enum CellRosterState - what the stored roster may say of a worker
  */
 typedef enum
 {
-  CELL_ROSTER_NONE = 1,        /* nothing: no next planner asks it */
-  CELL_ROSTER_NAMED = 2,       /* where it is: it may run something */
-  CELL_ROSTER_WITH_EXPIRY = 4, /* and when its lease is surely over */
+  CELL_ROSTER_NONE = 1,        /* no entry: a successor does not contact it */
+  CELL_ROSTER_NAMED = 2,       /* its address: it may run something */
+  CELL_ROSTER_WITH_EXPIRY = 4, /* and when its lease is certainly over */
 } CellRosterState;
 
 /**
- * struct CellLives - the lives of one worker that the planner knows
+ * struct CellIncarnations - the known incarnations of one worker; owned by
+ *   MuxCell.incarnations
+ * @id: of the worker; key of the table
+ * @incarnation: list of them
  */
 typedef struct
 {
@@ -872,33 +1015,66 @@
 } CellIncarnations;
 
 /**
- * struct CellWorker - one life of a worker, as the planner sees it
- * @lives: it and the others of its id
- * @born_ms: when it began, as its name or its answers say; 0: they do not
- * @slot: index of it in the stages' approvals; never used again in a term
- * @listed: in the platform's list
- * @roster: all that the stored roster may say of it
- * @roster_before: the same without the commit on its way
- * @roster_asked: what that commit writes; 0: nothing of this worker
- * @leaves_at_ms: it says that it stays so long; 0: it does not leave, or does
- * not say when
- * @heard: it has answered under our token: its list is complete
- * @reachable: the last call was answered
- * @clock_ms: its clock, as last told
- * @clock_at_ms: our clock when that arrived
- * @lease_until_ms: furthest lease asked of it, on its clock
- * @unanswered_ms: when the last call that was not answered was sent; 0: none
- * @stale_until_ms: what was sent to its former life may still be carried out
- * @acked: ends up to this number are stored
- * @acked_told: and it knows so of these
- * @seen: ends up to this number are known
- * @store_seq: all ends up to @seen are stored once this number is reached
- * @booked: sum of its bookings
- * @lasting: of these, of tasks that run until they are cancelled
- * @stops: bookings that are to be stopped
- * @unserved_ms: how long it was avoided after its last start, as that was
- *   refused or not answered; 0: it was served
- * @strikes: failed runs lately, without one that ended well between
+ * struct CellWorker - one incarnation of a worker, as the planner sees it;
+ *   owned by MuxCell.workers
+ *
+ * Its runs are unknown until it is @confirmed.  It may become unreachable and
+ * come back; it is @dead once it has ended or its lease is over.
+ * @info: as the platform lists it; its id is the key of the table
+ * @incarnations: all incarnations of the same worker
+ * @started_ms: when it started, by its own clock, since 1970; 0: not known
+ * @service: hash of its pool
+ * @data_centre: hash of its data centre's name
+ * @slot: its index in MuxCell.worker_at; not reused within a term
+ * @listed: in the platform's list of workers
+ * @unlisted_ms: since when it is missing there
+ * @leaves_at_ms: it stays at least until then; 0: it does not leave, or not at
+ *   a known time
+ * @roster: set of CellRosterState: what the stored roster may say of it
+ * @roster_before: the same without the outstanding commit
+ * @roster_pending: what that commit writes; 0: nothing about this worker
+ * @unreachable_since_ms: 0: it is reachable
+ * @down_before_ms: with @unreachable_since_ms: it went down before this
+ * @marked_expiry_ms: when its lease is over, as a predecessor recorded; 0: it
+ *   did not
+ * @lease_over_since_ms: its lease was over by this moment; 0: it is not
+ * @confirmed: it has listed its runs to this planner
+ * @reachable: it answered the last call
+ * @dead: nothing of ours runs there any more
+ * @replaced: another incarnation answers at its address
+ * @no_queue_logged: the log said that no queue names its service
+ * @clock_ms: its clock, as last reported
+ * @clock_at_ms: when that report arrived
+ * @lease_expires_ms: furthest lease requested from it, on its clock
+ * @unanswered_sent_ms: when the last call without an answer was sent; 0: none
+ * @stale_until_ms: calls to its previous incarnation may still arrive until
+ *   then
+ * @acked: its ends up to this number are stored
+ * @acked_sent: and it has been told so of those up to this one
+ * @ends_seen: its ends up to this number are known here
+ * @ends_change_seq: these are stored once all parts have stored up to this
+ *   change, see MuxCell.change_seq
+ * @renewing: a RENEW call is outstanding
+ * @next_renew_ms: when the next one is due
+ * @avoid_until_ms: no task is placed there before this
+ * @backoff_ms: how long it was avoided after a start that was refused or
+ *   unanswered; 0: the last start was accepted
+ * @no_fill_until_ms: no task of a step that fills is placed there before this
+ * @direct_until_ms: called by this daemon itself until then
+ * @reroutes: counts changes of its route; selects the proxy
+ * @idle_until_ms: not called before this while nothing runs there
+ * @consecutive_failures: failed runs since one ended well there
+ * @booked: room of its bookings
+ * @long_running: part of @booked for tasks that run until they are cancelled
+ * @stop_count: bookings for which a stop is to be sent
+ * @held: room held for gangs about to start
+ * @hold_count: stages that hold some of it
+ * @reservation_count: entries of @reservation
+ * @reservation: room reserved for waiting gangs
+ * @is_reserved: in MuxCell.reserved
+ * @proxy: daemon that makes calls to it; NULL: to be chosen
+ * @proxy_until_ms: @proxy is chosen anew after this
+ * @bookings: list of them; owned
  */
 struct CellWorker
 {
@@ -907,25 +1083,24 @@
   CellWorker *incarnations_prev;
   CellWorker *incarnations_next;
   uint64_t started_ms;
-  uint64_t service;     /* hash of its pool */
-  uint64_t data_centre; /* hash of its name */
+  uint64_t service;
+  uint64_t data_centre;
   uint32_t slot;
   bool listed;
   int64_t unlisted_ms;
   int64_t leaves_at_ms;
-  uint32_t roster; /* set of CellRosterState, as the two below */
+  uint32_t roster;
   uint32_t roster_before;
   uint32_t roster_pending;
-  int64_t unreachable_since_ms; /* out of reach since; 0: it is not */
-  int64_t down_before_ms;       /* and went before this */
-  int64_t marked_expiry_ms; /* as a former planner marked it; 0: not marked */
-  int64_t
-      lease_over_since_ms; /* its lease is over by what we know; 0: it is not */
+  int64_t unreachable_since_ms;
+  int64_t down_before_ms;
+  int64_t marked_expiry_ms;
+  int64_t lease_over_since_ms;
   bool confirmed;
   bool reachable;
   bool dead;
-  bool replaced;        /* another life answers at its address */
-  bool no_queue_logged; /* told that no queue names its service */
+  bool replaced;
+  bool no_queue_logged;
   int64_t clock_ms;
   int64_t clock_at_ms;
   int64_t lease_expires_ms;
@@ -940,42 +1115,56 @@
   int64_t avoid_until_ms;
   int64_t backoff_ms;
   int64_t no_fill_until_ms;
-  int64_t direct_until_ms; /* no other daemon calls it */
-  uint32_t reroutes;       /* decides which daemon calls it */
-  int64_t idle_until_ms;   /* it is asked nothing while nothing runs there */
+  int64_t direct_until_ms;
+  uint32_t reroutes;
+  int64_t idle_until_ms;
   uint32_t consecutive_failures;
   MuxSize booked;
   MuxSize long_running;
   uint32_t stop_count;
-  MuxSize held;        /* room kept for gangs about to start */
-  uint32_t hold_count; /* stages that hold some of it */
+  MuxSize held;
+  uint32_t hold_count;
   uint32_t reservation_count;
   CellReservation reservation[CELL_RESERVATIONS_MAX];
-  bool is_reserved; /* it has any: it is in the list of such */
+  bool is_reserved;
   CellWorker *reserved_prev;
   CellWorker *reserved_next;
-  CellMember *proxy;      /* daemon that calls it; NULL: to be chosen */
-  int64_t proxy_until_ms; /* it is chosen anew after this */
+  CellMember *proxy;
+  int64_t proxy_until_ms;
   CellBooking *bookings;
   UT_hash_handle hh;
 };
 
 /**
- * struct CellPart - a part of the jobs' tables, as the planner keeps it
- * @fence_version: of the row that lets this planner change it
- * @term_version: of the row that lets it store jobs and start them at once; a
- *   former planner may have started any job that is older
- * @fenced: that row is ours
- * @fence_doubtful: a commit went unanswered, its version is to be read
- * @term_doubtful: a commit of jobs found another version of that row
- * @dirty: jobs with something to store
- * @unread_dirty: jobs that can't be read, the same
- * @dirty_since_ms: the oldest of them
- * @hurry: a caller waits for what is to be stored
- * @committing: a commit is on its way, since @commit_sent_ms
- * @commit_seq: ends that it covers
- * @stored_seq: ends up to this number of this part are stored
- * @loading: how far the takeover is with it
+ * struct CellPart - one partition of the stored job tables, as the planner
+ *   writes it; embedded in MuxCell
+ * @name: of the part in the store
+ * @fence_version: of its fence row, on which each commit of progress depends
+ * @term_version: of its term row, on which each commit of jobs by the planner
+ *   depends; a predecessor may have started any older job
+ * @fenced: the fence row is of this term
+ * @fence_version_unknown: a commit went unanswered; the row is to be read
+ * @term_version_unknown: a commit of jobs found another version of the term
+ *   row; it is to be read
+ * @reading_fence: the call that reads both rows is outstanding
+ * @dirty: list of jobs with something to store
+ * @unreadable_dirty: number of unreadable jobs with something to store
+ * @dirty_since_ms: since when the oldest of them waits
+ * @next_commit_ms: no commit of progress before this
+ * @commit_now: commit without waiting for more changes
+ * @committing: a commit of progress is outstanding
+ * @commit_sent_ms: when it was sent
+ * @commit_seq: unused
+ * @stored_seq: changes up to this number are stored, see MuxCell.change_seq
+ * @load_table: table the takeover reads next; MUX_TABLE_COUNT: all are read
+ * @load_busy: its call is outstanding
+ * @load_from: first key of its next page
+ * @load_next_ms: no such call before this
+ * @submissions: list of jobs to store; owned
+ * @submitting: a commit of these is outstanding
+ * @submit_sent_ms: when it was sent
+ * @submit_took_ms: how long the last answered one took
+ * @next_submit_ms: no such commit before this
  */
 typedef struct
 {
@@ -995,23 +1184,24 @@
   int64_t commit_sent_ms;
   uint64_t commit_seq;
   uint64_t stored_seq;
-  MuxCellTable load_table; /* MUX_TABLE_COUNT: loaded */
+  MuxCellTable load_table;
   bool load_busy;
   char load_from[MUX_ROW_NAME_LEN];
   int64_t load_next_ms;
   CellSubmission *submissions;
   bool submitting;
   int64_t submit_sent_ms;
-  int64_t submit_took_ms; /* the last answered commit of submissions */
+  int64_t submit_took_ms;
   int64_t next_submit_ms;
 } CellPart;
 
 /**
- * struct CellSweep - how far the planner is with removing old ends
- * @part: that it reads
- * @from: next page's first key
- * @busy: a call is on its way
- * @next_ms: no call before
+ * struct CellSweep - progress of the removal of old rows of ended jobs;
+ *   embedded in MuxCell
+ * @part: part it is at
+ * @from: first key of the next page
+ * @busy: a call is outstanding
+ * @next_ms: no call before this
  */
 typedef struct
 {
@@ -1021,28 +1211,38 @@
   int64_t next_ms;
 } CellSweep;
 
+/**
+ * enum CellRole - role of this daemon
+ *
+ * FOLLOWER to LOADING when it wins the claim, to PLANNING when all is read, and
+ * back to FOLLOWER from either when it steps down.
+ */
 typedef enum
 {
   CELL_FOLLOWER,
-  CELL_LOADING, /* holds the claim, reads what is there */
+  CELL_LOADING, /* holds the claim, reads the stored state */
   CELL_PLANNING,
 } CellRole;
 
+/**
+ * struct MuxCell - state of the scheduler in this daemon; owned by the caller
+ *   of mux_cell_new()
+ */
 struct MuxCell
 {
   MuxCellOptions options;
-  MuxCellTime time; /* of this event; with the cell's time of day */
-  int64_t own_wall_ms;
-  int64_t wall_offset_ms;   /* of the cell's time of day over @time.now_ms */
-  int64_t wall_received_ms; /* a planner told it then; 0: none did */
+  MuxCellTime time;         /* of the current event; wall_ms is the cell's */
+  int64_t own_wall_ms;      /* this instance's own time of day then */
+  int64_t wall_offset_ms;   /* the cell's time of day minus @time.now_ms */
+  int64_t wall_received_ms; /* when a planner last sent it; 0: none has */
   int64_t next_wall_check_ms;
-  uint64_t next_call;
+  uint64_t next_call; /* id of the next call */
   CellPending *pending;
   CellFollow follow[FOLLOW_COUNT];
-  MuxQueueConfig *config;
-  int64_t config_confirmed_ms; /* it was the newest then; 0: never */
-  bool config_unreadable;      /* a newer one can't be read */
-  bool keys_confirmed_logged;  /* as told last */
+  MuxQueueConfig *config;      /* in force; owned; NULL: none read yet */
+  int64_t config_confirmed_ms; /* when it was the newest one; 0: never */
+  bool config_unreadable;      /* the store has a newer one that is not */
+  bool keys_confirmed_logged;  /* last state of the callers' keys in the log */
   CellWorkspace *workspaces;
   CellService *services;
   CellBadRow *bad_rows;
@@ -1050,129 +1250,130 @@
   CellJobQuery *job_queries;
 
   /* The store as this daemon sees it. */
-  int64_t store_clock_ms;    /* the store's steady clock as last told, */
-  int64_t store_clock_at_ms; /* and ours when that call was sent */
-  int64_t reply_clock_ms;    /* as told by the answer that is taken; 0: not */
-  int64_t store_served_ms;   /* its last answer that was not a failure */
-  int64_t store_failing_ms;  /* first failure since; 0: none */
-  int64_t commit_took_ms;    /* the last answered commit of any part */
-  int64_t store_changed_ms;  /* it began to fail, or to serve again, then */
+  int64_t store_clock_ms;    /* the store's monotonic clock, as last reported */
+  int64_t store_clock_at_ms; /* when that call was sent */
+  int64_t reply_clock_ms;    /* store's clock in the current reply; 0: none */
+  int64_t store_served_ms;   /* last reply that was not a failure */
+  int64_t store_failing_ms;  /* first failure since then; 0: none */
+  int64_t commit_took_ms;    /* duration of the last commit of any part */
+  int64_t store_changed_ms;  /* when it last began to fail, or to serve */
 
   /* The claim. */
   CellClaim claim;
-  int64_t claim_read_ms; /* it, or its holder's last sign of life, was read */
-  int64_t heartbeat_predecessors_until_ms; /* what that told of planners before
-                                              it */
+  int64_t claim_read_ms; /* when it, or its holder's heartbeat, was last read */
+  /* Until when planners before the holder may order, by its heartbeat. */
+  int64_t heartbeat_predecessors_until_ms;
   CellHellos hellos;
-  CellPredecessor predecessor; /* of the planner */
+  CellPredecessor predecessor; /* of this planner */
   CellRole role;
-  uint64_t term; /* version of the claim held; 0: none */
+  uint64_t term; /* version of the claim held, the fencing token; 0: none */
   int64_t term_began_ms;
-  int64_t planning_began_ms;    /* all parts were fenced by then */
-  int64_t late_starts_until_ms; /* of former planners, at next lives */
-  bool jobs_unverified;       /* jobs were read without the claim beside them */
-  bool jobs_rereading;        /* they still are */
-  bool claim_recheck_busy;    /* a call that reads the claim is on its way */
-  uint64_t jobs_reread_count; /* of all jobs, begun so far */
-  int64_t claim_verified_ms;  /* the claim was surely ours then */
-  int64_t claim_renewed_ms;   /* the same, and others have seen it; 0: never */
+  int64_t planning_began_ms; /* all parts were fenced by then */
+  /* Starts by predecessors may reach later incarnations of workers until. */
+  int64_t late_starts_until_ms;
+  bool jobs_unverified;       /* jobs were read without checking the claim */
+  bool jobs_rereading;        /* that full read has not ended */
+  bool claim_recheck_busy;    /* the call that checks it is outstanding */
+  uint64_t jobs_reread_count; /* full reads of the jobs begun so far */
+  int64_t claim_verified_ms;  /* the claim was certainly held then */
+  int64_t claim_renewed_ms;   /* and others can see that; 0: never */
   int64_t claim_doubted_ms;   /* when it was last in doubt */
-  bool claim_verify_busy;
+  bool claim_verify_busy;     /* a call that reads the claim is outstanding */
   int64_t next_verify_ms;
-  bool heartbeat_busy;
+  bool heartbeat_busy; /* a commit of the heartbeat is outstanding */
   int64_t next_heartbeat_ms;
-  bool yield_busy;
-  bool claim_releasing; /* the claim is being given up */
-  int64_t yield_after_ms;
-  int64_t last_event_ms;
-  bool claiming;
-  int64_t claim_after_ms;
-  int64_t claim_retry_ms;
-  bool planner_restarted; /* its process is gone, a younger one answers */
+  bool yield_busy;        /* a commit that hands the claim over is */
+  bool claim_releasing;   /* the claim is being released */
+  int64_t yield_after_ms; /* no check for a stronger daemon before this */
+  int64_t last_event_ms;  /* when the last tick ended */
+  bool claiming;          /* a commit that takes the claim is outstanding */
+  int64_t claim_after_ms; /* no attempt to take the claim before this, */
+  int64_t claim_retry_ms; /* also if its holder was this daemon */
+  bool planner_restarted; /* a later process answers in the holder's place */
   int64_t planner_last_contact_ms;
-  uint64_t heartbeat_version;       /* of its last sign of life in the store */
-  bool heartbeat_exists;            /* that row was not removed */
-  int64_t planner_hello_reply_ms;   /* its last answer to a greeting */
-  int64_t planner_store_failing_ms; /* it says so since; 0: it does not */
-  int64_t planner_late_ms; /* as it says: what arrives there waits so long */
-  MuxAdmission admission;  /* the planner's, or as it told last */
+  uint64_t heartbeat_version;       /* of the heartbeat row last read */
+  bool heartbeat_exists;            /* the row is in the store */
+  int64_t planner_hello_reply_ms;   /* its last reply to a hello */
+  int64_t planner_store_failing_ms; /* since when, as it reports; 0: it works */
+  int64_t planner_late_ms;          /* its event delay, as it reports */
+  MuxAdmission admission;           /* the planner's, as last received */
   int64_t admission_updated_ms;
-  MuxThrottle throttle;    /* the planner's, or as it told last */
-  MuxBlob *admission_blob; /* both, as the planner tells them; or NULL */
+  MuxThrottle throttle;    /* the planner's, as last received */
+  MuxBlob *admission_blob; /* both, encoded for other daemons; NULL: none */
   int64_t admission_blob_ms;
-  int64_t only_planner_failing_ms; /* and this daemon is served since; 0: not */
-  int64_t probed_ms;               /* the store answered a look then */
+  /* Since when the store fails the planner and serves this daemon; 0: no. */
+  int64_t only_planner_failing_ms;
+  int64_t probed_ms; /* when the store last answered a probe */
   int64_t next_probe_ms;
   int64_t next_hello_ms;
-  bool stopping;
+  bool stopping; /* mux_cell_stop() was called */
   bool claim_released;
 
-  /* Of the planner alone. */
+  /* Used by the planner only. */
   CellReplyLatency reply_latency;
-  bool late;          /* it takes no new jobs, as it told last */
-  bool has_backlog;   /* new jobs would wait, the same */
-  bool pool_has_room; /* some pool is not full, as counted last */
+  bool late;          /* last state in the log: it takes no new jobs */
+  bool has_backlog;   /* last state in the log: new jobs would wait */
+  bool pool_has_room; /* some pool of workers has free room */
   int64_t next_backlog_log_ms;
-  uint64_t admission_term; /* in which the backlog was counted last */
+  uint64_t admission_term; /* term in which the backlog was counted last */
   CellJob *jobs;
-  CellJob *watched;   /* jobs that time alone may change */
+  CellJob *watched;   /* jobs that the passing of time alone may change */
   CellJob *loss_jobs; /* jobs with lost runs */
   uint32_t loss_job_count;
   CellQueueCount *queue_counts;
   CellEndedJob *ended_jobs;
   CellUnreadable *unreadable;
-  bool unreadable_overflow;      /* others can't be read, which are not in it */
-  bool unreadable_ends_overflow; /* ends are stored of some of those */
+  bool unreadable_overflow;      /* there are more than are kept */
+  bool unreadable_ends_overflow; /* some of these have stored ends */
   CellSweep sweep;
   CellWorker *workers;
-  CellIncarnations *incarnations; /* of each id */
-  uint32_t worker_slots;
-  uint32_t direct_workers;     /* that no other daemon calls, as last counted */
-  CellWorker **worker_at;      /* by slot; NULL: forgotten */
-  int64_t all_confirmed_at_ms; /* when @all_heard was looked up */
-  bool all_confirmed;          /* no worker of the roster is left to be heard */
-  uint32_t
-      worker_scan_slot; /* slot that the next look at workers begins with */
-  int64_t worker_scanned_ms; /* when the last one was */
-  CellWorker *reserved;      /* with room reserved for gangs */
+  CellIncarnations *incarnations;
+  uint32_t worker_slots;       /* slots given out in this term */
+  uint32_t direct_workers;     /* workers called without a proxy */
+  CellWorker **worker_at;      /* by slot; owned; NULL: forgotten */
+  int64_t all_confirmed_at_ms; /* when @all_confirmed was computed */
+  bool all_confirmed;          /* each worker of the roster has listed its runs,
+                                  or its lease is over */
+  uint32_t worker_scan_slot;   /* slot the next check of workers begins at */
+  int64_t worker_scanned_ms;   /* when the last one was */
+  CellWorker *reserved;        /* workers with reservations */
   CellMember *members;
-  CellMember *free_members;    /* that work on no approval question */
-  int64_t queriers_counted_ms; /* when the next two were counted */
-  uint32_t queriers_alive;
-  uint32_t queriers_with_long_query; /* of them, with a long question */
+  CellMember *free_members;          /* those that put no approval query */
+  int64_t queriers_counted_ms;       /* when the next two were counted */
+  uint32_t queriers_alive;           /* members that can put queries */
+  uint32_t queriers_with_long_query; /* of these, those that put a long one */
   CellApprovalQuery *approval_queries;
   CellPlanOrder plan_order;
-  uint32_t late_reservations_left; /* left to late gangs in this pass */
-  CellStage *reserving_stages;     /* stages that room is reserved for */
-  uint32_t scan_cost;              /* workers looked at in this pass */
-  uint32_t idle_scan_cost;         /* for stages that still wait, the same */
-  uint32_t steps_scanned;          /* waiting steps, the same */
-  uint64_t
-      scan_round; /* of looks at all stages; several passes may share one */
-  bool replan;
-  uint64_t change_seq;
+  uint32_t late_reservations_left; /* reservations left for late gangs */
+  CellStage *reserving_stages;     /* stages with reservations */
+  uint32_t scan_cost;              /* workers scanned in this pass */
+  uint32_t idle_scan_cost;         /* of these, for steps that still wait */
+  uint32_t steps_scanned;          /* waiting steps scanned in this pass */
+  uint64_t scan_round; /* a round scans all steps, in one or more passes */
+  bool replan;         /* something changed: plan at the next tick */
+  uint64_t change_seq; /* counts changes that are to be stored */
   bool roster_loaded;
-  bool roster_busy;
-  uint64_t roster_fence;      /* version that its next commit expects */
-  bool roster_fence_doubtful; /* a commit went unanswered, it is to be read */
-  char roster_from[MUX_ROW_NAME_LEN]; /* first key of its next page */
+  bool roster_busy;           /* a call about the roster is outstanding */
+  uint64_t roster_fence;      /* version its next commit depends on */
+  bool roster_fence_doubtful; /* a commit went unanswered: read it */
+  char roster_from[MUX_ROW_NAME_LEN]; /* first key of the next page */
   int64_t roster_next_ms;
-  uint32_t unscanned_steps; /* steps that wait and no pass has looked at yet */
-  int64_t next_plan_ms;
-  int64_t next_periodic_ms;
-  uint64_t quota_term;       /* all workers were heard in it */
-  MuxQuota unconfirmed_room; /* of workers whose runs are not known yet */
-  int64_t next_overdue_ms;
+  uint32_t unscanned_steps;  /* waiting steps that no pass has scanned */
+  int64_t next_plan_ms;      /* next pass if nothing changes */
+  int64_t next_periodic_ms;  /* next run of the periodic checks */
+  uint64_t quota_term;       /* all workers were confirmed in this term */
+  MuxQuota unconfirmed_room; /* of workers that have not listed their runs */
+  int64_t next_overdue_ms;   /* next check for lost proxied calls */
   int64_t next_loss_check_ms;
-  uint32_t down_next; /* counts them */
+  uint32_t down_next; /* events recorded in @down so far */
   CellDownEvent down[CELL_DOWN_MAX];
   int64_t next_wait_log_ms;
-  MuxRunTimes run_times; /* as seen, or as a planner told */
+  MuxRunTimes run_times; /* learned, or received from a planner */
   int64_t next_run_times_log_ms;
   int64_t next_load_log_ms;
-  int64_t next_full_pass_ms;
-  int64_t next_pass_ms; /* no pass before */
-  uint64_t last_approval_query;
+  int64_t next_full_pass_ms;    /* until then passes cover urgent steps only */
+  int64_t next_pass_ms;         /* no pass before this */
+  uint64_t last_approval_query; /* number of the last one sent */
 };
 
 #endif
