--- a/src/cell/job_rows.c
+++ b/src/cell/job_rows.c
@@ -3,10 +3,10 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Rows of the jobs' table: jobs, cancels and, beside them, the claim. */
+/* Rows of the table of jobs: jobs, their cancels, and the claim in part "". */
 
-/* Ends the key of a job's cancel, which begins with the job's id. */
-#define CANCEL_MARK '!'
+/* The key of a job's cancel is the job's id with this behind it. */
+#define CANCEL_SUFFIX '!'
 
 static void
 job_row (MuxCell *cell, const MuxCellRow *row)
@@ -16,12 +16,13 @@
   MuxJobSpec *spec = json != NULL ? mux_job_from_json (json, &findings) : NULL;
   CellJob *job;
 
-  /* Not run, as gaps in it may be its order or its attempts, and not removed: a
-   * daemon that can read it goes on with it, and its caller can cancel it. */
+  /* An unreadable job is not run, as its dependencies or its attempts may be
+   * what is missing.  It is not removed either: a daemon that can read it
+   * continues it, and its caller can cancel it. */
   if (json != NULL && spec == NULL)
     cell_report_bad_row (cell, row, CELL_ROW_FIELD,
                          findings.count > 0 ? findings.item[0].text
-                                            : "memory is out");
+                                            : "out of memory");
   json_decref (json);
   if (spec == NULL)
     {
@@ -41,7 +42,7 @@
   if (job == NULL)
     {
       cell_log (cell, "job_dropped", "{s:s, s:s}", "key", row->key, "why",
-                "memory is out");
+                "out of memory");
       cell_unreadable_add (cell, row->key, true);
     }
   else if (cell->role == CELL_PLANNING)
@@ -80,9 +81,9 @@
 }
 
 /*
- * Guards against a row that stands for a job, or a cancel, which it is not: cut
- * to the length of an id its key may be that of another job, and in a part that
- * is not the id's own its end could not be stored, so that each new planner
+ * Rejects rows that are not those of the job they seem to be.  A longer key,
+ * cut to the length of an id, may be the id of another job; and the end of a
+ * job in another part than its id's could not be stored, so that each planner
  * would run it again.
  */
 static bool
@@ -97,7 +98,7 @@
 {
   size_t len = strlen (row->key);
 
-  return len > 0 && row->key[len - 1] == CANCEL_MARK;
+  return len > 0 && row->key[len - 1] == CANCEL_SUFFIX;
 }
 
 void
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -5,12 +5,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* How long ended jobs are remembered by the planner, so that questions about
- * them need no reading of the store; later ones are answered from there. */
-#define ENDED_KEEP_MS 30000
-/* Times the promised time after which the end of a job is worth nothing. */
+/* The planner's jobs: their deadlines, their states and their ends. */
+
+/* The planner answers queries about a job that has ended from memory for so
+ * long; after that they are answered from the store. */
+#define ENDED_RETENTION_MS 30000
+/* The end of a job is worth nothing after so many times its promised duration.
+ */
 #define WORTHLESS_FACTOR 3
-/* Workers that a policy question of the promised time names. */
+/* Workers that an approval query is taken to name in a promised duration. */
 #define PROMISED_CANDIDATES 30
 #define MILLI 1000
 #define US_PER_MS 1000
@@ -25,7 +28,7 @@
 }
 
 static uint32_t
-approval_ms (const MuxApprovalSpec *approval)
+approval_query_ms (const MuxApprovalSpec *approval)
 {
   if (!approval->required)
     return 0;
@@ -33,9 +36,10 @@
          / US_PER_MS;
 }
 
-/* The longest chain of steps, each with one policy question. */
+/* Duration of the longest chain of dependent steps, each with one approval
+ * query. */
 static int64_t
-chain_ms (const MuxCell *cell, const MuxJobSpec *spec)
+critical_path_ms (const MuxCell *cell, const MuxJobSpec *spec)
 {
   int64_t end[MUX_STEPS_MAX];
   int64_t longest = 0;
@@ -48,7 +52,7 @@
         if ((spec->step[i].after >> j & 1) != 0 && end[j] > begin)
           begin = end[j];
       end[i] = begin + cell_expected_ms (cell, spec, &spec->step[i])
-               + approval_ms (&spec->queue.approval);
+               + approval_query_ms (&spec->queue.approval);
       if (end[i] > longest)
         longest = end[i];
     }
@@ -56,23 +60,23 @@
 }
 
 static int64_t
-promised_ms (const MuxCell *cell, const MuxJobSpec *spec)
+promised_duration_ms (const MuxCell *cell, const MuxJobSpec *spec)
 {
-  return chain_ms (cell, spec) * spec->queue.slack_milli / MILLI
+  return critical_path_ms (cell, spec) * spec->queue.slack_milli / MILLI
          + spec->queue.target_ms;
 }
 
 int64_t
 cell_job_slack_ms (const MuxCell *cell, const MuxJobSpec *spec)
 {
-  return promised_ms (cell, spec) - chain_ms (cell, spec);
+  return promised_duration_ms (cell, spec) - critical_path_ms (cell, spec);
 }
 
 static void
-set_times (MuxCell *cell, CellJob *job)
+set_deadlines (MuxCell *cell, CellJob *job)
 {
   const MuxJobSpec *spec = job->spec;
-  int64_t promised = promised_ms (cell, spec);
+  int64_t promised = promised_duration_ms (cell, spec);
   int64_t age_ms = cell->time.wall_ms - spec->accepted_wall_ms;
 
   if (age_ms < 0)
@@ -97,8 +101,8 @@
   snprintf (job->id, sizeof job->id, "%s", spec->id);
   job->part = cell_part_of (job->id);
   job->payload = mux_blob_new (spec->payload, strlen (spec->payload));
-  set_times (cell, job);
-  /* Without its workspace no quota would bound it. */
+  set_deadlines (cell, job);
+  /* Its quota can't be enforced without the workspace. */
   if (job->workspace == NULL && spec->workspace[0] != 0)
     {
       cell_job_delete (cell, job);
@@ -120,8 +124,9 @@
   if (job == NULL)
     return NULL;
   job->version = version;
-  /* Not than the claim: until its part was fenced a former planner that did
-   * not know of the claim could still store jobs, and start them. */
+  /* Compared with the part's fence, not with the claim: until the part was
+   * fenced, a predecessor that did not know of the claim could still store jobs
+   * and start them. */
   job->predates_term = version < cell->part[job->part].term_version;
   job->origin
       = cell->role == CELL_PLANNING ? CELL_ORIGIN_FEED : CELL_ORIGIN_LOAD;
@@ -187,7 +192,7 @@
 }
 
 static void
-stop_all (MuxCell *cell, CellJob *job)
+stop_all_runs (MuxCell *cell, CellJob *job)
 {
   for (uint32_t i = 0; i < job->stage_count; i++)
     {
@@ -210,7 +215,7 @@
             (int) job->booking_count);
   if (cell->role != CELL_PLANNING)
     return;
-  stop_all (cell, job);
+  stop_all_runs (cell, job);
   cell_job_advance (cell, job);
 }
 
@@ -222,7 +227,7 @@
   job->failed = true;
   cell_job_watch (cell, job);
   cell_log (cell, "job_failing", "{s:s, s:s}", "job", job->id, "why", why);
-  stop_all (cell, job);
+  stop_all_runs (cell, job);
   cell_job_advance (cell, job);
 }
 
@@ -262,7 +267,7 @@
 }
 
 static bool
-all_done (const CellJob *job)
+all_tasks_done (const CellJob *job)
 {
   for (uint32_t i = 0; i < job->stage_count; i++)
     if (job->stage[i]->tasks_left > 0)
@@ -283,7 +288,7 @@
       return;
     }
   cell_occurrences_begin (cell, job);
-  if (job->stage_count > 0 && all_done (job))
+  if (job->stage_count > 0 && all_tasks_done (job))
     {
       end_job (cell, job, MUX_JOB_COMPLETED);
       return;
@@ -293,8 +298,9 @@
 }
 
 /*
- * Guards against a job that is tried without end: failed runs are told apart up
- * to a number, and with a queue that allows more the count never got there.
+ * Failed runs are told apart up to a limit.  A queue may allow more attempts;
+ * without this bound their count would never be reached, and the job be retried
+ * for good.
  */
 uint32_t
 cell_attempts_max (const CellJob *job)
@@ -304,10 +310,8 @@
   return max < CELL_FAILED_RUNS_MAX ? max : CELL_FAILED_RUNS_MAX;
 }
 
-/*
- * Guards against one attempt too many: the former planner may have stored the
- * last failure that is allowed and died before it stored that the job failed.
- */
+/* The predecessor may have stored the last failure that is allowed and crashed
+ * before it stored that the job failed. */
 static bool
 attempts_used (const CellJob *job)
 {
@@ -327,13 +331,13 @@
 }
 
 /*
- * Guards against tasks that are run again though they were done: what a former
- * planner stored of the job can't be read, and with it which of them were.  Its
- * caller hears that the job failed, which can be acted on, rather than nothing
- * for good.  Tasks that run until they are cancelled are never done, and go on.
+ * The job's stored progress can't be read, and with it which tasks are done:
+ * these would run again.  Such a job fails, so that its caller can act, instead
+ * of waiting for good.  Tasks that run until they are cancelled are never done,
+ * and go on.
  */
 static bool
-may_repeat (const CellJob *job)
+may_rerun_done_tasks (const CellJob *job)
 {
   if (!job->progress_unreadable)
     return false;
@@ -346,7 +350,7 @@
 void
 cell_job_resume (MuxCell *cell, CellJob *job)
 {
-  if (may_repeat (job))
+  if (may_rerun_done_tasks (job))
     cell_job_fail (cell, job, "progress_unreadable");
   else if (attempts_used (job))
     cell_job_fail (cell, job, "attempts_used_before");
@@ -355,24 +359,24 @@
 }
 
 static void
-forget_ended (MuxCell *cell)
+expire_ended_jobs (MuxCell *cell)
 {
   CellEndedJob *ended;
   CellEndedJob *next;
 
-  /* In the order in which they ended. */
+  /* They are in the order of their ends. */
   HASH_ITER (hh, cell->ended_jobs, ended, next)
   {
-    if (cell->time.now_ms - ended->ended_ms < ENDED_KEEP_MS)
+    if (cell->time.now_ms - ended->ended_ms < ENDED_RETENTION_MS)
       return;
     HASH_DEL (cell->ended_jobs, ended);
     free (ended);
   }
 }
 
-/* The job's end is stored and no run of it holds room any more. */
+/* Called once the job's end is stored and no run of it holds room. */
 static void
-remember_ended (MuxCell *cell, CellJob *job)
+move_to_ended (MuxCell *cell, CellJob *job)
 {
   CellEndedJob *ended = calloc (1, sizeof *ended);
 
@@ -387,21 +391,22 @@
   cell_job_remove (cell, job);
 }
 
-/* Time alone may bring it on. */
+/* Whether the job may change state without an event of its own: as its next
+ * occurrence is due, or once all workers have been heard from. */
 static bool
-needs_look (const CellJob *job)
+needs_watching (const CellJob *job)
 {
   return cell_occurrences_left (job) || job->began_early || job->cancelled
          || job->failed;
 }
 
 static void
-look_at (MuxCell *cell, CellJob *job)
+check_watched (MuxCell *cell, CellJob *job)
 {
   mux_count (cell->options.counters, MUX_COUNT_JOB_LOOKS, 1);
   if (job->end_stored && job->booking_count == 0)
-    remember_ended (cell, job);
-  else if (!needs_look (job) && !job->end_stored)
+    move_to_ended (cell, job);
+  else if (!needs_watching (job) && !job->end_stored)
     unwatch (cell, job);
   else if (!job->ended)
     {
@@ -417,9 +422,9 @@
   CellJob *job;
   CellJob *next;
 
-  forget_ended (cell);
+  expire_ended_jobs (cell);
   DL_FOREACH_SAFE2 (cell->watched, job, next, watched_next)
-  look_at (cell, job);
+  check_watched (cell, job);
 }
 
 bool
--- a/src/cell/queue_count.c
+++ b/src/cell/queue_count.c
@@ -5,13 +5,16 @@
 #include <string.h>
 
 /*
- * How many jobs of a queue wait.  All daemons ask the planner for it on behalf
- * of their callers, so that it is kept as jobs come, begin and end: a count
- * that goes through all jobs takes the longer, the more of them wait.
+ * Number of waiting jobs by queue.  All daemons query the planner for it on
+ * behalf of their callers, so that it is updated as jobs are added, start and
+ * end: counting all jobs for each query would take the longer, the more wait.
  */
 
 /**
- * struct CellQueueCount - a queue of which jobs wait
+ * struct CellQueueCount - waiting jobs of a queue; owned by
+ *   MuxCell.queue_counts, removed when none is left
+ * @name: of the queue; key of the table
+ * @waiting: jobs of which no task has started
  */
 struct CellQueueCount
 {
@@ -20,47 +23,47 @@
   UT_hash_handle hh;
 };
 
-/* NULL: memory is out. */
+/* Return: NULL when out of memory. */
 static CellQueueCount *
 find_or_add (MuxCell *cell, const char *queue)
 {
-  CellQueueCount *kept;
+  CellQueueCount *entry;
 
-  HASH_FIND_STR (cell->queue_counts, queue, kept);
-  if (kept != NULL)
-    return kept;
-  kept = calloc (1, sizeof *kept);
-  if (kept == NULL)
+  HASH_FIND_STR (cell->queue_counts, queue, entry);
+  if (entry != NULL)
+    return entry;
+  entry = calloc (1, sizeof *entry);
+  if (entry == NULL)
     return NULL;
-  snprintf (kept->name, sizeof kept->name, "%s", queue);
-  HASH_ADD_STR (cell->queue_counts, name, kept);
-  return kept;
+  snprintf (entry->name, sizeof entry->name, "%s", queue);
+  HASH_ADD_STR (cell->queue_counts, name, entry);
+  return entry;
 }
 
 static void
-count (MuxCell *cell, CellJob *job)
+add_waiting (MuxCell *cell, CellJob *job)
 {
-  CellQueueCount *kept = find_or_add (cell, job->spec->queue.name);
+  CellQueueCount *entry = find_or_add (cell, job->spec->queue.name);
 
-  if (kept == NULL)
+  if (entry == NULL)
     return;
-  kept->waiting++;
+  entry->waiting++;
   job->counted_waiting = true;
 }
 
 void
 cell_queue_count_remove (MuxCell *cell, CellJob *job)
 {
-  CellQueueCount *kept;
+  CellQueueCount *entry;
 
   if (!job->counted_waiting)
     return;
   job->counted_waiting = false;
-  HASH_FIND_STR (cell->queue_counts, job->spec->queue.name, kept);
-  if (kept == NULL || --kept->waiting > 0)
+  HASH_FIND_STR (cell->queue_counts, job->spec->queue.name, entry);
+  if (entry == NULL || --entry->waiting > 0)
     return;
-  HASH_DEL (cell->queue_counts, kept);
-  free (kept);
+  HASH_DEL (cell->queue_counts, entry);
+  free (entry);
 }
 
 void
@@ -71,7 +74,7 @@
   if (waits == job->counted_waiting)
     return;
   if (waits)
-    count (cell, job);
+    add_waiting (cell, job);
   else
     cell_queue_count_remove (cell, job);
 }
@@ -79,8 +82,8 @@
 uint32_t
 cell_queue_waiting (const MuxCell *cell, const char *queue)
 {
-  CellQueueCount *kept;
+  CellQueueCount *entry;
 
-  HASH_FIND_STR (cell->queue_counts, queue, kept);
-  return kept != NULL ? kept->waiting : 0;
+  HASH_FIND_STR (cell->queue_counts, queue, entry);
+  return entry != NULL ? entry->waiting : 0;
 }
--- a/src/cell/service.c
+++ b/src/cell/service.c
@@ -3,12 +3,16 @@
 #include <stdlib.h>
 
 /*
- * The services, pools of workers, that queues have named: those of all
- * configurations seen, and those of stored jobs, whose queue may be gone.  A
- * worker of any other service can run nothing of ours.  Only ever added to: a
- * configuration names a handful, and most name the same.
+ * Services (pools of workers) named by the queues of all configurations so far,
+ * and by stored jobs, whose queue may have been deleted.  A worker of any other
+ * service can't run anything of ours.  None is ever removed: a configuration
+ * names a handful, and most name the same.
  */
 
+/**
+ * struct CellService - a known service; owned by MuxCell.services
+ * @hash: of its name; key of the table
+ */
 struct CellService
 {
   uint64_t hash;
--- a/src/cell/stage.c
+++ b/src/cell/stage.c
@@ -2,9 +2,11 @@
 
 #include <stdlib.h>
 
-/* A gang's workers are gathered one by one as they become free.  It is planned
- * that much earlier: else narrow gangs, which find room at once, go first until
- * it is late. */
+/* Stages of jobs: when they are ready, and what they do in the plan. */
+
+/* The workers of a gang are gathered one by one as they become free.  Its
+ * latest start is so much earlier for each member: otherwise small gangs, which
+ * find room at once, would go first until it is late. */
 #define GATHER_MS_PER_TASK 100
 
 CellStage *
@@ -82,7 +84,6 @@
   return n;
 }
 
-/* No member of the last run is left anywhere. */
 bool
 cell_stage_gang_has_ended (const CellStage *stage)
 {
@@ -92,7 +93,7 @@
   return true;
 }
 
-/* What any member has saved is valid for all. */
+/* A checkpoint of one member is valid for all. */
 const char *
 cell_stage_gang_checkpoint (const CellStage *stage)
 {
@@ -103,7 +104,7 @@
 }
 
 static bool
-steps_before_done (const CellStage *stage)
+dependencies_are_done (const CellStage *stage)
 {
   const CellJob *job = stage->job;
   uint32_t first = stage->occurrence * job->spec->step_count;
@@ -120,7 +121,7 @@
 {
   bool ready = stage->tasks_left > 0 && !stage->job->cancelled
                && !stage->job->failed && !stage->job->ended
-               && steps_before_done (stage)
+               && dependencies_are_done (stage)
                && cell_occurrence_is_due (cell, stage->job, stage->occurrence);
 
   if (ready && stage->spec->gang)
@@ -134,7 +135,7 @@
 }
 
 static const char *
-known_by (CellOrigin origin)
+origin_name (CellOrigin origin)
 {
   static const char *const name[] = {
     [CELL_ORIGIN_LOAD] = "load",
@@ -145,15 +146,15 @@
   return name[origin];
 }
 
-/* A line for a step, not for a task, to save processor time. */
+/* One line for a step, not for each task, to save processor time. */
 void
 cell_stage_log_placed (MuxCell *cell, const CellStage *stage, uint32_t tasks)
 {
   int64_t now = cell->time.now_ms;
   int64_t latest_ms = stage->deadline_ms - stage->expected_ms;
 
-  /* Version and term tell whether the job is younger than the claim under which
-   * it is started, and so what its planner had to wait for. */
+  /* By version and term the reader can tell whether the job was stored before
+   * the planner's term began, and so what it had to wait for. */
   cell_log (cell, "placed",
             "{s:s, s:i, s:i, s:i, s:I, s:I, s:I, s:I, s:s, s:o, s:i, s:i, s:i, "
             "s:i}",
@@ -162,7 +163,7 @@
             (json_int_t) (now - stage->ready_ms), "late_ms",
             (json_int_t) (now - latest_ms), "version",
             (json_int_t) stage->job->version, "term", (json_int_t) cell->term,
-            "known_by", known_by (stage->job->origin), "lacked_ms",
+            "known_by", origin_name (stage->job->origin), "lacked_ms",
             cell_step_wait_json (cell, stage), "questions",
             (int) stage->wait.queries, "names", (int) stage->wait.candidates,
             "approved", (int) stage->wait.approved, "used",
