--- a/src/cell/job_query.c
+++ b/src/cell/job_query.c
@@ -4,24 +4,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* The planner answers from memory within a few ms; one that is silent for so
- * long is asked no further, the store is read instead. */
-#define PLANNER_MS 250
+/*
+ * Queries and cancels of callers.  A query goes to the planner, and to the
+ * store if the planner does not answer; a cancel is written to the store.
+ */
+
+/* The planner answers from memory within a few ms.  Without its answer for so
+ * long the store is read instead. */
+#define PLANNER_TIMEOUT_MS 250
+/* After a call that failed. */
 #define RETRY_MS 80
-#define ANSWER_MS 150
-/* Key behind that of a job and of its cancel: '~' sorts after both. */
-#define BEHIND "~"
-#define CANCEL_MARK "!"
+/* A caller is answered so long before it stops waiting. */
+#define RESPONSE_MARGIN_MS 150
+/* End of the key range that holds a job and its cancel: '~' sorts after both.
+ */
+#define KEY_RANGE_END "~"
+/* The key of a job's cancel is the job's id with this behind it. */
+#define CANCEL_SUFFIX "!"
 
+/* Next call of a query: CellJobQuery.phase.  A query begins with the planner,
+ * then reads the two rows; a cancel, or a query at the planner itself, begins
+ * with the job's row. */
 enum
 {
-  STEP_PLANNER,
-  STEP_JOB,   /* read the job's row */
-  STEP_ENDED, /* read the row of its end */
-  STEP_CANCEL /* write the cancel */
+  PHASE_PLANNER, /* ask the planner */
+  PHASE_JOB,     /* read the job's row */
+  PHASE_ENDED,   /* read the row of its end */
+  PHASE_CANCEL   /* write the cancel */
 };
 
-static void act (MuxCell *cell, CellJobQuery *inquiry);
+static void send_next_call (MuxCell *cell, CellJobQuery *query);
 
 void
 cell_respond_state (MuxCell *cell, uint64_t call, MuxJobState state)
@@ -33,7 +45,7 @@
 }
 
 static void
-answer_pending (MuxCell *cell, uint64_t call, uint32_t pending)
+respond_waiting_count (MuxCell *cell, uint64_t call, uint32_t pending)
 {
   MuxResponse reply = { .call_id = call,
                         .outcome = MUX_RESPONSE_PENDING,
@@ -43,55 +55,55 @@
 }
 
 static void
-inquiry_end (MuxCell *cell, CellJobQuery *inquiry)
+query_free (MuxCell *cell, CellJobQuery *query)
 {
-  HASH_DEL (cell->job_queries, inquiry);
-  free (inquiry);
+  HASH_DEL (cell->job_queries, query);
+  free (query);
 }
 
 static void
-end_with (MuxCell *cell, CellJobQuery *inquiry, MuxResponseOutcome outcome)
+finish (MuxCell *cell, CellJobQuery *query, MuxResponseOutcome outcome)
 {
-  if (inquiry->verb == MUX_REQUEST_CANCEL)
-    cell_log (cell, "cancel", "{s:s, s:i}", "job", inquiry->id, "outcome",
+  if (query->verb == MUX_REQUEST_CANCEL)
+    cell_log (cell, "cancel", "{s:s, s:i}", "job", query->id, "outcome",
+              (int) outcome);
+  else if (outcome != MUX_RESPONSE_NO_JOB || query->id[0] != 0)
+    cell_log (cell, "state_refused", "{s:s, s:i}", "job", query->id, "outcome",
               (int) outcome);
-  else if (outcome != MUX_RESPONSE_NO_JOB || inquiry->id[0] != 0)
-    cell_log (cell, "state_refused", "{s:s, s:i}", "job", inquiry->id,
-              "outcome", (int) outcome);
-  cell_respond (cell, inquiry->request_id, outcome);
-  inquiry_end (cell, inquiry);
+  cell_respond (cell, query->request_id, outcome);
+  query_free (cell, query);
 }
 
 static CellJobQuery *
 find (MuxCell *cell, uint64_t call)
 {
-  CellJobQuery *inquiry;
+  CellJobQuery *query;
 
-  HASH_FIND (hh, cell->job_queries, &call, sizeof call, inquiry);
-  return inquiry;
+  HASH_FIND (hh, cell->job_queries, &call, sizeof call, query);
+  return query;
 }
 
 static void
-retry_later (MuxCell *cell, CellJobQuery *inquiry, uint32_t step)
+retry_later (MuxCell *cell, CellJobQuery *query, uint32_t step)
 {
-  inquiry->phase = step;
-  inquiry->next_ms = cell->time.now_ms + RETRY_MS;
+  query->phase = step;
+  query->next_ms = cell->time.now_ms + RETRY_MS;
 }
 
 static bool
-scan (MuxCell *cell,
-      CellJobQuery *inquiry,
-      MuxCellTable table,
-      CellReplyHandler done)
+scan_job (MuxCell *cell,
+          CellJobQuery *query,
+          MuxCellTable table,
+          CellReplyHandler done)
 {
   MuxCellCall *call
-      = cell_scan_call (table, cell->part[cell_part_of (inquiry->id)].name);
-  CellPending pending = { .on_reply = done, .context = inquiry->request_id };
+      = cell_scan_call (table, cell->part[cell_part_of (query->id)].name);
+  CellPending pending = { .on_reply = done, .context = query->request_id };
 
   if (call == NULL)
     return false;
-  snprintf (call->from, sizeof call->from, "%s", inquiry->id);
-  snprintf (call->to, sizeof call->to, "%s" BEHIND, inquiry->id);
+  snprintf (call->from, sizeof call->from, "%s", query->id);
+  snprintf (call->to, sizeof call->to, "%s" KEY_RANGE_END, query->id);
   return cell_call (cell, call, &pending);
 }
 
@@ -100,53 +112,53 @@
                 const CellPending *pending,
                 const MuxCellReply *reply)
 {
-  CellJobQuery *inquiry = find (cell, pending->context);
+  CellJobQuery *query = find (cell, pending->context);
 
-  if (inquiry == NULL)
+  if (query == NULL)
     return;
   if (reply->status == MUX_CELL_OK)
     {
-      end_with (cell, inquiry, MUX_RESPONSE_CANCELLED);
+      finish (cell, query, MUX_RESPONSE_CANCELLED);
       return;
     }
   if (reply->status == MUX_CELL_UNKNOWN)
-    inquiry->outcome_unknown = true;
-  /* The job ended, or its cancel stands: reading tells which. */
-  retry_later (cell, inquiry, STEP_JOB);
+    query->outcome_unknown = true;
+  /* The job has ended, or its cancel is stored: read which. */
+  retry_later (cell, query, PHASE_JOB);
 }
 
 static bool
-write_cancel (MuxCell *cell, CellJobQuery *inquiry)
+write_cancel (MuxCell *cell, CellJobQuery *query)
 {
   MuxCellCall *call
-      = cell_commit_call (cell->part[cell_part_of (inquiry->id)].name, 2);
+      = cell_commit_call (cell->part[cell_part_of (query->id)].name, 2);
   CellPending pending
-      = { .on_reply = cancel_written, .context = inquiry->request_id };
+      = { .on_reply = cancel_written, .context = query->request_id };
   char key[MUX_ROW_NAME_LEN];
 
   if (call == NULL)
     return false;
-  cell_call_expect (call, MUX_TABLE_JOBS, inquiry->id, inquiry->version);
-  snprintf (key, sizeof key, "%s" CANCEL_MARK, inquiry->id);
+  cell_call_expect (call, MUX_TABLE_JOBS, query->id, query->version);
+  snprintf (key, sizeof key, "%s" CANCEL_SUFFIX, query->id);
   cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, key)->value
       = mux_blob_new ("{}", 2);
   return cell_call (cell, call, &pending);
 }
 
-/* False: the row does not tell how the job ended. */
+/* Return: false: the row does not say how the job ended. */
 static bool
-read_end (MuxCell *cell, const MuxCellRow *row, MuxJobState *state)
+read_end_state (MuxCell *cell, const MuxCellRow *row, MuxJobState *state)
 {
   json_t *json = cell_row_json (cell, row);
-  bool told = mux_job_state_parse (
-                  json_string_value (json_object_get (json, "state")), state)
-              && (*state == MUX_JOB_COMPLETED || *state == MUX_JOB_FAILED
-                  || *state == MUX_JOB_CANCELLED);
+  bool valid = mux_job_state_parse (
+                   json_string_value (json_object_get (json, "state")), state)
+               && (*state == MUX_JOB_COMPLETED || *state == MUX_JOB_FAILED
+                   || *state == MUX_JOB_CANCELLED);
 
-  if (json != NULL && !told)
+  if (json != NULL && !valid)
     cell_report_bad_row (cell, row, CELL_ROW_FIELD, "state");
   json_decref (json);
-  return told;
+  return valid;
 }
 
 static void
@@ -154,241 +166,243 @@
             const CellPending *pending,
             const MuxCellReply *reply)
 {
-  CellJobQuery *inquiry = find (cell, pending->context);
+  CellJobQuery *query = find (cell, pending->context);
   const MuxCellRow *row;
   MuxJobState state = MUX_JOB_ABSENT;
 
-  if (inquiry == NULL)
+  if (query == NULL)
     return;
   if (reply->status != MUX_CELL_OK)
     {
-      /* The job may end between the two readings: begin with the first. */
-      retry_later (cell, inquiry, STEP_JOB);
+      /* The job may end between the two reads: begin with the first. */
+      retry_later (cell, query, PHASE_JOB);
       return;
     }
-  row = cell_reply_find_row (reply, inquiry->id);
-  if (row == NULL || !cell_row_is_visible_to (row, &inquiry->caller))
+  row = cell_reply_find_row (reply, query->id);
+  if (row == NULL || !cell_row_is_visible_to (row, &query->caller))
     {
-      end_with (cell, inquiry, MUX_RESPONSE_NO_JOB);
+      finish (cell, query, MUX_RESPONSE_NO_JOB);
       return;
     }
-  if (!read_end (cell, row, &state))
-    /* It ended, and how can't be told.  A caller who hears "no such job" would
-     * hand it in anew; that it can't be cancelled any more is true. */
-    end_with (cell, inquiry,
-              inquiry->verb == MUX_REQUEST_QUERY ? MUX_RESPONSE_REFUSED
-                                                 : MUX_RESPONSE_NO_JOB);
-  else if (inquiry->verb == MUX_REQUEST_QUERY)
+  if (!read_end_state (cell, row, &state))
+    /* How it ended is not readable.  "No such job" would make the caller of a
+     * query submit it again; for a cancel it is true that there is no job to
+     * cancel. */
+    finish (cell, query,
+            query->verb == MUX_REQUEST_QUERY ? MUX_RESPONSE_REFUSED
+                                             : MUX_RESPONSE_NO_JOB);
+  else if (query->verb == MUX_REQUEST_QUERY)
     {
-      cell_respond_state (cell, inquiry->request_id, state);
-      inquiry_end (cell, inquiry);
+      cell_respond_state (cell, query->request_id, state);
+      query_free (cell, query);
     }
   else
-    end_with (cell, inquiry,
-              state == MUX_JOB_CANCELLED ? MUX_RESPONSE_CANCELLED
-                                         : MUX_RESPONSE_NO_JOB);
+    finish (cell, query,
+            state == MUX_JOB_CANCELLED ? MUX_RESPONSE_CANCELLED
+                                       : MUX_RESPONSE_NO_JOB);
 }
 
 static void
-job_found (MuxCell *cell, CellJobQuery *inquiry, const MuxCellReply *reply)
+job_found (MuxCell *cell, CellJobQuery *query, const MuxCellReply *reply)
 {
   char cancel[MUX_ROW_NAME_LEN];
   bool cancelled;
 
-  snprintf (cancel, sizeof cancel, "%s" CANCEL_MARK, inquiry->id);
+  snprintf (cancel, sizeof cancel, "%s" CANCEL_SUFFIX, query->id);
   cancelled = cell_reply_find_row (reply, cancel) != NULL;
-  if (!cell_row_is_visible_to (&reply->row[0], &inquiry->caller))
+  if (!cell_row_is_visible_to (&reply->row[0], &query->caller))
     {
-      end_with (cell, inquiry, MUX_RESPONSE_NO_JOB);
+      finish (cell, query, MUX_RESPONSE_NO_JOB);
       return;
     }
-  if (inquiry->verb == MUX_REQUEST_QUERY)
+  if (query->verb == MUX_REQUEST_QUERY)
     {
-      cell_respond_state (cell, inquiry->request_id, MUX_JOB_ACTIVE);
-      inquiry_end (cell, inquiry);
+      cell_respond_state (cell, query->request_id, MUX_JOB_ACTIVE);
+      query_free (cell, query);
       return;
     }
   if (cancelled)
     {
-      end_with (cell, inquiry, MUX_RESPONSE_CANCELLED);
+      finish (cell, query, MUX_RESPONSE_CANCELLED);
       return;
     }
-  inquiry->version = reply->row[0].version;
-  inquiry->phase = STEP_CANCEL;
-  act (cell, inquiry);
+  query->version = reply->row[0].version;
+  query->phase = PHASE_CANCEL;
+  send_next_call (cell, query);
 }
 
 static void
 job_read (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
 {
-  CellJobQuery *inquiry = find (cell, pending->context);
+  CellJobQuery *query = find (cell, pending->context);
 
-  if (inquiry == NULL)
+  if (query == NULL)
     return;
   if (reply->status != MUX_CELL_OK)
-    retry_later (cell, inquiry, STEP_JOB);
-  else if (reply->row_count > 0 && strcmp (reply->row[0].key, inquiry->id) == 0)
-    job_found (cell, inquiry, reply);
+    retry_later (cell, query, PHASE_JOB);
+  else if (reply->row_count > 0 && strcmp (reply->row[0].key, query->id) == 0)
+    job_found (cell, query, reply);
   else
     {
-      inquiry->phase = STEP_ENDED;
-      act (cell, inquiry);
+      query->phase = PHASE_ENDED;
+      send_next_call (cell, query);
     }
 }
 
 static json_t *
-ask_json (const CellJobQuery *inquiry)
+query_json (const CellJobQuery *query)
 {
   json_t *json;
 
-  if (inquiry->id[0] == 0)
-    return json_pack ("{s:s}", "queue", inquiry->queue);
-  json = json_pack ("{s:s}", "id", inquiry->id);
-  if (inquiry->caller.is_restricted)
+  if (query->id[0] == 0)
+    return json_pack ("{s:s}", "queue", query->queue);
+  json = json_pack ("{s:s}", "id", query->id);
+  if (query->caller.is_restricted)
     (void) json_object_set_new (json, "workspace",
-                                json_string (inquiry->caller.workspace));
+                                json_string (query->caller.workspace));
   return json;
 }
 
 static void
-ask_planner (MuxCell *cell, CellJobQuery *inquiry)
+query_planner (MuxCell *cell, CellJobQuery *query)
 {
   MuxPeerMsg msg = cell_message (cell, MUX_PEER_JOB_QUERY, cell->claim.name);
 
-  inquiry->next_ms = cell->time.now_ms + PLANNER_MS;
+  query->next_ms = cell->time.now_ms + PLANNER_TIMEOUT_MS;
   if (cell->claim.incarnation == 0 || cell->role == CELL_PLANNING)
     return;
-  msg.call_id = cell_peer_request_id (cell, inquiry->request_id);
-  msg.body = cell_blob_from_json (ask_json (inquiry));
+  msg.call_id = cell_peer_request_id (cell, query->request_id);
+  msg.body = cell_blob_from_json (query_json (query));
   (void) cell->options.sink->peer_send (cell->options.sink, cell->claim.addr,
                                         &msg);
   mux_blob_unref (msg.body);
 }
 
-/* Its claim was in doubt, or it has become the planner since. */
+/* The count is this daemon's own if it has become the planner since, or its
+ * claim is no longer in doubt. */
 static bool
-count_here (MuxCell *cell, CellJobQuery *inquiry)
+respond_own_count (MuxCell *cell, CellJobQuery *query)
 {
-  if (inquiry->id[0] != 0 || !cell_is_active_planner (cell))
+  if (query->id[0] != 0 || !cell_is_active_planner (cell))
     return false;
-  answer_pending (cell, inquiry->request_id,
-                  cell_queue_waiting (cell, inquiry->queue));
-  inquiry_end (cell, inquiry);
+  respond_waiting_count (cell, query->request_id,
+                         cell_queue_waiting (cell, query->queue));
+  query_free (cell, query);
   return true;
 }
 
 static void
-act (MuxCell *cell, CellJobQuery *inquiry)
+send_next_call (MuxCell *cell, CellJobQuery *query)
 {
   bool sent = true;
 
-  if (count_here (cell, inquiry))
+  if (respond_own_count (cell, query))
     return;
-  inquiry->next_ms = inquiry->deadline_ms;
-  if (inquiry->phase == STEP_PLANNER)
-    ask_planner (cell, inquiry);
-  else if (inquiry->phase == STEP_JOB)
-    sent = scan (cell, inquiry, MUX_TABLE_JOBS, job_read);
-  else if (inquiry->phase == STEP_ENDED)
-    sent = scan (cell, inquiry, MUX_TABLE_ENDED, ended_read);
+  query->next_ms = query->deadline_ms;
+  if (query->phase == PHASE_PLANNER)
+    query_planner (cell, query);
+  else if (query->phase == PHASE_JOB)
+    sent = scan_job (cell, query, MUX_TABLE_JOBS, job_read);
+  else if (query->phase == PHASE_ENDED)
+    sent = scan_job (cell, query, MUX_TABLE_ENDED, ended_read);
   else
-    sent = write_cancel (cell, inquiry);
+    sent = write_cancel (cell, query);
   if (!sent)
-    retry_later (cell, inquiry, STEP_JOB);
+    retry_later (cell, query, PHASE_JOB);
 }
 
 /*
- * The planner itself needs no call for what it has in memory.  A state is at
- * worst an old one there, as an end is shown only once it is stored.  A count
- * of waiting jobs is given only while the claim is trusted: without a bound a
- * planner that was replaced would go on to leave out what came since.
+ * The planner answers from memory.  A state there is at worst outdated, as an
+ * end is shown only once it is stored.  A count of waiting jobs is given only
+ * while the claim is valid: a planner that has been replaced would leave out,
+ * without limit, the jobs accepted since.
  */
 static bool
-answer_here (MuxCell *cell,
-             const MuxRequest *question,
-             const CellCaller *caller,
-             const char *id,
-             const char *queue)
+respond_from_memory (MuxCell *cell,
+                     const MuxRequest *request,
+                     const CellCaller *caller,
+                     const char *id,
+                     const char *queue)
 {
   MuxJobState state;
 
-  if (cell->role != CELL_PLANNING || question->verb != MUX_REQUEST_QUERY)
+  if (cell->role != CELL_PLANNING || request->verb != MUX_REQUEST_QUERY)
     return false;
   if (id[0] == 0)
     {
       if (!cell_is_active_planner (cell))
         return false;
-      answer_pending (cell, question->call_id,
-                      cell_queue_waiting (cell, queue));
+      respond_waiting_count (cell, request->call_id,
+                             cell_queue_waiting (cell, queue));
       return true;
     }
   if (!cell_job_state (cell, caller, id, &state))
     return false;
-  cell_respond_state (cell, question->call_id, state);
+  cell_respond_state (cell, request->call_id, state);
   return true;
 }
 
 void
 cell_job_query_begin (MuxCell *cell,
-                      const MuxRequest *question,
+                      const MuxRequest *request,
                       const CellCaller *caller,
                       const MuxQueueSpec *queue,
                       const char *id)
 {
-  CellJobQuery *inquiry;
+  CellJobQuery *query;
 
-  if (answer_here (cell, question, caller, id, queue->name))
+  if (respond_from_memory (cell, request, caller, id, queue->name))
     return;
-  inquiry = calloc (1, sizeof *inquiry);
-  if (inquiry == NULL)
+  query = calloc (1, sizeof *query);
+  if (query == NULL)
     {
-      cell_respond (cell, question->call_id, MUX_RESPONSE_REFUSED);
+      cell_respond (cell, request->call_id, MUX_RESPONSE_REFUSED);
       return;
     }
-  inquiry->request_id = question->call_id;
-  inquiry->caller = *caller;
-  inquiry->verb = question->verb;
-  inquiry->deadline_ms = cell->time.now_ms + question->timeout_ms - ANSWER_MS;
-  snprintf (inquiry->id, sizeof inquiry->id, "%s", id);
-  snprintf (inquiry->queue, sizeof inquiry->queue, "%s", queue->name);
-  if (question->verb == MUX_REQUEST_CANCEL
+  query->request_id = request->call_id;
+  query->caller = *caller;
+  query->verb = request->verb;
+  query->deadline_ms
+      = cell->time.now_ms + request->timeout_ms - RESPONSE_MARGIN_MS;
+  snprintf (query->id, sizeof query->id, "%s", id);
+  snprintf (query->queue, sizeof query->queue, "%s", queue->name);
+  if (request->verb == MUX_REQUEST_CANCEL
       || (cell->role == CELL_PLANNING && id[0] != 0))
-    inquiry->phase = STEP_JOB;
-  HASH_ADD (hh, cell->job_queries, request_id, sizeof inquiry->request_id,
-            inquiry);
-  act (cell, inquiry);
+    query->phase = PHASE_JOB;
+  HASH_ADD (hh, cell->job_queries, request_id, sizeof query->request_id, query);
+  send_next_call (cell, query);
 }
 
 static void
-overdue (MuxCell *cell, CellJobQuery *inquiry)
+handle_timeout (MuxCell *cell, CellJobQuery *query)
 {
-  bool job = inquiry->id[0] != 0;
-
-  if (cell->time.now_ms >= inquiry->deadline_ms)
-    end_with (cell, inquiry,
-              inquiry->outcome_unknown ? MUX_RESPONSE_UNKNOWN
-                                       : MUX_RESPONSE_REFUSED);
-  else if (!cell_store_available (cell) && !inquiry->outcome_unknown
-           && inquiry->phase != STEP_PLANNER)
-    end_with (cell, inquiry, MUX_RESPONSE_REFUSED);
+  bool job = query->id[0] != 0;
+
+  if (cell->time.now_ms >= query->deadline_ms)
+    finish (cell, query,
+            query->outcome_unknown ? MUX_RESPONSE_UNKNOWN
+                                   : MUX_RESPONSE_REFUSED);
+  else if (!cell_store_available (cell) && !query->outcome_unknown
+           && query->phase != PHASE_PLANNER)
+    finish (cell, query, MUX_RESPONSE_REFUSED);
   else
     {
-      if (inquiry->phase == STEP_PLANNER && job)
-        inquiry->phase = STEP_JOB;
-      act (cell, inquiry);
+      if (query->phase == PHASE_PLANNER && job)
+        query->phase = PHASE_JOB;
+      send_next_call (cell, query);
     }
 }
 
 void
 cell_job_queries_tick (MuxCell *cell)
 {
-  CellJobQuery *inquiry;
+  CellJobQuery *query;
   CellJobQuery *next;
 
-  HASH_ITER (hh, cell->job_queries, inquiry, next)
-  if (cell->time.now_ms >= inquiry->next_ms
-      || cell->time.now_ms >= inquiry->deadline_ms)
-    overdue (cell, inquiry);
+  HASH_ITER (hh, cell->job_queries, query, next)
+  if (cell->time.now_ms >= query->next_ms
+      || cell->time.now_ms >= query->deadline_ms)
+    handle_timeout (cell, query);
 }
 
 static CellCaller
@@ -404,68 +418,67 @@
 }
 
 static void
-tell (MuxCell *cell, const MuxPeerMsg *msg)
+answer_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  MuxPeerMsg told = cell_message (cell, MUX_PEER_JOB_REPLY, msg->from);
+  MuxPeerMsg reply = cell_message (cell, MUX_PEER_JOB_REPLY, msg->from);
   json_t *json = cell_json_from_blob (msg->body);
   const char *id = json_string_value (json_object_get (json, "id"));
   const char *queue = json_string_value (json_object_get (json, "queue"));
   CellCaller caller = read_caller (json);
   MuxJobState state = MUX_JOB_ABSENT;
 
-  told.call_id = msg->call_id;
+  reply.call_id = msg->call_id;
   if (id != NULL)
-    told.found = cell_job_state (cell, &caller, id, &state);
+    reply.found = cell_job_state (cell, &caller, id, &state);
   else if (queue != NULL)
     {
-      told.found = true;
-      told.queued = cell_queue_waiting (cell, queue);
+      reply.found = true;
+      reply.queued = cell_queue_waiting (cell, queue);
     }
-  told.job_state = state;
+  reply.job_state = state;
   json_decref (json);
-  /* A count that is not to be trusted is asked for again. */
+  /* Without a valid claim no count is sent, and the peer asks again. */
   if (id != NULL || cell_is_active_planner (cell))
     (void) cell->options.sink->peer_send (cell->options.sink, msg->from_addr,
-                                          &told);
+                                          &reply);
 }
 
 static void
-take (MuxCell *cell, const MuxPeerMsg *msg)
+take_planner_reply (MuxCell *cell, const MuxPeerMsg *msg)
 {
-  CellJobQuery *inquiry
+  CellJobQuery *query
       = find (cell, cell_peer_request_caller (cell, msg->call_id));
 
-  if (inquiry == NULL || inquiry->phase != STEP_PLANNER)
+  if (query == NULL || query->phase != PHASE_PLANNER)
     return;
   if (!msg->found)
     {
-      inquiry->phase = STEP_JOB;
-      act (cell, inquiry);
+      query->phase = PHASE_JOB;
+      send_next_call (cell, query);
       return;
     }
-  if (inquiry->id[0] == 0)
-    answer_pending (cell, inquiry->request_id, msg->queued);
+  if (query->id[0] == 0)
+    respond_waiting_count (cell, query->request_id, msg->queued);
   else
-    cell_respond_state (cell, inquiry->request_id,
-                        (MuxJobState) msg->job_state);
-  inquiry_end (cell, inquiry);
+    cell_respond_state (cell, query->request_id, (MuxJobState) msg->job_state);
+  query_free (cell, query);
 }
 
 void
 cell_job_query_peer (MuxCell *cell, const MuxPeerMsg *msg)
 {
   if (msg->verb == MUX_PEER_JOB_REPLY)
-    take (cell, msg);
+    take_planner_reply (cell, msg);
   else if (cell->role == CELL_PLANNING)
-    tell (cell, msg);
+    answer_peer (cell, msg);
 }
 
 void
 cell_job_queries_free (MuxCell *cell)
 {
-  CellJobQuery *inquiry;
+  CellJobQuery *query;
   CellJobQuery *next;
 
-  HASH_ITER (hh, cell->job_queries, inquiry, next)
-  inquiry_end (cell, inquiry);
+  HASH_ITER (hh, cell->job_queries, query, next)
+  query_free (cell, query);
 }
--- a/src/cell/request.c
+++ b/src/cell/request.c
@@ -2,38 +2,37 @@
 
 #include <stdio.h>
 
-/* Callers' questions: which queue is meant, and who asks. */
+/* Requests of callers: finds the queue, authorizes the caller, and passes the
+ * request on. */
 
 static void
-submit (MuxCell *cell,
-        MuxRequest *question,
-        const CellCaller *caller,
-        const MuxQueueSpec *queue,
-        const char *id)
+submit_job (MuxCell *cell,
+            MuxRequest *request,
+            const CellCaller *caller,
+            const MuxQueueSpec *queue,
+            const char *id)
 {
   MuxFindings findings = { .count = 0, .dropped = 0 };
 
-  question->job->queue = *queue;
-  snprintf (question->job->id, sizeof question->job->id, "%s", id);
-  (void) mux_name_copy (question->job->workspace, caller->workspace);
-  if (!mux_job_check (question->job, &findings))
-    cell_respond (cell, question->call_id, MUX_RESPONSE_BAD_REQUEST);
-  else if (cell_quota_never_fits (cell, question->job))
+  request->job->queue = *queue;
+  snprintf (request->job->id, sizeof request->job->id, "%s", id);
+  (void) mux_name_copy (request->job->workspace, caller->workspace);
+  if (!mux_job_check (request->job, &findings))
+    cell_respond (cell, request->call_id, MUX_RESPONSE_BAD_REQUEST);
+  else if (cell_quota_never_fits (cell, request->job))
     {
       mux_count_refused (cell->options.counters, MUX_REASON_QUOTA);
-      cell_respond (cell, question->call_id, MUX_RESPONSE_OVER_QUOTA);
+      cell_respond (cell, request->call_id, MUX_RESPONSE_OVER_QUOTA);
     }
   else
-    cell_submit (cell, question);
+    cell_submit (cell, request);
 }
 
-/*
- * Guards against a final answer on old knowledge: a queue that was added while
- * this daemon heard nothing is not known here, and a caller who is told that
- * there is none does not come back.
- */
+/* A caller that is told that there is no such queue does not retry, so that it
+ * is only told so while the configuration is fresh: the queue may have been
+ * added while this daemon could not read the feed. */
 static MuxResponseOutcome
-no_queue (const MuxCell *cell)
+no_queue_outcome (const MuxCell *cell)
 {
   return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_CONFIG])
              ? MUX_RESPONSE_NO_QUEUE
@@ -41,24 +40,24 @@
 }
 
 static void
-answer_caller (MuxCell *cell,
-               MuxRequest *question,
-               const CellCaller *caller,
-               const MuxQueueSpec *queue,
-               const char *id)
+dispatch (MuxCell *cell,
+          MuxRequest *request,
+          const CellCaller *caller,
+          const MuxQueueSpec *queue,
+          const char *id)
 {
-  if (question->verb == MUX_REQUEST_SUBMIT && question->job != NULL)
-    submit (cell, question, caller, queue, id);
+  if (request->verb == MUX_REQUEST_SUBMIT && request->job != NULL)
+    submit_job (cell, request, caller, queue, id);
   else if (id[0] != 0 && !mux_job_id_valid (id))
-    cell_respond (cell, question->call_id, MUX_RESPONSE_NO_JOB);
-  else if (id[0] == 0 && question->verb != MUX_REQUEST_QUERY)
-    cell_respond (cell, question->call_id, MUX_RESPONSE_BAD_REQUEST);
+    cell_respond (cell, request->call_id, MUX_RESPONSE_NO_JOB);
+  else if (id[0] == 0 && request->verb != MUX_REQUEST_QUERY)
+    cell_respond (cell, request->call_id, MUX_RESPONSE_BAD_REQUEST);
   else
-    cell_job_query_begin (cell, question, caller, queue, id);
+    cell_job_query_begin (cell, request, caller, queue, id);
 }
 
 void
-mux_cell_request (MuxCell *cell, MuxCellTime time, MuxRequest *question)
+mux_cell_request (MuxCell *cell, MuxCellTime time, MuxRequest *request)
 {
   const MuxQueueSpec *queue = NULL;
   const char *id = NULL;
@@ -68,14 +67,13 @@
   cell_set_time (cell, time);
   if (cell->config != NULL)
     {
-      queue
-          = mux_queue_find (cell->config, question->host, question->path, &id);
-      outcome = queue != NULL ? cell_authorize (cell, question, queue, &caller)
-                              : no_queue (cell);
+      queue = mux_queue_find (cell->config, request->host, request->path, &id);
+      outcome = queue != NULL ? cell_authorize (cell, request, queue, &caller)
+                              : no_queue_outcome (cell);
     }
   if (outcome == MUX_RESPONSE_ACCEPTED)
-    answer_caller (cell, question, &caller, queue, id);
+    dispatch (cell, request, &caller, queue, id);
   else
-    cell_respond (cell, question->call_id, outcome);
-  mux_request_free (question);
+    cell_respond (cell, request->call_id, outcome);
+  mux_request_free (request);
 }
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -4,30 +4,36 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A caller whose job can't be stored is told so when a quarter of a short
- * target is over: its next try, at another daemon, can still be in time. */
-#define GIVE_UP_MS 300
-/* A commit whose fate is not known is repeated until so long before the caller
- * stops waiting, so that the answer still reaches it, */
-#define ANSWER_MS 200
-/* and no longer than this: less than half of what callers usually wait, so
- * that a try at another daemon can still be in time. */
-#define HOLD_MS 1400
-/* A commit takes some 10 ms, 600 ms where the store is at its slowest: without
- * an answer for so long, new jobs are refused before they become doubtful, */
-#define SLOW_MS 800
-/* and for so long, its answer counts as lost. */
-#define TIMEOUT_MS 1200
-#define RETRY_MS 60
-/* Told to callers who are refused: the store's short troubles are over in a
- * second, another daemon may serve at once. */
-#define COME_BACK_MS 500
+/*
+ * Submitted jobs: each is relayed to the planner, or stored by this daemon's
+ * own commits, and then its caller is answered.
+ */
+
+/* While the store fails, a job is refused after a quarter of a short target, so
+ * that a retry at another daemon can still be in time. */
+#define REFUSE_AFTER_MS 300
+/* A commit whose outcome is unknown is repeated until so long before the caller
+ * stops waiting, so that the response still reaches it, */
+#define RESPONSE_MARGIN_MS 200
+/* and for no longer than this: less than half of what callers usually wait, so
+ * that a retry at another daemon can still be in time. */
+#define SUBMIT_TIMEOUT_MS 1400
+/* A commit takes some 10 ms, 600 ms in a very slow store.  With no reply for so
+ * long new jobs are refused, before a commit makes their outcome unknown; */
+#define STORE_SILENT_MS 800
+/* and after so long the reply counts as lost. */
+#define COMMIT_TIMEOUT_MS 1200
+/* After a commit that failed. */
+#define COMMIT_RETRY_MS 60
+/* When a refused caller is to retry: short failures of the store are over in a
+ * second, and another daemon may serve it at once. */
+#define CALLER_RETRY_MS 500
 
 static void
-answer (MuxCell *cell,
-        uint64_t call,
-        MuxResponseOutcome outcome,
-        uint32_t retry_ms)
+respond (MuxCell *cell,
+         uint64_t call,
+         MuxResponseOutcome outcome,
+         uint32_t retry_ms)
 {
   MuxResponse reply
       = { .call_id = call, .outcome = outcome, .retry_ms = retry_ms };
@@ -35,17 +41,17 @@
   cell->options.sink->respond (cell->options.sink, &reply);
 }
 
-/* A planner that is late has so much to work off before it takes more. */
+/* A late planner works off its delay before it accepts more. */
 static uint32_t
-usual_retry_ms (const MuxCell *cell)
+default_retry_ms (const MuxCell *cell)
 {
-  return COME_BACK_MS + (uint32_t) cell_planner_late_ms (cell);
+  return CALLER_RETRY_MS + (uint32_t) cell_planner_late_ms (cell);
 }
 
 void
 cell_respond (MuxCell *cell, uint64_t call, MuxResponseOutcome outcome)
 {
-  answer (cell, call, outcome, usual_retry_ms (cell));
+  respond (cell, call, outcome, default_retry_ms (cell));
 }
 
 static void
@@ -68,18 +74,18 @@
                                    : MUX_REASON_STORE_DOWN;
 }
 
-/* How long the part's last commit of jobs took, by which the moment of storing
- * can be told from that of the answer. */
+/* The log line holds how long the part's last commit of jobs took, so that the
+ * time of storing can be told from that of the response. */
 static void
-tell_caller (MuxCell *cell,
-             const CellPart *part,
-             const CellSubmission *submission,
-             MuxResponseOutcome outcome,
-             const char *why)
+respond_to_submission (MuxCell *cell,
+                       const CellPart *part,
+                       const CellSubmission *submission,
+                       MuxResponseOutcome outcome,
+                       const char *why)
 {
   bool accepted = outcome == MUX_RESPONSE_ACCEPTED;
   uint32_t retry_ms = submission->retry_ms != 0 ? submission->retry_ms
-                                                : usual_retry_ms (cell);
+                                                : default_retry_ms (cell);
 
   cell_log (cell, accepted ? "accepted" : "refused",
             "{s:s, s:s, s:s, s:s, s:I, s:I, s:I}", "job", submission->job->id,
@@ -92,7 +98,7 @@
     mux_count (cell->options.counters, MUX_COUNT_JOBS_ACCEPTED, 1);
   else
     mux_count_refused (cell->options.counters, reason_of (submission, outcome));
-  answer (cell, submission->request_id, outcome, retry_ms);
+  respond (cell, submission->request_id, outcome, retry_ms);
 }
 
 void
@@ -105,32 +111,31 @@
   if (submission->peer[0] != 0)
     cell_relay_reply (cell, part, submission, outcome, why);
   else
-    tell_caller (cell, part, submission, outcome, why);
+    respond_to_submission (cell, part, submission, outcome, why);
   DL_DELETE (part->submissions, submission);
   submission_free (submission);
 }
 
 /*
- * Guards against a store that is slow and gets slower: more jobs than it can
- * take before their callers stop waiting would all be given up half done, and
- * their next tries would come on top.  What can't be stored in time is refused
- * at once, so that what is stored stays at what the store can carry.
+ * Whether more jobs wait than a slow store can commit before their callers give
+ * up.  Further jobs are then refused at once: otherwise all would time out with
+ * their commits half done, and the retries would add to the load.
  */
 static bool
-is_behind (const CellPart *part)
+store_is_saturated (const CellPart *part)
 {
   const CellSubmission *submission;
   int64_t commits;
   int64_t waiting;
 
-  if (part->submit_took_ms * 2 < GIVE_UP_MS)
+  if (part->submit_took_ms * 2 < REFUSE_AFTER_MS)
     return false;
-  commits = HOLD_MS / part->submit_took_ms;
+  commits = SUBMIT_TIMEOUT_MS / part->submit_took_ms;
   DL_COUNT (part->submissions, submission, waiting);
   return waiting > CELL_COMMIT_JOBS_MAX * (commits > 1 ? commits : 1);
 }
 
-/* It was accepted before, or is about to be. */
+/* Whether the job is accepted already, or a submission of it is pending. */
 static bool
 is_known (MuxCell *cell, const CellSubmission *submission)
 {
@@ -145,9 +150,10 @@
   return false;
 }
 
-/* Why the cell does not take the job; NULL: it does, or knows it already. */
+/* Return: why the job is not accepted, for the log; NULL: it is, or it is known
+ * already. */
 static const char *
-overload (MuxCell *cell, CellSubmission *submission)
+overload_reason (MuxCell *cell, CellSubmission *submission)
 {
   if (is_known (cell, submission))
     return NULL;
@@ -159,7 +165,7 @@
     return "planner_overload";
   if (cell_accepts_jobs (cell) && !cell_planner_is_overloaded (cell))
     return NULL;
-  submission->retry_ms = usual_retry_ms (cell);
+  submission->retry_ms = default_retry_ms (cell);
   return cell_accepts_jobs (cell) ? "planner_busy" : "planner_late";
 }
 
@@ -167,10 +173,10 @@
 cell_submission_enqueue (MuxCell *cell, CellSubmission *submission)
 {
   CellPart *part = &cell->part[cell_part_of (submission->job->id)];
-  const char *why = overload (cell, submission);
+  const char *why = overload_reason (cell, submission);
 
   if (submission->deadline_ms == 0)
-    submission->deadline_ms = cell->time.now_ms + HOLD_MS;
+    submission->deadline_ms = cell->time.now_ms + SUBMIT_TIMEOUT_MS;
   DL_APPEND (part->submissions, submission);
   if (why != NULL)
     {
@@ -183,7 +189,7 @@
   if (!cell_store_available (cell))
     cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED,
                          "store_away");
-  else if (is_behind (part))
+  else if (store_is_saturated (part))
     cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED,
                          "behind");
   else
@@ -191,12 +197,12 @@
 }
 
 void
-cell_submit (MuxCell *cell, MuxRequest *question)
+cell_submit (MuxCell *cell, MuxRequest *request)
 {
-  MuxJobSpec *job = question->job;
+  MuxJobSpec *job = request->job;
   CellSubmission *submission = calloc (1, sizeof *submission);
 
-  question->job = NULL;
+  request->job = NULL;
   job->accepted_wall_ms = cell->time.wall_ms;
   (void) mux_name_copy (job->data_centre, cell->options.data_centre);
   if (submission != NULL)
@@ -205,14 +211,14 @@
     {
       free (submission);
       mux_job_free (job);
-      cell_respond (cell, question->call_id, MUX_RESPONSE_REFUSED);
+      cell_respond (cell, request->call_id, MUX_RESPONSE_REFUSED);
       return;
     }
   submission->job = job;
-  submission->request_id = question->call_id;
-  if (question->timeout_ms < HOLD_MS + ANSWER_MS)
+  submission->request_id = request->call_id;
+  if (request->timeout_ms < SUBMIT_TIMEOUT_MS + RESPONSE_MARGIN_MS)
     submission->deadline_ms
-        = cell->time.now_ms + question->timeout_ms - ANSWER_MS;
+        = cell->time.now_ms + request->timeout_ms - RESPONSE_MARGIN_MS;
   cell_submission_enqueue (cell, submission);
 }
 
@@ -226,10 +232,10 @@
   return NULL;
 }
 
-/* The row, or the end, of the job stands already: an earlier sending of the
- * same job, or a repetition of this commit after a lost answer. */
+/* The row of the job, or of its end, if the store has one: by an earlier
+ * submission of the same job, or by this commit before its reply was lost. */
 static const MuxCellRow *
-standing (const MuxCellReply *reply, const CellSubmission *submission)
+stored_row (const MuxCellReply *reply, const CellSubmission *submission)
 {
   const char *id = submission->job->id;
   const MuxCellRow *row = find_row (reply, MUX_TABLE_JOBS, id);
@@ -238,7 +244,8 @@
 }
 
 static bool
-is_of_other (const MuxCellRow *row, const CellSubmission *submission)
+belongs_to_other_workspace (const MuxCellRow *row,
+                            const CellSubmission *submission)
 {
   CellCaller caller = { .is_restricted = submission->job->workspace[0] != 0 };
 
@@ -247,39 +254,40 @@
 }
 
 /*
- * Guards against a job that two planners start.  A planner that has a successor
- * and does not know yet still stores jobs; if it started them by right of
- * having stored them, the successor, which finds them in the store, would start
- * them, too.  Only a commit on condition of the part's fence proves that the
- * successor has not read the part: it will count the job as old, and wait for
- * the workers where it may run.  Jobs of any other commit come by the feed,
- * which tells of the successor first.
+ * Called for commits that depended on the part's term row: these prove that no
+ * successor has read the part yet.  A successor will treat the job as one of an
+ * earlier term, and wait for the workers where it may run.  After any other
+ * commit a job is only taken from the feed, which announces a successor first:
+ * a planner that has been replaced and does not know yet would otherwise start
+ * jobs that its successor finds in the store and starts, too.
  */
 static void
-hand_over (MuxCell *cell, const CellSubmission *submission, uint64_t version)
+add_stored_job (MuxCell *cell,
+                const CellSubmission *submission,
+                uint64_t version)
 {
   cell_job_add_committed (cell, submission->sent_value, version);
 }
 
 static void
-settle (MuxCell *cell,
-        CellPart *part,
-        CellSubmission *submission,
-        const MuxCellReply *reply,
-        uint64_t fenced_term)
+apply_reply (MuxCell *cell,
+             CellPart *part,
+             CellSubmission *submission,
+             const MuxCellReply *reply,
+             uint64_t fenced_term)
 {
   const MuxCellRow *row = reply->status == MUX_CELL_CONFLICT
-                              ? standing (reply, submission)
+                              ? stored_row (reply, submission)
                               : NULL;
 
   submission->in_commit = false;
   if (reply->status == MUX_CELL_OK && fenced_term != 0
       && fenced_term == cell->term)
-    hand_over (cell, submission, reply->version);
+    add_stored_job (cell, submission, reply->version);
   if (reply->status == MUX_CELL_OK)
     cell_submission_end (cell, part, submission, MUX_RESPONSE_ACCEPTED,
                          "stored");
-  else if (row != NULL && is_of_other (row, submission))
+  else if (row != NULL && belongs_to_other_workspace (row, submission))
     cell_submission_end (cell, part, submission, MUX_RESPONSE_ID_IN_USE,
                          "other_workspace");
   else if (row != NULL)
@@ -290,13 +298,12 @@
 }
 
 /*
- * A refusal must be true.  Guards against a commit that went unanswered and
- * takes effect after its caller was told that the job was not accepted: the
- * job would run all the same.  Once a commit that held the job has gone
- * unanswered the caller hears "unknown" or "accepted", never "refused".
+ * Ends submissions that are out of time.  Once a commit with the job has gone
+ * unanswered it may still take effect, and the job run: its caller is then told
+ * "unknown" or "accepted", never "refused".
  */
 static void
-give_up_overdue (MuxCell *cell, CellPart *part)
+end_overdue (MuxCell *cell, CellPart *part)
 {
   int64_t now = cell->time.now_ms;
   CellSubmission *submission;
@@ -312,15 +319,16 @@
     else if (!submission->outcome_unknown
              && (now >= submission->deadline_ms || !cell_store_available (cell)
                  || (cell->store_failing_ms != 0
-                     && now - cell->store_failing_ms >= GIVE_UP_MS)))
+                     && now - cell->store_failing_ms >= REFUSE_AFTER_MS)))
       cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED,
                            "store_failing");
   }
 }
 
-/* The commit's condition on the part's fence held, whatever else did not. */
+/* Whether the commit's condition on the part's term row held, although another
+ * did not. */
 static bool
-same_term (const CellPart *part, const MuxCellReply *reply)
+term_row_matches (const CellPart *part, const MuxCellReply *reply)
 {
   for (uint32_t i = 0; i < reply->row_count; i++)
     if (reply->row[i].table == MUX_TABLE_FENCE
@@ -330,13 +338,13 @@
 }
 
 static void
-group_done (MuxCell *cell,
-            const CellPending *pending,
-            const MuxCellReply *reply)
+commit_done (MuxCell *cell,
+             const CellPending *pending,
+             const MuxCellReply *reply)
 {
   CellPart *part = &cell->part[pending->part];
   bool replaced = pending->context != 0 && reply->status == MUX_CELL_CONFLICT
-                  && !same_term (part, reply);
+                  && !term_row_matches (part, reply);
   CellSubmission *submission;
   CellSubmission *next;
 
@@ -345,7 +353,7 @@
   cell->commit_took_ms = part->submit_took_ms;
   DL_FOREACH_SAFE (part->submissions, submission, next)
   if (submission->in_commit)
-    settle (cell, part, submission, reply, pending->context);
+    apply_reply (cell, part, submission, reply, pending->context);
   if (reply->status == MUX_CELL_BAD_REQUEST)
     cell_log (cell, "commit_bad", "{s:s}", "part", part->name);
   if (replaced)
@@ -357,15 +365,16 @@
       = reply->status == MUX_CELL_OK
                 || (reply->status == MUX_CELL_CONFLICT && !replaced)
             ? cell->time.now_ms
-            : cell->time.now_ms + RETRY_MS;
-  give_up_overdue (cell, part);
+            : cell->time.now_ms + COMMIT_RETRY_MS;
+  end_overdue (cell, part);
   if (cell->time.now_ms >= part->next_submit_ms)
     cell_submissions_commit (cell, part);
 }
 
-/* The workers named may be others than at an earlier try. */
+/* The row names candidate workers, which may differ from those of an earlier
+ * attempt. */
 static void
-name_workers (MuxCell *cell, CellSubmission *submission)
+set_sent_value (MuxCell *cell, CellSubmission *submission)
 {
   MuxBlob *named = cell->role == CELL_PLANNING
                        ? cell_row_with_candidates (cell, submission->value)
@@ -377,20 +386,20 @@
 }
 
 static void
-add_to_group (MuxCell *cell, MuxCellCall *call, CellSubmission *submission)
+add_to_commit (MuxCell *cell, MuxCellCall *call, CellSubmission *submission)
 {
   const char *id = submission->job->id;
 
   cell_call_expect (call, MUX_TABLE_JOBS, id, 0);
   cell_call_expect (call, MUX_TABLE_ENDED, id, 0);
-  name_workers (cell, submission);
+  set_sent_value (cell, submission);
   cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_JOBS, id)->value
       = mux_blob_ref (submission->sent_value);
   submission->in_commit = true;
 }
 
 static bool
-twice_in_group (const CellPart *part, const CellSubmission *submission)
+id_is_in_commit (const CellPart *part, const CellSubmission *submission)
 {
   const CellSubmission *other;
 
@@ -400,23 +409,24 @@
   return false;
 }
 
-/* Whose row it is that refused the last commit: a successor's, which ends this
- * term, or another writer's. */
+/* The last commit found another term row: a successor's, which ends this term,
+ * or another writer's. */
 static void
-read_term (MuxCell *cell, CellPart *part)
+reread_term (MuxCell *cell, CellPart *part)
 {
-  part->next_submit_ms = cell->time.now_ms + RETRY_MS;
+  part->next_submit_ms = cell->time.now_ms + COMMIT_RETRY_MS;
   if (!part->reading_fence)
     cell_fence_read (cell, part);
 }
 
-/* One commit of a part at a time: those that come meanwhile share the next. */
+/* A part has one commit outstanding; jobs that arrive meanwhile share the next.
+ */
 void
 cell_submissions_commit (MuxCell *cell, CellPart *part)
 {
   MuxCellCall *call;
   CellPending pending
-      = { .on_reply = group_done, .part = (uint32_t) (part - cell->part) };
+      = { .on_reply = commit_done, .part = (uint32_t) (part - cell->part) };
   CellSubmission *submission;
   uint32_t jobs = 0;
 
@@ -424,7 +434,7 @@
     return;
   if (cell->role == CELL_PLANNING && part->term_version_unknown)
     {
-      read_term (cell, part);
+      reread_term (cell, part);
       return;
     }
   call = cell_commit_call (part->name, 3 * CELL_COMMIT_JOBS_MAX + 1);
@@ -436,15 +446,15 @@
                         part->term_version);
       pending.context = cell->term;
     }
-  call->timeout_ms = TIMEOUT_MS;
+  call->timeout_ms = COMMIT_TIMEOUT_MS;
   part->submit_sent_ms = cell->time.now_ms;
   DL_FOREACH (part->submissions, submission)
   {
     if (jobs == CELL_COMMIT_JOBS_MAX)
       break;
-    if (submission->relayed || twice_in_group (part, submission))
+    if (submission->relayed || id_is_in_commit (part, submission))
       continue;
-    add_to_group (cell, call, submission);
+    add_to_commit (cell, call, submission);
     jobs++;
   }
   if (jobs == 0)
@@ -457,7 +467,7 @@
     return;
   DL_FOREACH (part->submissions, submission)
   submission->in_commit = false;
-  part->next_submit_ms = cell->time.now_ms + RETRY_MS;
+  part->next_submit_ms = cell->time.now_ms + COMMIT_RETRY_MS;
 }
 
 void
@@ -470,11 +480,11 @@
       if (part->submissions == NULL)
         continue;
       if (part->submitting && cell->store_failing_ms == 0
-          && cell->time.now_ms - part->submit_sent_ms > SLOW_MS
-          && cell->time.now_ms - cell->store_served_ms > SLOW_MS)
+          && cell->time.now_ms - part->submit_sent_ms > STORE_SILENT_MS
+          && cell->time.now_ms - cell->store_served_ms > STORE_SILENT_MS)
         cell_store_timed_out (cell, part->submit_sent_ms);
       cell_relay_tick (cell, part);
-      give_up_overdue (cell, part);
+      end_overdue (cell, part);
       if (!part->submitting && cell->time.now_ms >= part->next_submit_ms)
         cell_submissions_commit (cell, part);
     }
