--- a/src/cell/hold.c
+++ b/src/cell/hold.c
@@ -3,9 +3,9 @@
 #include <stdlib.h>
 
 /*
- * Room held for a gang that has found its workers and waits for the proofs of
- * their approval, some 400 ms.  Without it tasks that need no gang take the
- * room one by one meanwhile, and the gang finds its workers full each time.
+ * Room held for a gang that has found its workers and waits some 400 ms for the
+ * proofs of their approval.  Without holds single tasks would take the room one
+ * by one meanwhile, and the gang find its workers full each time.
  */
 
 MuxSize
@@ -49,10 +49,8 @@
   stage->hold_count = 0;
 }
 
-/*
- * Guards against a gang that starts on held room which the worker no longer
- * has: room that shrank under a hold is not free for its holder, either.
- */
+/* The capacity of a worker may shrink under a hold: the room is then not free
+ * for the holder either. */
 MuxSize
 cell_worker_free_for (const CellStage *stage, const CellWorker *worker)
 {
--- a/src/cell/progress.c
+++ b/src/cell/progress.c
@@ -4,23 +4,23 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What changed of the planner's jobs goes into the store. */
+/* Commits of the progress and the ends of the planner's jobs. */
 
-/* Ends are stored in groups: those that come within this time share a commit,
- * which is paid for.  A tenth of what an urgent job may wait in all. */
-#define WINDOW_MS 30
+/* Changes within this time share a commit, as each commit is paid for: a tenth
+ * of what an urgent job may wait in all. */
+#define COMMIT_WINDOW_MS 30
+/* After a commit that failed. */
 #define RETRY_MS 100
-/* Most jobs of one commit, and entries that it holds: an ended job takes four,
- * or five, beside the two of the fence; two are left for ends of jobs that
- * can't be read. */
-#define ENDS_MAX 24
-#define CHANGES_MAX (CELL_COMMIT_CHANGES_MAX - CELL_UNREADABLE_ROWS_MAX)
+/* Jobs of one commit, and entries for them: an ended job takes four or five,
+ * beside the two of the fence; two entries are left for unreadable jobs. */
+#define COMMIT_JOBS_MAX 24
+#define JOB_CHANGES_MAX (CELL_COMMIT_CHANGES_MAX - CELL_UNREADABLE_ROWS_MAX)
 #define CHANGES_PER_JOB 5
 
 uint64_t
 cell_stored_seq (const MuxCell *cell)
 {
-  uint64_t least = cell->change_seq;
+  uint64_t min = cell->change_seq;
 
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     {
@@ -28,14 +28,14 @@
 
       if ((part->dirty != NULL || part->unreadable_dirty > 0
            || part->committing)
-          && part->stored_seq < least)
-        least = part->stored_seq;
+          && part->stored_seq < min)
+        min = part->stored_seq;
     }
-  return least;
+  return min;
 }
 
 static void
-take_stored (MuxCell *cell, CellPart *part)
+mark_stored (MuxCell *cell, CellPart *part)
 {
   CellJob *job;
   CellJob *next;
@@ -55,8 +55,8 @@
         }
       DL_DELETE2 (part->dirty, job, dirty_prev, dirty_next);
       job->dirty = false;
-      /* A gang's other members may still be on their way out: the job stays
-       * until their room is free. */
+      /* Other members of a gang may still be stopping: the job is kept until
+       * their room is free. */
       job->end_stored = job->ended;
       if (job->end_stored)
         cell_job_watch (cell, job);
@@ -70,7 +70,7 @@
 }
 
 static void
-put_back (MuxCell *cell, CellPart *part)
+mark_not_stored (MuxCell *cell, CellPart *part)
 {
   CellJob *job;
 
@@ -83,14 +83,17 @@
 }
 
 /*
- * What a commit wrote is stored only when it was answered.  Each commit also
+ * Changes count as stored once their commit is answered.  Each commit also
  * renews the fence row, so that one that is carried out late, after a newer
- * one, finds its condition broken and can't bring old progress back.  It proves
- * the part's fence, not the claim: a successor may have claimed and not fenced
- * this part yet, and already counts the time after which we order nothing.
+ * one, fails on its condition and does not bring old progress back.  A commit
+ * that succeeds does not confirm the claim: a successor may have claimed and
+ * not have fenced this part yet, and its wait for the end of this planner's
+ * orders has begun.
  */
 static void
-committed (MuxCell *cell, const CellPending *pending, const MuxCellReply *reply)
+commit_done (MuxCell *cell,
+             const CellPending *pending,
+             const MuxCellReply *reply)
 {
   CellPart *part = &cell->part[pending->part];
 
@@ -100,12 +103,12 @@
     {
       part->fence_version = reply->version;
       part->stored_seq = pending->context;
-      take_stored (cell, part);
+      mark_stored (cell, part);
       cell_unreadable_committed (cell, part, true);
       part->dirty_since_ms = cell->time.now_ms;
       return;
     }
-  put_back (cell, part);
+  mark_not_stored (cell, part);
   part->next_commit_ms = cell->time.now_ms + RETRY_MS;
   if (reply->status == MUX_CELL_UNKNOWN || reply->status == MUX_CELL_CONFLICT)
     part->fence_version_unknown = true;
@@ -147,7 +150,7 @@
       return;
     }
   cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_JOBS, job->id);
-  /* Also where no cancel is known: one may have been stored just now. */
+  /* Even if no cancel is known: one may have just been stored. */
   snprintf (cancel, sizeof cancel, "%s!", job->id);
   cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_JOBS, cancel);
   if (job->progress_stored)
@@ -160,12 +163,12 @@
 commit (MuxCell *cell, CellPart *part)
 {
   MuxCellCall *call = cell_commit_call (part->name, CELL_COMMIT_CHANGES_MAX);
-  CellPending pending = { .on_reply = committed,
+  CellPending pending = { .on_reply = commit_done,
                           .term = cell->term,
                           .part = (uint32_t) (part - cell->part),
                           .context = cell->change_seq };
   uint32_t jobs = 0;
-  bool whole;
+  bool complete;
   CellJob *job;
 
   if (call == NULL)
@@ -175,18 +178,18 @@
   cell_fence_add (cell, part, call);
   for (job = part->dirty; job != NULL; job = job->dirty_next)
     {
-      if (jobs++ == ENDS_MAX
-          || call->change_count + CHANGES_PER_JOB > CHANGES_MAX)
+      if (jobs++ == COMMIT_JOBS_MAX
+          || call->change_count + CHANGES_PER_JOB > JOB_CHANGES_MAX)
         break;
       add_job (cell, call, job);
     }
-  whole = cell_unreadable_add_rows (cell, part, call) && job == NULL;
-  if (!whole)
+  complete = cell_unreadable_add_rows (cell, part, call) && job == NULL;
+  if (!complete)
     pending.context = part->stored_seq;
   part->committing = cell_call (cell, call, &pending);
   if (part->committing)
     return;
-  put_back (cell, part);
+  mark_not_stored (cell, part);
   part->next_commit_ms = cell->time.now_ms + RETRY_MS;
 }
 
@@ -197,7 +200,7 @@
 
   if ((part->dirty == NULL && part->unreadable_dirty == 0) || part->committing
       || now < part->next_commit_ms
-      || (now - part->dirty_since_ms < WINDOW_MS && !part->commit_now))
+      || (now - part->dirty_since_ms < COMMIT_WINDOW_MS && !part->commit_now))
     return;
   if (part->fence_version_unknown)
     {
--- a/src/cell/progress_rows.c
+++ b/src/cell/progress_rows.c
@@ -4,14 +4,15 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A job's progress as it is stored: which tasks are done, what failed and was
- * saved, and where tasks may run. */
+/* The stored form of a job's progress: done tasks, failed and lost runs,
+ * checkpoints, and the workers where tasks may run. */
 
-/* Of the tasks that are done, as hexadecimal digits. */
+/* Done tasks are stored as a bitmap in hexadecimal digits, lowest task first.
+ */
 #define BITS_PER_DIGIT 4
 
 static void
-bitmap_text (const CellStage *stage, char *text)
+bitmap_format (const CellStage *stage, char *text)
 {
   uint32_t digits = (stage->spec->count + BITS_PER_DIGIT - 1) / BITS_PER_DIGIT;
 
@@ -61,11 +62,8 @@
   return list;
 }
 
-/*
- * Guards against one attempt too many: @last is raised to the highest of the
- * numbers, so that no later run bears that of a failed one; its failure would
- * be taken for one that is known.
- */
+/* Raises @last to the highest run number read, so that no later run gets the
+ * number of a failed one: its own failure would not be counted. */
 static void
 runs_apply (CellFailures *failures, uint32_t *last, const json_t *list)
 {
@@ -98,7 +96,7 @@
 }
 
 static json_t *
-saved_json (const CellStage *stage)
+checkpoints_json (const CellStage *stage)
 {
   json_t *list = json_array ();
 
@@ -115,23 +113,24 @@
 {
   char bitmap[MUX_STEP_TASKS_MAX / BITS_PER_DIGIT + 2];
 
-  bitmap_text (stage, bitmap);
+  bitmap_format (stage, bitmap);
   return json_pack ("{s:i, s:i, s:s, s:o, s:o, s:o, s:o, s:o}", "occurrence",
                     (int) stage->occurrence, "step", (int) stage->step, "done",
                     bitmap, "gang_failures", runs_json (&stage->failures),
                     "failures", failures_json (stage), "saved",
-                    saved_json (stage), "lost", cell_losses_json (stage),
+                    checkpoints_json (stage), "lost", cell_losses_json (stage),
                     "workers", cell_approvals_json (cell, stage));
 }
 
 /*
- * Stages of the first occurrences, all of them done: they are stored as their
- * number.  Guards against a part whose commits the store refuses for good, as a
- * job of some 400 occurrences had more progress than a row holds: nothing of
- * any job there was stored any more, and no end of a task acknowledged.
+ * Return: number of stages of the first occurrences that are done in full,
+ * which are stored as a number alone.  With an entry for each, the progress of
+ * a job of some 400 occurrences exceeds a row: the store would refuse each
+ * commit of the part from then on, and no end of any job there be stored and
+ * acknowledged.
  */
 static uint32_t
-done_stages (const CellJob *job)
+leading_done_stages (const CellJob *job)
 {
   uint32_t done = 0;
 
@@ -145,7 +144,7 @@
 {
   json_t *stages = json_array ();
   uint32_t steps = job->spec->step_count;
-  uint32_t done = done_stages (job);
+  uint32_t done = leading_done_stages (job);
 
   for (uint32_t i = done; i < job->stage_count; i++)
     (void) json_array_append_new (stages, stage_json (cell, job->stage[i]));
@@ -201,7 +200,7 @@
   cell_losses_apply (stage, json_object_get (json, "lost"));
 }
 
-/* Return: whether @list is one of pairs, of a task's number and a @type. */
+/* Return: whether @list is a list of pairs of a task's index and a @type. */
 static bool
 is_pair_list (const json_t *list, uint32_t tasks, json_type type)
 {
@@ -232,23 +231,25 @@
 }
 
 static bool
-is_count (const json_t *value, json_int_t least, json_int_t most)
+is_integer_in_range (const json_t *value, json_int_t min, json_int_t max)
 {
-  return json_is_integer (value) && json_integer_value (value) >= least
-         && json_integer_value (value) <= most;
+  return json_is_integer (value) && json_integer_value (value) >= min
+         && json_integer_value (value) <= max;
 }
 
-/* @at: its place among the stages, which are stored in order. */
+/* @at: index of the stage; stages are stored in order.
+ * Return: name of the first bad field; NULL: none. */
 static const char *
-wrong_in_stage (const CellJob *job, size_t at, const json_t *json)
+bad_field_in_stage (const CellJob *job, size_t at, const json_t *json)
 {
   json_int_t occurrence = (json_int_t) at / job->spec->step_count;
   json_int_t step = (json_int_t) at % job->spec->step_count;
   uint32_t tasks = job->spec->step[step].count;
 
-  if (!is_count (json_object_get (json, "occurrence"), occurrence, occurrence))
+  if (!is_integer_in_range (json_object_get (json, "occurrence"), occurrence,
+                            occurrence))
     return "occurrence";
-  if (!is_count (json_object_get (json, "step"), step, step))
+  if (!is_integer_in_range (json_object_get (json, "step"), step, step))
     return "step";
   if (!is_bitmap (json_object_get (json, "done"), tasks))
     return "done";
@@ -263,9 +264,10 @@
   return json_is_array (json_object_get (json, "workers")) ? NULL : "workers";
 }
 
-/* Stages that are stored as a number alone; none by an earlier version. */
+/* Number of stages that are stored as a number alone; 0 in rows of an earlier
+ * version, which lack the field. */
 static uint64_t
-done_before (const CellJob *job, const json_t *json)
+stored_leading_done_stages (const CellJob *job, const json_t *json)
 {
   return (uint64_t) json_integer_value (json_object_get (json, "done"))
          * job->spec->step_count;
@@ -284,23 +286,28 @@
     }
 }
 
-/* Read with gaps, tasks that were done would run again: it is whole or lost. */
+/* Checks the whole of it, as tasks that are done would run again if only a part
+ * were read.
+ * Return: name of the first bad field; NULL: none. */
 static const char *
-wrong_in_progress (const MuxCell *cell, const CellJob *job, const json_t *json)
+bad_field_in_progress (const MuxCell *cell,
+                       const CellJob *job,
+                       const json_t *json)
 {
   const json_t *stages = json_object_get (json, "stages");
   const json_t *occurrences = json_object_get (json, "occurrences");
   const json_t *done = json_object_get (json, "done");
-  json_int_t least = job->spec->repetitions == 0 ? 1 : 0;
-  uint64_t first = done_before (job, json);
+  json_int_t min = job->spec->repetitions == 0 ? 1 : 0;
+  uint64_t first = stored_leading_done_stages (job, json);
   json_t *stage;
   size_t i;
 
   if (!json_is_boolean (json_object_get (json, "started")))
     return "started";
-  if (!is_count (occurrences, least, cell_occurrences_due (cell, job)))
+  if (!is_integer_in_range (occurrences, min, cell_occurrences_due (cell, job)))
     return "occurrences";
-  if (done != NULL && !is_count (done, 0, json_integer_value (occurrences)))
+  if (done != NULL
+      && !is_integer_in_range (done, 0, json_integer_value (occurrences)))
     return "done";
   if (!json_is_array (stages)
       || first + json_array_size (stages)
@@ -309,10 +316,10 @@
     return "stages";
   json_array_foreach (stages, i, stage)
   {
-    const char *wrong = wrong_in_stage (job, first + i, stage);
+    const char *bad_field = bad_field_in_stage (job, first + i, stage);
 
-    if (wrong != NULL)
-      return wrong;
+    if (bad_field != NULL)
+      return bad_field;
   }
   return NULL;
 }
@@ -320,18 +327,18 @@
 const char *
 cell_progress_apply (MuxCell *cell, CellJob *job, const json_t *json)
 {
-  const char *wrong = wrong_in_progress (cell, job, json);
+  const char *bad_field = bad_field_in_progress (cell, job, json);
   json_t *stages = json_object_get (json, "stages");
   json_t *stage;
   size_t i;
 
-  if (wrong != NULL)
-    return wrong;
+  if (bad_field != NULL)
+    return bad_field;
   job->started = json_is_true (json_object_get (json, "started"));
   cell_occurrences_restore (
       cell, job,
       (uint32_t) json_integer_value (json_object_get (json, "occurrences")));
-  apply_done (job, done_before (job, json));
+  apply_done (job, stored_leading_done_stages (job, json));
   json_array_foreach (stages, i, stage) apply_stage (job, stage);
   cell_loss_list_add (cell, job);
   return NULL;
@@ -341,7 +348,7 @@
 cell_progress_row (MuxCell *cell, const MuxCellRow *row)
 {
   CellJob *job = cell_job_find (cell, row->key);
-  const char *wrong = NULL;
+  const char *bad_field = NULL;
   json_t *json;
 
   if (job == NULL)
@@ -349,10 +356,10 @@
   json = cell_row_json (cell, row);
   job->progress_stored = true;
   if (json != NULL)
-    wrong = cell_progress_apply (cell, job, json);
-  if (wrong != NULL)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD, wrong);
-  job->progress_unreadable = json == NULL || wrong != NULL;
+    bad_field = cell_progress_apply (cell, job, json);
+  if (bad_field != NULL)
+    cell_report_bad_row (cell, row, CELL_ROW_FIELD, bad_field);
+  job->progress_unreadable = json == NULL || bad_field != NULL;
   cell_queue_count_update (cell, job);
   json_decref (json);
 }
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -3,37 +3,41 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A worker lists so many ends at most: a run may be missing from a full list
- * that has ended all the same. */
-#define ENDS_PER_LIST 500
-/* A run that was answered as started and is in no list for so long is stopped,
- * so that its room is not held for good. */
+/* Processes what a worker lists in reply to RENEW: its runs, and the ends of
+ * runs that were not acknowledged. */
+
+/* A worker lists so many ends at most: a run that has ended may be missing from
+ * a list of that length. */
+#define ENDS_PER_REPORT_MAX 500
+/* A run that is confirmed and in no list for so long is stopped, so that its
+ * room is not held for good. */
 #define UNLISTED_RUN_MS 2500
-/* A task whose progress stands still for so long, and for so many times what
- * a hundredth of its estimated time takes, is stopped and run elsewhere. */
-#define STILL_MS 1800
-#define STILL_SHARES 8
-#define SHARES 100
-/* A worker where that happened is avoided for so long. */
-#define STILL_AVOID_MS 3000
-/* After a serving task was over its target nothing fills beside it for so
- * long. */
-#define NO_FILL_MS 10000
-/* A worker that runs what we don't know has less room than booked here. */
-#define STRAY_AVOID_MS 1000
-/* A worker with ends that were not acknowledged is asked again after so long:
- * a commit takes some 10 ms behind a window of 30. */
-#define ENDS_PAUSE_MS 200
+/* A task is stalled if its progress has not changed for so long, and for eight
+ * times the estimated time of one percent: it is stopped and run elsewhere, */
+#define STALL_MS 1800
+#define STALL_FACTOR 8
+#define PERCENT 100
+/* and its worker is avoided for so long. */
+#define STALL_AVOID_MS 3000
+/* How long no best-effort task is placed beside a serving task that exceeded
+ * its target. */
+#define NO_BEST_EFFORT_MS 10000
+/* How long a worker with an orphan run is avoided: it has less room than is
+ * known here. */
+#define ORPHAN_AVOID_MS 1000
+/* A worker with unacknowledged ends is called again after so long: a commit
+ * takes some 10 ms, after a window of 30 ms. */
+#define RENEW_AFTER_ENDS_MS 200
 
 static bool
-is_ours (const CellTask *task, const CellWorker *worker, uint32_t run)
+is_booked_run (const CellTask *task, const CellWorker *worker, uint32_t run)
 {
   return task != NULL && task->booking != NULL
          && task->booking->worker == worker && task->booking->run == run;
 }
 
 static void
-note_running (MuxCell *cell, CellBooking *booking, const MuxRunReport *report)
+update_running (MuxCell *cell, CellBooking *booking, const MuxRunReport *report)
 {
   CellTask *task = booking->task;
 
@@ -59,20 +63,18 @@
 }
 
 static void
-stray (MuxCell *cell, CellWorker *worker, const MuxRunReport *report)
+stop_orphan (MuxCell *cell, CellWorker *worker, const MuxRunReport *report)
 {
   cell_log (cell, "stray_run", "{s:s, s:i, s:i, s:i, s:s}", "job",
             report->task.job, "step", (int) report->task.step, "task",
             (int) report->task.index, "run", (int) report->run, "worker",
             worker->info.id);
-  worker->avoid_until_ms = cell->time.now_ms + STRAY_AVOID_MS;
+  worker->avoid_until_ms = cell->time.now_ms + ORPHAN_AVOID_MS;
   cell_stop_orphan (cell, worker, &report->task, report->run);
 }
 
-/*
- * A run that this planner did not start, or whose start it had given up: it
- * is taken over if its task has none, else stopped.
- */
+/* Handles a run that this planner did not start, or whose start it had given
+ * up: it is adopted if its task has no run, else stopped. */
 static void
 adopt (MuxCell *cell, CellWorker *worker, const MuxRunReport *report)
 {
@@ -81,14 +83,14 @@
 
   if (task == NULL || task->booking != NULL || task->state == CELL_TASK_DONE)
     {
-      stray (cell, worker, report);
+      stop_orphan (cell, worker, report);
       return;
     }
   booking = cell_book (cell, task, worker, report->run);
   if (booking == NULL)
     return;
   task->state = CELL_TASK_RUNNING;
-  note_running (cell, booking, report);
+  update_running (cell, booking, report);
   if (task->stage->job->cancelled || task->stage->job->failed)
     cell_stop_booking (cell, booking);
   else
@@ -100,19 +102,19 @@
 {
   CellTask *task = cell_task_find (cell, &report->task);
 
-  if (is_ours (task, worker, report->run))
-    note_running (cell, task->booking, report);
+  if (is_booked_run (task, worker, report->run))
+    update_running (cell, task->booking, report);
   else
     adopt (cell, worker, report);
 }
 
-/* An end of a run that is not booked here: of a former planner's time, or of a
- * run that was given up.  A good end counts whenever it comes. */
+/* Takes the end of a run without a booking: one of an earlier term, or one that
+ * was given up.  A successful end counts whenever it arrives. */
 static void
-take_other_end (MuxCell *cell,
-                CellWorker *worker,
-                CellTask *task,
-                const MuxRunReport *report)
+take_unbooked_end (MuxCell *cell,
+                   CellWorker *worker,
+                   CellTask *task,
+                   const MuxRunReport *report)
 {
   if (task->state == CELL_TASK_DONE)
     return;
@@ -124,11 +126,11 @@
 }
 
 /*
- * Guards against an end that is acknowledged and was never taken: a list need
- * not name ends by rising numbers, and one behind a higher number would look
- * like one that was told before.  Its task would be run again.  What is new is
- * told by the highest number of the lists before.
- * Return: false: it can't be kept.
+ * @seen_before: highest number in earlier lists; ends above it are new.  It is
+ *   not compared with worker->ends_seen, as a list need not be sorted: an end
+ *   after a higher number would be acknowledged without having been taken, and
+ *   its task run again.
+ * Return: false: the end can't be kept.
  */
 static bool
 take_end (MuxCell *cell,
@@ -144,9 +146,9 @@
     worker->ends_seen = report->end_number;
   if (task == NULL)
     return cell_unreadable_keep_end (cell, report);
-  if (!is_ours (task, worker, report->run))
+  if (!is_booked_run (task, worker, report->run))
     {
-      take_other_end (cell, worker, task, report);
+      take_unbooked_end (cell, worker, task, report);
       return true;
     }
   if (report->end == MUX_RUN_DONE)
@@ -158,16 +160,16 @@
 }
 
 /*
- * Guards against an end that is forgotten though it could not be kept: neither
- * it nor any behind it is acknowledged, and they are taken again with the next
- * list, as by a successor.
+ * An end that can't be kept, and all after it, are not acknowledged, so that
+ * the worker lists them again to this planner or to a successor.
+ *
  * Return: whether some were left with the worker.
  */
 static bool
 take_ends (MuxCell *cell, CellWorker *worker, const MuxCellReply *reply)
 {
   uint64_t seen_before = worker->ends_seen;
-  uint64_t least_left = UINT64_MAX;
+  uint64_t first_left = UINT64_MAX;
 
   for (uint32_t i = 0; i < reply->report_count; i++)
     {
@@ -175,18 +177,18 @@
 
       if (report->end_number != 0
           && !take_end (cell, worker, report, seen_before)
-          && report->end_number < least_left)
-        least_left = report->end_number;
+          && report->end_number < first_left)
+        first_left = report->end_number;
     }
-  if (worker->ends_seen >= least_left)
-    worker->ends_seen = least_left - 1;
-  return least_left != UINT64_MAX;
+  if (worker->ends_seen >= first_left)
+    worker->ends_seen = first_left - 1;
+  return first_left != UINT64_MAX;
 }
 
-/* After a run's stop was answered the worker refuses it; a list made later
- * that does not name it proves that it is not there and never will be. */
+/* Once a worker has confirmed the stop of a run it refuses to start it: a later
+ * list without the run proves that it is not there and never will be. */
 static void
-settle (MuxCell *cell, CellWorker *worker, CellBooking *booking)
+resolve_stopped (MuxCell *cell, CellWorker *worker, CellBooking *booking)
 {
   CellTask *task = booking->task;
   uint32_t run = booking->run;
@@ -200,11 +202,10 @@
   cell_run_ended (cell, task, worker, run, MUX_RUN_LEASE_EXPIRED, "");
 }
 
-/* Tasks that fill must not push a serving task over its target.  Where one is
- * over it, those beside it are stopped and none is placed for a while: the
- * serving task's users are waiting, what fills is not. */
+/* Stops the best-effort tasks beside a serving task that exceeds its target,
+ * and places none there for a while: users wait for the serving task. */
 static void
-protect_serving (MuxCell *cell, CellWorker *worker)
+protect_serving_tasks (MuxCell *cell, CellWorker *worker)
 {
   bool over = false;
   CellBooking *booking;
@@ -217,24 +218,24 @@
   }
   if (!over)
     return;
-  worker->no_fill_until_ms = cell->time.now_ms + NO_FILL_MS;
+  worker->no_fill_until_ms = cell->time.now_ms + NO_BEST_EFFORT_MS;
   DL_FOREACH (worker->bookings, booking)
   if (booking->task->stage->spec->best_effort)
     cell_stop_booking (cell, booking);
 }
 
 static bool
-stands_still (const MuxCell *cell, const CellBooking *booking)
+is_stalled (const MuxCell *cell, const CellBooking *booking)
 {
   const MuxStepSpec *spec = booking->task->stage->spec;
-  int64_t still_ms = cell->time.now_ms - booking->progressed_ms;
+  int64_t unchanged_ms = cell->time.now_ms - booking->progressed_ms;
 
-  /* At its end a gang's member waits for the others. */
+  /* A member of a gang that is done waits for the others. */
   if (spec->long_running || booking->task->state != CELL_TASK_RUNNING
-      || !booking->listed || booking->percent >= SHARES)
+      || !booking->listed || booking->percent >= PERCENT)
     return false;
-  return still_ms > STILL_MS
-         && still_ms > (int64_t) spec->estimate_ms * STILL_SHARES / SHARES;
+  return unchanged_ms > STALL_MS
+         && unchanged_ms > (int64_t) spec->estimate_ms * STALL_FACTOR / PERCENT;
 }
 
 static void
@@ -242,35 +243,35 @@
                CellWorker *worker,
                CellBooking *booking,
                int64_t clock_ms,
-               bool whole)
+               bool complete)
 {
   int64_t age_ms = cell->time.now_ms - booking->booked_ms;
 
   if (!booking->listed && booking->stop_clock_ms != 0
-      && clock_ms > booking->stop_clock_ms && whole)
+      && clock_ms > booking->stop_clock_ms && complete)
     {
-      settle (cell, worker, booking);
+      resolve_stopped (cell, worker, booking);
       return;
     }
   if (!booking->listed && booking->task->state == CELL_TASK_RUNNING
-      && age_ms > UNLISTED_RUN_MS && whole)
+      && age_ms > UNLISTED_RUN_MS && complete)
     cell_stop_booking (cell, booking);
-  if (!stands_still (cell, booking))
+  if (!is_stalled (cell, booking))
     return;
   cell_log (cell, "run_still", "{s:s, s:i, s:i, s:s, s:i}", "job",
             booking->task->stage->job->id, "step",
             (int) booking->task->stage->step, "task",
             (int) booking->task->index, "worker", worker->info.id, "percent",
             (int) booking->percent);
-  worker->avoid_until_ms = cell->time.now_ms + STILL_AVOID_MS;
+  worker->avoid_until_ms = cell->time.now_ms + STALL_AVOID_MS;
   cell_stop_booking (cell, booking);
 }
 
 /*
- * Guards against a task that runs again after it ended well: occurrences begin
- * by the planner's time of day, and a former planner's may be ahead.  What a
- * list names of an occurrence that is not due here would be unknown: its run
- * would be stopped as a stray one, its end acknowledged and forgotten.
+ * Begins the occurrence that a listed run belongs to, if it is not due here
+ * yet: a predecessor's time of day may have been ahead.  Otherwise its runs
+ * would be stopped as orphans, and its ends acknowledged and lost, so that
+ * tasks which are done would run again.
  */
 static void
 begin_listed_occurrence (MuxCell *cell, const MuxTaskRef *task)
@@ -305,13 +306,13 @@
   for (uint32_t i = 0; i < reply->report_count; i++)
     if (reply->report[i].end_number == 0)
       take_running (cell, worker, &reply->report[i]);
-  protect_serving (cell, worker);
+  protect_serving_tasks (cell, worker);
   DL_FOREACH_SAFE (worker->bookings, booking, next)
   check_booking (cell, worker, booking, reply->worker_clock_ms,
-                 ends < ENDS_PER_LIST);
+                 ends < ENDS_PER_REPORT_MAX);
   if (worker->ends_seen != seen)
     worker->ends_change_seq = cell->change_seq;
-  /* What waits at the worker is listed at once. */
+  /* Ends that wait at the worker are listed again soon. */
   if (worker->ends_seen != seen || left)
-    worker->next_renew_ms = cell->time.now_ms + ENDS_PAUSE_MS;
+    worker->next_renew_ms = cell->time.now_ms + RENEW_AFTER_ENDS_MS;
 }
--- a/src/cell/run.c
+++ b/src/cell/run.c
@@ -4,23 +4,26 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A worker that calls a run old knows a higher one and does not say which: so
- * many numbers are passed over at a time; 16 times fit into a term. */
+/* Starts, stops and ends of runs, and the room booked for them. */
+
+/* A worker that rejects a run number as old has seen a higher one and does not
+ * say which: so many numbers are skipped, which can be done 16 times in a term.
+ */
 #define OLD_RUN_STEP 64
-/* After an unanswered or refused stop. */
+/* After a stop that was refused or not answered. */
 #define STOP_RETRY_MS 300
-/* A worker that refused a start as unhealthy, or did not answer it, is left
- * alone for so long, and twice as long after each further one in a row: the
- * next run of a gang comes after a second or later, once all of this one have
- * stopped. */
-#define UNHEALTHY_MS 1000
-#define UNHEALTHY_MAX_MS 8000
-/* Its room was less than booked here: its next list tells. */
-#define NO_ROOM_MS 300
-/* Failed runs in a row, without one that ended well, after which a worker is
- * suspected of failing all that it gets; and how long it is then avoided. */
-#define STRIKES_MAX 3
-#define STRIKES_AVOID_MS 3000
+/* Back-off of a worker that refused a start as unhealthy or did not answer it,
+ * doubled with each further one in a row.  The next run of a gang comes after a
+ * second or later, once all members of this one have stopped. */
+#define BACKOFF_MIN_MS 1000
+#define BACKOFF_MAX_MS 8000
+/* How long a worker without room for a start is avoided: its next list shows
+ * what runs there. */
+#define NO_ROOM_AVOID_MS 300
+/* After so many failed runs in a row a worker is suspected of failing whatever
+ * it runs, and avoided for a time. */
+#define FAILURES_MAX 3
+#define FAILURES_AVOID_MS 3000
 
 uint32_t
 cell_next_run (const MuxCell *cell, uint32_t last)
@@ -81,9 +84,9 @@
   return task;
 }
 
-/* A stop is to be sent then; @stops counts each booking once. */
+/* Sends a stop at @at_ms; stop_count counts each booking once. */
 static void
-stop_at (CellBooking *booking, int64_t at_ms)
+schedule_stop (CellBooking *booking, int64_t at_ms)
 {
   booking->worker->stop_count += booking->next_stop_ms == 0;
   booking->next_stop_ms = at_ms;
@@ -109,7 +112,7 @@
   if (reply->status == MUX_CELL_OK)
     task->booking->stop_clock_ms = reply->worker_clock_ms;
   else
-    stop_at (task->booking, cell->time.now_ms + STOP_RETRY_MS);
+    schedule_stop (task->booking, cell->time.now_ms + STOP_RETRY_MS);
 }
 
 static void
@@ -152,7 +155,7 @@
     return;
   if (booking->task->state != CELL_TASK_DONE)
     booking->task->state = CELL_TASK_STOPPING;
-  stop_at (booking, cell->time.now_ms);
+  schedule_stop (booking, cell->time.now_ms);
   booking->stop_since_ms = cell->time.now_ms;
   cell_stops_tick (cell, booking->worker);
 }
@@ -162,8 +165,8 @@
 {
   CellBooking *booking;
 
-  /* Each 4 ms for each worker: a look at all bookings of 350 of them took 7 %
-   * of the planner's processor. */
+  /* Called each 4 ms for each worker: going through all bookings of 350 workers
+   * would take 7 % of the planner's processor. */
   if (worker->stop_count == 0 || !cell_is_active_planner (cell))
     return;
   DL_FOREACH (worker->bookings, booking)
@@ -173,16 +176,16 @@
     if (booking->next_stop_ms == 0 || cell->time.now_ms < booking->next_stop_ms)
       continue;
     ref = cell_task_ref (booking->task);
-    /* Not again while its answer is awaited. */
+    /* Not again while the reply is outstanding. */
     booking->next_stop_ms
         = cell->time.now_ms + CELL_WORKER_TIMEOUT_MS + STOP_RETRY_MS;
     send_stop (cell, worker, &ref, booking->run);
   }
 }
 
-/* The others of its gang can't work without it. */
+/* Stops the other members, which can't work without the lost one. */
 static void
-break_gang (MuxCell *cell, CellStage *stage)
+stop_gang (MuxCell *cell, CellStage *stage)
 {
   for (uint32_t i = 0; i < stage->spec->count; i++)
     if (stage->task[i].booking != NULL)
@@ -190,48 +193,46 @@
 }
 
 static void
-not_started (MuxCell *cell, CellTask *task)
+cancel_start (MuxCell *cell, CellTask *task)
 {
   CellStage *stage = task->stage;
 
   cell_unbook (cell, task->booking);
   task->state = CELL_TASK_WAITING;
   if (stage->spec->gang)
-    break_gang (cell, stage);
+    stop_gang (cell, stage);
   cell_job_advance (cell, stage->job);
 }
 
-/*
- * Guards against a gang that never gets to work: a worker that serves renewals
- * and no starts is empty, so that it is chosen first for each next run, all of
- * which are stopped because of it.
- */
+/* Without this back-off a worker that answers renewals and refuses starts, and
+ * so is empty, is chosen first for each new run of a gang, and each of these is
+ * stopped because of it. */
 static void
-leave_alone (const MuxCell *cell, CellWorker *worker)
+back_off (const MuxCell *cell, CellWorker *worker)
 {
   int64_t ms = worker->backoff_ms * 2;
 
-  /* Starts of one moment count once. */
+  /* Several starts sent at once count once. */
   if (ms > 0 && cell->time.now_ms < worker->avoid_until_ms)
     return;
-  if (ms < UNHEALTHY_MS)
-    ms = UNHEALTHY_MS;
-  worker->backoff_ms = ms < UNHEALTHY_MAX_MS ? ms : UNHEALTHY_MAX_MS;
+  if (ms < BACKOFF_MIN_MS)
+    ms = BACKOFF_MIN_MS;
+  worker->backoff_ms = ms < BACKOFF_MAX_MS ? ms : BACKOFF_MAX_MS;
   worker->avoid_until_ms = cell->time.now_ms + worker->backoff_ms;
 }
 
 static void
-refused (MuxCell *cell,
-         CellTask *task,
-         CellWorker *worker,
-         MuxCellStatus status)
+apply_refusal (MuxCell *cell,
+               CellTask *task,
+               CellWorker *worker,
+               MuxCellStatus status)
 {
   CellApproval *approval = cell_approval_find (task->stage, worker);
 
   if (status == MUX_CELL_NOT_DONE)
-    leave_alone (cell, worker);
+    back_off (cell, worker);
   else if (status == MUX_CELL_NO_ROOM)
-    worker->avoid_until_ms = cell->time.now_ms + NO_ROOM_MS;
+    worker->avoid_until_ms = cell->time.now_ms + NO_ROOM_AVOID_MS;
   else if (status == MUX_CELL_OLD_RUN)
     task->last_run += OLD_RUN_STEP;
   else if (status == MUX_CELL_FENCED)
@@ -283,20 +284,20 @@
       cell_queue_count_update (cell, task->stage->job);
       return;
     }
-  /* It may still be carried out: its room stays booked until a stop of this
-   * run has been answered and a later list shows that it is not there. */
+  /* The start may still be carried out: its room stays booked until a stop of
+   * the run is confirmed and a later list shows that it is not there. */
   if (reply->status == MUX_CELL_UNKNOWN)
     {
       worker->unanswered_sent_ms = pending->sent_ms;
-      leave_alone (cell, worker);
+      back_off (cell, worker);
       if (task->stage->spec->gang)
-        break_gang (cell, task->stage);
+        stop_gang (cell, task->stage);
       else
         cell_stop_booking (cell, task->booking);
       return;
     }
-  refused (cell, task, worker, reply->status);
-  not_started (cell, task);
+  apply_refusal (cell, task, worker, reply->status);
+  cancel_start (cell, task);
 }
 
 bool
@@ -339,12 +340,12 @@
       cell_admission_placed (cell, task->stage);
       return true;
     }
-  not_started (cell, task);
+  cancel_start (cell, task);
   return false;
 }
 
 static void
-task_done (MuxCell *cell, CellTask *task)
+mark_task_done (MuxCell *cell, CellTask *task)
 {
   if (task->state == CELL_TASK_DONE)
     return;
@@ -353,15 +354,15 @@
   (void) cell;
 }
 
-/* One member's good end stands for all. */
+/* A gang is done when one of its members is. */
 static void
-gang_done (MuxCell *cell, CellStage *stage)
+mark_gang_done (MuxCell *cell, CellStage *stage)
 {
   for (uint32_t i = 0; i < stage->spec->count; i++)
-    task_done (cell, &stage->task[i]);
+    mark_task_done (cell, &stage->task[i]);
 }
 
-/* False: it was counted before. */
+/* Return: false: the run is counted already. */
 static bool
 add_failure (CellFailures *failures, uint32_t run)
 {
@@ -389,9 +390,9 @@
   if (checkpoint[0] != 0)
     snprintf (task->checkpoint, sizeof task->checkpoint, "%s", checkpoint);
   if (end == MUX_RUN_DONE && stage->spec->gang)
-    gang_done (cell, stage);
+    mark_gang_done (cell, stage);
   else if (end == MUX_RUN_DONE && !stage->spec->long_running)
-    task_done (cell, task);
+    mark_task_done (cell, task);
   else if (end == MUX_RUN_FAILED && !stage->spec->long_running)
     (void) add_failure (stage->spec->gang ? &stage->failures : &task->failures,
                         run);
@@ -406,9 +407,9 @@
 
   task->failed_slot = worker->slot + 1;
   worker->consecutive_failures++;
-  if (worker->consecutive_failures >= STRIKES_MAX)
+  if (worker->consecutive_failures >= FAILURES_MAX)
     {
-      worker->avoid_until_ms = cell->time.now_ms + STRIKES_AVOID_MS;
+      worker->avoid_until_ms = cell->time.now_ms + FAILURES_AVOID_MS;
       cell_log (cell, "worker_avoided", "{s:s, s:i}", "worker", worker->info.id,
                 "strikes", (int) worker->consecutive_failures);
     }
@@ -451,15 +452,15 @@
     {
       worker->consecutive_failures = 0;
       if (stage->spec->gang)
-        gang_done (cell, stage);
+        mark_gang_done (cell, stage);
       else
-        task_done (cell, task);
+        mark_task_done (cell, task);
     }
   else if (task->state != CELL_TASK_DONE && task->booking == NULL)
     task->state = CELL_TASK_WAITING;
   if (end == MUX_RUN_FAILED)
     count_failure (cell, task, worker, run);
   if (end != MUX_RUN_DONE && stage->spec->gang)
-    break_gang (cell, stage);
+    stop_gang (cell, stage);
   cell_job_advance (cell, job);
 }
