--- a/src/cell/late.c
+++ b/src/cell/late.c
@@ -1,29 +1,31 @@
 #include "cell_private.h"
 
 /*
- * A planner that takes what arrives seconds after it came.  It keeps what was
- * accepted and works it off; what comes new is refused while it is late.
+ * Overload of the planner.  A late planner is one whose events wait for long
+ * before they are processed: it works off the jobs accepted so far, and new
+ * ones are refused meanwhile.
  */
 
-/* An accepted job needs four turns of the planner before it starts: its own
- * row, the policy service's answer, the record of it, the start. */
-#define LATE_MAX_MS 500
-/* The planner was heard so lately, in ms, if by its sign of life in the store
- * alone. */
-#define HEARD_MS 1500
+/* Event delay above which new jobs are refused.  A job waits for it four times
+ * before it starts: for its row, the answer of the policy service, the record
+ * of that, and the start. */
+#define ACCEPT_LATE_MAX_MS 500
+/* Contact with the planner is no older than this even if it is by the heartbeat
+ * in the store alone. */
+#define PLANNER_CONTACT_MS 1500
 
-/* Answers that the mean is of, at most, */
-#define ANSWERS 64
-/* and at least. */
-#define ANSWERS_LEAST 8
-/* They tell of the next moments alone, in ms. */
-#define ANSWERS_KEEP_MS 1500
+/* The mean latency is over so many calls at most, */
+#define LATENCY_SAMPLES_MAX 64
+/* is not used below so many, */
+#define LATENCY_SAMPLES_MIN 8
+/* and after so long without a reply. */
+#define LATENCY_EXPIRY_MS 1500
 #define US_PER_MS 1000
 
-/* Only answers that other daemons pass on wait where this one can't see it; a
- * call of its own is late with its worker, too. */
+/* Replies to proxied calls may wait on their way, where this daemon does not
+ * see it.  A call made by this daemon itself is only late if its worker is. */
 static bool
-is_carried (const CellPending *pending)
+is_proxied (const CellPending *pending)
 {
   return pending->overdue_ms != 0;
 }
@@ -35,12 +37,12 @@
   int64_t took_ms
       = cell->time.processed_ms - pending->sent_ms - pending->wait_ms;
 
-  /* One that came before its wait was over may have come at any time. */
-  if (!is_carried (pending) || took_ms < 0)
+  /* The latency of a reply that came before its wait was over is not known. */
+  if (!is_proxied (pending) || took_ms < 0)
     return;
-  if (cell->time.now_ms - answers->last_ms > ANSWERS_KEEP_MS)
+  if (cell->time.now_ms - answers->last_ms > LATENCY_EXPIRY_MS)
     answers->count = 0;
-  if (answers->count < ANSWERS)
+  if (answers->count < LATENCY_SAMPLES_MAX)
     answers->count++;
   if (answers->count == 1)
     answers->mean_us = 0;
@@ -55,15 +57,15 @@
   const CellReplyLatency *answers = &cell->reply_latency;
 
   if (cell->role != CELL_PLANNING || !cell_uses_proxies (cell)
-      || answers->count < ANSWERS_LEAST
-      || cell->time.now_ms - answers->last_ms > ANSWERS_KEEP_MS)
+      || answers->count < LATENCY_SAMPLES_MIN
+      || cell->time.now_ms - answers->last_ms > LATENCY_EXPIRY_MS)
     return 0;
   return answers->mean_us / US_PER_MS;
 }
 
-/* Answers may wait before they get here, too, on connections that are not read
- * in time.  In a full pool that is no reason to refuse: what waits there waits
- * for room. */
+/* The larger of the delay of events here and the latency of proxied calls,
+ * which also grows when connections are not read in time.  The latter does not
+ * count while all pools are full: jobs wait for room then. */
 int64_t
 cell_late_ms (const MuxCell *cell)
 {
@@ -80,21 +82,21 @@
 {
   if (cell->role == CELL_PLANNING)
     return cell_late_ms (cell);
-  return cell->time.now_ms - cell->planner_last_contact_ms < HEARD_MS
+  return cell->time.now_ms - cell->planner_last_contact_ms < PLANNER_CONTACT_MS
              ? cell->planner_late_ms
              : 0;
 }
 
 /*
- * Guards against a cell that falls from all to nothing: past what the planner's
- * processor bears each job makes all others later, none starts in time, and
- * callers who were told that nobody knows come again on top.  The load that is
- * answered is whatever the planner can't take, of jobs, workers or calls alike.
+ * Guards against congestion collapse: beyond the capacity of the planner's
+ * processor each further job delays all others until none starts in time, and
+ * callers without a definite response add retries to the load.  The cause of
+ * the delay does not matter: too many jobs, workers or calls.
  */
 bool
 cell_accepts_jobs (const MuxCell *cell)
 {
-  return cell_planner_late_ms (cell) <= LATE_MAX_MS;
+  return cell_planner_late_ms (cell) <= ACCEPT_LATE_MAX_MS;
 }
 
 void
--- a/src/cell/late_start.c
+++ b/src/cell/late_start.c
@@ -1,24 +1,26 @@
 #include "cell_private.h"
 
 /*
- * Starts that a worker's next life may still carry out.
+ * Starts that a later incarnation of a worker may still carry out.
  *
- * Guards against a task that runs twice: a start that went unanswered may be
- * carried out by a later life of its worker under the same id, which knows
- * neither the run nor the planner's token, and asks for a lease by another
- * clock.  As long as nobody hears that life, no other worker gets the task.
+ * A start without a reply may arrive at a later incarnation of its worker that
+ * has the same id.  That one knows neither the run nor the planner's fencing
+ * token, and measures leases by another clock.  Until it has been heard from,
+ * or the start can't arrive any more, the task is not started elsewhere: it
+ * could run twice.
  *
- * A start with a proof of approval is none of these: a proof is good for one
- * life.  Nor is one that its worker has answered, or listed; nor one to a
- * worker whose lives have ids of their own.
+ * This does not concern starts with a proof of approval, which is valid for one
+ * incarnation; nor starts that the worker has confirmed or listed; nor workers
+ * whose incarnations have different ids.
  */
 
+/* Added to the sum of the bounds below. */
 #define MARGIN_MS 200
 
-/* From a start, or the last one that a planner can have sent, until no run of
- * it can be left. */
+/* Return: time from the sending of a start until it can no longer be carried
+ * out, nor a run of it be left. */
 static int64_t
-over_ms (void)
+late_start_max_ms (void)
 {
   return CELL_LATE_ORDERS_MS + cell_longest_lease_ms () + MARGIN_MS;
 }
@@ -30,13 +32,13 @@
 
   return booking->worker->started_ms != 0 && !booking->began
          && !booking->was_listed && !queue->approval.required
-         && cell->time.now_ms < booking->booked_ms + over_ms ();
+         && cell->time.now_ms < booking->booked_ms + late_start_max_ms ();
 }
 
 void
 cell_late_starts_of_predecessor (MuxCell *cell, const CellWorker *worker)
 {
-  int64_t until_ms = cell->predecessor.until_ms + over_ms ();
+  int64_t until_ms = cell->predecessor.until_ms + late_start_max_ms ();
 
   if (worker->confirmed || worker->started_ms == 0)
     return;
--- a/src/cell/step_wait.c
+++ b/src/cell/step_wait.c
@@ -1,7 +1,7 @@
 #include "cell_private.h"
 
-/* What a step waits for between its turn and its start, and what its questions
- * to the policy service brought. */
+/* What a step is blocked on until it starts, and what came of its approval
+ * queries. */
 
 void
 cell_step_wait_begin (const MuxCell *cell, CellStage *stage)
@@ -24,24 +24,24 @@
 void
 cell_step_query_sent (const MuxCell *cell,
                       CellStage *stage,
-                      const CellApprovalQuery *question)
+                      const CellApprovalQuery *query)
 {
   stage->wait.queries++;
-  stage->wait.candidates += question->candidate_count;
+  stage->wait.candidates += query->candidate_count;
   cell_step_blocked_on (cell, stage,
-                        question->is_renewal ? CELL_BLOCKED_ON_PROOF
-                                             : CELL_BLOCKED_ON_ANSWER);
+                        query->is_renewal ? CELL_BLOCKED_ON_PROOF
+                                          : CELL_BLOCKED_ON_ANSWER);
   mux_count (cell->options.counters, MUX_COUNT_APPROVAL_NAMES,
-             question->candidate_count);
+             query->candidate_count);
 }
 
 void
 cell_step_query_done (const MuxCell *cell,
                       CellStage *stage,
-                      const CellApprovalQuery *question,
+                      const CellApprovalQuery *query,
                       uint32_t approved)
 {
-  int64_t took_ms = cell->time.now_ms - question->sent_ms;
+  int64_t took_ms = cell->time.now_ms - query->sent_ms;
 
   stage->wait.approved += approved;
   cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_TURN);
--- a/src/cell/tree.c
+++ b/src/cell/tree.c
@@ -1,12 +1,10 @@
 #include "cell_private.h"
 
-/*
- * An ordered set: a treap, a binary tree that is in order by its nodes' keys
- * and a heap by their weights, which are drawn by chance.
- */
+/* Ordered sets as treaps: binary search trees by the order of their members,
+ * and heaps by random priorities of the nodes, which keep them balanced. */
 
 static uint32_t
-draw (CellTree *tree)
+draw_priority (CellTree *tree)
 {
   tree->random_state = tree->random_state * UINT64_C (6364136223846793005)
                        + UINT64_C (1442695040888963407);
@@ -27,7 +25,7 @@
     by->parent = parent;
 }
 
-/* @node takes the place of its parent, which becomes its child. */
+/* Rotates @node into the place of its parent, which becomes its child. */
 static void
 rotate_up (CellTree *tree, CellNode *node)
 {
@@ -54,7 +52,7 @@
       parent = *at;
       at = &parent->child[!tree->before (node, parent)];
     }
-  *node = (CellNode){ .parent = parent, .priority = draw (tree) };
+  *node = (CellNode){ .parent = parent, .priority = draw_priority (tree) };
   *at = node;
   while (node->parent != NULL && node->parent->priority < node->priority)
     rotate_up (tree, node);
--- a/src/cell/unreadable.c
+++ b/src/cell/unreadable.c
@@ -6,81 +6,84 @@
 
 /*
  * Jobs whose row can't be read, as another writer or another version of this
- * program may leave it.  Nothing of them is started, but their tasks may run
- * and end: such ends are stored beside the job's progress, and count once a
- * planner can read the job.
+ * program may leave it.  They are not started, but runs of theirs may go on and
+ * end.  Such ends are stored in a row beside the job's progress, and are
+ * applied once a planner can read the job.
  *
- * Guards against a task that is done and runs again: an end that is
- * acknowledged is forgotten by its worker.  Left unacknowledged it would hold
- * up all later ends of that worker.
+ * The ends have to be kept: a worker forgets an end that is acknowledged, and a
+ * task that is done would run again.  Left unacknowledged, it would hold up all
+ * later ends of that worker.
  */
 
-/* Behind a job's id: sorts after that key. */
-#define BEHIND "~"
-/* Jobs remembered for their rows alone, of some 200 bytes each; of others it is
- * known only that there are some. */
-#define UNREAD_MAX 4096
-/* Jobs kept with ends, for each of those: 64 K of 500 bytes, a quarter of a
- * daemon's memory.  Above, ends stay with their workers. */
-#define ENDED_FACTOR 16
-/* Ends kept of each: a row holds 64 KB, an end up to 110 bytes. */
+/* End of the key range that holds a job's progress and its row of ends: '~'
+ * sorts after both. */
+#define KEY_RANGE_END "~"
+/* Unreadable jobs recorded without ends, of some 200 bytes each.  Beyond that
+ * it is only known that there are more. */
+#define UNREADABLE_MAX 4096
+/* So many times as many are recorded with ends: 64 K of 500 bytes, a quarter of
+ * a daemon's memory.  Beyond that ends are left with their workers. */
+#define WITH_ENDS_FACTOR 16
+/* Ends kept of a job: a row holds 64 KB, an end takes up to 110 bytes. */
 #define ENDS_MAX 400
+/* After a read of the progress that failed or came too early. */
 #define RETRY_MS 100
 #define MS_PER_S 1000
 
 static CellUnreadable *
 find (MuxCell *cell, const char *id)
 {
-  CellUnreadable *unread;
+  CellUnreadable *unreadable;
 
-  HASH_FIND_STR (cell->unreadable, id, unread);
-  return unread;
+  HASH_FIND_STR (cell->unreadable, id, unreadable);
+  return unreadable;
 }
 
 static uint32_t
-noted_max (const MuxCell *cell)
+unreadable_max (const MuxCell *cell)
 {
   return cell->options.unreadable_max != 0 ? cell->options.unreadable_max
-                                           : UNREAD_MAX;
+                                           : UNREADABLE_MAX;
 }
 
-/* NULL: there are @max, or memory is out. */
+/* Return: NULL when there are @max already, or when out of memory. */
 static CellUnreadable *
 find_or_add (MuxCell *cell, const char *id, uint32_t max)
 {
-  CellUnreadable *unread = find (cell, id);
-
-  if (unread != NULL)
-    return unread;
-  unread
-      = HASH_COUNT (cell->unreadable) < max ? calloc (1, sizeof *unread) : NULL;
-  if (unread == NULL)
+  CellUnreadable *unreadable = find (cell, id);
+
+  if (unreadable != NULL)
+    return unreadable;
+  unreadable = HASH_COUNT (cell->unreadable) < max
+                   ? calloc (1, sizeof *unreadable)
+                   : NULL;
+  if (unreadable == NULL)
     return NULL;
-  snprintf (unread->id, sizeof unread->id, "%s", id);
-  unread->part = cell_part_of (unread->id);
-  HASH_ADD_STR (cell->unreadable, id, unread);
-  return unread;
+  snprintf (unreadable->id, sizeof unreadable->id, "%s", id);
+  unreadable->part = cell_part_of (unreadable->id);
+  HASH_ADD_STR (cell->unreadable, id, unreadable);
+  return unreadable;
 }
 
 static void
-unread_free (MuxCell *cell, CellUnreadable *unread)
+unreadable_free (MuxCell *cell, CellUnreadable *unreadable)
 {
-  if (unread->dirty)
-    cell->part[unread->part].unreadable_dirty--;
-  HASH_DEL (cell->unreadable, unread);
-  mux_job_free (unread->spec);
-  free (unread->end);
-  free (unread);
+  if (unreadable->dirty)
+    cell->part[unreadable->part].unreadable_dirty--;
+  HASH_DEL (cell->unreadable, unreadable);
+  mux_job_free (unreadable->spec);
+  free (unreadable->end);
+  free (unreadable);
 }
 
 void
 cell_unreadable_free (MuxCell *cell)
 {
-  CellUnreadable *unread;
+  CellUnreadable *unreadable;
   CellUnreadable *next;
 
-  HASH_ITER (hh, cell->unreadable, unread, next)
-  unread_free (cell, unread);
+  HASH_ITER (hh, cell->unreadable, unreadable, next)
+  unreadable_free (cell, unreadable);
   cell->unreadable_overflow = false;
   cell->unreadable_ends_overflow = false;
 }
@@ -88,118 +91,120 @@
 void
 cell_unreadable_add (MuxCell *cell, const char *id, bool seen)
 {
-  CellUnreadable *unread = find_or_add (cell, id, noted_max (cell));
+  CellUnreadable *unreadable = find_or_add (cell, id, unreadable_max (cell));
 
-  if (unread == NULL)
+  if (unreadable == NULL)
     {
       cell->unreadable_overflow = true;
       cell_log (cell, "unread_job_passed", "{s:s, s:i}", "job", id, "kept",
                 (int) HASH_COUNT (cell->unreadable));
       return;
     }
-  unread->has_row = unread->has_row || seen;
-  /* It could be read for a moment. */
-  mux_job_free (unread->spec);
-  unread->spec = NULL;
+  unreadable->has_row = unreadable->has_row || seen;
+  /* It was readable for a moment. */
+  mux_job_free (unreadable->spec);
+  unreadable->spec = NULL;
 }
 
 static void
-mark_dirty (MuxCell *cell, CellUnreadable *unread)
+mark_dirty (MuxCell *cell, CellUnreadable *unreadable)
 {
-  CellPart *part = &cell->part[unread->part];
+  CellPart *part = &cell->part[unreadable->part];
 
   cell->change_seq++;
-  if (unread->dirty)
+  if (unreadable->dirty)
     {
-      unread->dirty_again = unread->in_commit;
+      unreadable->dirty_again = unreadable->in_commit;
       return;
     }
-  unread->dirty = true;
+  unreadable->dirty = true;
   if (part->dirty == NULL && part->unreadable_dirty == 0)
     part->dirty_since_ms = cell->time.now_ms;
   part->unreadable_dirty++;
 }
 
 bool
-cell_unreadable_add_end (CellUnreadable *unread, const CellUnreadableEnd *end)
+cell_unreadable_add_end (CellUnreadable *unreadable,
+                         const CellUnreadableEnd *end)
 {
   CellUnreadableEnd *list;
 
-  for (uint32_t i = 0; i < unread->end_count; i++)
-    if (unread->end[i].run == end->run
-        && unread->end[i].task.occurrence == end->task.occurrence
-        && unread->end[i].task.step == end->task.step
-        && unread->end[i].task.index == end->task.index)
+  for (uint32_t i = 0; i < unreadable->end_count; i++)
+    if (unreadable->end[i].run == end->run
+        && unreadable->end[i].task.occurrence == end->task.occurrence
+        && unreadable->end[i].task.step == end->task.step
+        && unreadable->end[i].task.index == end->task.index)
       return false;
-  list = unread->end_count < ENDS_MAX
-             ? realloc (unread->end, (unread->end_count + 1) * sizeof *list)
-             : NULL;
+  list = unreadable->end_count < ENDS_MAX ? realloc (
+             unreadable->end, (unreadable->end_count + 1) * sizeof *list)
+                                          : NULL;
   if (list == NULL)
     {
-      unread->overflow = true;
+      unreadable->overflow = true;
       return true;
     }
-  unread->end = list;
-  list[unread->end_count++] = *end;
+  unreadable->end = list;
+  list[unreadable->end_count++] = *end;
   return true;
 }
 
-/* Others change nothing but for what they saved. */
+/* Other ends change nothing, unless they left a checkpoint. */
 static bool
-counts (const MuxRunReport *report)
+is_relevant (const MuxRunReport *report)
 {
   return report->end == MUX_RUN_DONE || report->end == MUX_RUN_FAILED
          || report->checkpoint[0] != 0;
 }
 
 /*
- * The job that the end is one of, if it may be one that can't be read.
+ * Finds the unreadable job that an end belongs to, if any.
  *
- * Guards against a bound that turns into a task that runs twice: where not all
- * such jobs are remembered, any job that is not known may be one of them, and
- * its end is kept as theirs are.  An end too many for that is left with its
- * worker.  So is one of a job whose stored ends may not have been kept: a row
- * made of the new one alone would replace them.
- * Return: false: it can't be kept; else @unread is NULL where no end needs to
- *   be.
+ * Unless all unreadable jobs are recorded, any job not known here may be one of
+ * them, and its ends are kept, too: otherwise its tasks could run twice.  If
+ * there are too many the end is left with its worker.  So is the end of a job
+ * whose stored ends may not be recorded here: a row with the new end alone
+ * would replace them.
+ * @unreadable: set to the job; NULL: the end need not be kept
+ * Return: false: the end can't be kept.
  */
 static bool
-take_unread (MuxCell *cell, const char *id, CellUnreadable **unread)
+find_for_end (MuxCell *cell, const char *id, CellUnreadable **unreadable)
 {
-  *unread = find (cell, id);
-  if (*unread != NULL || !cell->unreadable_overflow
+  *unreadable = find (cell, id);
+  if (*unreadable != NULL || !cell->unreadable_overflow
       || cell_job_ended_recently (cell, id) || cell_job_find (cell, id) != NULL)
     return true;
   if (!cell->unreadable_ends_overflow)
-    *unread = find_or_add (cell, id, noted_max (cell) * ENDED_FACTOR);
-  return *unread != NULL;
+    *unreadable
+        = find_or_add (cell, id, unreadable_max (cell) * WITH_ENDS_FACTOR);
+  return *unreadable != NULL;
 }
 
 bool
 cell_unreadable_keep_end (MuxCell *cell, const MuxRunReport *report)
 {
-  CellUnreadable *unread;
+  CellUnreadable *unreadable;
   CellUnreadableEnd end
       = { .task = report->task, .run = report->run, .end = report->end };
 
-  if (!counts (report))
+  if (!is_relevant (report))
     return true;
-  if (!take_unread (cell, report->task.job, &unread))
+  if (!find_for_end (cell, report->task.job, &unreadable))
     {
       cell_log (cell, "unread_end_left", "{s:s, s:i}", "job", report->task.job,
                 "run", (int) report->run);
       return false;
     }
-  if (unread == NULL)
+  if (unreadable == NULL)
     return true;
   snprintf (end.checkpoint, sizeof end.checkpoint, "%s", report->checkpoint);
-  if (!cell_unreadable_add_end (unread, &end))
+  if (!cell_unreadable_add_end (unreadable, &end))
     return true;
   cell_log (cell, "unread_job_end", "{s:s, s:i, s:i, s:i, s:s}", "job",
-            unread->id, "step", (int) end.task.step, "task",
+            unreadable->id, "step", (int) end.task.step, "task",
             (int) end.task.index, "run", (int) end.run, "end",
             mux_run_end_name (end.end));
-  mark_dirty (cell, unread);
+  mark_dirty (cell, unreadable);
   return true;
 }
 
@@ -209,18 +214,18 @@
                           MuxCellCall *call)
 {
   uint32_t rows = 0;
-  CellUnreadable *unread;
+  CellUnreadable *unreadable;
   CellUnreadable *next;
 
   if (part->unreadable_dirty == 0)
     return true;
-  HASH_ITER (hh, cell->unreadable, unread, next)
+  HASH_ITER (hh, cell->unreadable, unreadable, next)
   {
-    if (!unread->dirty || &cell->part[unread->part] != part)
+    if (!unreadable->dirty || &cell->part[unreadable->part] != part)
       continue;
     if (rows == CELL_UNREADABLE_ROWS_MAX)
       return false;
-    cell_unreadable_put_row (cell, call, unread);
+    cell_unreadable_put_row (cell, call, unreadable);
     rows++;
   }
   return true;
@@ -229,28 +234,28 @@
 void
 cell_unreadable_committed (MuxCell *cell, CellPart *part, bool stored)
 {
-  CellUnreadable *unread;
+  CellUnreadable *unreadable;
   CellUnreadable *next;
 
-  HASH_ITER (hh, cell->unreadable, unread, next)
+  HASH_ITER (hh, cell->unreadable, unreadable, next)
   {
-    if (!unread->in_commit || &cell->part[unread->part] != part)
+    if (!unreadable->in_commit || &cell->part[unreadable->part] != part)
       continue;
-    unread->in_commit = false;
-    if (!stored || unread->dirty_again)
+    unreadable->in_commit = false;
+    if (!stored || unreadable->dirty_again)
       {
-        unread->dirty_again = false;
+        unreadable->dirty_again = false;
         continue;
       }
-    unread->dirty = false;
+    unreadable->dirty = false;
     part->unreadable_dirty--;
-    unread->stored_wall_ms = cell->time.wall_ms;
-    if (unread->expired)
-      unread_free (cell, unread);
+    unreadable->stored_wall_ms = cell->time.wall_ms;
+    if (unreadable->expired)
+      unreadable_free (cell, unreadable);
   }
 }
 
-/* What is left of the task once that run has ended so. */
+/* Applies the end to the task of the job, which can be read now. */
 static void
 apply_end (MuxCell *cell, CellJob *job, const CellUnreadableEnd *end)
 {
@@ -269,14 +274,15 @@
   cell_end_apply (cell, task, end->run, end->end, end->checkpoint);
 }
 
-/* Ends that are missing may be good ones: none of its tasks may run again. */
+/* If some ends were not kept, any task may be done, and none may run again: the
+ * job then counts as one with unreadable progress. */
 static void
-apply (MuxCell *cell, CellJob *job, const CellUnreadable *unread)
+apply_ends (MuxCell *cell, CellJob *job, const CellUnreadable *unreadable)
 {
-  for (uint32_t i = 0; i < unread->end_count; i++)
-    apply_end (cell, job, &unread->end[i]);
-  job->progress_unreadable = job->progress_unreadable || unread->overflow;
-  job->unreadable_ends_stored = unread->stored_wall_ms != 0;
+  for (uint32_t i = 0; i < unreadable->end_count; i++)
+    apply_end (cell, job, &unreadable->end[i]);
+  job->progress_unreadable = job->progress_unreadable || unreadable->overflow;
+  job->unreadable_ends_stored = unreadable->stored_wall_ms != 0;
   cell_job_mark_dirty (cell, job);
 }
 
@@ -284,7 +290,7 @@
 cell_unreadable_load_row (MuxCell *cell, const MuxCellRow *row)
 {
   char id[MUX_ROW_NAME_LEN];
-  CellUnreadable *unread;
+  CellUnreadable *unreadable;
   CellUnreadable own = { .end_count = 0 };
   CellJob *job;
 
@@ -296,24 +302,25 @@
   if (job != NULL)
     {
       cell_unreadable_read_row (cell, row, &own);
-      apply (cell, job, &own);
+      apply_ends (cell, job, &own);
       free (own.end);
       return true;
     }
-  unread = find_or_add (cell, id, noted_max (cell) * ENDED_FACTOR);
-  if (unread != NULL)
-    cell_unreadable_read_row (cell, row, unread);
+  unreadable = find_or_add (cell, id, unreadable_max (cell) * WITH_ENDS_FACTOR);
+  if (unreadable != NULL)
+    cell_unreadable_read_row (cell, row, unreadable);
   else
     cell->unreadable_overflow = cell->unreadable_ends_overflow = true;
   return true;
 }
 
-/* The rows beside the job, its progress before its ends. */
+/* Applies the job's progress row, then its ends: their keys are in that order.
+ */
 static void
-take_rows (MuxCell *cell,
-           CellUnreadable *unread,
-           CellJob *job,
-           const MuxCellReply *reply)
+take_progress_rows (MuxCell *cell,
+                    CellUnreadable *unreadable,
+                    CellJob *job,
+                    const MuxCellReply *reply)
 {
   char id[MUX_ROW_NAME_LEN];
 
@@ -322,110 +329,112 @@
       cell_progress_row (cell, &reply->row[i]);
     else if (cell_unreadable_row_job (reply->row[i].key, id)
              && strcmp (id, job->id) == 0)
-      cell_unreadable_read_row (cell, &reply->row[i], unread);
-  apply (cell, job, unread);
+      cell_unreadable_read_row (cell, &reply->row[i], unreadable);
+  apply_ends (cell, job, unreadable);
 }
 
 static void
-beside_read (MuxCell *cell,
-             const CellPending *pending,
-             const MuxCellReply *reply)
+progress_read (MuxCell *cell,
+               const CellPending *pending,
+               const MuxCellReply *reply)
 {
-  CellUnreadable *unread = find (cell, pending->task.job);
+  CellUnreadable *unreadable = find (cell, pending->task.job);
   CellJob *job;
 
-  if (unread == NULL)
+  if (unreadable == NULL)
     return;
-  unread->reading = false;
-  unread->next_ms = cell->time.now_ms + RETRY_MS;
-  /* An end that came meanwhile is stored first: a commit on its way would
-   * bring the row back behind its removal. */
-  if (reply->status != MUX_CELL_OK || unread->spec == NULL || unread->in_commit)
+  unreadable->reading = false;
+  unreadable->next_ms = cell->time.now_ms + RETRY_MS;
+  /* An end that came meanwhile is stored first: an outstanding commit would
+   * write the row again after its removal. */
+  if (reply->status != MUX_CELL_OK || unreadable->spec == NULL
+      || unreadable->in_commit)
     return;
-  job = cell_job_add (cell, unread->spec, unread->version);
-  unread->spec = NULL;
+  job = cell_job_add (cell, unreadable->spec, unreadable->version);
+  unreadable->spec = NULL;
   if (job == NULL)
     return;
   job->predates_term = true;
-  take_rows (cell, unread, job, reply);
+  take_progress_rows (cell, unreadable, job, reply);
   cell_log (cell, "unread_job_back", "{s:s, s:i}", "job", job->id, "ends",
-            (int) unread->end_count);
-  unread_free (cell, unread);
+            (int) unreadable->end_count);
+  unreadable_free (cell, unreadable);
   cell_job_resume (cell, job);
 }
 
 static void
-read_beside (MuxCell *cell, CellUnreadable *unread)
+read_progress (MuxCell *cell, CellUnreadable *unreadable)
 {
   MuxCellCall *call
-      = cell_scan_call (MUX_TABLE_PROGRESS, cell->part[unread->part].name);
-  CellPending pending
-      = { .on_reply = beside_read, .term = cell->term, .part = unread->part };
+      = cell_scan_call (MUX_TABLE_PROGRESS, cell->part[unreadable->part].name);
+  CellPending pending = { .on_reply = progress_read,
+                          .term = cell->term,
+                          .part = unreadable->part };
 
-  unread->next_ms = cell->time.now_ms + RETRY_MS;
+  unreadable->next_ms = cell->time.now_ms + RETRY_MS;
   if (call == NULL)
     return;
-  snprintf (call->from, sizeof call->from, "%s", unread->id);
-  snprintf (call->to, sizeof call->to, "%s" BEHIND, unread->id);
-  snprintf (pending.task.job, sizeof pending.task.job, "%s", unread->id);
-  unread->reading = cell_call (cell, call, &pending);
+  snprintf (call->from, sizeof call->from, "%s", unreadable->id);
+  snprintf (call->to, sizeof call->to, "%s" KEY_RANGE_END, unreadable->id);
+  snprintf (pending.task.job, sizeof pending.task.job, "%s", unreadable->id);
+  unreadable->reading = cell_call (cell, call, &pending);
 }
 
-/*
- * Guards against a task that is done and runs again: to its row alone a job
- * that can be read again looks like one that was just stored, of which nothing
- * has run.
- */
+/* By its row alone a job that has become readable looks like one that was just
+ * stored.  Its progress is read first, so that tasks which are done do not run
+ * again. */
 bool
 cell_unreadable_recover (MuxCell *cell, MuxJobSpec *spec, uint64_t version)
 {
-  CellUnreadable *unread = find (cell, spec->id);
+  CellUnreadable *unreadable = find (cell, spec->id);
 
   if (cell->role != CELL_PLANNING
-      || (unread == NULL && !cell->unreadable_overflow))
+      || (unreadable == NULL && !cell->unreadable_overflow))
     return false;
-  unread = find_or_add (cell, spec->id, noted_max (cell) * ENDED_FACTOR);
-  if (unread == NULL)
+  unreadable
+      = find_or_add (cell, spec->id, unreadable_max (cell) * WITH_ENDS_FACTOR);
+  if (unreadable == NULL)
     {
       cell_log (cell, "job_dropped", "{s:s, s:s}", "key", spec->id, "why",
-                "too many can't be read");
+                "too many unreadable jobs");
       mux_job_free (spec);
       return true;
     }
-  mux_job_free (unread->spec);
-  unread->spec = spec;
-  unread->version = version;
-  if (!unread->reading)
-    read_beside (cell, unread);
+  mux_job_free (unreadable->spec);
+  unreadable->spec = spec;
+  unreadable->version = version;
+  if (!unreadable->reading)
+    read_progress (cell, unreadable);
   return true;
 }
 
-/* Nothing else would ever remove ends whose job's row is gone.  Where not all
- * rows are remembered it may stand. */
+/* Whether the job's row is gone and its stored ends are old: nothing else would
+ * remove them.  Unless all unreadable rows are recorded it may exist. */
 static bool
-is_abandoned (const MuxCell *cell, const CellUnreadable *unread)
+is_abandoned (const MuxCell *cell, const CellUnreadable *unreadable)
 {
   int64_t keep_ms = (int64_t) cell->options.ended_retention_s * MS_PER_S;
 
-  return !cell->unreadable_overflow && !unread->has_row && unread->spec == NULL
-         && unread->stored_wall_ms != 0
-         && cell->time.wall_ms - unread->stored_wall_ms > keep_ms;
+  return !cell->unreadable_overflow && !unreadable->has_row
+         && unreadable->spec == NULL && unreadable->stored_wall_ms != 0
+         && cell->time.wall_ms - unreadable->stored_wall_ms > keep_ms;
 }
 
 void
 cell_unreadable_tick (MuxCell *cell)
 {
-  CellUnreadable *unread;
+  CellUnreadable *unreadable;
   CellUnreadable *next;
 
-  HASH_ITER (hh, cell->unreadable, unread, next)
+  HASH_ITER (hh, cell->unreadable, unreadable, next)
   {
-    if (unread->spec != NULL && !unread->reading
-        && cell->time.now_ms >= unread->next_ms)
-      read_beside (cell, unread);
-    if (unread->expired || unread->dirty || !is_abandoned (cell, unread))
+    if (unreadable->spec != NULL && !unreadable->reading
+        && cell->time.now_ms >= unreadable->next_ms)
+      read_progress (cell, unreadable);
+    if (unreadable->expired || unreadable->dirty
+        || !is_abandoned (cell, unreadable))
       continue;
-    unread->expired = true;
-    mark_dirty (cell, unread);
+    unreadable->expired = true;
+    mark_dirty (cell, unreadable);
   }
 }
--- a/src/cell/unreadable_rows.c
+++ b/src/cell/unreadable_rows.c
@@ -3,30 +3,31 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Rows with ends of jobs that can't be read, as they are stored. */
+/* The stored form of the ends of unreadable jobs. */
 
-/* Behind a job's id: key of the row with its ends.  No id contains it. */
-#define ENDS_MARK "+"
+/* The key of a job's row of ends is the job's id with this behind it, which no
+ * id contains. */
+#define ENDS_SUFFIX "+"
 
 bool
 cell_unreadable_row_job (const char *key, char id[MUX_ROW_NAME_LEN])
 {
   size_t len = strlen (key);
 
-  if (len < 2 || strcmp (key + len - 1, ENDS_MARK) != 0)
+  if (len < 2 || strcmp (key + len - 1, ENDS_SUFFIX) != 0)
     return false;
   snprintf (id, MUX_ROW_NAME_LEN, "%.*s", (int) (len - 1), key);
   return true;
 }
 
 static json_t *
-ends_json (const MuxCell *cell, const CellUnreadable *unread)
+ends_json (const MuxCell *cell, const CellUnreadable *unreadable)
 {
   json_t *list = json_array ();
 
-  for (uint32_t i = 0; i < unread->end_count; i++)
+  for (uint32_t i = 0; i < unreadable->end_count; i++)
     {
-      const CellUnreadableEnd *end = &unread->end[i];
+      const CellUnreadableEnd *end = &unreadable->end[i];
 
       (void) json_array_append_new (
           list, json_pack ("[iiiiis]", (int) end->task.occurrence,
@@ -35,24 +36,24 @@
     }
   return json_pack ("{s:I, s:b, s:o}", "noted_ms",
                     (json_int_t) cell->time.wall_ms, "overflow",
-                    (int) unread->overflow, "ends", list);
+                    (int) unreadable->overflow, "ends", list);
 }
 
 void
 cell_unreadable_put_row (const MuxCell *cell,
                          MuxCellCall *call,
-                         CellUnreadable *unread)
+                         CellUnreadable *unreadable)
 {
   char key[MUX_ROW_NAME_LEN];
 
-  unread->in_commit = true;
-  snprintf (key, sizeof key, "%s" ENDS_MARK, unread->id);
-  if (unread->expired)
+  unreadable->in_commit = true;
+  snprintf (key, sizeof key, "%s" ENDS_SUFFIX, unreadable->id);
+  if (unreadable->expired)
     (void) cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS,
                                  key);
   else
     cell_call_add_change (call, MUX_CHANGE_PUT, MUX_TABLE_PROGRESS, key)->value
-        = cell_blob_from_json (ends_json (cell, unread));
+        = cell_blob_from_json (ends_json (cell, unreadable));
 }
 
 void
@@ -60,12 +61,12 @@
 {
   char key[MUX_ROW_NAME_LEN];
 
-  snprintf (key, sizeof key, "%s" ENDS_MARK, job->id);
+  snprintf (key, sizeof key, "%s" ENDS_SUFFIX, job->id);
   (void) cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_PROGRESS,
                                key);
 }
 
-/* Return: whether @json is one end, which @end then holds. */
+/* Return: false: @json is not an end, and @end is not set. */
 static bool
 end_from_json (const json_t *json, CellUnreadableEnd *end)
 {
@@ -93,27 +94,27 @@
 void
 cell_unreadable_read_row (MuxCell *cell,
                           const MuxCellRow *row,
-                          CellUnreadable *unread)
+                          CellUnreadable *unreadable)
 {
   json_t *json = cell_row_json (cell, row);
   const json_t *list = json_object_get (json, "ends");
   const json_t *item;
   size_t i;
 
-  unread->stored_wall_ms
+  unreadable->stored_wall_ms
       = (int64_t) json_integer_value (json_object_get (json, "noted_ms"));
-  unread->overflow = unread->overflow || !json_is_array (list)
-                     || json_is_true (json_object_get (json, "overflow"));
+  unreadable->overflow = unreadable->overflow || !json_is_array (list)
+                         || json_is_true (json_object_get (json, "overflow"));
   json_array_foreach (list, i, item)
   {
     CellUnreadableEnd end = { .run = 0 };
 
     if (end_from_json (item, &end))
-      (void) cell_unreadable_add_end (unread, &end);
+      (void) cell_unreadable_add_end (unreadable, &end);
     else
-      unread->overflow = true;
+      unreadable->overflow = true;
   }
   json_decref (json);
-  if (unread->overflow)
+  if (unreadable->overflow)
     cell_report_bad_row (cell, row, CELL_ROW_FIELD, "ends");
 }
--- a/src/cell/wait.c
+++ b/src/cell/wait.c
@@ -3,96 +3,98 @@
 #include <string.h>
 
 /*
- * Tells in the log why a step waits.  Without it a step that never starts
- * leaves no trace: the lines of questions and starts are there for what went
- * on, and nothing is told of what did not.
+ * Logs why a step waits.  Approval queries and starts are logged as they
+ * happen; without this a step for which none happens would leave no trace.
  */
 
-/* A step is told of once it has waited so long: over what a question about a
- * hundred workers and the gathering of their room usually take, some 4 s. */
-#define TOLD_AFTER_MS 5000
-/* One line in so long for the whole planner: beside the 200 lines a second that
- * a kind of line may have, and one look at all workers, it costs nothing. */
-#define LINE_MS 1000
-/* The same step again after so long, so that one that waits longest does not
- * hide the others. */
-#define TOLD_AGAIN_MS 10000
-/* A step that no pass has looked at for so long waits for its turn. */
-#define UNSEEN_MS 1000
-/* Of a question that a step still has to ask, as far as its length matters for
- * whom it may go to. */
-#define QUESTION_WORKERS 40
-
-/* What the workers have for a step; in tasks where it speaks of room. */
+/* A step is logged once it has waited for so long: an approval query about a
+ * hundred workers and the gathering of their room usually take some 4 s. */
+#define LOG_AFTER_MS 5000
+/* Interval of lines, for the planner as a whole: the cost of one line, where
+ * 200 a second are allowed of each event, and of a scan of all workers is
+ * negligible. */
+#define LOG_INTERVAL_MS 1000
+/* A step is logged again after so long, so that the one that waits longest does
+ * not hide the others. */
+#define LOG_AGAIN_MS 10000
+/* A step that has not been scanned for so long is blocked on its turn. */
+#define UNSCANNED_MS 1000
+/* Size assumed of a query that is yet to be sent: a long one may not be put by
+ * each daemon. */
+#define QUERY_WORKERS 40
+
+/* What the workers have for a step: numbers of workers, then room in tasks. */
 typedef struct
 {
-  uint32_t unheard;  /* workers of a former planner not heard from */
-  uint32_t unusable; /* lost, leaving or not in the roster yet */
-  uint32_t avoided;  /* after failures or a refused start */
-  uint32_t kept;     /* a task there would delay another gang */
-  uint32_t held;     /* part of it held for another gang's start */
-  uint32_t unasked;  /* the policy service was not asked about them */
-  uint32_t room;     /* free now, approved or not */
-  uint32_t yes_now;  /* free now on approved ones */
-  uint32_t yes_ever; /* on approved ones if they were empty */
-  uint32_t proven;   /* free now where a proof is taken */
-} Lack;
+  uint32_t unconfirmed;   /* may run something of an earlier term */
+  uint32_t unusable;      /* unreachable, leaving or not in the roster yet */
+  uint32_t avoided;       /* after failures or a refused start */
+  uint32_t reserved;      /* a task there would delay another gang */
+  uint32_t held;          /* some room is held for another gang's start */
+  uint32_t not_queried;   /* no approval query has named them */
+  uint32_t room;          /* free now, approved or not */
+  uint32_t approved_now;  /* free now at approved workers */
+  uint32_t approved_ever; /* at approved workers if they were empty */
+  uint32_t proven;        /* free now where a valid proof is known */
+} Supply;
 
 static void
-add_usable (const MuxCell *cell,
-            CellStage *stage,
-            const CellWorker *worker,
-            Lack *lack)
+add_usable_worker (const MuxCell *cell,
+                   CellStage *stage,
+                   const CellWorker *worker,
+                   Supply *supply)
 {
   const CellApproval *approval = cell_approval_find (stage, worker);
   bool needed = stage->job->spec->queue.approval.required;
   uint32_t now = cell_stage_cap_per_worker (
       stage, cell_worker_spare_tasks (cell, stage, worker));
 
-  lack->kept += cell_delays_gang (cell, stage, worker);
-  lack->held += worker->hold_count > 0 && cell_hold_tasks (stage, worker) == 0;
-  lack->unasked += needed && (approval == NULL || !approval->queried);
-  lack->room += now;
+  supply->reserved += cell_delays_gang (cell, stage, worker);
+  supply->held
+      += worker->hold_count > 0 && cell_hold_tasks (stage, worker) == 0;
+  supply->not_queried += needed && (approval == NULL || !approval->queried);
+  supply->room += now;
   if (needed && (approval == NULL || !approval->approved))
     return;
-  lack->yes_now += now;
-  lack->yes_ever += cell_stage_cap_per_worker (
+  supply->approved_now += now;
+  supply->approved_ever += cell_stage_cap_per_worker (
       stage, cell_tasks_that_fit (stage, worker->info.capacity));
   if (!needed || cell_approval_proof (cell, stage, worker) != NULL)
-    lack->proven += now;
+    supply->proven += now;
 }
 
-static Lack
-lack_of (MuxCell *cell, CellStage *stage)
+static Supply
+count_supply (MuxCell *cell, CellStage *stage)
 {
-  Lack lack = { 0 };
+  Supply supply = { 0 };
   CellWorker *worker;
   CellWorker *next;
 
   HASH_ITER (hh, cell->workers, worker, next)
   {
-    lack.unheard += cell_worker_is_unconfirmed (worker);
+    supply.unconfirmed += cell_worker_is_unconfirmed (worker);
     if (!cell_worker_matches (stage, worker))
       continue;
     if (cell->time.now_ms < worker->avoid_until_ms)
-      lack.avoided++;
+      supply.avoided++;
     else if (!cell_worker_usable (cell, worker))
-      lack.unusable++;
+      supply.unusable++;
     else
-      add_usable (cell, stage, worker, &lack);
+      add_usable_worker (cell, stage, worker, &supply);
   }
-  return lack;
+  return supply;
 }
 
 static int64_t
-unseen_ms (const MuxCell *cell, const CellStage *stage)
+unscanned_ms (const MuxCell *cell, const CellStage *stage)
 {
   return cell->time.now_ms
          - (stage->scanned_ms > stage->ready_ms ? stage->scanned_ms
                                                 : stage->ready_ms);
 }
 
-/* Each of them waits for the record of a crash, or is kept apart. */
+/* Whether no waiting task may start now, as workers crashed under it: it waits
+ * until the record of that is stored, or for a worker of its own. */
 static bool
 all_under_suspicion (const MuxCell *cell, const CellStage *stage)
 {
@@ -116,9 +118,9 @@
   return n;
 }
 
-/* The first of these that holds keeps the step from its start. */
+/* Return: what the step is blocked on, the first that applies. */
 static const char *
-what_lacks (MuxCell *cell, CellStage *stage, const Lack *lack)
+blocked_on (MuxCell *cell, CellStage *stage, const Supply *supply)
 {
   uint32_t need = stage->spec->gang ? stage->spec->count : 1;
 
@@ -136,22 +138,21 @@
     return "quota";
   if (stage->query_pending)
     return "answer";
-  if (unseen_ms (cell, stage) > UNSEEN_MS)
+  if (unscanned_ms (cell, stage) > UNSCANNED_MS)
     return "turn";
-  if ((lack->yes_ever < need && lack->unasked > 0)
-      || (lack->yes_now >= need && lack->proven < need))
-    return cell_can_query (cell, stage, QUESTION_WORKERS) ? "question"
-                                                          : "asker";
-  if (lack->yes_ever < need)
+  if ((supply->approved_ever < need && supply->not_queried > 0)
+      || (supply->approved_now >= need && supply->proven < need))
+    return cell_can_query (cell, stage, QUERY_WORKERS) ? "question" : "asker";
+  if (supply->approved_ever < need)
     return "approvals";
-  return lack->yes_now < need ? "room" : "start";
+  return supply->approved_now < need ? "room" : "start";
 }
 
 static void
-tell (MuxCell *cell, CellStage *stage, int64_t since_ms)
+log_wait (MuxCell *cell, CellStage *stage, int64_t since_ms)
 {
   int64_t now = cell->time.now_ms;
-  Lack lack = lack_of (cell, stage);
+  Supply supply = count_supply (cell, stage);
 
   stage->logged_ms = now;
   cell_log (
@@ -160,20 +161,21 @@
       "s:i, s:i, s:i, s:i, s:i}",
       "job", stage->job->id, "step", (int) stage->step, "tasks",
       (int) cell_stage_waiting_tasks (stage), "waited_ms",
-      (json_int_t) (now - since_ms), "lacks", what_lacks (cell, stage, &lack),
+      (json_int_t) (now - since_ms), "lacks", blocked_on (cell, stage, &supply),
       "stopping", (int) stopping (stage), "asking_ms",
       (json_int_t) (stage->query_pending ? now - stage->queried_ms : 0),
-      "unseen_ms", (json_int_t) unseen_ms (cell, stage), "rank",
-      (int) stage->rank, "unheard", (int) lack.unheard, "unusable",
-      (int) lack.unusable, "avoided", (int) lack.avoided, "kept",
-      (int) lack.kept, "held", (int) lack.held, "room", (int) lack.room,
-      "approved_now", (int) lack.yes_now, "approved_ever", (int) lack.yes_ever,
-      "proven", (int) lack.proven, "unasked", (int) lack.unasked);
+      "unseen_ms", (json_int_t) unscanned_ms (cell, stage), "rank",
+      (int) stage->rank, "unheard", (int) supply.unconfirmed, "unusable",
+      (int) supply.unusable, "avoided", (int) supply.avoided, "kept",
+      (int) supply.reserved, "held", (int) supply.held, "room",
+      (int) supply.room, "approved_now", (int) supply.approved_now,
+      "approved_ever", (int) supply.approved_ever, "proven",
+      (int) supply.proven, "unasked", (int) supply.not_queried);
 }
 
-/* When its wait began; 0: it does not wait. */
+/* Return: when its wait began; 0: it does not wait. */
 static int64_t
-waits_since (const CellStage *stage)
+waiting_since_ms (const CellStage *stage)
 {
   int64_t since_ms = 0;
 
@@ -194,7 +196,7 @@
 }
 
 static CellStage *
-longest (MuxCell *cell, int64_t *since_ms)
+longest_waiting (MuxCell *cell, int64_t *since_ms)
 {
   CellStage *best = NULL;
   CellJob *job;
@@ -204,11 +206,11 @@
   for (uint32_t i = 0; i < job->stage_count; i++)
     {
       CellStage *stage = job->stage[i];
-      int64_t since = waits_since (stage);
+      int64_t since = waiting_since_ms (stage);
 
-      if (since == 0 || cell->time.now_ms - since < TOLD_AFTER_MS
+      if (since == 0 || cell->time.now_ms - since < LOG_AFTER_MS
           || (stage->logged_ms != 0
-              && cell->time.now_ms - stage->logged_ms < TOLD_AGAIN_MS)
+              && cell->time.now_ms - stage->logged_ms < LOG_AGAIN_MS)
           || (best != NULL && since >= *since_ms))
         continue;
       best = stage;
@@ -225,8 +227,8 @@
 
   if (cell->time.now_ms < cell->next_wait_log_ms)
     return;
-  cell->next_wait_log_ms = cell->time.now_ms + LINE_MS;
-  stage = longest (cell, &since_ms);
+  cell->next_wait_log_ms = cell->time.now_ms + LOG_INTERVAL_MS;
+  stage = longest_waiting (cell, &since_ms);
   if (stage != NULL)
-    tell (cell, stage, since_ms);
+    log_wait (cell, stage, since_ms);
 }
