--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -92,7 +92,7 @@
 } MuxCellTime;
 
 /** mux_cell_new() - creates the scheduler; @options is copied
- * Return: NULL with @err set when memory is out. */
+ * Return: NULL with @err set when out of memory. */
 MuxCell *mux_cell_new (const MuxCellOptions *options, MuxError *err);
 void mux_cell_free (MuxCell *cell);
 /** mux_cell_request() - takes @request of a caller over; one response follows
--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -4,12 +4,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A planner looks at its workers' stops, lists and proofs this often, a
- * daemon that does not plan at its greetings. */
+/* The scheduler's life cycle, its events and its periodic work. */
+
+/* Interval of ticks: of a planner, which renews leases and sends stops, and of
+ * a daemon that only sends hellos. */
 #define PLANNER_TICK_MS 20
 #define FOLLOWER_TICK_MS 50
-/* Looks at all jobs, whose cost grows with their number. */
-#define LOOK_MS 50
+/* While there is something to plan. */
+#define REPLAN_TICK_MS 4
+/* Interval of checks whose cost grows with the number of jobs. */
+#define PERIODIC_MS 50
 
 static void
 config_row (MuxCell *cell, const MuxCellRow *row)
@@ -21,7 +25,7 @@
     return;
   if (row->config == NULL)
     {
-      /* The one in force stays: callers of its queues are served on. */
+      /* The one in force stays, so that callers of its queues are served. */
       cell->config_unreadable = true;
       cell_report_bad_row (
           cell, row, row->bad_field != NULL ? CELL_ROW_FIELD : CELL_ROW_VALUE,
@@ -34,7 +38,7 @@
   config = mux_queue_config_copy (row->config);
   if (config == NULL)
     {
-      cell_log (cell, "config_dropped", "{s:s}", "why", "memory is out");
+      cell_log (cell, "config_dropped", "{s:s}", "why", "out of memory");
       cell->config_unreadable = true;
       return;
     }
@@ -51,7 +55,7 @@
 }
 
 static void
-set_up_follows (MuxCell *cell)
+init_follows (MuxCell *cell)
 {
   cell->follow[FOLLOW_CONFIG] = (CellFollow){ .name = "config",
                                               .table = MUX_TABLE_CONFIG,
@@ -82,16 +86,16 @@
 
   if (cell == NULL)
     {
-      mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the cell");
+      mux_error_set (err, MUX_ERROR_MEMORY, "out of memory for the scheduler");
       return NULL;
     }
   cell->options = *options;
   /*
-   * Guards against answers to a former process of this daemon, which others
-   * carry to its address: one that was found under the number of a call of
-   * this process would end that, and a start that was carried out would count
-   * as refused.  A younger process has a higher incarnation, by 65536 for each
-   * millisecond, which is more calls than any makes.
+   * Numbers begin at the incarnation, so that this process does not reuse those
+   * of an earlier one.  Replies to that one's proxied calls still arrive at
+   * this address: one whose number matched a call of this process would end
+   * that call, and a start that was carried out would count as refused.  The
+   * incarnation grows by 65536 each millisecond, faster than calls are made.
    */
   cell->next_call = options->incarnation;
   cell->last_approval_query = options->incarnation;
@@ -101,7 +105,7 @@
   for (uint32_t i = 0; i < CELL_PARTS; i++)
     snprintf (cell->part[i].name, sizeof cell->part[i].name, "p%u",
               (unsigned) i);
-  set_up_follows (cell);
+  init_follows (cell);
   return cell;
 }
 
@@ -171,7 +175,7 @@
   cell_proxy_tick (cell);
   if (cell->time.now_ms >= cell->next_periodic_ms)
     {
-      cell->next_periodic_ms = cell->time.now_ms + LOOK_MS;
+      cell->next_periodic_ms = cell->time.now_ms + PERIODIC_MS;
       cell_late_tick (cell);
       cell_quota_tick (cell);
       cell_admission_tick (cell);
@@ -205,7 +209,7 @@
   if (cell->role != CELL_FOLLOWER)
     planner_tick (cell);
   if (cell->role != CELL_FOLLOWER)
-    return time.now_ms + (cell->replan ? 4 : PLANNER_TICK_MS);
+    return time.now_ms + (cell->replan ? REPLAN_TICK_MS : PLANNER_TICK_MS);
   return time.now_ms + FOLLOWER_TICK_MS;
 }
 
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -322,10 +322,10 @@
 
 /* jobs.c */
 /** cell_job_add() - creates a job in MuxCell.jobs; takes @spec over
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 CellJob *cell_job_add (MuxCell *cell, MuxJobSpec *spec, uint64_t version);
 /** cell_job_new() - creates a job outside MuxCell.jobs; takes @spec over
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 CellJob *cell_job_new (MuxCell *cell, MuxJobSpec *spec);
 /** cell_job_delete() - frees a job outside MuxCell.jobs; NULL is ignored */
 void cell_job_delete (MuxCell *cell, CellJob *job);
@@ -407,8 +407,9 @@
 /** cell_unreadable_committed() - that commit is done; @stored: it succeeded */
 void cell_unreadable_committed (MuxCell *cell, CellPart *part, bool stored);
 void cell_unreadable_tick (MuxCell *cell);
-/** cell_unreadable_add_end() - Return: false: the end is known already. */
-bool cell_unreadable_add_end (CellUnreadable *unread,
+/** cell_unreadable_add_end() - adds an end, or notes that there are too many
+ * Return: false: it is known already. */
+bool cell_unreadable_add_end (CellUnreadable *unreadable,
                               const CellUnreadableEnd *end);
 
 /* unreadable_rows.c: their rows */
@@ -418,11 +419,12 @@
 /** cell_unreadable_put_row() - adds the row, or its removal, to a commit */
 void cell_unreadable_put_row (const MuxCell *cell,
                               MuxCellCall *call,
-                              CellUnreadable *unread);
-/** cell_unreadable_read_row() - adds the ends of the row to those of @unread */
+                              CellUnreadable *unreadable);
+/** cell_unreadable_read_row() - adds the ends of the row to those of
+ * @unreadable */
 void cell_unreadable_read_row (MuxCell *cell,
                                const MuxCellRow *row,
-                               CellUnreadable *unread);
+                               CellUnreadable *unreadable);
 /** cell_unreadable_remove_row() - adds the row's removal to a commit of the
  * job's own progress, which holds those ends */
 void cell_unreadable_remove_row (MuxCellCall *call, const CellJob *job);
@@ -431,7 +433,7 @@
 /* stage.c */
 /** cell_stage_new() - creates a stage
  * @began_ms: when its occurrence was due to begin
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 CellStage *cell_stage_new (const MuxCell *cell,
                            CellJob *job,
                            uint32_t occurrence,
@@ -464,12 +466,12 @@
 /** cell_step_query_sent() - an approval query about it was sent */
 void cell_step_query_sent (const MuxCell *cell,
                            CellStage *stage,
-                           const CellApprovalQuery *question);
+                           const CellApprovalQuery *query);
 /** cell_step_query_done() - a query was answered with so many @approved, or is
  * lost */
 void cell_step_query_done (const MuxCell *cell,
                            CellStage *stage,
-                           const CellApprovalQuery *question,
+                           const CellApprovalQuery *query,
                            uint32_t approved);
 /** cell_step_proof_used() - a start with a proof was sent to @worker */
 void cell_step_proof_used (const MuxCell *cell,
@@ -488,7 +490,8 @@
 void cell_wait_log_tick (MuxCell *cell);
 
 /* progress_rows.c: rows of the jobs' progress */
-/** cell_progress_json() - Return: owned by the caller. */
+/** cell_progress_json() - encodes the progress of a job for the store
+ * Return: owned by the caller. */
 json_t *cell_progress_json (MuxCell *cell, const CellJob *job);
 /** cell_progress_apply() - applies the progress stored of the job
  * Return: name of the first bad field, and nothing is applied; NULL: done. */
@@ -1062,7 +1065,7 @@
  * what it needs once that is known */
 void cell_place_unsettled (MuxCell *cell, CellStage *stage);
 /** cell_hold_add() - holds room at @worker for @tasks of the stage
- * Return: false when memory is out. */
+ * Return: false when out of memory. */
 bool cell_hold_add (CellStage *stage, CellWorker *worker, uint32_t tasks);
 void cell_holds_release (CellStage *stage);
 /** cell_hold_tasks() - number of tasks whose room the stage holds at @worker */
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -38,7 +38,7 @@
 #define CELL_STORE_TIMEOUT_MS 1500
 #define CELL_WORKER_TIMEOUT_MS 700
 /* A reply to a call that does not wait for changes comes within this time or
- * not at all: twice what a slow store takes. */
+ * not at all: twice what the slowest stores take. */
 #define CELL_ANSWER_MS 600
 /* A planner sends no orders once its claim has not been confirmed for so long:
  * longer than the store's usual outages of some 5 s, so that running tasks
@@ -190,7 +190,7 @@
  * @outcome_unknown: a commit with the job, or the planner, did not answer: it
  *   may be stored, and is never reported as refused
  * @in_commit: in the outstanding commit
- * @relayed: waits for the planner's word, since @relayed_ms
+ * @relayed: waits for the reply of the planner, since @relayed_ms
  * @retry_ms: when the caller is to retry, if refused; 0: the default
  * @peer: daemon that relayed the job here; "": submitted to this one
  * @peer_addr: address of @peer
@@ -359,7 +359,7 @@
   CELL_TASK_DONE,
 } CellTaskState;
 
-/* Failed runs of a task or gang that are told apart.  Queues allow a handful of
+/* Failed runs of a task or gang that are kept apart.  Queues allow a handful of
  * attempts; where one allows more, this is the limit. */
 #define CELL_FAILED_RUNS_MAX 16
 
@@ -1059,7 +1059,7 @@
  * @avoid_until_ms: no task is placed there before this
  * @backoff_ms: how long it was avoided after a start that was refused or
  *   unanswered; 0: the last start was accepted
- * @no_fill_until_ms: no task of a step that fills is placed there before this
+ * @no_fill_until_ms: no best-effort task is placed there before this
  * @direct_until_ms: called by this daemon itself until then
  * @reroutes: counts changes of its route; selects the proxy
  * @idle_until_ms: not called before this while nothing runs there
@@ -1073,7 +1073,7 @@
  * @reservation: room reserved for waiting gangs
  * @is_reserved: in MuxCell.reserved
  * @proxy: daemon that makes calls to it; NULL: to be chosen
- * @proxy_until_ms: @proxy is chosen anew after this
+ * @proxy_until_ms: @proxy is chosen again after this
  * @bookings: list of them; owned
  */
 struct CellWorker
