--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -111,12 +111,12 @@
  * to the mean */
 void cell_reply_latency_record (MuxCell *cell, const CellPending *pending);
 /** cell_reply_latency_ms() - mean latency of the last proxied calls
- * Return: 0: too few of late. */
+ * Return: 0: there were too few lately. */
 int64_t cell_reply_latency_ms (const MuxCell *cell);
 /** cell_late_ms() - how long events wait here until they are processed */
 int64_t cell_late_ms (const MuxCell *cell);
 /** cell_planner_late_ms() - the same at the planner
- * Return: 0: it has not been heard from of late. */
+ * Return: 0: it has not been heard from lately. */
 int64_t cell_planner_late_ms (const MuxCell *cell);
 /** cell_accepts_jobs() - the planner is not too late for new jobs */
 bool cell_accepts_jobs (const MuxCell *cell);
@@ -215,15 +215,19 @@
 /** cell_job_query_begin() - answers a query or cancel, at once or after calls
  * @id: "": asks for the number of waiting jobs of @queue */
 void cell_job_query_begin (MuxCell *cell,
-                           const MuxRequest *question,
+                           const MuxRequest *request,
                            const CellCaller *caller,
                            const MuxQueueSpec *queue,
                            const char *id);
 void cell_job_queries_tick (MuxCell *cell);
 void cell_job_queries_free (MuxCell *cell);
+/** cell_job_query_peer() - handles a query of a peer or the reply to one */
 void cell_job_query_peer (MuxCell *cell, const MuxPeerMsg *msg);
-void cell_respond (MuxCell *cell, uint64_t call, MuxResponseOutcome outcome);
-void cell_respond_state (MuxCell *cell, uint64_t call, MuxJobState state);
+/** cell_respond() - responds to the request of a caller */
+void
+cell_respond (MuxCell *cell, uint64_t request_id, MuxResponseOutcome outcome);
+/** cell_respond_state() - responds with the state of a job */
+void cell_respond_state (MuxCell *cell, uint64_t request_id, MuxJobState state);
 /** cell_job_state() - state of a job in the planner's memory
  * Return: false: not known here, or not visible to @caller. */
 bool cell_job_state (MuxCell *cell,
@@ -329,6 +333,7 @@
 CellJob *cell_job_new (MuxCell *cell, MuxJobSpec *spec);
 /** cell_job_delete() - frees a job outside MuxCell.jobs; NULL is ignored */
 void cell_job_delete (MuxCell *cell, CellJob *job);
+/** cell_job_find() - in MuxCell.jobs; NULL: not there */
 CellJob *cell_job_find (MuxCell *cell, const char *id);
 /** cell_job_slack_ms() - how long the job may wait in all and still end by its
  * deadline */
@@ -337,6 +342,7 @@
 void cell_job_remove (MuxCell *cell, CellJob *job);
 /** cell_job_ended_recently() - it is in MuxCell.ended_jobs */
 bool cell_job_ended_recently (MuxCell *cell, const char *id);
+/** cell_job_cancel() - stops all its runs */
 void cell_job_cancel (MuxCell *cell, CellJob *job);
 /** cell_attempts_max() - failed runs of a task after which its job fails */
 uint32_t cell_attempts_max (const CellJob *job);
@@ -351,6 +357,7 @@
 /** cell_job_watch() - checks the job periodically from now on */
 void cell_job_watch (MuxCell *cell, CellJob *job);
 void cell_jobs_tick (MuxCell *cell);
+/** cell_task_find() - NULL: its job, or that occurrence of it, is not known */
 CellTask *cell_task_find (MuxCell *cell, const MuxTaskRef *ref);
 MuxTaskRef cell_task_ref (const CellTask *task);
 
@@ -387,8 +394,8 @@
 
 /* unreadable.c: jobs whose row can't be read, and the ends of their runs */
 /** cell_unreadable_add() - records an unreadable job
- * @seen: its row exists; else only its ends are known */
-void cell_unreadable_add (MuxCell *cell, const char *id, bool seen);
+ * @has_row: its row exists; else only its ends are known */
+void cell_unreadable_add (MuxCell *cell, const char *id, bool has_row);
 /** cell_unreadable_recover() - the row of the job could be read
  * Return: true, and @spec is taken over, if it could not before. */
 bool
@@ -462,7 +469,7 @@
 /** cell_step_blocked_on() - sets what it is blocked on from now on */
 void cell_step_blocked_on (const MuxCell *cell,
                            CellStage *stage,
-                           CellBlockedOn lack);
+                           CellBlockedOn reason);
 /** cell_step_query_sent() - an approval query about it was sent */
 void cell_step_query_sent (const MuxCell *cell,
                            CellStage *stage,
--- a/src/cell/job_query.c
+++ b/src/cell/job_query.c
@@ -36,18 +36,19 @@
 static void send_next_call (MuxCell *cell, CellJobQuery *query);
 
 void
-cell_respond_state (MuxCell *cell, uint64_t call, MuxJobState state)
+cell_respond_state (MuxCell *cell, uint64_t request_id, MuxJobState state)
 {
-  MuxResponse reply
-      = { .call_id = call, .outcome = MUX_RESPONSE_STATE, .state = state };
+  MuxResponse reply = { .call_id = request_id,
+                        .outcome = MUX_RESPONSE_STATE,
+                        .state = state };
 
   cell->options.sink->respond (cell->options.sink, &reply);
 }
 
 static void
-respond_waiting_count (MuxCell *cell, uint64_t call, uint32_t pending)
+respond_waiting_count (MuxCell *cell, uint64_t request_id, uint32_t pending)
 {
-  MuxResponse reply = { .call_id = call,
+  MuxResponse reply = { .call_id = request_id,
                         .outcome = MUX_RESPONSE_PENDING,
                         .pending = pending };
 
@@ -75,11 +76,11 @@
 }
 
 static CellJobQuery *
-find (MuxCell *cell, uint64_t call)
+find (MuxCell *cell, uint64_t request_id)
 {
   CellJobQuery *query;
 
-  HASH_FIND (hh, cell->job_queries, &call, sizeof call, query);
+  HASH_FIND (hh, cell->job_queries, &request_id, sizeof request_id, query);
   return query;
 }
 
--- a/src/cell/step_wait.c
+++ b/src/cell/step_wait.c
@@ -11,14 +11,16 @@
 }
 
 void
-cell_step_blocked_on (const MuxCell *cell, CellStage *stage, CellBlockedOn lack)
+cell_step_blocked_on (const MuxCell *cell,
+                      CellStage *stage,
+                      CellBlockedOn reason)
 {
   CellStepWait *wait = &stage->wait;
   int64_t now_ms = cell->time.now_ms;
 
   wait->blocked_ms[wait->blocked_on] += now_ms - wait->since_ms;
   wait->since_ms = now_ms;
-  wait->blocked_on = lack;
+  wait->blocked_on = reason;
 }
 
 void
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -31,12 +31,12 @@
 
 static void
 respond (MuxCell *cell,
-         uint64_t call,
+         uint64_t request_id,
          MuxResponseOutcome outcome,
          uint32_t retry_ms)
 {
   MuxResponse reply
-      = { .call_id = call, .outcome = outcome, .retry_ms = retry_ms };
+      = { .call_id = request_id, .outcome = outcome, .retry_ms = retry_ms };
 
   cell->options.sink->respond (cell->options.sink, &reply);
 }
@@ -49,9 +49,9 @@
 }
 
 void
-cell_respond (MuxCell *cell, uint64_t call, MuxResponseOutcome outcome)
+cell_respond (MuxCell *cell, uint64_t request_id, MuxResponseOutcome outcome)
 {
-  respond (cell, call, outcome, default_retry_ms (cell));
+  respond (cell, request_id, outcome, default_retry_ms (cell));
 }
 
 static void
--- a/src/cell/unreadable.c
+++ b/src/cell/unreadable.c
@@ -89,7 +89,7 @@
 }
 
 void
-cell_unreadable_add (MuxCell *cell, const char *id, bool seen)
+cell_unreadable_add (MuxCell *cell, const char *id, bool has_row)
 {
   CellUnreadable *unreadable = find_or_add (cell, id, unreadable_max (cell));
 
@@ -100,7 +100,7 @@
                 (int) HASH_COUNT (cell->unreadable));
       return;
     }
-  unreadable->has_row = unreadable->has_row || seen;
+  unreadable->has_row = unreadable->has_row || has_row;
   /* It was readable for a moment. */
   mux_job_free (unreadable->spec);
   unreadable->spec = NULL;
