--- a/bench/bench_peer.c
+++ b/bench/bench_peer.c
@@ -45,7 +45,7 @@
                                 .listen = "127.0.0.1:0",
                                 .name = "bench",
                                 .queue = QUEUE,
-                                .silent_ms = SILENT_MS };
+                                .silence_timeout_ms = SILENT_MS };
   MuxError err = { 0 };
 
   memset (end, 0, sizeof *end);
--- a/bench/bench_worker_call.c
+++ b/bench/bench_worker_call.c
@@ -80,7 +80,7 @@
 {
   MuxWorkerRequest request = { b->url, b->headers, NULL, 5000 };
 
-  check (mux_worker_client_post (b->client, &request) == MUX_EXCHANGE_WHOLE,
+  check (mux_worker_client_post (b->client, &request) == MUX_EXCHANGE_COMPLETE,
          "post");
 }
 
--- a/bench/slopes_core.c
+++ b/bench/slopes_core.c
@@ -149,9 +149,9 @@
         .workers = 200, .slots = 64, .remote = true, .members = 1, .table_ms = 2
       };
       CoreHarness *h = harness_with_product (&options);
-      MuxAsk ask = { .verb = MUX_ASK_JOB_SUBMIT,
-                     .name = "service-x",
-                     .task_count = sizes[i] };
+      MuxCoreRequest ask = { .verb = MUX_CORE_JOB_SUBMIT,
+                             .name = "service-x",
+                             .task_count = sizes[i] };
 
       put_class (h, "service-x", "long_running", true);
       core_harness_ask (h, &ask);
@@ -256,10 +256,10 @@
     {
       while (asked < starts && asked - ended < callers)
         {
-          MuxAsk ask = { .verb = MUX_ASK_REQUEST,
-                         .name = "request-x",
-                         .give_up_ms = 30000,
-                         .body = body };
+          MuxCoreRequest ask = { .verb = MUX_CORE_RUN_TASK,
+                                 .name = "request-x",
+                                 .timeout_ms = 30000,
+                                 .body = body };
 
           if (keyed)
             snprintf (ask.key, sizeof ask.key, "key-%llu",
@@ -394,10 +394,10 @@
 
   for (uint32_t n = 0; n < jobs; n++)
     {
-      MuxAsk ask = { .verb = MUX_ASK_JOB_SUBMIT,
-                     .name = "batch-x",
-                     .task_count = tasks,
-                     .body = mux_blob_new ("run_ms=500\n", 11) };
+      MuxCoreRequest ask = { .verb = MUX_CORE_JOB_SUBMIT,
+                             .name = "batch-x",
+                             .task_count = tasks,
+                             .body = mux_blob_new ("run_ms=500\n", 11) };
 
       core_harness_ask (h, &ask);
       mux_blob_unref (ask.body);
--- a/bench/slopes_wire.c
+++ b/bench/slopes_wire.c
@@ -1,7 +1,7 @@
 /* Bytes on the wire of each kind of message: peers' messages as encoded, and
  * worker calls of the real adapter, counted between it and the stand-in.
  * What TCP/IP and ZeroMQ's frames add is not in it. */
-#include "../src/adapter/platform_internal.h"
+#include "../src/adapter/platform_private.h"
 #include "adapter/peer.h"
 #include "adapter/worker.h"
 #include "base/ring.h"
--- a/bench/support/core_harness.c
+++ b/bench/support/core_harness.c
@@ -139,11 +139,11 @@
 }
 
 void
-core_harness_ask (CoreHarness *h, MuxAsk *ask)
+core_harness_ask (CoreHarness *h, MuxCoreRequest *ask)
 {
-  MuxEvent event = { MUX_EVENT_ASK, { .ask = ask } };
+  MuxEvent event = { MUX_EVENT_REQUEST, { .request = ask } };
 
-  ask->call = ++h->next_call;
+  ask->call_id = ++h->next_call;
   harness_step (h, &event);
 }
 
@@ -153,18 +153,18 @@
                   const char *name,
                   const char *json)
 {
-  MuxAsk ask = { .verb = MUX_ASK_CONFIG_PUT,
-                 .sort = sort,
-                 .change = { 1, h->next_call + 1 },
-                 .who = "operator",
-                 .body = mux_blob_new (json, strlen (json)) };
+  MuxCoreRequest ask = { .verb = MUX_CORE_CONFIG_PUT,
+                         .sort = sort,
+                         .change_id = { 1, h->next_call + 1 },
+                         .author = "operator",
+                         .body = mux_blob_new (json, strlen (json)) };
   int64_t until_ms = h->now_ms + SETTLE_MS;
 
   mux_name_copy (ask.name, name);
   core_harness_ask (h, &ask);
-  while (h->last.call != ask.call && h->now_ms < until_ms)
+  while (h->last.call_id != ask.call_id && h->now_ms < until_ms)
     core_harness_run (h, 1);
-  if (h->last.call != ask.call || h->last.status / 100 != 2)
+  if (h->last.call_id != ask.call_id || h->last.status / 100 != 2)
     {
       fprintf (stderr, "core_harness: %s: %s\n", name,
                mux_reason_name (h->last.reason));
--- a/bench/support/core_harness.h
+++ b/bench/support/core_harness.h
@@ -48,7 +48,7 @@
  */
 typedef struct
 {
-  MuxSink sink;
+  MuxCoreSink sink;
   CoreHarnessOptions options;
   MuxCore *core;
   MuxCounters *counters;
@@ -66,7 +66,7 @@
   uint64_t cpu_ns;
   uint64_t steps;
   uint64_t answers[MUX_OUTCOME_INFO + 1];
-  MuxAnswer last;
+  MuxCoreResponse last;
   uint64_t sent[MUX_PEER_VERB_COUNT];
   uint32_t suspects;
   uint64_t asked[MUX_WORKER_RELEASE + 1];
@@ -82,7 +82,7 @@
 /** core_harness_run() - let @ms of the fake clock pass */
 void core_harness_run (CoreHarness *harness, int64_t ms);
 /** core_harness_ask() - an ask of the door; fills in its call */
-void core_harness_ask (CoreHarness *harness, MuxAsk *ask);
+void core_harness_ask (CoreHarness *harness, MuxCoreRequest *ask);
 /** core_harness_peer() - a message from member number @member */
 void core_harness_peer (CoreHarness *harness, uint32_t member, MuxPeerMsg *msg);
 /** core_harness_put() - put a configured object and see it accepted */
--- a/bench/support/core_harness_sink.c
+++ b/bench/support/core_harness_sink.c
@@ -24,7 +24,7 @@
 }
 
 static void
-on_answer (MuxSink *sink, const MuxAnswer *answer)
+on_answer (MuxCoreSink *sink, const MuxCoreResponse *answer)
 {
   CoreHarness *h = (CoreHarness *) sink;
 
@@ -34,7 +34,7 @@
 }
 
 static bool
-on_worker_call (MuxSink *sink, const MuxWorkerCall *call)
+on_worker_call (MuxCoreSink *sink, const MuxWorkerCall *call)
 {
   CoreHarness *h = (CoreHarness *) sink;
   HarnessCall *item = call_new (h->now_ms + HARNESS_WORKER_MS);
@@ -49,7 +49,7 @@
 }
 
 static bool
-on_table_call (MuxSink *sink, MuxTableCall *call)
+on_table_call (MuxCoreSink *sink, MuxTableCall *call)
 {
   CoreHarness *h = (CoreHarness *) sink;
   HarnessCall *item = call_new (h->now_ms + h->options.table_ms);
@@ -80,7 +80,7 @@
 }
 
 static bool
-on_peer_send (MuxSink *sink, const char *addr, const MuxPeerMsg *msg)
+on_peer_send (MuxCoreSink *sink, const char *addr, const MuxPeerMsg *msg)
 {
   CoreHarness *h = (CoreHarness *) sink;
 
@@ -92,7 +92,7 @@
 }
 
 static void
-on_state_log (MuxSink *sink, int level, const char *event, const char *text)
+on_state_log (MuxCoreSink *sink, int level, const char *event, const char *text)
 {
   CoreHarness *h = (CoreHarness *) sink;
 
@@ -104,6 +104,6 @@
 void
 harness_sink_init (CoreHarness *h)
 {
-  h->sink = (MuxSink){ on_answer, on_worker_call, on_table_call, on_peer_send,
-                       on_state_log };
+  h->sink = (MuxCoreSink){ on_answer, on_worker_call, on_table_call,
+                           on_peer_send, on_state_log };
 }
--- a/include/adapter/peer.h
+++ b/include/adapter/peer.h
@@ -25,7 +25,7 @@
   const char *listen;
   const char *name;
   uint32_t queue;
-  uint32_t silent_ms;
+  uint32_t silence_timeout_ms;
   uint32_t links_max;
   const char *secret_key;
   const char *public_key;
--- a/include/adapter/platform.h
+++ b/include/adapter/platform.h
@@ -24,7 +24,7 @@
   const char *data_centre;
   uint32_t threads;
   uint32_t queue;
-  uint32_t list_every_ms;
+  uint32_t list_interval_ms;
   MuxCounters *counters;
 } MuxPlatformHttpOptions;
 
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -21,24 +21,24 @@
  */
 typedef enum
 {
-  MUX_ASK_REQUEST,        /* run one task and give its answer */
-  MUX_ASK_TICKET,         /* room for one task that must not run twice */
-  MUX_ASK_JOB_SUBMIT,     /* record a job */
-  MUX_ASK_JOB_GET,        /* show one job */
-  MUX_ASK_JOB_WAIT,       /* the same once it has ended */
-  MUX_ASK_JOB_CANCEL,     /* end it */
-  MUX_ASK_JOB_LIST,       /* open jobs, a page */
-  MUX_ASK_CONFIG_PUT,     /* change a class, product or the cell */
-  MUX_ASK_CONFIG_REMOVE,  /* remove a class or product */
-  MUX_ASK_CONFIG_GET,     /* show one */
-  MUX_ASK_CONFIG_LIST,    /* show all of a sort */
-  MUX_ASK_CONFIG_HISTORY, /* changes after a revision */
-  MUX_ASK_CONFIG_REVERT,  /* put an object back to an older revision */
-  MUX_ASK_STATUS,         /* members, revisions, own state */
-  MUX_ASK_WORKERS,        /* workers known here */
-  MUX_ASK_DRAIN,          /* no new work on a worker */
-  MUX_ASK_RISK,           /* targets at risk */
-} MuxAskVerb;
+  MUX_CORE_RUN_TASK,       /* run one task and give its answer */
+  MUX_CORE_ISSUE_TICKET,   /* room for one task that must not run twice */
+  MUX_CORE_JOB_SUBMIT,     /* record a job */
+  MUX_CORE_JOB_GET,        /* show one job */
+  MUX_CORE_JOB_WAIT,       /* the same once it has ended */
+  MUX_CORE_JOB_CANCEL,     /* end it */
+  MUX_CORE_JOB_LIST,       /* open jobs, a page */
+  MUX_CORE_CONFIG_PUT,     /* change a class, product or the cell */
+  MUX_CORE_CONFIG_REMOVE,  /* remove a class or product */
+  MUX_CORE_CONFIG_GET,     /* show one */
+  MUX_CORE_CONFIG_LIST,    /* show all of a sort */
+  MUX_CORE_CONFIG_HISTORY, /* changes after a revision */
+  MUX_CORE_CONFIG_REVERT,  /* put an object back to an older revision */
+  MUX_CORE_STATUS,         /* members, revisions, own state */
+  MUX_CORE_WORKERS,        /* workers known here */
+  MUX_CORE_DRAIN,          /* no new work on a worker */
+  MUX_CORE_RISK,           /* targets at risk */
+} MuxCoreVerb;
 
 /**
  * enum MuxConfigSort - sorts of configured objects
@@ -75,25 +75,25 @@
  */
 typedef struct
 {
-  uint64_t call;
-  MuxAskVerb verb;
+  uint64_t call_id;
+  MuxCoreVerb verb;
   char name[MUX_NAME_LEN];
   char key[MUX_KEY_LEN];
-  bool first;
+  bool key_is_new;
   char ticket[MUX_TICKET_LEN];
   MuxId id;
   MuxConfigSort sort;
-  uint32_t give_up_ms;
+  uint32_t timeout_ms;
   uint32_t task_count;
-  bool expect_set;
-  uint64_t expect;
+  bool has_expected;
+  uint64_t expected_revision;
   uint64_t revision;
-  MuxId change;
-  char who[MUX_NAME_LEN];
+  MuxId change_id;
+  char author[MUX_NAME_LEN];
   int64_t wall_ms;
-  bool flag;
+  bool drain;
   MuxBlob *body;
-} MuxAsk;
+} MuxCoreRequest;
 
 /**
  * enum MuxOutcome - what an answer says of the work
@@ -122,26 +122,29 @@
  */
 typedef struct
 {
-  uint64_t call;
+  uint64_t call_id;
   MuxOutcome outcome;
   MuxReason reason;
   uint32_t status;
   uint32_t retry_after_ms;
   MuxId task;
-  bool json;
+  bool is_json;
   MuxBlob *body;
-} MuxAnswer;
+} MuxCoreResponse;
 
 /* Where the core's actions go.  All pointers are borrowed for the call. */
-typedef struct MuxSink MuxSink;
-struct MuxSink
+typedef struct MuxCoreSink MuxCoreSink;
+struct MuxCoreSink
 {
-  void (*answer) (MuxSink *sink, const MuxAnswer *answer);
+  void (*respond) (MuxCoreSink *sink, const MuxCoreResponse *answer);
   /* The next two return false when the adapter's ring is full. */
-  bool (*worker_call) (MuxSink *sink, const MuxWorkerCall *call);
-  bool (*table_call) (MuxSink *sink, MuxTableCall *call); /* takes it over */
-  bool (*peer_send) (MuxSink *sink, const char *addr, const MuxPeerMsg *msg);
-  void (*state_log) (MuxSink *sink,
+  bool (*worker_call) (MuxCoreSink *sink, const MuxWorkerCall *call);
+  bool (*table_call) (MuxCoreSink *sink,
+                      MuxTableCall *call); /* takes it over */
+  bool (*peer_send) (MuxCoreSink *sink,
+                     const char *addr,
+                     const MuxPeerMsg *msg);
+  void (*state_log) (MuxCoreSink *sink,
                      int level,
                      const char *event,
                      const char *text);
@@ -153,8 +156,8 @@
 typedef enum
 {
   MUX_EVENT_TICK,
-  MUX_EVENT_ASK,
-  MUX_EVENT_CALLER_GONE, /* @u.call hung up */
+  MUX_EVENT_REQUEST,
+  MUX_EVENT_CALLER_DISCONNECTED, /* @u.call hung up */
   MUX_EVENT_WORKER_REPLY,
   MUX_EVENT_TABLE_REPLY,
   MUX_EVENT_PEER,
@@ -170,8 +173,8 @@
   MuxEventKind kind;
   union
   {
-    const MuxAsk *ask;
-    uint64_t call;
+    const MuxCoreRequest *request;
+    uint64_t call_id;
     const MuxWorkerReply *worker_reply;
     const MuxTableReply *table_reply;
     const MuxPeerMsg *peer;
@@ -202,7 +205,7 @@
  */
 typedef struct
 {
-  MuxSink *sink;
+  MuxCoreSink *sink;
   MuxCounters *counters;
   const char *name;
   const char *data_centre;
--- a/src/adapter/curl.c
+++ b/src/adapter/curl.c
@@ -19,7 +19,7 @@
 }
 
 void
-mux_curl_set_up (CURL *curl, MuxBytes *body)
+mux_curl_set_common_options (CURL *curl, MuxBytes *body)
 {
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
   /* Else libcurl would follow http_proxy from the environment, and a write
@@ -42,11 +42,11 @@
 static int
 on_socket (void *ctx, curl_socket_t fd, curlsocktype purpose)
 {
-  const MuxCurlProbes *probes = ctx;
+  const MuxCurlKeepalive *probes = ctx;
 
   (void) purpose;
-  (void) setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &probes->silent_ms,
-                     sizeof probes->silent_ms);
+  (void) setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
+                     &probes->user_timeout_ms, sizeof probes->user_timeout_ms);
   return CURL_SOCKOPT_OK;
 }
 
@@ -55,7 +55,7 @@
  * sit out its whole timeout.  The kernel's probes go unanswered then, and the
  * connection fails. */
 void
-mux_curl_set_probes (CURL *curl, const MuxCurlProbes *probes)
+mux_curl_set_keepalive (CURL *curl, const MuxCurlKeepalive *probes)
 {
   curl_easy_setopt (curl, CURLOPT_TCP_KEEPALIVE, 1L);
   curl_easy_setopt (curl, CURLOPT_TCP_KEEPIDLE, probes->idle_s);
@@ -77,7 +77,7 @@
 /* Guards against a cut answer that passes for a whole one: without a length or
  * chunks the end of the connection would count as the end of the answer. */
 bool
-mux_curl_says_its_end (CURL *curl)
+mux_curl_response_is_framed (CURL *curl)
 {
   curl_off_t declared = -1;
 
--- a/src/adapter/peer_curve.c
+++ b/src/adapter/peer_curve.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <zmq.h>
 
-#define KEY_TEXT_LEN (MUX_CURVE_KEY_TEXT - 1)
+#define KEY_TEXT_LEN (MUX_CURVE_KEY_TEXT_SIZE - 1)
 #define ZAP_ENDPOINT "inproc://zeromq.zap.01"
 #define ZAP_DOMAIN "cuminmux"
 /* Questions answered in one turn, and frames that one may have. */
@@ -33,7 +33,7 @@
 keys_are_pair (MuxPeerCurve *curve)
 {
   uint8_t secret_key[MUX_CURVE_KEY_BYTES];
-  char derived[MUX_CURVE_KEY_TEXT];
+  char derived[MUX_CURVE_KEY_TEXT_SIZE];
 
   return zmq_z85_decode (secret_key, curve->secret_text) != NULL
          && zmq_z85_decode (curve->public_key, curve->public_text) != NULL
@@ -60,8 +60,8 @@
   if (!zmq_has ("curve"))
     return mux_error_set (err, MUX_ERROR_UNAVAILABLE,
                           "this ZeroMQ was built without CURVE");
-  memcpy (curve->secret_text, secret, MUX_CURVE_KEY_TEXT);
-  memcpy (curve->public_text, public, MUX_CURVE_KEY_TEXT);
+  memcpy (curve->secret_text, secret, MUX_CURVE_KEY_TEXT_SIZE);
+  memcpy (curve->public_text, public, MUX_CURVE_KEY_TEXT_SIZE);
   if (!keys_are_pair (curve))
     return mux_error_set (err, MUX_ERROR_USAGE,
                           "the CURVE keys are no pair of Z85 keys");
@@ -69,7 +69,7 @@
   if (curve->zap == NULL || zmq_bind (curve->zap, ZAP_ENDPOINT) != 0)
     return mux_error_set (err, MUX_ERROR_IO, "CURVE's handler: %s",
                           zmq_strerror (zmq_errno ()));
-  curve->on = true;
+  curve->enabled = true;
   return true;
 }
 
@@ -82,17 +82,17 @@
 }
 
 bool
-mux_peer_curve_server (const MuxPeerCurve *curve, void *socket)
+mux_peer_curve_set_server_options (const MuxPeerCurve *curve, void *socket)
 {
   int on = 1;
 
-  if (!curve->on)
+  if (!curve->enabled)
     return true;
   /* ZeroMQ lets every key in while nobody answers its question, so zap is
    * bound before a server is and closed after it. */
   return zmq_setsockopt (socket, ZMQ_CURVE_SERVER, &on, sizeof on) == 0
          && zmq_setsockopt (socket, ZMQ_CURVE_SECRETKEY, curve->secret_text,
-                            MUX_CURVE_KEY_TEXT)
+                            MUX_CURVE_KEY_TEXT_SIZE)
                 == 0
          && zmq_setsockopt (socket, ZMQ_ZAP_DOMAIN, ZAP_DOMAIN,
                             strlen (ZAP_DOMAIN))
@@ -100,18 +100,18 @@
 }
 
 bool
-mux_peer_curve_client (const MuxPeerCurve *curve, void *socket)
+mux_peer_curve_set_client_options (const MuxPeerCurve *curve, void *socket)
 {
-  if (!curve->on)
+  if (!curve->enabled)
     return true;
   return zmq_setsockopt (socket, ZMQ_CURVE_SERVERKEY, curve->public_text,
-                         MUX_CURVE_KEY_TEXT)
+                         MUX_CURVE_KEY_TEXT_SIZE)
              == 0
          && zmq_setsockopt (socket, ZMQ_CURVE_PUBLICKEY, curve->public_text,
-                            MUX_CURVE_KEY_TEXT)
+                            MUX_CURVE_KEY_TEXT_SIZE)
                 == 0
          && zmq_setsockopt (socket, ZMQ_CURVE_SECRETKEY, curve->secret_text,
-                            MUX_CURVE_KEY_TEXT)
+                            MUX_CURVE_KEY_TEXT_SIZE)
                 == 0;
 }
 
@@ -199,7 +199,7 @@
 }
 
 void
-mux_peer_curve_answer (const MuxPeerCurve *curve)
+mux_peer_curve_serve_zap (const MuxPeerCurve *curve)
 {
   ZapQuestion question;
 
--- a/src/adapter/peer_curve.h
+++ b/src/adapter/peer_curve.h
@@ -7,7 +7,7 @@
 #include <stdint.h>
 
 #define MUX_CURVE_KEY_BYTES 32
-#define MUX_CURVE_KEY_TEXT 41
+#define MUX_CURVE_KEY_TEXT_SIZE 41
 
 /**
  * struct MuxPeerCurve - encryption between the daemons of one user
@@ -19,9 +19,9 @@
  */
 typedef struct
 {
-  bool on;
-  char secret_text[MUX_CURVE_KEY_TEXT];
-  char public_text[MUX_CURVE_KEY_TEXT];
+  bool enabled;
+  char secret_text[MUX_CURVE_KEY_TEXT_SIZE];
+  char public_text[MUX_CURVE_KEY_TEXT_SIZE];
   uint8_t public_key[MUX_CURVE_KEY_BYTES];
   void *zap;
 } MuxPeerCurve;
@@ -38,10 +38,12 @@
                           MuxError *err);
 void mux_peer_curve_close (MuxPeerCurve *curve);
 /** mux_peer_curve_server() - set a socket up before it is bound */
-bool mux_peer_curve_server (const MuxPeerCurve *curve, void *socket);
+bool mux_peer_curve_set_server_options (const MuxPeerCurve *curve,
+                                        void *socket);
 /** mux_peer_curve_client() - set a socket up before it is connected */
-bool mux_peer_curve_client (const MuxPeerCurve *curve, void *socket);
+bool mux_peer_curve_set_client_options (const MuxPeerCurve *curve,
+                                        void *socket);
 /** mux_peer_curve_answer() - answer the questions that wait at @zap */
-void mux_peer_curve_answer (const MuxPeerCurve *curve);
+void mux_peer_curve_serve_zap (const MuxPeerCurve *curve);
 
 #endif
--- a/src/adapter/peer_decode.c
+++ b/src/adapter/peer_decode.c
@@ -302,7 +302,7 @@
   if (!read_u32 (reader, "verb", MUX_PEER_VERB_COUNT - 1, &verb))
     return false;
   msg->verb = (MuxPeerVerb) verb;
-  if (entries != mux_peer_entries (msg->verb))
+  if (entries != mux_peer_entry_count (msg->verb))
     return bad (reader, "head", "has the wrong length");
   if (!read_list (reader, &mux_peer_common_fields, msg)
       || !read_list (reader, &mux_peer_verb_fields[verb], msg))
--- a/src/adapter/peer_encode.c
+++ b/src/adapter/peer_encode.c
@@ -120,7 +120,7 @@
   int failed;
 
   msgpack_packer_init (&pk, writer, writer_add);
-  failed = msgpack_pack_array (&pk, mux_peer_entries (msg->verb));
+  failed = msgpack_pack_array (&pk, mux_peer_entry_count (msg->verb));
   failed |= msgpack_pack_uint32 (&pk, MUX_PEER_VERSION);
   failed |= msgpack_pack_uint32 (&pk, (uint32_t) msg->verb);
   failed |= pack_list (&pk, msg, &mux_peer_common_fields);
@@ -142,7 +142,7 @@
 MuxBlob *
 mux_peer_encode (const MuxPeerMsg *msg)
 {
-  char fixed[MUX_PEER_FIXED_MAX];
+  char fixed[MUX_PEER_FIELDS_MAX_BYTES];
   Writer writer = { fixed, sizeof fixed, 0 };
   MuxBlob *blob = NULL;
 
@@ -152,7 +152,7 @@
     {
       if (msg->body->len > MUX_PEER_BODY_MAX)
         return NULL;
-      writer.cap = MUX_PEER_FIXED_MAX + msg->body->len;
+      writer.cap = MUX_PEER_FIELDS_MAX_BYTES + msg->body->len;
       writer.bytes = malloc (writer.cap);
       if (writer.bytes == NULL)
         return NULL;
--- a/src/adapter/peer_fields.c
+++ b/src/adapter/peer_fields.c
@@ -165,8 +165,8 @@
 }
 
 uint32_t
-mux_peer_entries (MuxPeerVerb verb)
+mux_peer_entry_count (MuxPeerVerb verb)
 {
-  return MUX_PEER_HEAD_ENTRIES + list_entries (&mux_peer_common_fields)
+  return MUX_PEER_HEADER_ENTRIES + list_entries (&mux_peer_common_fields)
          + list_entries (&mux_peer_verb_fields[verb]);
 }
--- a/src/adapter/peer_fields.h
+++ b/src/adapter/peer_fields.h
@@ -11,8 +11,8 @@
 /* Longest body of a message. */
 #define MUX_PEER_BODY_MAX (4U << 20)
 /* More than all other fields of a message can take. */
-#define MUX_PEER_FIXED_MAX 768U
-#define MUX_PEER_MSG_MAX (MUX_PEER_BODY_MAX + MUX_PEER_FIXED_MAX)
+#define MUX_PEER_FIELDS_MAX_BYTES 768U
+#define MUX_PEER_MSG_MAX (MUX_PEER_BODY_MAX + MUX_PEER_FIELDS_MAX_BYTES)
 
 /* A message is one flat msgpack array: the version, the verb, the fields that
  * all messages have, and those that the verb uses, in the order of its list. */
@@ -44,7 +44,7 @@
 #define MUX_PEER_SIZE_ENTRIES 4
 #define MUX_PEER_ID_BYTES 16
 /* The entries before the fields: version and verb. */
-#define MUX_PEER_HEAD_ENTRIES 2
+#define MUX_PEER_HEADER_ENTRIES 2
 
 typedef struct
 {
@@ -56,6 +56,6 @@
 extern const MuxPeerFieldList mux_peer_verb_fields[MUX_PEER_VERB_COUNT];
 
 /** mux_peer_entries() - entries of the array that carries a @verb */
-uint32_t mux_peer_entries (MuxPeerVerb verb);
+uint32_t mux_peer_entry_count (MuxPeerVerb verb);
 
 #endif
--- a/src/adapter/peer_link.c
+++ b/src/adapter/peer_link.c
@@ -28,7 +28,7 @@
  * nothing was sent, on either side; they wait longer than a link that is in
  * use, whose replacement is more than a new connection. */
 bool
-mux_peer_socket_common (void *socket, uint32_t silent_ms)
+mux_peer_socket_set_common_options (void *socket, uint32_t silent_ms)
 {
   int silent = (int) silent_ms;
   int interval = HEARTBEATS_APART * silent;
@@ -54,13 +54,13 @@
   if (socket == NULL)
     return NULL;
   snprintf (endpoint, sizeof endpoint, "tcp://%s", addr);
-  if (mux_peer_socket_common (socket, links->silent_ms)
+  if (mux_peer_socket_set_common_options (socket, links->silence_timeout_ms)
       && set_int (socket, ZMQ_IPV6, addr[0] == '[')
       && set_int (socket, ZMQ_RECONNECT_IVL, RECONNECT_MS)
-      && set_int (socket, ZMQ_CONNECT_TIMEOUT, (int) links->silent_ms)
+      && set_int (socket, ZMQ_CONNECT_TIMEOUT, (int) links->silence_timeout_ms)
       && zmq_setsockopt (socket, ZMQ_MAXMSGSIZE, &frame_max, sizeof frame_max)
              == 0
-      && mux_peer_curve_client (links->curve, socket)
+      && mux_peer_curve_set_client_options (links->curve, socket)
       && zmq_connect (socket, endpoint) == 0)
     return socket;
   zmq_close (socket);
@@ -87,10 +87,10 @@
 {
   bool full = HASH_COUNT (links->by_addr) >= links->links_max;
 
-  if (full && !links->full)
+  if (full && !links->limit_reached)
     mux_log (MUX_LOG_WARNING, "peer_links_full", "links=%u",
              (unsigned) links->links_max);
-  links->full = full;
+  links->limit_reached = full;
   return full;
 }
 
@@ -126,9 +126,9 @@
       count_dropped (links);
       return;
     }
-  link->used_ms = now_ms;
-  if (link->waiting_since_ms == 0)
-    link->waiting_since_ms = now_ms;
+  link->last_send_ms = now_ms;
+  if (link->unechoed_since_ms == 0)
+    link->unechoed_since_ms = now_ms;
   if (link->socket == NULL)
     link->socket = link_open (links, addr);
   if (link->socket == NULL
@@ -146,7 +146,7 @@
 static void
 link_probe (MuxPeerLink *link)
 {
-  char frame[MUX_PEER_PROBE_BYTES] = { MUX_PEER_PROBE_MARK };
+  char frame[MUX_PEER_PROBE_BYTES] = { MUX_PEER_PROBE_TYPE };
   uint32_t number = link->probe + 1;
 
   memcpy (frame + 1, &number, sizeof number);
@@ -158,14 +158,14 @@
 link_heard (MuxPeerLink *link, const char *frame)
 {
   memcpy (&link->echo, frame + 1, sizeof link->echo);
-  link->waiting_since_ms = 0;
-  if (link->silent)
+  link->unechoed_since_ms = 0;
+  if (link->unresponsive)
     mux_log (MUX_LOG_NOTICE, "peer_link_back", "addr=%s", link->addr);
-  link->silent = false;
+  link->unresponsive = false;
 }
 
 void
-mux_peer_link_hear (MuxPeerLink *link)
+mux_peer_link_receive_echoes (MuxPeerLink *link)
 {
   char frame[MUX_PEER_PROBE_BYTES];
 
@@ -177,7 +177,7 @@
 
       if (len < 0)
         return;
-      if (len == sizeof frame && frame[0] == MUX_PEER_PROBE_MARK)
+      if (len == sizeof frame && frame[0] == MUX_PEER_PROBE_TYPE)
         link_heard (link, frame);
     }
 }
@@ -185,7 +185,8 @@
 bool
 mux_peer_link_awaits_echo (const MuxPeerLink *link)
 {
-  return link->socket != NULL && !link->silent && link->echo != link->probe;
+  return link->socket != NULL && !link->unresponsive
+         && link->echo != link->probe;
 }
 
 /* Guards against a connection that goes silent for good while new ones work,
@@ -203,12 +204,12 @@
   if (link->socket != NULL)
     zmq_close (link->socket);
   link->socket = link_open (links, link->addr);
-  link->waiting_since_ms = 0;
+  link->unechoed_since_ms = 0;
   link->echo = link->probe;
-  if (!link->silent)
+  if (!link->unresponsive)
     mux_log (MUX_LOG_WARNING, "peer_link_replaced", "addr=%s silent_ms=%u",
-             link->addr, (unsigned) links->silent_ms);
-  link->silent = true;
+             link->addr, (unsigned) links->silence_timeout_ms);
+  link->unresponsive = true;
   if (links->counters != NULL)
     mux_count_retry (links->counters, MUX_REASON_PEER_SILENT);
 }
@@ -216,21 +217,22 @@
 static void
 link_tick (MuxPeerLinks *links, MuxPeerLink *link, int64_t now_ms)
 {
-  int64_t idle_ms = now_ms - link->used_ms;
+  int64_t idle_ms = now_ms - link->last_send_ms;
 
-  mux_peer_link_hear (link);
-  if (idle_ms >= (int64_t) links->silent_ms * MUX_PEER_IDLE_FACTOR)
+  mux_peer_link_receive_echoes (link);
+  if (idle_ms >= (int64_t) links->silence_timeout_ms * MUX_PEER_IDLE_FACTOR)
     {
       HASH_DEL (links->by_addr, link);
       link_free (link);
       return;
     }
-  if (link->waiting_since_ms == 0)
+  if (link->unechoed_since_ms == 0)
     return;
-  if (now_ms - link->waiting_since_ms >= links->silent_ms)
+  if (now_ms - link->unechoed_since_ms >= links->silence_timeout_ms)
     link_replace (links, link);
   else if (link->socket != NULL
-           && now_ms - link->waiting_since_ms >= links->silent_ms / PROBE_PARTS)
+           && now_ms - link->unechoed_since_ms
+                  >= links->silence_timeout_ms / PROBE_PARTS)
     link_probe (link);
 }
 
@@ -248,9 +250,9 @@
 
   HASH_ITER (hh, links->by_addr, link, next)
   {
-    if (link->waiting_since_ms != 0)
-      link->waiting_since_ms
-          = earlier (link->waiting_since_ms + paused_ms, now_ms);
+    if (link->unechoed_since_ms != 0)
+      link->unechoed_since_ms
+          = earlier (link->unechoed_since_ms + paused_ms, now_ms);
     link_tick (links, link, now_ms);
   }
 }
@@ -262,7 +264,7 @@
   MuxPeerLink *next;
 
   HASH_ITER (hh, links->by_addr, link, next)
-  if (link->socket != NULL && link->waiting_since_ms != 0)
+  if (link->socket != NULL && link->unechoed_since_ms != 0)
     link_probe (link);
 }
 
--- a/src/adapter/peer_link.h
+++ b/src/adapter/peer_link.h
@@ -23,7 +23,7 @@
 
 /* A probe is this byte, with which no message begins, and a number; the peer
  * sends it back as it came. */
-#define MUX_PEER_PROBE_MARK 0
+#define MUX_PEER_PROBE_TYPE 0
 #define MUX_PEER_PROBE_BYTES 5
 
 /**
@@ -40,11 +40,11 @@
 {
   char addr[MUX_ADDR_LEN];
   void *socket;
-  int64_t used_ms;
-  int64_t waiting_since_ms;
+  int64_t last_send_ms;
+  int64_t unechoed_since_ms;
   uint32_t probe;
   uint32_t echo;
-  bool silent;
+  bool unresponsive;
   UT_hash_handle hh;
 } MuxPeerLink;
 
@@ -63,14 +63,14 @@
   void *zmq;
   const MuxPeerCurve *curve;
   MuxCounters *counters;
-  uint32_t silent_ms;
+  uint32_t silence_timeout_ms;
   uint32_t links_max;
   MuxPeerLink *by_addr;
-  bool full;
+  bool limit_reached;
 } MuxPeerLinks;
 
 /** mux_peer_socket_common() - options of every socket that meets a peer */
-bool mux_peer_socket_common (void *socket, uint32_t silent_ms);
+bool mux_peer_socket_set_common_options (void *socket, uint32_t silent_ms);
 /** mux_peer_links_send() - hand @blob to the link of @addr, or drop it */
 void mux_peer_links_send (MuxPeerLinks *links,
                           const char *addr,
@@ -83,7 +83,7 @@
 /** mux_peer_links_probe() - ask for an echo behind everything sent so far */
 void mux_peer_links_probe (MuxPeerLinks *links);
 /** mux_peer_link_hear() - read the echoes that came back */
-void mux_peer_link_hear (MuxPeerLink *link);
+void mux_peer_link_receive_echoes (MuxPeerLink *link);
 /** mux_peer_link_awaits_echo() - its last probe has not come back yet,
  * and it is not known to be silent */
 bool mux_peer_link_awaits_echo (const MuxPeerLink *link);
--- a/src/adapter/peer_thread.c
+++ b/src/adapter/peer_thread.c
@@ -82,7 +82,7 @@
 is_probe (zmq_msg_t *payload)
 {
   return zmq_msg_size (payload) == MUX_PEER_PROBE_BYTES
-         && *(const char *) zmq_msg_data (payload) == MUX_PEER_PROBE_MARK;
+         && *(const char *) zmq_msg_data (payload) == MUX_PEER_PROBE_TYPE;
 }
 
 static void
@@ -156,7 +156,7 @@
   if (late_ms < 0)
     return;
   mux_peer_links_tick (&peer->links, now,
-                       late_ms > peer->links.silent_ms ? late_ms : 0);
+                       late_ms > peer->links.silence_timeout_ms ? late_ms : 0);
   peer->next_tick_ms = now + peer->tick_ms;
 }
 
@@ -167,7 +167,7 @@
       = (zmq_pollitem_t){ NULL, mux_ring_fd (peer->outgoing), ZMQ_POLLIN, 0 };
   items[POLL_LISTENER] = (zmq_pollitem_t){ peer->listener, 0, ZMQ_POLLIN, 0 };
   items[POLL_ZAP] = (zmq_pollitem_t){ peer->curve.zap, 0, ZMQ_POLLIN, 0 };
-  return peer->curve.on ? POLL_BASE : POLL_ZAP;
+  return peer->curve.enabled ? POLL_BASE : POLL_ZAP;
 }
 
 static void
@@ -177,8 +177,8 @@
     send_waiting (peer, now);
   if (items[POLL_LISTENER].revents != 0)
     receive_waiting (peer);
-  if (peer->curve.on && items[POLL_ZAP].revents != 0)
-    mux_peer_curve_answer (&peer->curve);
+  if (peer->curve.enabled && items[POLL_ZAP].revents != 0)
+    mux_peer_curve_serve_zap (&peer->curve);
 }
 
 static void
@@ -236,7 +236,7 @@
                        end_ms - mux_monotonic_ms ());
       serve (peer, items, mux_monotonic_ms ());
       HASH_ITER (hh, peer->links.by_addr, link, next)
-      mux_peer_link_hear (link);
+      mux_peer_link_receive_echoes (link);
     }
 }
 
--- a/src/adapter/peer_zmq.c
+++ b/src/adapter/peer_zmq.c
@@ -87,12 +87,13 @@
   peer->listener = zmq_socket (peer->zmq, ZMQ_ROUTER);
   if (peer->listener == NULL)
     return zmq_failed (err, "listener");
-  if (!mux_peer_socket_common (peer->listener, peer->links.silent_ms)
+  if (!mux_peer_socket_set_common_options (peer->listener,
+                                           peer->links.silence_timeout_ms)
       || zmq_setsockopt (peer->listener, ZMQ_IPV6, &ipv6, sizeof ipv6) != 0
       || zmq_setsockopt (peer->listener, ZMQ_MAXMSGSIZE, &msg_max,
                          sizeof msg_max)
              != 0
-      || !mux_peer_curve_server (&peer->curve, peer->listener))
+      || !mux_peer_curve_set_server_options (&peer->curve, peer->listener))
     return zmq_failed (err, "listener's options");
   snprintf (endpoint, sizeof endpoint, TCP_PREFIX "%s", listen);
   if (zmq_bind (peer->listener, endpoint) != 0)
@@ -153,7 +154,8 @@
     return mux_error_set (err, MUX_ERROR_USAGE,
                           "peers: links_max must be up to %d",
                           MUX_PEER_LINKS_MAX);
-  if (options->silent_ms == 0 || options->silent_ms > SILENT_MS_MAX)
+  if (options->silence_timeout_ms == 0
+      || options->silence_timeout_ms > SILENT_MS_MAX)
     return mux_error_set (err, MUX_ERROR_USAGE,
                           "peers: silent_ms must be 1 to %d", SILENT_MS_MAX);
   return true;
@@ -178,10 +180,10 @@
   peer->counters = options->counters;
   peer->links.curve = &peer->curve;
   peer->links.counters = options->counters;
-  peer->links.silent_ms = options->silent_ms;
+  peer->links.silence_timeout_ms = options->silence_timeout_ms;
   peer->links.links_max
       = options->links_max != 0 ? options->links_max : MUX_PEER_LINKS_MAX;
-  peer->tick_ms = options->silent_ms / TICKS_PER_SILENCE;
+  peer->tick_ms = options->silence_timeout_ms / TICKS_PER_SILENCE;
   if (peer->tick_ms == 0)
     peer->tick_ms = 1;
   if (peer_start (peer, options, bound, err))
--- a/src/adapter/platform_decode.c
+++ b/src/adapter/platform_decode.c
@@ -1,4 +1,4 @@
-#include "platform_internal.h"
+#include "platform_private.h"
 
 #include <msgpack.h>
 #include <string.h>
@@ -97,7 +97,7 @@
 }
 
 static MuxTableReply *
-read_packed (const MuxTableCall *call, const PlatformAnswer *answer)
+read_packed (const MuxTableCall *call, const PlatformResponse *answer)
 {
   MuxTableReply *reply = NULL;
   msgpack_unpacked unpacked;
@@ -124,7 +124,7 @@
 }
 
 static MuxTableReply *
-read_object_put (const MuxTableCall *call, const PlatformAnswer *answer)
+read_object_put (const MuxTableCall *call, const PlatformResponse *answer)
 {
   MuxTableReply *reply = mux_table_reply_new (call, MUX_TABLE_OK, 0);
 
@@ -134,7 +134,7 @@
 }
 
 static MuxTableReply *
-read_object (const MuxTableCall *call, const PlatformAnswer *answer)
+read_object (const MuxTableCall *call, const PlatformResponse *answer)
 {
   MuxTableReply *reply = mux_table_reply_new (call, MUX_TABLE_OK, 1);
   MuxRow *row;
@@ -156,7 +156,7 @@
 /* NULL when the answer can't be made sense of.  An object's 200 that names no
  * revision is not the object store's. */
 static MuxTableReply *
-read_answer (const MuxTableCall *call, const PlatformAnswer *answer)
+read_answer (const MuxTableCall *call, const PlatformResponse *answer)
 {
   bool packed = call->verb == MUX_TABLE_TXN || call->verb == MUX_TABLE_GET
                 || call->verb == MUX_TABLE_SCAN;
@@ -182,8 +182,8 @@
 
 MuxTableReply *
 mux_platform_decode (const MuxTableCall *call,
-                     PlatformEnd end,
-                     const PlatformAnswer *answer)
+                     PlatformExchangeResult end,
+                     const PlatformResponse *answer)
 {
   MuxTableStatus status = MUX_TABLE_DOWN;
   MuxTableReply *reply = NULL;
--- a/src/adapter/platform_encode.c
+++ b/src/adapter/platform_encode.c
@@ -1,4 +1,4 @@
-#include "platform_internal.h"
+#include "platform_private.h"
 
 #include <msgpack.h>
 #include <stdio.h>
@@ -87,7 +87,7 @@
   msgpack_packer out;
   int bad;
 
-  mux_bytes_clear (storage, PLATFORM_KEPT_MAX);
+  mux_bytes_clear (storage, PLATFORM_BUFFER_KEEP_MAX_BYTES);
   msgpack_packer_init (&out, storage, pack_write);
   bad = call->verb == MUX_TABLE_SCAN ? pack_scan (&out, call)
                                      : pack_rows (&out, call);
--- a/src/adapter/platform_exchange.c
+++ b/src/adapter/platform_exchange.c
@@ -1,4 +1,4 @@
-#include "platform_internal.h"
+#include "platform_private.h"
 
 #include "adapter/curl.h"
 #include "base/number.h"
@@ -27,7 +27,7 @@
   (void) from_ip;
   (void) to_port;
   (void) from_port;
-  return ++client->sendings == 1 ? CURL_PREREQFUNC_OK : CURL_PREREQFUNC_ABORT;
+  return ++client->send_count == 1 ? CURL_PREREQFUNC_OK : CURL_PREREQFUNC_ABORT;
 }
 
 static bool
@@ -47,11 +47,11 @@
 bool
 mux_platform_client_init (PlatformClient *client,
                           const MuxPlatformHttpOptions *options,
-                          PlatformSilence *silence)
+                          PlatformTimeouts *silence)
 {
   memset (client, 0, sizeof *client);
   client->url = options->url;
-  client->silence = silence;
+  client->timeouts = silence;
   client->curl = curl_easy_init ();
   if (client->curl == NULL
       || !add_header (client, "Cuminmux-Instance", options->name)
@@ -96,7 +96,7 @@
     }
   curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, request->method);
   curl_easy_setopt (curl, CURLOPT_HTTPHEADER, client->headers);
-  mux_curl_set_up (curl, &client->body);
+  mux_curl_set_common_options (curl, &client->body);
   mux_curl_set_timeouts (curl, CONNECT_TIMEOUT_MS, (long) request->timeout_ms);
   curl_easy_setopt (curl, CURLOPT_MAXCONNECTS, 1L);
   curl_easy_setopt (curl, CURLOPT_MAXAGE_CONN, (long) IDLE_MAX_S);
@@ -113,7 +113,7 @@
 static void
 avoid_silent_connection (PlatformClient *client)
 {
-  uint_fast32_t timeouts = atomic_load (&client->silence->timeouts);
+  uint_fast32_t timeouts = atomic_load (&client->timeouts->count);
 
   if (timeouts != client->timeouts_seen)
     curl_easy_setopt (client->curl, CURLOPT_FRESH_CONNECT, 1L);
@@ -121,7 +121,7 @@
 }
 
 static void
-read_headers (CURL *curl, PlatformAnswer *answer)
+read_headers (CURL *curl, PlatformResponse *answer)
 {
   const char *effect = mux_curl_header (curl, "Cuminmux-Effect");
 
@@ -130,24 +130,24 @@
       mux_curl_header (curl, "Cuminmux-Revision"), UINT64_MAX, &answer->rev);
 }
 
-PlatformEnd
+PlatformExchangeResult
 mux_platform_exchange (PlatformClient *client,
                        const PlatformRequest *request,
-                       PlatformAnswer *answer)
+                       PlatformResponse *answer)
 {
   CURLcode code;
 
   memset (answer, 0, sizeof *answer);
-  mux_bytes_clear (&client->body, PLATFORM_KEPT_MAX);
-  client->sendings = 0;
+  mux_bytes_clear (&client->body, PLATFORM_BUFFER_KEEP_MAX_BYTES);
+  client->send_count = 0;
   if (!set_up (client, request))
     return PLATFORM_NOT_SENT;
   avoid_silent_connection (client);
   code = curl_easy_perform (client->curl);
-  if (code == CURLE_OPERATION_TIMEDOUT && client->sendings > 0)
-    atomic_fetch_add (&client->silence->timeouts, 1);
-  if (code != CURLE_OK || !mux_curl_says_its_end (client->curl))
-    return client->sendings > 0 ? PLATFORM_NO_ANSWER : PLATFORM_NOT_SENT;
+  if (code == CURLE_OPERATION_TIMEDOUT && client->send_count > 0)
+    atomic_fetch_add (&client->timeouts->count, 1);
+  if (code != CURLE_OK || !mux_curl_response_is_framed (client->curl))
+    return client->send_count > 0 ? PLATFORM_NO_ANSWER : PLATFORM_NOT_SENT;
   curl_easy_getinfo (client->curl, CURLINFO_RESPONSE_CODE, &answer->status);
   read_headers (client->curl, answer);
   answer->body = &client->body;
--- a/src/adapter/platform_http.c
+++ b/src/adapter/platform_http.c
@@ -1,4 +1,4 @@
-#include "platform_internal.h"
+#include "platform_private.h"
 
 #include "base/clock.h"
 #include "base/ring.h"
@@ -31,7 +31,7 @@
   char *url;
   MuxRing *ring;
   atomic_bool stopping;
-  PlatformSilence silence;
+  PlatformTimeouts silence;
   PlatformLister lister;
   uint32_t started;
   Caller callers[];
@@ -77,9 +77,9 @@
 {
   Adapter *adapter = caller->adapter;
   int64_t now = mux_monotonic_ms ();
-  PlatformAnswer answer = { 0 };
+  PlatformResponse answer = { 0 };
   PlatformRequest request;
-  PlatformEnd end;
+  PlatformExchangeResult end;
 
   if (now >= job->deadline_ms
       || !mux_platform_encode (job->call, &caller->storage, &request))
--- a/src/adapter/platform_list.c
+++ b/src/adapter/platform_list.c
@@ -1,4 +1,4 @@
-#include "platform_internal.h"
+#include "platform_private.h"
 
 #include <inttypes.h>
 #include <jansson.h>
@@ -168,15 +168,15 @@
     {
       MuxInstanceList *changes = list;
 
-      list = with_entries (changes, lister->entries);
+      list = with_entries (changes, lister->entry_instances);
       free (changes);
     }
   if (list == NULL)
     return false;
-  free (lister->entries);
-  lister->entries = entries_of (list);
+  free (lister->entry_instances);
+  lister->entry_instances = entries_of (list);
   return lister->inbox->instances (lister->inbox, list)
-         && lister->entries != NULL;
+         && lister->entry_instances != NULL;
 }
 
 /*
@@ -188,7 +188,7 @@
 static bool
 wants_changes (const PlatformLister *lister)
 {
-  return lister->rev != 0 && lister->changes < CHANGES_MAX;
+  return lister->rev != 0 && lister->deltas_since_full < CHANGES_MAX;
 }
 
 static void
@@ -197,7 +197,7 @@
   PlatformRequest request = { .method = "GET",
                               .path = "/v1/instances",
                               .timeout_ms = LIST_TIMEOUT_MS };
-  PlatformAnswer answer;
+  PlatformResponse answer;
   MuxInstanceList *list;
   uint64_t rev;
 
@@ -217,7 +217,8 @@
       free (list);
       return;
     }
-  lister->changes = list->changes_only ? lister->changes + 1 : 0;
+  lister->deltas_since_full
+      = list->changes_only ? lister->deltas_since_full + 1 : 0;
   lister->rev = hand_on (lister, list) ? rev : 0;
 }
 
@@ -229,17 +230,17 @@
 
   do
     read_list (lister);
-  while (poll (&stop, 1, (int) lister->every_ms) <= 0);
+  while (poll (&stop, 1, (int) lister->interval_ms) <= 0);
   return NULL;
 }
 
 bool
 mux_platform_lister_start (PlatformLister *lister,
                            const MuxPlatformHttpOptions *options,
-                           PlatformSilence *silence)
+                           PlatformTimeouts *silence)
 {
   lister->inbox = options->inbox;
-  lister->every_ms = options->list_every_ms;
+  lister->interval_ms = options->list_interval_ms;
   lister->stop_fd = eventfd (0, EFD_CLOEXEC);
   if (lister->stop_fd < 0)
     return false;
@@ -260,6 +261,6 @@
     }
   if (lister->stop_fd >= 0)
     close (lister->stop_fd);
-  free (lister->entries);
+  free (lister->entry_instances);
   mux_platform_client_deinit (&lister->client);
 }
--- a/src/adapter/platform_internal.h
+++ b/src/adapter/platform_private.h
@@ -1,5 +1,5 @@
-#ifndef ADAPTER_PLATFORM_INTERNAL_H
-#define ADAPTER_PLATFORM_INTERNAL_H
+#ifndef ADAPTER_PLATFORM_PRIVATE_H
+#define ADAPTER_PLATFORM_PRIVATE_H
 
 #include "adapter/platform.h"
 #include "base/bytes.h"
@@ -10,7 +10,7 @@
 #include <stddef.h>
 
 /* A buffer that grew beyond this is not kept for the next exchange. */
-#define PLATFORM_KEPT_MAX ((size_t) 1024 * 1024)
+#define PLATFORM_BUFFER_KEEP_MAX_BYTES ((size_t) 1024 * 1024)
 
 /**
  * enum PlatformEnd - how far an HTTP exchange came
@@ -20,7 +20,7 @@
   PLATFORM_NOT_SENT,  /* no byte of the request left */
   PLATFORM_NO_ANSWER, /* it may have arrived; no whole answer came */
   PLATFORM_ANSWERED,
-} PlatformEnd;
+} PlatformExchangeResult;
 
 /**
  * struct PlatformRequest - an HTTP request to the platform
@@ -53,13 +53,13 @@
   bool has_rev;
   uint64_t rev;
   MuxBytes *body;
-} PlatformAnswer;
+} PlatformResponse;
 
 /* Counts silent connections; shared by all clients of an adapter. */
 typedef struct
 {
-  atomic_uint_fast32_t timeouts;
-} PlatformSilence;
+  atomic_uint_fast32_t count;
+} PlatformTimeouts;
 
 /**
  * struct PlatformClient - one thread's connection to the platform
@@ -69,19 +69,19 @@
   CURL *curl;
   struct curl_slist *headers;
   const char *url;
-  PlatformSilence *silence;
+  PlatformTimeouts *timeouts;
   uint_fast32_t timeouts_seen;
-  uint32_t sendings;
+  uint32_t send_count;
   MuxBytes body;
 } PlatformClient;
 
 bool mux_platform_client_init (PlatformClient *client,
                                const MuxPlatformHttpOptions *options,
-                               PlatformSilence *silence);
+                               PlatformTimeouts *silence);
 void mux_platform_client_deinit (PlatformClient *client);
-PlatformEnd mux_platform_exchange (PlatformClient *client,
-                                   const PlatformRequest *request,
-                                   PlatformAnswer *answer);
+PlatformExchangeResult mux_platform_exchange (PlatformClient *client,
+                                              const PlatformRequest *request,
+                                              PlatformResponse *answer);
 /** mux_platform_encode() - the request of @call
  * @storage: holds what the request's body points to, unless it is an object
  * Return: false when memory is out or a name is too long. */
@@ -92,8 +92,8 @@
 bool mux_platform_is_write (const MuxTableCall *call);
 /** mux_platform_decode() - the reply that an exchange ended with */
 MuxTableReply *mux_platform_decode (const MuxTableCall *call,
-                                    PlatformEnd end,
-                                    const PlatformAnswer *answer);
+                                    PlatformExchangeResult end,
+                                    const PlatformResponse *answer);
 /** mux_platform_decode_list() - NULL when it is no instance list
  * @rev: what the next reading may ask for changes after; 0: nothing */
 MuxInstanceList *
@@ -106,10 +106,10 @@
 {
   MuxInbox *inbox;
   PlatformClient client;
-  uint32_t every_ms;
-  uint64_t rev;             /* read up to here; 0: the next reading is whole */
-  uint32_t changes;         /* readings since the last whole one */
-  MuxInstanceList *entries; /* entry instances; NULL: none read yet */
+  uint32_t interval_ms;
+  uint64_t rev; /* read up to here; 0: the next reading is whole */
+  uint32_t deltas_since_full;       /* readings since the last whole one */
+  MuxInstanceList *entry_instances; /* entry instances; NULL: none read yet */
   int stop_fd;
   bool running;
   pthread_t thread;
@@ -117,7 +117,7 @@
 
 bool mux_platform_lister_start (PlatformLister *lister,
                                 const MuxPlatformHttpOptions *options,
-                                PlatformSilence *silence);
+                                PlatformTimeouts *silence);
 /** mux_platform_lister_stop() - also after a start that failed */
 void mux_platform_lister_stop (PlatformLister *lister);
 
--- a/src/adapter/worker_http.c
+++ b/src/adapter/worker_http.c
@@ -132,7 +132,7 @@
     mux_count (http->counters, MUX_COUNT_WORKER_CALLS, 1);
   switch (mux_worker_client_post (client, &request))
     {
-    case MUX_EXCHANGE_WHOLE:
+    case MUX_EXCHANGE_COMPLETE:
       job->failure->status = MUX_WORKER_NO_ANSWER;
       return mux_worker_read_reply (call, client);
     case MUX_EXCHANGE_NO_ANSWER:
--- a/src/adapter/worker_http_client.c
+++ b/src/adapter/worker_http_client.c
@@ -9,8 +9,8 @@
 /* A buffer that grew beyond this is given back after its call. */
 #define BODY_KEEP ((size_t) 64 << 10)
 
-static const MuxCurlProbes probes
-    = { .idle_s = 2, .interval_s = 1, .silent_ms = 5000 };
+static const MuxCurlKeepalive probes
+    = { .idle_s = 2, .interval_s = 1, .user_timeout_ms = 5000 };
 
 struct MuxWorkerClient
 {
@@ -43,11 +43,11 @@
 {
   CURL *curl = client->curl;
 
-  mux_curl_set_up (curl, &client->body);
+  mux_curl_set_common_options (curl, &client->body);
   curl_easy_setopt (curl, CURLOPT_HTTP_VERSION, (long) CURL_HTTP_VERSION_1_1);
   curl_easy_setopt (curl, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (curl, CURLOPT_FORBID_REUSE, 1L);
-  mux_curl_set_probes (curl, &probes);
+  mux_curl_set_keepalive (curl, &probes);
   curl_easy_setopt (curl, CURLOPT_XFERINFOFUNCTION, on_progress);
   curl_easy_setopt (curl, CURLOPT_XFERINFODATA, client);
   curl_easy_setopt (curl, CURLOPT_NOPROGRESS, 0L);
@@ -103,7 +103,7 @@
          || connect_us != 0;
 }
 
-MuxWorkerOutcome
+MuxExchangeResult
 mux_worker_client_post (MuxWorkerClient *client,
                         const MuxWorkerRequest *request)
 {
@@ -121,7 +121,7 @@
     return MUX_EXCHANGE_NOT_SENT;
   code = curl_easy_perform (curl);
   if (code == CURLE_OK)
-    return is_whole (client) ? MUX_EXCHANGE_WHOLE : MUX_EXCHANGE_NO_ANSWER;
+    return is_whole (client) ? MUX_EXCHANGE_COMPLETE : MUX_EXCHANGE_NO_ANSWER;
   return was_connected (client) ? MUX_EXCHANGE_NO_ANSWER
                                 : MUX_EXCHANGE_NOT_SENT;
 }
--- a/src/adapter/worker_http_client.h
+++ b/src/adapter/worker_http_client.h
@@ -13,10 +13,10 @@
  */
 typedef enum
 {
-  MUX_EXCHANGE_WHOLE,     /* a whole answer came */
+  MUX_EXCHANGE_COMPLETE,  /* a whole answer came */
   MUX_EXCHANGE_NOT_SENT,  /* no connection came about: nothing was sent */
   MUX_EXCHANGE_NO_ANSWER, /* sent, perhaps in part; no whole answer came */
-} MuxWorkerOutcome;
+} MuxExchangeResult;
 
 /**
  * struct MuxWorkerRequest - one POST
@@ -43,8 +43,8 @@
  */
 MuxWorkerClient *mux_worker_client_new (const atomic_bool *stop);
 void mux_worker_client_free (MuxWorkerClient *client);
-MuxWorkerOutcome mux_worker_client_post (MuxWorkerClient *client,
-                                         const MuxWorkerRequest *request);
+MuxExchangeResult mux_worker_client_post (MuxWorkerClient *client,
+                                          const MuxWorkerRequest *request);
 /** mux_worker_client_header() - of the last answer; NULL: absent */
 const char *mux_worker_client_header (MuxWorkerClient *client,
                                       const char *name);
--- a/src/cli/client.c
+++ b/src/cli/client.c
@@ -186,7 +186,7 @@
   CURL *curl = exchange->curl;
 
   curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, call->method);
-  mux_curl_set_up (curl, &exchange->body);
+  mux_curl_set_common_options (curl, &exchange->body);
   mux_curl_set_timeouts (curl, CONNECT_MS_MAX, (long) call->timeout_ms);
   curl_easy_setopt (curl, CURLOPT_PREREQFUNCTION, on_send);
   curl_easy_setopt (curl, CURLOPT_PREREQDATA, exchange);
@@ -216,7 +216,7 @@
   CURL *curl = exchange->curl;
 
   /* An empty body has its closing NUL, too. */
-  if (!mux_curl_says_its_end (curl)
+  if (!mux_curl_response_is_framed (curl)
       || !mux_bytes_add (&exchange->body, NULL, 0))
     return false;
   answer->body = exchange->body.bytes;
--- a/src/core/call.c
+++ b/src/core/call.c
@@ -8,11 +8,11 @@
 /* Between looks for overdue calls. */
 #define LOOK_MS 1000
 
-struct Pending
+struct PendingCall
 {
   uint64_t call_id;
-  WorkerDone worker_done;
-  TableDone table_done;
+  WorkerCallback worker_done;
+  TableCallback table_done;
   MuxId subject;
   uint64_t aux;
   int64_t overdue_ms; /* no reply can come any more */
@@ -21,35 +21,35 @@
   UT_hash_handle hh;
 };
 
-static Pending *
+static PendingCall *
 pending_new (MuxCore *core, MuxId subject, uint64_t aux)
 {
-  Pending *pending = calloc (1, sizeof *pending);
+  PendingCall *pending = calloc (1, sizeof *pending);
 
   if (pending == NULL)
     return NULL;
   pending->call_id = ++core->next_call_id;
   pending->subject = subject;
   pending->aux = aux;
-  HASH_ADD (hh, core->pending, call_id, sizeof pending->call_id, pending);
+  HASH_ADD (hh, core->pending_calls, call_id, sizeof pending->call_id, pending);
   return pending;
 }
 
 static void
-pending_free (MuxCore *core, Pending *pending)
+pending_free (MuxCore *core, PendingCall *pending)
 {
-  HASH_DEL (core->pending, pending);
+  HASH_DEL (core->pending_calls, pending);
   free (pending);
 }
 
 bool
 call_worker (MuxCore *core,
              MuxWorkerCall *call,
-             WorkerDone done,
+             WorkerCallback done,
              MuxId subject,
              uint64_t aux)
 {
-  Pending *pending = pending_new (core, subject, aux);
+  PendingCall *pending = pending_new (core, subject, aux);
 
   if (pending == NULL)
     return false;
@@ -69,11 +69,11 @@
 bool
 call_table (MuxCore *core,
             MuxTableCall *call,
-            TableDone done,
+            TableCallback done,
             MuxId subject,
             uint64_t aux)
 {
-  Pending *pending = pending_new (core, subject, aux);
+  PendingCall *pending = pending_new (core, subject, aux);
 
   if (pending == NULL)
     {
@@ -94,11 +94,11 @@
 }
 
 static bool
-pending_take (MuxCore *core, uint64_t call_id, Pending *out)
+pending_take (MuxCore *core, uint64_t call_id, PendingCall *out)
 {
-  Pending *pending;
+  PendingCall *pending;
 
-  HASH_FIND (hh, core->pending, &call_id, sizeof call_id, pending);
+  HASH_FIND (hh, core->pending_calls, &call_id, sizeof call_id, pending);
   if (pending == NULL)
     {
       mux_count (core->counters, MUX_COUNT_EVENTS_DROPPED, 1);
@@ -112,7 +112,7 @@
 void
 call_worker_reply (MuxCore *core, const MuxWorkerReply *reply)
 {
-  Pending pending;
+  PendingCall pending;
 
   if (!pending_take (core, reply->call_id, &pending))
     return;
@@ -123,7 +123,7 @@
 void
 call_table_reply (MuxCore *core, const MuxTableReply *reply)
 {
-  Pending pending;
+  PendingCall pending;
 
   if (!pending_take (core, reply->call_id, &pending))
     return;
@@ -132,7 +132,7 @@
 }
 
 static void
-make_up (MuxCore *core, const Pending *lost)
+make_up (MuxCore *core, const PendingCall *lost)
 {
   MuxWorkerReply worker = { .call_id = lost->call_id,
                             .verb = (MuxWorkerVerb) lost->verb,
@@ -157,21 +157,21 @@
 void
 calls_tick (MuxCore *core)
 {
-  Pending *pending, *next;
+  PendingCall *pending, *next;
 
-  if (core->now_ms < core->next_calls_ms)
+  if (core->now_ms < core->next_overdue_check_ms)
     return;
-  core->next_calls_ms = core->now_ms + LOOK_MS;
-  HASH_ITER (hh, core->pending, pending, next)
+  core->next_overdue_check_ms = core->now_ms + LOOK_MS;
+  HASH_ITER (hh, core->pending_calls, pending, next)
   {
-    Pending lost = *pending;
+    PendingCall lost = *pending;
 
     if (core->now_ms < lost.overdue_ms)
       continue;
     mux_count_retry (core->counters, MUX_REASON_RING_FULL);
     make_up (core, &lost);
     /* Handling it may have ended any other call: begin anew next time. */
-    core->next_calls_ms = core->now_ms;
+    core->next_overdue_check_ms = core->now_ms;
     return;
   }
 }
@@ -179,8 +179,8 @@
 void
 calls_free (MuxCore *core)
 {
-  Pending *pending, *next;
+  PendingCall *pending, *next;
 
-  HASH_ITER (hh, core->pending, pending, next)
+  HASH_ITER (hh, core->pending_calls, pending, next)
   pending_free (core, pending);
 }
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -101,7 +101,7 @@
 {
   json_t *json = json_pack (
       "{s:I, s:I, s:s, s:s, s:I, s:s, s:I, s:I, s:I}", "attempt",
-      (json_int_t) intent->attempt, "grant", (json_int_t) intent->grant,
+      (json_int_t) intent->attempt, "grant", (json_int_t) intent->grant_number,
       "worker", intent->worker, "addr", intent->addr, "incarnation",
       (json_int_t) intent->incarnation, "home", intent->home,
       "home_incarnation", (json_int_t) intent->home_incarnation, "not_after_ms",
@@ -136,7 +136,7 @@
   if (good)
     {
       *intent = (Intent){ .attempt = (uint32_t) attempt,
-                          .grant = (uint64_t) grant,
+                          .grant_number = (uint64_t) grant,
                           .incarnation = (uint64_t) incarnation,
                           .home_incarnation = (uint64_t) home_incarnation,
                           .not_after_ms = not_after_ms,
@@ -161,8 +161,8 @@
 static Entry
 want (MuxCore *core, Task *task)
 {
-  task->want = ++core->commit->wants;
-  return (Entry){ task->key, task->want };
+  task->awaited_row_call = ++core->commit->wants;
+  return (Entry){ task->key, task->awaited_row_call };
 }
 
 /* The task that still wants what @entry stands for. */
@@ -171,7 +171,7 @@
 {
   Task *task = task_find (core, entry.key);
 
-  if (task == NULL || task->want != entry.want)
+  if (task == NULL || task->awaited_row_call != entry.want)
     return NULL;
   if (task->state == wanted
       || (wanted == TASK_READING && task->state == TASK_REFUSING))
@@ -375,7 +375,7 @@
 
       row_key (task->key, call->rows[i].key);
       call->rows[i].rev = task->row_rev;
-      call->rows[i].value = intent_to_blob (&task->at);
+      call->rows[i].value = intent_to_blob (&task->placement);
       if (call->rows[i].value == NULL)
         return false;
     }
@@ -397,7 +397,7 @@
       mux_table_call_free (call);
       call = NULL;
     }
-  core->commit->next_put_ms = core->now_ms + commit_pace_ms (core);
+  core->commit->next_put_ms = core->now_ms + commit_write_interval_ms (core);
   put->in_flight = true;
   if (call == NULL || !call_table (core, call, put_done, (MuxId){ 0, 0 }, 0))
     tell_group (core, put, TASK_RECORDING, TASK_EV_STORE_DOWN, 0);
@@ -421,9 +421,10 @@
 }
 
 int64_t
-commit_pace_ms (const MuxCore *core)
+commit_write_interval_ms (const MuxCore *core)
 {
-  return 1000 * (int64_t) (members_alive (core) + 1) / core->opt.writes_per_s;
+  return 1000 * (int64_t) (members_live_count (core) + 1)
+         / core->opt.writes_per_s;
 }
 
 void
--- a/src/core/commit.h
+++ b/src/core/commit.h
@@ -14,7 +14,7 @@
 void commit_read (MuxCore *core, Task *task);
 /** commit_pace_ms() - between two writes, so that all living daemons together
  * stay within what the table takes */
-int64_t commit_pace_ms (const MuxCore *core);
+int64_t commit_write_interval_ms (const MuxCore *core);
 void commit_tick (MuxCore *core);
 int64_t commit_wake_ms (const MuxCore *core);
 /** commit_store_down() - the table answered nothing lately */
--- a/src/core/config.c
+++ b/src/core/config.c
@@ -28,17 +28,17 @@
 }
 
 void
-config_ask (MuxCore *core, const MuxAsk *ask)
+config_request (MuxCore *core, const MuxCoreRequest *ask)
 {
   switch (ask->verb)
     {
-    case MUX_ASK_CONFIG_GET:
-    case MUX_ASK_CONFIG_LIST:
-    case MUX_ASK_CONFIG_HISTORY:
+    case MUX_CORE_CONFIG_GET:
+    case MUX_CORE_CONFIG_LIST:
+    case MUX_CORE_CONFIG_HISTORY:
       config_show (core, ask);
       return;
     default:
-      config_change_ask (core, ask);
+      config_change_request (core, ask);
     }
 }
 
@@ -49,10 +49,10 @@
 
   if (config->unapplied_count > 0)
     config_objects_retry (core);
-  if (core->now_ms >= config->poll_ms)
+  if (core->now_ms >= config->next_poll_ms)
     config_follow (core);
-  if (!config->loaded && core->now_ms >= config->peer_ask_ms)
-    config_peer_ask (core, NULL);
+  if (!config->loaded && core->now_ms >= config->next_peer_request_ms)
+    config_request_rows (core, NULL);
   config_changes_run (core);
 }
 
@@ -60,11 +60,11 @@
 config_wake_ms (const MuxCore *core)
 {
   const Config *config = core->config;
-  int64_t at_ms = config->poll_ms;
+  int64_t at_ms = config->next_poll_ms;
   int64_t change_ms = config_changes_wake_ms (core);
 
-  if (!config->loaded && config->peer_ask_ms < at_ms)
-    at_ms = config->peer_ask_ms;
+  if (!config->loaded && config->next_peer_request_ms < at_ms)
+    at_ms = config->next_peer_request_ms;
   return change_ms < at_ms ? change_ms : at_ms;
 }
 
--- a/src/core/config.h
+++ b/src/core/config.h
@@ -7,15 +7,15 @@
 Config *config_new (void);
 void config_free (Config *config);
 /** config_abandon() - answer every change in flight; before config_free() */
-void config_abandon (MuxCore *core);
+void config_abort_changes (MuxCore *core);
 /** config_changing() - changes in flight; a graceful stop awaits 0 */
-uint32_t config_changing (const MuxCore *core);
-/** config_ask() - every MUX_ASK_CONFIG_* and MUX_ASK_DRAIN */
-void config_ask (MuxCore *core, const MuxAsk *ask);
+uint32_t config_pending_changes (const MuxCore *core);
+/** config_ask() - every MUX_ASK_CONFIG_* and MUX_CORE_DRAIN */
+void config_request (MuxCore *core, const MuxCoreRequest *ask);
 /** config_peer() - MUX_PEER_CONFIG_* */
-void config_peer (MuxCore *core, const MuxPeerMsg *msg);
+void config_peer_message (MuxCore *core, const MuxPeerMsg *msg);
 /** config_heard() - a peer has this revision in force */
-void config_heard (MuxCore *core, Member *member, uint64_t revision);
+void config_peer_revision (MuxCore *core, Member *member, uint64_t revision);
 void config_tick (MuxCore *core);
 int64_t config_wake_ms (const MuxCore *core);
 /** config_revision() - in force here; 0: none yet */
--- a/src/core/config_change.c
+++ b/src/core/config_change.c
@@ -18,7 +18,7 @@
 }
 
 void
-change_end (MuxCore *core, ConfigChange *change)
+change_finish (MuxCore *core, ConfigChange *change)
 {
   Config *config = core->config;
 
@@ -35,27 +35,27 @@
   uint32_t retry_ms
       = reason == MUX_REASON_STORE_DOWN ? CONFIG_POLL_MS : RETRY_MS;
 
-  config_answer_refused (core, change->call, reason, retry_ms);
-  change_end (core, change);
+  config_respond_refused (core, change->call_id, reason, retry_ms);
+  change_finish (core, change);
 }
 
 void
-change_give_up (MuxCore *core, ConfigChange *change, MuxReason reason)
+change_expire (MuxCore *core, ConfigChange *change, MuxReason reason)
 {
-  if (!change->unsure && change->state != CHANGE_WRITE)
+  if (!change->write_unknown && change->state != CHANGE_WRITE)
     {
       change_refuse (core, change, reason);
       return;
     }
-  config_answer_unknown (core, change->call, change->change);
-  change_end (core, change);
+  config_respond_unknown (core, change->call_id, change->change_id);
+  change_finish (core, change);
 }
 
 void
 change_accepted (MuxCore *core, ConfigChange *change, uint64_t revision)
 {
-  config_answer_done (core, change->call, revision);
-  change_end (core, change);
+  config_respond_done (core, change->call_id, revision);
+  change_finish (core, change);
 }
 
 void
@@ -71,8 +71,8 @@
 void
 change_store_down (MuxCore *core, ConfigChange *change)
 {
-  config_table_down (core, true);
-  if (change->unsure)
+  config_set_store_down (core, true);
+  if (change->write_unknown)
     change_pause (core, change, MUX_REASON_STORE_DOWN);
   else
     change_refuse (core, change, MUX_REASON_STORE_DOWN);
@@ -96,10 +96,10 @@
 
   DL_FOREACH_SAFE (core->config->changes, change, next)
   {
-    if (core->now_ms >= change->give_up_ms)
-      change_give_up (core, change,
-                      change->state == CHANGE_QUEUED ? MUX_REASON_QUEUE_FULL
-                                                     : MUX_REASON_FENCED_ROW);
+    if (core->now_ms >= change->expires_ms)
+      change_expire (core, change,
+                     change->state == CHANGE_QUEUED ? MUX_REASON_QUEUE_FULL
+                                                    : MUX_REASON_FENCED_ROW);
   }
   change = core->config->changes;
   if (change != NULL && change_due (core, change))
@@ -120,8 +120,8 @@
     at_ms = change->wake_ms;
   DL_FOREACH (core->config->changes, change)
   {
-    if (change->give_up_ms < at_ms)
-      at_ms = change->give_up_ms;
+    if (change->expires_ms < at_ms)
+      at_ms = change->expires_ms;
   }
   return at_ms;
 }
@@ -133,13 +133,13 @@
 
   DL_FOREACH_SAFE (core->config->changes, change, next)
   {
-    if (!change->unsure && change->state != CHANGE_WRITE)
+    if (!change->write_unknown && change->state != CHANGE_WRITE)
       change_refuse (core, change, MUX_REASON_STORE_DOWN);
   }
 }
 
 void
-config_abandon (MuxCore *core)
+config_abort_changes (MuxCore *core)
 {
   ConfigChange *change, *next;
 
@@ -147,75 +147,75 @@
     return;
   DL_FOREACH_SAFE (core->config->changes, change, next)
   {
-    change_give_up (core, change, MUX_REASON_STOPPING);
+    change_expire (core, change, MUX_REASON_STOPPING);
   }
 }
 
 uint32_t
-config_changing (const MuxCore *core)
+config_pending_changes (const MuxCore *core)
 {
   return core->config->change_count;
 }
 
 static void
-take_value (const MuxAsk *ask, ConfigChange *change)
+take_value (const MuxCoreRequest *ask, ConfigChange *change)
 {
-  if (ask->verb == MUX_ASK_CONFIG_PUT && ask->body != NULL)
+  if (ask->verb == MUX_CORE_CONFIG_PUT && ask->body != NULL)
     change->value = json_loadb (ask->body->bytes, ask->body->len,
                                 JSON_REJECT_DUPLICATES, NULL);
-  else if (ask->verb == MUX_ASK_DRAIN && ask->flag)
+  else if (ask->verb == MUX_CORE_DRAIN && ask->drain)
     change->value = json_object ();
 }
 
 static ConfigChange *
-change_new (MuxCore *core, const MuxAsk *ask)
+change_new (MuxCore *core, const MuxCoreRequest *ask)
 {
   ConfigChange *change = calloc (1, sizeof *change);
 
   if (change == NULL)
     return NULL;
   change->serial = ++core->config->serial;
-  change->call = ask->call;
-  change->sort = ask->verb == MUX_ASK_DRAIN ? MUX_CONFIG_DRAIN : ask->sort;
+  change->call_id = ask->call_id;
+  change->sort = ask->verb == MUX_CORE_DRAIN ? MUX_CONFIG_DRAIN : ask->sort;
   mux_name_copy (change->name, ask->name);
-  mux_name_copy (change->who, ask->who);
-  change->expect_set = ask->expect_set;
-  change->expect = ask->expect;
-  change->change
-      = mux_id_is_none (ask->change) ? core_mint (core) : ask->change;
+  mux_name_copy (change->author, ask->author);
+  change->has_expected = ask->has_expected;
+  change->expected_revision = ask->expected_revision;
+  change->change_id = mux_id_is_none (ask->change_id) ? core_new_task_id (core)
+                                                      : ask->change_id;
   change->wall_ms = ask->wall_ms;
-  change->revert = ask->verb == MUX_ASK_CONFIG_REVERT;
+  change->revert = ask->verb == MUX_CORE_CONFIG_REVERT;
   change->revert_to = ask->revision;
-  change->give_up_ms = core->now_ms + CONFIG_CHANGE_LIMIT_MS;
+  change->expires_ms = core->now_ms + CONFIG_CHANGE_LIMIT_MS;
   take_value (ask, change);
   return change;
 }
 
 static MuxReason
-ask_reason (const MuxCore *core, const MuxAsk *ask)
+ask_reason (const MuxCore *core, const MuxCoreRequest *ask)
 {
   if (core->stopping)
     return MUX_REASON_STOPPING;
-  if (core->config->down)
+  if (core->config->store_down)
     return MUX_REASON_STORE_DOWN;
   if (core->config->change_count >= CONFIG_CHANGES_MAX)
     return MUX_REASON_QUEUE_FULL;
-  if (ask->verb == MUX_ASK_CONFIG_PUT && ask->body == NULL)
+  if (ask->verb == MUX_CORE_CONFIG_PUT && ask->body == NULL)
     return MUX_REASON_BAD_JSON;
   return MUX_REASON_NONE;
 }
 
 static void
-check_names (const MuxAsk *ask, MuxFindings *findings)
+check_names (const MuxCoreRequest *ask, MuxFindings *findings)
 {
   if (!mux_name_valid (ask->name))
     mux_findings_add (findings, "name", "must be 1 to 47 of a-z A-Z 0-9 . _ -");
-  else if (ask->verb != MUX_ASK_DRAIN && ask->sort == MUX_CONFIG_CELL
+  else if (ask->verb != MUX_CORE_DRAIN && ask->sort == MUX_CONFIG_CELL
            && strcmp (ask->name, CONFIG_CELL_NAME) != 0)
     mux_findings_add (findings, "name", "must be \"%s\"", CONFIG_CELL_NAME);
-  if (ask->verb == MUX_ASK_CONFIG_PUT && ask->sort == MUX_CONFIG_DRAIN)
+  if (ask->verb == MUX_CORE_CONFIG_PUT && ask->sort == MUX_CONFIG_DRAIN)
     mux_findings_add (findings, "sort", "a worker is drained by its own call");
-  for (const char *at = ask->who; *at != 0; at++)
+  for (const char *at = ask->author; *at != 0; at++)
     if (*at < ' ' || *at > '~')
       {
         mux_findings_add (findings, "who", "must be printable ASCII");
@@ -224,7 +224,7 @@
 }
 
 void
-config_change_ask (MuxCore *core, const MuxAsk *ask)
+config_change_request (MuxCore *core, const MuxCoreRequest *ask)
 {
   MuxReason reason = ask_reason (core, ask);
   MuxFindings findings = { 0 };
@@ -233,23 +233,23 @@
   check_names (ask, &findings);
   if (reason != MUX_REASON_NONE)
     {
-      config_answer_refused (core, ask->call, reason, CONFIG_POLL_MS);
+      config_respond_refused (core, ask->call_id, reason, CONFIG_POLL_MS);
       return;
     }
   if (findings.count > 0)
     {
-      core_answer_findings (core, ask->call, &findings);
+      core_respond_findings (core, ask->call_id, &findings);
       return;
     }
   change = change_new (core, ask);
   if (change == NULL)
     {
-      config_answer_refused (core, ask->call, MUX_REASON_INTERNAL, 0);
+      config_respond_refused (core, ask->call_id, MUX_REASON_INTERNAL, 0);
       return;
     }
   DL_APPEND (core->config->changes, change);
   core->config->change_count++;
-  if (ask->verb == MUX_ASK_CONFIG_PUT && change->value == NULL)
+  if (ask->verb == MUX_CORE_CONFIG_PUT && change->value == NULL)
     change_refuse (core, change, MUX_REASON_BAD_JSON);
   config_changes_run (core);
 }
--- a/src/core/config_follow.c
+++ b/src/core/config_follow.c
@@ -39,13 +39,13 @@
 }
 
 void
-config_table_down (MuxCore *core, bool down)
+config_set_store_down (MuxCore *core, bool down)
 {
   Config *config = core->config;
 
-  if (config->down == down)
+  if (config->store_down == down)
     return;
-  config->down = down;
+  config->store_down = down;
   core_log (core, down ? MUX_LOG_WARNING : MUX_LOG_NOTICE,
             down ? "config_store_down" : "config_store_up", "revision=%" PRIu64,
             config->revision);
@@ -57,9 +57,9 @@
   Config *config = core->config;
 
   config->follow = FOLLOW_IDLE;
-  config->poll_ms = core->now_ms + core_jitter (core, CONFIG_POLL_MS);
-  if (config->follow_again && !config->down)
-    config->poll_ms = core->now_ms;
+  config->next_poll_ms = core->now_ms + core_jitter (core, CONFIG_POLL_MS);
+  if (config->follow_again && !config->store_down)
+    config->next_poll_ms = core->now_ms;
   config->follow_again = false;
   config_changes_run (core);
 }
@@ -69,18 +69,18 @@
 {
   Config *config = core->config;
 
-  config_table_down (core, true);
+  config_set_store_down (core, true);
   follow_end (core);
   config_changes_store_down (core);
-  if (!config->loaded || config->heard > config->revision)
-    config_peer_ask (core, NULL);
+  if (!config->loaded || config->known_revision > config->revision)
+    config_request_rows (core, NULL);
 }
 
 static void
 follow_caught_up (MuxCore *core)
 {
   core->config->loaded = true;
-  core->config->stuck = false;
+  core->config->log_gap_reported = false;
   follow_end (core);
 }
 
@@ -90,7 +90,7 @@
 follow_send (MuxCore *core,
              FollowState state,
              MuxTableCall *call,
-             TableDone done)
+             TableCallback done)
 {
   static const MuxId none;
 
@@ -127,11 +127,11 @@
 {
   Config *config = core->config;
 
-  if (!config->stuck)
+  if (!config->log_gap_reported)
     core_log (core, MUX_LOG_ERR, "config_stuck",
               "revision=%" PRIu64 " head=%" PRIu64, config->revision,
               config->head);
-  config->stuck = true;
+  config->log_gap_reported = true;
   follow_end (core);
 }
 
@@ -153,7 +153,7 @@
     }
   apply_rows (core, reply);
   if (config->revision > before)
-    config_moved (core, false);
+    config_revision_changed (core, false);
   if (config->revision >= config->head)
     follow_caught_up (core);
   else if (config->revision > before)
@@ -189,7 +189,7 @@
   if (revision > config->revision
       && config_apply_state (core, json_object_get (state, "objects"), true,
                              json_number (state, "floor"), revision))
-    config_moved (core, false);
+    config_revision_changed (core, false);
   json_decref (state);
 }
 
@@ -262,7 +262,7 @@
       follow_failed (core);
       return;
     }
-  config_table_down (core, false);
+  config_set_store_down (core, false);
   if (config->head <= config->revision)
     follow_caught_up (core);
   else if (config->head - config->revision > CONFIG_SNAPSHOT_EVERY)
@@ -277,7 +277,7 @@
   Config *config = core->config;
   MuxTableCall *call;
 
-  config->poll_ms = core->now_ms + core_jitter (core, CONFIG_POLL_MS);
+  config->next_poll_ms = core->now_ms + core_jitter (core, CONFIG_POLL_MS);
   if (config->follow != FOLLOW_IDLE)
     {
       config->follow_again = true;
@@ -290,11 +290,11 @@
 }
 
 void
-config_moved (MuxCore *core, bool committed)
+config_revision_changed (MuxCore *core, bool committed)
 {
   Config *config = core->config;
 
-  if (config->heard < config->revision)
-    config->heard = config->revision;
-  config_hint (core, committed);
+  if (config->known_revision < config->revision)
+    config->known_revision = config->revision;
+  config_send_hint (core, committed);
 }
--- a/src/core/config_object.c
+++ b/src/core/config_object.c
@@ -181,7 +181,7 @@
   else if (object->sort == MUX_CONFIG_CELL)
     cell_in_force (core, object);
   else
-    workers_usable (core);
+    workers_update_usable (core);
   mark_unapplied (core->config, object, !taken);
 }
 
@@ -277,7 +277,7 @@
   object = object_get_or_add (core->config, sort, name);
   if (object == NULL)
     return false;
-  object->round = core->config->round;
+  object->generation = core->config->generation;
   if (object->revision < revision)
     object_set (core, object, revision, json_is_object (value) ? value : NULL);
   return true;
@@ -308,7 +308,7 @@
 
   HASH_ITER (hh, config->objects, object, next)
   {
-    if (object->round == config->round)
+    if (object->generation == config->generation)
       continue;
     if (object->value != NULL)
       object_set (core, object, object->revision, NULL);
@@ -327,7 +327,7 @@
   json_t *row;
   size_t i;
 
-  config->round++;
+  config->generation++;
   json_array_foreach ((json_t *) objects, i, row)
   {
     if (!row_in_force (core, row))
--- a/src/core/config_peer.c
+++ b/src/core/config_peer.c
@@ -22,8 +22,8 @@
 
   msg.revision = core->config->transfer.cursor;
   member_send (core, member, &msg);
-  core->config->peer_ask_ms
-      = core->now_ms + core_jitter (core, CONFIG_PEER_ASK_MS);
+  core->config->next_peer_request_ms
+      = core->now_ms + core_jitter (core, CONFIG_PEER_REQUEST_MS);
 }
 
 static void
@@ -38,10 +38,10 @@
     return;
   mux_name_copy (transfer->peer, member->name);
   transfer->cursor = after;
-  transfer->whole = after == 0;
+  transfer->complete = after == 0;
   if (after > 0)
     {
-      transfer->based = true;
+      transfer->has_base = true;
       transfer->base = after;
     }
   transfer_ask (core, member);
@@ -70,25 +70,26 @@
 }
 
 void
-config_peer_ask (MuxCore *core, Member *member)
+config_request_rows (MuxCore *core, Member *member)
 {
   Config *config = core->config;
   const Member *peer = member != NULL ? member : random_peer (core);
 
-  config->peer_ask_ms = core->now_ms + core_jitter (core, CONFIG_PEER_ASK_MS);
+  config->next_peer_request_ms
+      = core->now_ms + core_jitter (core, CONFIG_PEER_REQUEST_MS);
   if (peer != NULL)
     transfer_begin (core, peer, config->revision);
 }
 
 void
-config_hint (MuxCore *core, bool all)
+config_send_hint (MuxCore *core, bool all)
 {
   Config *config = core->config;
   MuxPeerMsg msg = { .verb = MUX_PEER_CONFIG_HINT };
-  const Member *hinter = member_find (core, config->hinter);
+  const Member *hinter = member_find (core, config->hint_sender);
 
   msg.revision = config->revision;
-  config->hinter[0] = 0;
+  config->hint_sender[0] = 0;
   if (all)
     members_send_all (core, &msg);
   else if (hinter != NULL)
@@ -96,19 +97,20 @@
 }
 
 void
-config_heard (MuxCore *core, Member *member, uint64_t revision)
+config_peer_revision (MuxCore *core, Member *member, uint64_t revision)
 {
   Config *config = core->config;
-  bool news = revision > config->heard;
+  bool news = revision > config->known_revision;
 
   if (news)
-    config->heard = revision;
+    config->known_revision = revision;
   if (config->loaded && revision <= config->revision)
     return;
-  if (news && !config->down)
+  if (news && !config->store_down)
     config_follow (core);
-  if ((!config->loaded || config->down) && core->now_ms >= config->peer_ask_ms)
-    config_peer_ask (core, member);
+  if ((!config->loaded || config->store_down)
+      && core->now_ms >= config->next_peer_request_ms)
+    config_request_rows (core, member);
 }
 
 static json_t *
@@ -168,15 +170,16 @@
   ConfigTransfer *transfer = &config->transfer;
   uint64_t through = json_number (page, "through");
   bool loaded = config->loaded;
-  bool applied = through > config->revision
-                 && config_apply_state (core, transfer->rows, transfer->whole,
-                                        json_number (page, "floor"), through);
+  bool applied
+      = through > config->revision
+        && config_apply_state (core, transfer->rows, transfer->complete,
+                               json_number (page, "floor"), through);
 
   if (applied || through <= config->revision)
     config->loaded = true;
   transfer_end (config);
   if (applied)
-    config_moved (core, false);
+    config_revision_changed (core, false);
   if (config->loaded && !loaded)
     core_log (core, MUX_LOG_NOTICE, "config_from_peer", "revision=%" PRIu64,
               config->revision);
@@ -189,9 +192,9 @@
   json_t *objects = json_object_get (page, "objects");
   json_t *last;
 
-  if (!transfer->based)
+  if (!transfer->has_base)
     {
-      transfer->based = true;
+      transfer->has_base = true;
       transfer->base = json_number (page, "through");
     }
   if (json_number (page, "floor") > transfer->base)
@@ -228,7 +231,7 @@
 }
 
 void
-config_peer (MuxCore *core, const MuxPeerMsg *msg)
+config_peer_message (MuxCore *core, const MuxPeerMsg *msg)
 {
   Member *member = member_find (core, msg->from);
 
@@ -241,7 +244,7 @@
       if (member->revision < msg->revision)
         member->revision = msg->revision;
       if (core->config->revision < msg->revision)
-        mux_name_copy (core->config->hinter, member->name);
-      config_heard (core, member, msg->revision);
+        mux_name_copy (core->config->hint_sender, member->name);
+      config_peer_revision (core, member, msg->revision);
     }
 }
--- a/src/core/config_private.h
+++ b/src/core/config_private.h
@@ -21,7 +21,7 @@
 /* Least time between two reads of the head. */
 #define CONFIG_POLL_MS 700
 /* Least time between two asks of peers. */
-#define CONFIG_PEER_ASK_MS 200
+#define CONFIG_PEER_REQUEST_MS 200
 /* A change that is not settled by then is answered as unknown. */
 #define CONFIG_CHANGE_LIMIT_MS 10000
 /* Most changes in flight at one daemon. */
@@ -35,7 +35,7 @@
 /* Most changes in one page of the history. */
 #define CONFIG_HISTORY_PAGE 64
 /* Most older changes looked at for a revert. */
-#define CONFIG_REVERT_STEPS 256
+#define CONFIG_REVERT_REVISIONS_MAX 256
 
 #define CONFIG_KEY_LEN (MUX_NAME_LEN + 8)
 
@@ -45,11 +45,11 @@
   char key[CONFIG_KEY_LEN]; /* "sort/name" */
   MuxConfigSort sort;
   char name[MUX_NAME_LEN];
-  uint64_t revision; /* of its last change */
-  json_t *value;     /* NULL: removed */
-  MuxClassSpec spec; /* of a class: in force; name "": none */
-  uint64_t round;    /* state in which it was seen last */
-  bool unapplied;    /* the scheduler has not taken it: memory was out */
+  uint64_t revision;   /* of its last change */
+  json_t *value;       /* NULL: removed */
+  MuxClassSpec spec;   /* of a class: in force; name "": none */
+  uint64_t generation; /* state in which it was seen last */
+  bool unapplied;      /* the scheduler has not taken it: memory was out */
   UT_hash_handle hh;
 } ConfigObject;
 
@@ -72,8 +72,8 @@
 {
   char peer[MUX_NAME_LEN];
   json_t *rows;    /* objects so far; NULL: nothing is being received */
-  bool whole;      /* objects that are not among them are gone */
-  bool based;      /* @base is set */
+  bool complete;   /* objects that are not among them are gone */
+  bool has_base;   /* @base is set */
   uint64_t base;   /* no removal after this may have been forgotten */
   uint64_t cursor; /* last revision received */
 } ConfigTransfer;
@@ -81,21 +81,21 @@
 struct Config
 {
   uint64_t revision;
-  uint64_t floor;            /* removals up to here may be forgotten */
-  uint64_t heard;            /* highest revision that anyone told of */
-  char hinter[MUX_NAME_LEN]; /* who hinted at it, until it is in force */
+  uint64_t floor;                 /* removals up to here may be forgotten */
+  uint64_t known_revision;        /* highest revision that anyone told of */
+  char hint_sender[MUX_NAME_LEN]; /* who hinted at it, until it is in force */
   bool loaded;
-  bool down; /* the last read of the table failed */
+  bool store_down; /* the last read of the table failed */
   ConfigObject *objects;
-  uint64_t round; /* states taken, to tell what the last one lacked */
+  uint64_t generation; /* states taken, to tell what the last one lacked */
   uint32_t removed_count;
   uint32_t unapplied_count;
   FollowState follow;
   bool follow_again;
-  bool stuck; /* the head is ahead of the log: said once */
+  bool log_gap_reported; /* the head is ahead of the log: said once */
   uint64_t head;
-  int64_t poll_ms;
-  int64_t peer_ask_ms;
+  int64_t next_poll_ms;
+  int64_t next_peer_request_ms;
   ConfigTransfer transfer;
   ConfigChange *changes;
   uint32_t change_count;
@@ -142,40 +142,41 @@
 json_t *config_row_json (const MuxRow *row);
 /** config_row_revision() - its "revision"; 0 when absent; false: bad row */
 bool config_row_revision (const MuxRow *row, uint64_t *revision);
-void config_table_down (MuxCore *core, bool down);
+void config_set_store_down (MuxCore *core, bool down);
 /** config_moved() - a higher revision is in force now: say so to all when it
  * was committed here, else to who hinted at it */
-void config_moved (MuxCore *core, bool committed);
+void config_revision_changed (MuxCore *core, bool committed);
 /** config_json_blob() - takes @json over; NULL: memory is out */
 MuxBlob *config_json_blob (json_t *json);
 /** json_number() - an unsigned field; 0 when absent */
 uint64_t json_number (const json_t *json, const char *key);
 
 /* config_peer.c: asking and telling other daemons. */
-void config_peer_ask (MuxCore *core, Member *member);
-void config_hint (MuxCore *core, bool all);
+void config_request_rows (MuxCore *core, Member *member);
+void config_send_hint (MuxCore *core, bool all);
 
 /* config_snapshot.c: the whole configuration as an object. */
 void config_snapshot_write (MuxCore *core);
 
 /* config_change.c: operators' changes. */
-void config_change_ask (MuxCore *core, const MuxAsk *ask);
+void config_change_request (MuxCore *core, const MuxCoreRequest *ask);
 void config_changes_run (MuxCore *core);
 int64_t config_changes_wake_ms (const MuxCore *core);
 /** config_changes_store_down() - refuse those that certainly made no write */
 void config_changes_store_down (MuxCore *core);
 
 /* config_show.c: answers. */
-void config_show (MuxCore *core, const MuxAsk *ask);
-void config_answer_done (MuxCore *core, uint64_t call, uint64_t revision);
-void config_answer_refused (MuxCore *core,
-                            uint64_t call,
-                            MuxReason reason,
-                            uint32_t retry_ms);
-void config_answer_absent (MuxCore *core, uint64_t call, MuxConfigSort sort);
+void config_show (MuxCore *core, const MuxCoreRequest *ask);
+void config_respond_done (MuxCore *core, uint64_t call, uint64_t revision);
+void config_respond_refused (MuxCore *core,
+                             uint64_t call,
+                             MuxReason reason,
+                             uint32_t retry_ms);
+void config_respond_absent (MuxCore *core, uint64_t call, MuxConfigSort sort);
 /** config_answer_lost() - REVISION, with what stands now */
-void config_answer_lost (MuxCore *core, uint64_t call, ConfigObject *object);
+void
+config_respond_conflict (MuxCore *core, uint64_t call, ConfigObject *object);
 /** config_answer_unknown() - WRITE_UNKNOWN, with the id to repeat */
-void config_answer_unknown (MuxCore *core, uint64_t call, MuxId change);
+void config_respond_unknown (MuxCore *core, uint64_t call, MuxId change);
 
 #endif
--- a/src/core/config_show.c
+++ b/src/core/config_show.c
@@ -3,21 +3,21 @@
 #include <stdio.h>
 
 void
-config_answer_done (MuxCore *core, uint64_t call, uint64_t revision)
+config_respond_done (MuxCore *core, uint64_t call, uint64_t revision)
 {
-  core_answer_json (core, call, 200,
-                    json_pack ("{s:I}", "revision", (json_int_t) revision));
+  core_respond_json (core, call, 200,
+                     json_pack ("{s:I}", "revision", (json_int_t) revision));
 }
 
 void
-config_answer_refused (MuxCore *core,
-                       uint64_t call,
-                       MuxReason reason,
-                       uint32_t retry_ms)
+config_respond_refused (MuxCore *core,
+                        uint64_t call,
+                        MuxReason reason,
+                        uint32_t retry_ms)
 {
   static const MuxId none;
 
-  core_answer (core, call, MUX_OUTCOME_NOT_RUN, reason, retry_ms, none, NULL);
+  core_respond (core, call, MUX_OUTCOME_NOT_RUN, reason, retry_ms, none, NULL);
 }
 
 /* A refusal whose body says more than core_answer() would; takes @json over,
@@ -29,24 +29,25 @@
              MuxReason reason,
              json_t *json)
 {
-  MuxAnswer answer = { .call = call, .outcome = outcome, .reason = reason };
+  MuxCoreResponse answer
+      = { .call_id = call, .outcome = outcome, .reason = reason };
 
   answer.status = mux_reason_status (reason);
-  answer.json = true;
+  answer.is_json = true;
   answer.body = config_json_blob (json);
   mux_count_refused (core->counters, reason);
-  core->sink->answer (core->sink, &answer);
+  core->sink->respond (core->sink, &answer);
   mux_blob_unref (answer.body);
 }
 
 void
-config_answer_absent (MuxCore *core, uint64_t call, MuxConfigSort sort)
+config_respond_absent (MuxCore *core, uint64_t call, MuxConfigSort sort)
 {
   static const MuxReason reasons[MUX_CONFIG_SORT_COUNT]
       = { MUX_REASON_UNKNOWN_CLASS, MUX_REASON_UNKNOWN_PRODUCT,
           MUX_REASON_UNKNOWN_PATH, MUX_REASON_UNKNOWN_WORKER };
 
-  config_answer_refused (core, call, reasons[sort], 0);
+  config_respond_refused (core, call, reasons[sort], 0);
 }
 
 static json_t *
@@ -57,7 +58,7 @@
 }
 
 void
-config_answer_lost (MuxCore *core, uint64_t call, ConfigObject *object)
+config_respond_conflict (MuxCore *core, uint64_t call, ConfigObject *object)
 {
   uint64_t revision = config_object_revision (object);
   json_t *value = revision != 0 ? json_incref (object->value) : json_null ();
@@ -70,7 +71,7 @@
 }
 
 void
-config_answer_unknown (MuxCore *core, uint64_t call, MuxId change)
+config_respond_unknown (MuxCore *core, uint64_t call, MuxId change)
 {
   char hex[MUX_ID_HEX_LEN];
 
@@ -82,19 +83,19 @@
 }
 
 static void
-show_one (MuxCore *core, const MuxAsk *ask)
+show_one (MuxCore *core, const MuxCoreRequest *ask)
 {
   const ConfigObject *object
       = config_object (core->config, ask->sort, ask->name);
 
   if (config_object_revision (object) == 0)
-    config_answer_absent (core, ask->call, ask->sort);
+    config_respond_absent (core, ask->call_id, ask->sort);
   else
-    core_answer_json (core, ask->call, 200, object_shown (object));
+    core_respond_json (core, ask->call_id, 200, object_shown (object));
 }
 
 static void
-show_all (MuxCore *core, const MuxAsk *ask)
+show_all (MuxCore *core, const MuxCoreRequest *ask)
 {
   Config *config = core->config;
   const ConfigObject *object;
@@ -106,12 +107,12 @@
         && json_array_append_new (items, object_shown (object)) != 0)
       {
         json_decref (items);
-        core_answer_json (core, ask->call, 200, NULL);
+        core_respond_json (core, ask->call_id, 200, NULL);
         return;
       }
-  core_answer_json (core, ask->call, 200,
-                    json_pack ("{s:I, s:o}", "revision",
-                               (json_int_t) config->revision, "items", items));
+  core_respond_json (core, ask->call_id, 200,
+                     json_pack ("{s:I, s:o}", "revision",
+                                (json_int_t) config->revision, "items", items));
 }
 
 static void
@@ -125,45 +126,46 @@
   (void) subject;
   if (reply->status != MUX_TABLE_OK)
     {
-      config_answer_refused (core, call, MUX_REASON_STORE_DOWN, CONFIG_POLL_MS);
+      config_respond_refused (core, call, MUX_REASON_STORE_DOWN,
+                              CONFIG_POLL_MS);
       return;
     }
   changes = json_array ();
   for (uint32_t i = 0; i < reply->row_count; i++)
     json_array_append_new (changes, config_row_json (&reply->rows[i]));
-  core_answer_json (
+  core_respond_json (
       core, call, 200,
       json_pack ("{s:o, s:b}", "changes", changes, "more", (int) reply->more));
 }
 
 static void
-show_history (MuxCore *core, const MuxAsk *ask)
+show_history (MuxCore *core, const MuxCoreRequest *ask)
 {
   static const MuxId none;
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_SCAN, 2);
 
   if (call == NULL)
     {
-      config_answer_refused (core, ask->call, MUX_REASON_INTERNAL, 0);
+      config_respond_refused (core, ask->call_id, MUX_REASON_INTERNAL, 0);
       return;
     }
   call->timeout_ms = TABLE_TIMEOUT_MS;
   call->limit = CONFIG_HISTORY_PAGE;
   snprintf (call->rows[0].key, MUX_ROW_KEY_LEN, "%s", CONFIG_LOG_PREFIX);
   config_log_key (call->rows[1].key, ask->revision);
-  if (!call_table (core, call, history_read, none, ask->call))
-    config_answer_refused (core, ask->call, MUX_REASON_RING_FULL, RETRY_MS);
+  if (!call_table (core, call, history_read, none, ask->call_id))
+    config_respond_refused (core, ask->call_id, MUX_REASON_RING_FULL, RETRY_MS);
 }
 
 void
-config_show (MuxCore *core, const MuxAsk *ask)
+config_show (MuxCore *core, const MuxCoreRequest *ask)
 {
-  if (ask->verb == MUX_ASK_CONFIG_HISTORY)
+  if (ask->verb == MUX_CORE_CONFIG_HISTORY)
     show_history (core, ask);
   else if (!core->config->loaded)
-    config_answer_refused (core, ask->call, MUX_REASON_STORE_DOWN,
-                           CONFIG_POLL_MS);
-  else if (ask->verb == MUX_ASK_CONFIG_GET)
+    config_respond_refused (core, ask->call_id, MUX_REASON_STORE_DOWN,
+                            CONFIG_POLL_MS);
+  else if (ask->verb == MUX_CORE_CONFIG_GET)
     show_one (core, ask);
   else
     show_all (core, ask);
--- a/src/core/config_snapshot.c
+++ b/src/core/config_snapshot.c
@@ -46,7 +46,7 @@
 }
 
 static void
-snapshot_send (MuxCore *core, MuxTableCall *call, TableDone done)
+snapshot_send (MuxCore *core, MuxTableCall *call, TableCallback done)
 {
   static const MuxId none;
 
--- a/src/core/config_write.c
+++ b/src/core/config_write.c
@@ -35,7 +35,7 @@
              ConfigChange *change,
              ChangeState state,
              MuxTableCall *call,
-             TableDone done)
+             TableCallback done)
 {
   if (call == NULL)
     {
@@ -56,10 +56,10 @@
   mux_count (core->counters, MUX_COUNT_CONFIG_CHANGES, 1);
   core_log (core, MUX_LOG_NOTICE, "config_committed",
             "revision=%" PRIu64 " object=%s/%s who=%s", revision,
-            config_sort_name (change->sort), change->name, change->who);
+            config_sort_name (change->sort), change->name, change->author);
   if (revision != config->revision + 1 || !config_apply_row (core, change->row))
     return;
-  config_moved (core, true);
+  config_revision_changed (core, true);
   if (revision % CONFIG_SNAPSHOT_EVERY == 0)
     config_snapshot_write (core);
 }
@@ -76,7 +76,7 @@
   (void) aux;
   if (change == NULL)
     return;
-  revision = change->checked_from + 1;
+  revision = change->checked_revision + 1;
   switch (reply->status)
     {
     case MUX_TABLE_OK:
@@ -91,7 +91,7 @@
        * has the same change row and the same head as conditions, and a
        * refusal is given only once the head is past both, so it can neither
        * apply twice nor after it was refused. */
-      change->unsure = true;
+      change->write_unknown = true;
       change_pause (core, change, MUX_REASON_WRITE_UNKNOWN);
       break;
     case MUX_TABLE_DOWN:
@@ -99,7 +99,7 @@
       break;
     default:
       change->state = CHANGE_PAUSED;
-      change_give_up (core, change, MUX_REASON_INTERNAL);
+      change_expire (core, change, MUX_REASON_INTERNAL);
     }
   config_changes_run (core);
 }
@@ -111,17 +111,17 @@
       = config_object (core->config, change->sort, change->name);
   json_t *value
       = change->value != NULL ? json_incref (change->value) : json_null ();
-  uint64_t revision = change->checked_from + 1;
+  uint64_t revision = change->checked_revision + 1;
   uint64_t prior = object != NULL ? object->revision : 0;
   uint64_t floor = object != NULL ? 0 : core->config->floor;
   char hex[MUX_ID_HEX_LEN];
 
-  mux_id_format (change->change, hex);
+  mux_id_format (change->change_id, hex);
   return json_pack ("{s:I, s:s, s:s, s:o, s:I, s:I, s:s, s:s, s:I}", "revision",
                     (json_int_t) revision, "sort",
                     config_sort_name (change->sort), "name", change->name,
                     "value", value, "prior", (json_int_t) prior, "floor",
-                    (json_int_t) floor, "change", hex, "who", change->who,
+                    (json_int_t) floor, "change", hex, "who", change->author,
                     "when_ms", (json_int_t) change->wall_ms);
 }
 
@@ -129,7 +129,7 @@
 write_call (const ConfigChange *change)
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_TXN, WRITE_ROWS);
-  uint64_t revision = change->checked_from + 1;
+  uint64_t revision = change->checked_revision + 1;
   MuxRow *rows;
 
   if (call == NULL)
@@ -142,7 +142,7 @@
   config_log_key (rows[WRITE_LOG].key, revision);
   rows[WRITE_LOG].rev = MUX_REV_ABSENT;
   rows[WRITE_LOG].value = config_json_blob (json_incref (change->row));
-  change_key (rows[WRITE_CHANGE].key, change->change);
+  change_key (rows[WRITE_CHANGE].key, change->change_id);
   rows[WRITE_CHANGE].rev = MUX_REV_ABSENT;
   rows[WRITE_CHANGE].value = config_json_blob (
       json_pack ("{s:I}", "revision", (json_int_t) revision));
@@ -169,8 +169,8 @@
                  ConfigChange *change,
                  const MuxFindings *findings)
 {
-  core_answer_findings (core, change->call, findings);
-  change_end (core, change);
+  core_respond_findings (core, change->call_id, findings);
+  change_finish (core, change);
 }
 
 /* A removed object that has been forgotten breaks the chain of its changes:
@@ -204,7 +204,7 @@
   uint64_t prior = json_number (row, "prior");
 
   if (name == NULL || strcmp (name, change->name) != 0
-      || ++change->steps > CONFIG_REVERT_STEPS)
+      || ++change->revisions_read > CONFIG_REVERT_REVISIONS_MAX)
     return false;
   if (change->cursor <= change->revert_to)
     looked_up (change, json_object_get (row, "value"));
@@ -255,8 +255,8 @@
 static bool
 change_beaten (const ConfigChange *change, const ConfigObject *object)
 {
-  return change->expect_set
-         && change->expect != config_object_revision (object);
+  return change->has_expected
+         && change->expected_revision != config_object_revision (object);
 }
 
 /* What a revert to a revision not reached, or of an object of which nothing
@@ -280,8 +280,8 @@
     change_look_up (core, change);
   else
     {
-      config_answer_absent (core, change->call, change->sort);
-      change_end (core, change);
+      config_respond_absent (core, change->call_id, change->sort);
+      change_finish (core, change);
     }
 }
 
@@ -309,8 +309,8 @@
 
   if (change_beaten (change, object))
     {
-      config_answer_lost (core, change->call, object);
-      change_end (core, change);
+      config_respond_conflict (core, change->call_id, object);
+      change_finish (core, change);
     }
   else if (change->revert)
     change_look_up_from (core, change, object);
@@ -320,8 +320,8 @@
                      exists ? object->revision : core->config->revision);
   else if (change->value == NULL && !exists)
     {
-      config_answer_absent (core, change->call, change->sort);
-      change_end (core, change);
+      config_respond_absent (core, change->call_id, change->sort);
+      change_finish (core, change);
     }
   else
     change_validate (core, change);
@@ -336,7 +336,7 @@
   if (!config_row_revision (&rows[CHECK_CHANGE], &revision)
       || !config_row_revision (&rows[CHECK_HEAD], &head))
     {
-      change_give_up (core, change, MUX_REASON_INTERNAL);
+      change_expire (core, change, MUX_REASON_INTERNAL);
       return;
     }
   if (revision != 0)
@@ -353,7 +353,7 @@
   /* The two rows are not read at one moment, and the state may have moved
    * since.  Only when it is the same from before the check until now does
    * the missing change row say that no earlier write of it has landed. */
-  else if (head != change->checked_from || config->revision != head)
+  else if (head != change->checked_revision || config->revision != head)
     change_pause (core, change, MUX_REASON_FENCED_ROW);
   else
     change_decide (core, change);
@@ -374,7 +374,7 @@
     change_store_down (core, change);
   else
     {
-      config_table_down (core, false);
+      config_set_store_down (core, false);
       change_checked (core, change, reply->rows);
     }
   config_changes_run (core);
@@ -385,10 +385,10 @@
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_GET, CHECK_ROWS);
 
-  change->checked_from = core->config->revision;
+  change->checked_revision = core->config->revision;
   if (call != NULL)
     {
-      change_key (call->rows[CHECK_CHANGE].key, change->change);
+      change_key (call->rows[CHECK_CHANGE].key, change->change_id);
       snprintf (call->rows[CHECK_HEAD].key, MUX_ROW_KEY_LEN, "%s",
                 CONFIG_HEAD_KEY);
     }
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -40,7 +40,7 @@
 }
 
 MuxId
-core_mint (MuxCore *core)
+core_new_task_id (MuxCore *core)
 {
   MuxId life = { mux_hash_name (core->name, 0), core->opt.incarnation };
 
@@ -82,16 +82,16 @@
 }
 
 void
-core_answer (MuxCore *core,
-             uint64_t call,
-             MuxOutcome outcome,
-             MuxReason reason,
-             uint32_t retry_ms,
-             MuxId task,
-             MuxBlob *body)
+core_respond (MuxCore *core,
+              uint64_t call,
+              MuxOutcome outcome,
+              MuxReason reason,
+              uint32_t retry_ms,
+              MuxId task,
+              MuxBlob *body)
 {
-  MuxAnswer answer = {
-    .call = call,
+  MuxCoreResponse answer = {
+    .call_id = call,
     .outcome = outcome,
     .reason = reason,
     .status = mux_reason_status (reason),
@@ -101,14 +101,15 @@
   };
 
   count_answer (core, outcome, reason);
-  core->sink->answer (core->sink, &answer);
+  core->sink->respond (core->sink, &answer);
 }
 
 void
-core_answer_json (MuxCore *core, uint64_t call, uint32_t status, json_t *json)
+core_respond_json (MuxCore *core, uint64_t call, uint32_t status, json_t *json)
 {
   char *text = json == NULL ? NULL : json_dumps (json, JSON_COMPACT);
-  MuxAnswer answer = { .call = call, .status = status, .json = true };
+  MuxCoreResponse answer
+      = { .call_id = call, .status = status, .is_json = true };
 
   json_decref (json);
   answer.outcome = MUX_OUTCOME_INFO;
@@ -116,35 +117,37 @@
   free (text);
   if (answer.body == NULL)
     {
-      core_answer (core, call, MUX_OUTCOME_INFO, MUX_REASON_INTERNAL, 0,
-                   (MuxId){ 0, 0 }, NULL);
+      core_respond (core, call, MUX_OUTCOME_INFO, MUX_REASON_INTERNAL, 0,
+                    (MuxId){ 0, 0 }, NULL);
       return;
     }
-  core->sink->answer (core->sink, &answer);
+  core->sink->respond (core->sink, &answer);
   mux_blob_unref (answer.body);
 }
 
 void
-core_answer_findings (MuxCore *core, uint64_t call, const MuxFindings *findings)
+core_respond_findings (MuxCore *core,
+                       uint64_t call,
+                       const MuxFindings *findings)
 {
   json_t *json = json_pack ("{s:s, s:s, s:s, s:o}", "outcome", "not_run",
                             "reason", mux_reason_name (MUX_REASON_BAD_FIELD),
                             "text", mux_reason_help (MUX_REASON_BAD_FIELD),
                             "findings", mux_findings_to_json (findings));
   char *text = json == NULL ? NULL : json_dumps (json, JSON_COMPACT);
-  MuxAnswer answer = {
-    .call = call,
+  MuxCoreResponse answer = {
+    .call_id = call,
     .outcome = MUX_OUTCOME_NOT_RUN,
     .reason = MUX_REASON_BAD_FIELD,
     .status = mux_reason_status (MUX_REASON_BAD_FIELD),
-    .json = true,
+    .is_json = true,
   };
 
   json_decref (json);
   answer.body = text == NULL ? NULL : mux_blob_new (text, strlen (text));
   free (text);
   count_answer (core, answer.outcome, answer.reason);
-  core->sink->answer (core->sink, &answer);
+  core->sink->respond (core->sink, &answer);
   mux_blob_unref (answer.body);
 }
 
@@ -209,7 +212,7 @@
 {
   if (core == NULL)
     return;
-  config_abandon (core);
+  config_abort_changes (core);
   tasks_free (core);
   owner_free (core);
   workers_free (core);
@@ -226,45 +229,45 @@
 }
 
 static void
-on_ask (MuxCore *core, const MuxAsk *ask)
+on_ask (MuxCore *core, const MuxCoreRequest *ask)
 {
   if (ask->wall_ms > core->wall_ms)
     core->wall_ms = ask->wall_ms;
   switch (ask->verb)
     {
-    case MUX_ASK_REQUEST:
+    case MUX_CORE_RUN_TASK:
       if (ask->ticket[0] != 0)
-        ticket_request (core, ask);
+        ticket_redeem (core, ask);
       else
         tasks_request (core, ask);
       break;
-    case MUX_ASK_TICKET:
-      ticket_ask (core, ask);
+    case MUX_CORE_ISSUE_TICKET:
+      ticket_issue (core, ask);
       break;
-    case MUX_ASK_JOB_SUBMIT:
-    case MUX_ASK_JOB_GET:
-    case MUX_ASK_JOB_WAIT:
-    case MUX_ASK_JOB_CANCEL:
-    case MUX_ASK_JOB_LIST:
-      jobs_ask (core, ask);
+    case MUX_CORE_JOB_SUBMIT:
+    case MUX_CORE_JOB_GET:
+    case MUX_CORE_JOB_WAIT:
+    case MUX_CORE_JOB_CANCEL:
+    case MUX_CORE_JOB_LIST:
+      jobs_request (core, ask);
       break;
-    case MUX_ASK_CONFIG_PUT:
-    case MUX_ASK_CONFIG_REMOVE:
-    case MUX_ASK_CONFIG_GET:
-    case MUX_ASK_CONFIG_LIST:
-    case MUX_ASK_CONFIG_HISTORY:
-    case MUX_ASK_CONFIG_REVERT:
-    case MUX_ASK_DRAIN:
-      config_ask (core, ask);
+    case MUX_CORE_CONFIG_PUT:
+    case MUX_CORE_CONFIG_REMOVE:
+    case MUX_CORE_CONFIG_GET:
+    case MUX_CORE_CONFIG_LIST:
+    case MUX_CORE_CONFIG_HISTORY:
+    case MUX_CORE_CONFIG_REVERT:
+    case MUX_CORE_DRAIN:
+      config_request (core, ask);
       break;
-    case MUX_ASK_STATUS:
-      show_status (core, ask->call);
+    case MUX_CORE_STATUS:
+      show_status (core, ask->call_id);
       break;
-    case MUX_ASK_WORKERS:
-      show_workers (core, ask->call);
+    case MUX_CORE_WORKERS:
+      show_workers (core, ask->call_id);
       break;
-    case MUX_ASK_RISK:
-      show_risk (core, ask->call);
+    case MUX_CORE_RISK:
+      show_risk (core, ask->call_id);
       break;
     }
 }
@@ -297,21 +300,21 @@
       members_heartbeat (core, msg);
       break;
     case MUX_PEER_BYE:
-      members_bye (core, msg);
+      members_stopping (core, msg);
       break;
     case MUX_PEER_GRANT_REQUEST:
-      owner_ask (core, msg);
+      owner_request (core, msg);
       break;
     case MUX_PEER_GRANT_CANCEL:
       owner_cancel (core, msg);
       break;
     case MUX_PEER_GRANT_END:
-      owner_end (core, msg);
+      owner_task_ended (core, msg);
       break;
     case MUX_PEER_GRANT:
     case MUX_PEER_GRANT_REFUSED:
     case MUX_PEER_TASK_ENDED:
-      tasks_peer (core, msg);
+      tasks_peer_message (core, msg);
       break;
     case MUX_PEER_HANDOVER:
       workers_handover (core, msg);
@@ -319,13 +322,13 @@
     case MUX_PEER_CONFIG_HINT:
     case MUX_PEER_CONFIG_REQUEST:
     case MUX_PEER_CONFIG_ROWS:
-      config_peer (core, msg);
+      config_peer_message (core, msg);
       break;
     case MUX_PEER_MEMBERS:
-      members_told (core, msg);
+      members_addresses_received (core, msg);
       break;
     case MUX_PEER_JOB_HINT:
-      jobs_hint (core, msg->task);
+      jobs_row_changed (core, msg->task);
       break;
     case MUX_PEER_HELLO:
     case MUX_PEER_HELLO_REPLY:
@@ -362,10 +365,10 @@
     return;
   core->stopping = true;
   core_log (core, 5, "stopping", "held=%u waiting=%u", workers_held (core),
-            tasks_waiting (core));
+            tasks_waiting_count (core));
   owner_refuse_all (core, MUX_REASON_STOPPING);
-  members_farewell (core);
-  workers_reconsider (core);
+  members_announce_stop (core);
+  workers_members_changed (core);
 }
 
 static void
@@ -373,8 +376,8 @@
 {
   if (!core->stopping || core->stopped)
     return;
-  if (tasks_waiting (core) > 0 || workers_held (core) > 0
-      || config_changing (core) > 0 || !jobs_give_away (core))
+  if (tasks_waiting_count (core) > 0 || workers_held (core) > 0
+      || config_pending_changes (core) > 0 || !jobs_all_recorded (core))
     return;
   core->stopped = true;
   core_log (core, 5, "stopped", "tasks=%u", HASH_COUNT (core->tasks));
@@ -396,11 +399,11 @@
     {
     case MUX_EVENT_TICK:
       break;
-    case MUX_EVENT_ASK:
-      on_ask (core, event->u.ask);
+    case MUX_EVENT_REQUEST:
+      on_ask (core, event->u.request);
       break;
-    case MUX_EVENT_CALLER_GONE:
-      jobs_caller_gone (core, event->u.call);
+    case MUX_EVENT_CALLER_DISCONNECTED:
+      jobs_caller_disconnected (core, event->u.call_id);
       break;
     case MUX_EVENT_WORKER_REPLY:
       call_worker_reply (core, event->u.worker_reply);
@@ -412,8 +415,8 @@
       on_peer (core, event->u.peer);
       break;
     case MUX_EVENT_INSTANCES:
-      members_listed (core, event->u.instances);
-      workers_listed (core, event->u.instances);
+      members_update_list (core, event->u.instances);
+      workers_update_list (core, event->u.instances);
       break;
     case MUX_EVENT_STOP:
       begin_stop (core);
@@ -426,7 +429,7 @@
   owner_recheck (core);
   config_tick (core);
   /* Placements first: what they want recorded goes out in the same step. */
-  owner_pump (core);
+  owner_process_placements (core);
   jobs_tick (core);
   sweep_tick (core);
   commit_tick (core);
--- a/src/core/core_private.h
+++ b/src/core/core_private.h
@@ -9,7 +9,7 @@
 /* How long a grant may be used, on the worker's clock. */
 #define GRANT_TTL_MS 3000
 /* What a home waits before it asks for a grant again, if nothing was heard. */
-#define ASK_REPEAT_MS 1000
+#define GRANT_REQUEST_REPEAT_MS 1000
 /* Time limit of calls that a worker answers at once. */
 #define WORKER_TIMEOUT_MS INT64_C (1000)
 /* Time limit of a table call. */
@@ -17,7 +17,7 @@
 /* Least time between two tries of the same thing. */
 #define RETRY_MS INT64_C (100)
 
-typedef struct Pending Pending;
+typedef struct PendingCall PendingCall;
 typedef struct Member Member;
 typedef struct Worker Worker;
 typedef struct Grant Grant;
@@ -26,7 +26,7 @@
 typedef struct Commit Commit;
 typedef struct Config Config;
 typedef struct Jobs Jobs;
-typedef struct Budgets Budgets;
+typedef struct RetryBudget RetryBudget;
 typedef struct Sweep Sweep;
 
 /* The core: every part keeps its own state behind its pointer. */
@@ -36,7 +36,7 @@
   char name[MUX_NAME_LEN];
   char data_centre[MUX_NAME_LEN];
   char peer_addr[MUX_ADDR_LEN];
-  MuxSink *sink;
+  MuxCoreSink *sink;
   MuxCounters *counters;
   MuxSched *sched;
   int64_t now_ms;
@@ -48,15 +48,16 @@
   int64_t last_step_ms;
   int64_t wall_ms; /* time of day, first told by an ask; 0: not yet */
   int64_t next_heartbeat_ms;
-  int64_t next_far_heartbeat_ms;
-  int64_t next_workers_ms;
-  int64_t next_calls_ms;
-  int64_t recheck_ms; /* of asks that may fit nowhere any more; 0: not due */
-  int64_t unheard_ms; /* next look for asks that are not repeated */
+  int64_t next_remote_heartbeat_ms;
+  int64_t next_worker_check_ms;
+  int64_t next_overdue_check_ms;
+  int64_t
+      next_fit_check_ms; /* of asks that may fit nowhere any more; 0: not due */
+  int64_t next_repeat_check_ms; /* next look for asks that are not repeated */
   bool stopping;
   bool stopped;
-  bool pumping;
-  Pending *pending;
+  bool processing_placements;
+  PendingCall *pending_calls;
   Member *members;
   Worker *workers;
   Worker **by_index; /* workers by the scheduler's index */
@@ -68,7 +69,7 @@
   Commit *commit;
   Config *config;
   Jobs *jobs;
-  Budgets *budgets;
+  RetryBudget *retry_budgets;
   Sweep *sweep;
 };
 
@@ -77,25 +78,25 @@
 /** core_jitter() - @base_ms plus up to as much again */
 int64_t core_jitter (MuxCore *core, int64_t base_ms);
 /** core_mint() - a task id never given before */
-MuxId core_mint (MuxCore *core);
+MuxId core_new_task_id (MuxCore *core);
 /** core_log() - a change of state, for people */
 void
 core_log (MuxCore *core, int level, const char *event, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
 /** core_answer() - the one answer to a call */
-void core_answer (MuxCore *core,
-                  uint64_t call,
-                  MuxOutcome outcome,
-                  MuxReason reason,
-                  uint32_t retry_ms,
-                  MuxId task,
-                  MuxBlob *body);
+void core_respond (MuxCore *core,
+                   uint64_t call,
+                   MuxOutcome outcome,
+                   MuxReason reason,
+                   uint32_t retry_ms,
+                   MuxId task,
+                   MuxBlob *body);
 /** core_answer_json() - INFO answer; takes @json over; NULL: memory is out */
 void
-core_answer_json (MuxCore *core, uint64_t call, uint32_t status, json_t *json);
+core_respond_json (MuxCore *core, uint64_t call, uint32_t status, json_t *json);
 /** core_answer_findings() - BAD_FIELD with everything that is wrong */
-void core_answer_findings (MuxCore *core,
-                           uint64_t call,
-                           const MuxFindings *findings);
+void core_respond_findings (MuxCore *core,
+                            uint64_t call,
+                            const MuxFindings *findings);
 
 #endif
--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -33,7 +33,7 @@
   job_free (core, job);
   job_submits_free (core);
   job_waits_free (core);
-  job_retakes_free (core);
+  job_rechecks_free (core);
 }
 
 Job *
@@ -52,16 +52,16 @@
   free (job->dirty);
   free (job->in_write);
   free (job->part_rev);
-  free (job->written);
-  free (job->pending);
+  free (job->inflight_keys);
+  free (job->pending_keys);
 }
 
 Job *
-job_of_turn (MuxCore *core, MuxId id, uint64_t turn)
+job_of_generation (MuxCore *core, MuxId id, uint64_t turn)
 {
   Job *job = job_find (core, id);
 
-  return job != NULL && job->turn == turn ? job : NULL;
+  return job != NULL && job->generation == turn ? job : NULL;
 }
 
 Job *
@@ -72,20 +72,21 @@
   if (job == NULL)
     return NULL;
   job->slots = calloc (header->task_count, sizeof *job->slots);
-  job->dirty = calloc (job_parts (header), sizeof *job->dirty);
-  job->in_write = calloc (job_parts (header), sizeof *job->in_write);
-  job->part_rev = calloc (job_parts (header), sizeof *job->part_rev);
-  job->written = calloc (header->task_count, sizeof *job->written);
-  job->pending = calloc (header->task_count, sizeof *job->pending);
+  job->dirty = calloc (job_part_count (header), sizeof *job->dirty);
+  job->in_write = calloc (job_part_count (header), sizeof *job->in_write);
+  job->part_rev = calloc (job_part_count (header), sizeof *job->part_rev);
+  job->inflight_keys = calloc (header->task_count, sizeof *job->inflight_keys);
+  job->pending_keys = calloc (header->task_count, sizeof *job->pending_keys);
   if (job->slots == NULL || job->dirty == NULL || job->in_write == NULL
-      || job->part_rev == NULL || job->written == NULL || job->pending == NULL)
+      || job->part_rev == NULL || job->inflight_keys == NULL
+      || job->pending_keys == NULL)
     {
       arrays_free (job);
       free (job);
       return NULL;
     }
   job->id = header->id;
-  job->turn = ++core->jobs->turns;
+  job->generation = ++core->jobs->last_generation;
   job->header = *header;
   job->rev = rev;
   job->body = mux_blob_ref (body);
@@ -103,33 +104,33 @@
 }
 
 static void
-refuse (MuxCore *core, const MuxAsk *ask, MuxReason reason)
+refuse (MuxCore *core, const MuxCoreRequest *ask, MuxReason reason)
 {
-  core_answer (core, ask->call, MUX_OUTCOME_NOT_RUN, reason, RETRY_MS * 10,
-               ask->id, NULL);
+  core_respond (core, ask->call_id, MUX_OUTCOME_NOT_RUN, reason, RETRY_MS * 10,
+                ask->id, NULL);
 }
 
 void
-jobs_ask (MuxCore *core, const MuxAsk *ask)
+jobs_request (MuxCore *core, const MuxCoreRequest *ask)
 {
-  if (core->stopping && ask->verb != MUX_ASK_JOB_GET
-      && ask->verb != MUX_ASK_JOB_LIST)
+  if (core->stopping && ask->verb != MUX_CORE_JOB_GET
+      && ask->verb != MUX_CORE_JOB_LIST)
     {
       refuse (core, ask, MUX_REASON_STOPPING);
       return;
     }
   switch (ask->verb)
     {
-    case MUX_ASK_JOB_SUBMIT:
+    case MUX_CORE_JOB_SUBMIT:
       job_submit (core, ask);
       break;
-    case MUX_ASK_JOB_WAIT:
+    case MUX_CORE_JOB_WAIT:
       job_wait (core, ask);
       break;
-    case MUX_ASK_JOB_CANCEL:
-      job_ask_cancel (core, ask);
+    case MUX_CORE_JOB_CANCEL:
+      job_request_cancel (core, ask);
       break;
-    case MUX_ASK_JOB_LIST:
+    case MUX_CORE_JOB_LIST:
       job_list (core, ask);
       break;
     default:
@@ -148,12 +149,12 @@
 {
   Job *job, *next;
 
-  if (core->now_ms < core->jobs->next_carry_ms)
+  if (core->now_ms < core->jobs->next_activation_ms)
     return;
-  core->jobs->next_carry_ms = core->now_ms + CARRY_MS;
+  core->jobs->next_activation_ms = core->now_ms + CARRY_MS;
   HASH_ITER (hh, core->jobs->open, job, next)
   if (job->loaded && job->next_new < job->header.task_count)
-    job_carry (core, job);
+    job_activate_tasks (core, job);
 }
 
 void
@@ -177,14 +178,14 @@
 {
   /* A stopping daemon adopts nothing, so these stay overdue. */
   int64_t at = core->stopping ? INT64_MAX : core->jobs->next_scan_ms;
-  int64_t retake = core->stopping ? INT64_MAX : job_retakes_wake_ms (core);
+  int64_t retake = core->stopping ? INT64_MAX : job_rechecks_wake_ms (core);
   int64_t wait = job_waits_wake_ms (core);
   int64_t write_ms;
 
   for (const Job *job = core->jobs->open; job != NULL; job = job->hh.next)
     {
-      if (job->gang_state != GANG_NONE && job->gang_at_ms < at)
-        at = job->gang_at_ms;
+      if (job->gang_state != GANG_NONE && job->gang_timer_ms < at)
+        at = job->gang_timer_ms;
       write_ms = job_write_wake_ms (core, job);
       if (write_ms < at)
         at = write_ms;
@@ -222,7 +223,7 @@
 }
 
 void
-jobs_hint (MuxCore *core, MuxId id)
+jobs_row_changed (MuxCore *core, MuxId id)
 {
   Job *job = job_find (core, id);
 
@@ -231,7 +232,7 @@
 }
 
 bool
-jobs_give_away (MuxCore *core)
+jobs_all_recorded (MuxCore *core)
 {
   Job *job, *next;
 
--- a/src/core/jobs_adopt.c
+++ b/src/core/jobs_adopt.c
@@ -40,7 +40,7 @@
  * in that same life.  A member never heard of counts as dead: the first look
  * comes only when all that live have been heard. */
 bool
-job_home_lives (MuxCore *core, const JobHeader *header)
+job_home_alive (MuxCore *core, const JobHeader *header)
 {
   const Member *member;
 
@@ -63,7 +63,7 @@
   char subject[MUX_NAME_LEN];
 
   snprintf (subject, sizeof subject, "jobs-%u", part);
-  return members_first (core, subject, false);
+  return members_ranked_first (core, subject, false);
 }
 
 static bool
@@ -78,7 +78,7 @@
   if (is_held (core, header->id))
     return false;
   return is_home (core, header)
-         || (!job_home_lives (core, header)
+         || (!job_home_alive (core, header)
              && part_is_ours (core, part_of (header->id)));
 }
 
@@ -91,20 +91,20 @@
             job->header.task_count);
   for (uint32_t i = 0; i < job->header.task_count; i++)
     if (job->slots[i].state >= SLOT_DONE)
-      job->final++;
+      job->final_count++;
   job->header.done = job->header.failed = 0;
   for (uint32_t i = 0; i < job->header.task_count; i++)
     {
       job->header.done += job->slots[i].state == SLOT_DONE;
       job->header.failed += job->slots[i].state > SLOT_DONE;
     }
-  if (job->final == job->header.task_count)
+  if (job->final_count == job->header.task_count)
     {
       job->ended = job->dirty_any = job->urgent = true;
       return;
     }
-  job_carry (core, job);
-  if (job->header.cancel)
+  job_activate_tasks (core, job);
+  if (job->header.cancel_requested)
     job_cancel (core, job);
 }
 
@@ -126,13 +126,13 @@
   MuxId id = job->id;
 
   job_drop (core, job);
-  job_retake (core, id);
+  job_recheck (core, id);
 }
 
 static void
 body_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
 {
-  Job *job = job_of_turn (core, id, turn);
+  Job *job = job_of_generation (core, id, turn);
 
   if (job == NULL)
     return;
@@ -160,14 +160,15 @@
   if (call != NULL)
     snprintf (call->rows[0].key, sizeof call->rows[0].key, "%s",
               job->header.object);
-  if (call == NULL || !call_table (core, call, body_done, job->id, job->turn))
+  if (call == NULL
+      || !call_table (core, call, body_done, job->id, job->generation))
     abandon (core, job);
 }
 
 static void
 parts_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
 {
-  Job *job = job_of_turn (core, id, turn);
+  Job *job = job_of_generation (core, id, turn);
 
   if (job == NULL)
     return;
@@ -176,12 +177,12 @@
       abandon (core, job);
       return;
     }
-  job_parts_found (job, reply);
+  job_set_part_revisions (job, reply);
   for (uint32_t i = 0; i < reply->row_count; i++)
     {
       uint32_t part = job_part_of_key (job, reply->rows[i].key);
 
-      if (part < job_parts (&job->header)
+      if (part < job_part_count (&job->header)
           && !job_part_from_blob (job, part, reply->rows[i].value))
         {
           abandon (core, job);
@@ -194,14 +195,14 @@
 static void
 take_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
 {
-  Job *job = job_of_turn (core, id, turn);
+  Job *job = job_of_generation (core, id, turn);
 
   if (job == NULL)
     return;
   if (reply->status == MUX_TABLE_CONFLICT)
     {
       /* Another one took it, or it was only cancelled: its row will tell. */
-      job_let_go (core, job);
+      job_release (core, job);
       return;
     }
   if (reply->status != MUX_TABLE_OK)
@@ -240,7 +241,8 @@
       mux_table_call_free (call);
       call = NULL;
     }
-  if (call == NULL || !call_table (core, call, take_done, job->id, job->turn))
+  if (call == NULL
+      || !call_table (core, call, take_done, job->id, job->generation))
     abandon (core, job);
 }
 
@@ -258,29 +260,29 @@
 static void
 retake_after (MuxCore *core, MuxId id, int64_t after_ms)
 {
-  JobRetake *retake;
+  JobRecheck *retake;
 
-  HASH_FIND (hh, core->jobs->retakes, &id, sizeof id, retake);
+  HASH_FIND (hh, core->jobs->rechecks, &id, sizeof id, retake);
   if (retake == NULL)
     {
       retake = calloc (1, sizeof *retake);
       if (retake == NULL)
         return;
       retake->id = id;
-      HASH_ADD (hh, core->jobs->retakes, id, sizeof retake->id, retake);
+      HASH_ADD (hh, core->jobs->rechecks, id, sizeof retake->id, retake);
     }
-  retake->tries = RETAKE_TRIES;
+  retake->checks_left = RETAKE_TRIES;
   retake->at_ms = core->now_ms + core_jitter (core, after_ms);
 }
 
 void
-job_retake (MuxCore *core, MuxId id)
+job_recheck (MuxCore *core, MuxId id)
 {
   retake_after (core, id, RETAKE_MS);
 }
 
 void
-job_let_go (MuxCore *core, Job *job)
+job_release (MuxCore *core, Job *job)
 {
   MuxId id = job->id;
 
@@ -291,27 +293,27 @@
 static void
 retake_done (MuxCore *core, MuxId id, uint64_t aux, const MuxTableReply *reply)
 {
-  JobRetake *retake;
+  JobRecheck *retake;
   JobHeader header;
 
   (void) aux;
-  HASH_FIND (hh, core->jobs->retakes, &id, sizeof id, retake);
+  HASH_FIND (hh, core->jobs->rechecks, &id, sizeof id, retake);
   if (retake == NULL || reply->status != MUX_TABLE_OK || reply->row_count == 0)
     return;
   /* Not there: the write may yet land, late. */
-  if (reply->rows[0].rev == MUX_REV_ABSENT && --retake->tries > 0)
+  if (reply->rows[0].rev == MUX_REV_ABSENT && --retake->checks_left > 0)
     return;
-  HASH_DEL (core->jobs->retakes, retake);
+  HASH_DEL (core->jobs->rechecks, retake);
   free (retake);
   /* One row that may be nobody's is not worth asking whose part it is in. */
   if (job_header_from_blob (reply->rows[0].value, &header)
       && !is_held (core, id)
-      && (is_home (core, &header) || !job_home_lives (core, &header)))
+      && (is_home (core, &header) || !job_home_alive (core, &header)))
     take (core, &reply->rows[0], &header);
 }
 
 static void
-look_again (MuxCore *core, JobRetake *retake)
+look_again (MuxCore *core, JobRecheck *retake)
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_GET, 1);
 
@@ -325,32 +327,32 @@
 static void
 look_at_retakes (MuxCore *core)
 {
-  JobRetake *retake, *next;
+  JobRecheck *retake, *next;
 
-  HASH_ITER (hh, core->jobs->retakes, retake, next)
+  HASH_ITER (hh, core->jobs->rechecks, retake, next)
   if (core->now_ms >= retake->at_ms)
     look_again (core, retake);
 }
 
 int64_t
-job_retakes_wake_ms (const MuxCore *core)
+job_rechecks_wake_ms (const MuxCore *core)
 {
   int64_t at = INT64_MAX;
 
-  for (const JobRetake *r = core->jobs->retakes; r != NULL; r = r->hh.next)
+  for (const JobRecheck *r = core->jobs->rechecks; r != NULL; r = r->hh.next)
     if (r->at_ms < at)
       at = r->at_ms;
   return at;
 }
 
 void
-job_retakes_free (MuxCore *core)
+job_rechecks_free (MuxCore *core)
 {
-  JobRetake *retake, *next;
+  JobRecheck *retake, *next;
 
-  HASH_ITER (hh, core->jobs->retakes, retake, next)
+  HASH_ITER (hh, core->jobs->rechecks, retake, next)
   {
-    HASH_DEL (core->jobs->retakes, retake);
+    HASH_DEL (core->jobs->rechecks, retake);
     free (retake);
   }
 }
--- a/src/core/jobs_gang.c
+++ b/src/core/jobs_gang.c
@@ -109,7 +109,7 @@
     if (member_usable (m))
       out[count++] = (Candidate){
         .name = m->name,
-        .near = m->near,
+        .near = m->local,
         .could = bounded (job, m->name, count_fitting (one, m->total)),
         .now = count_fitting (one, m->free),
       };
@@ -141,7 +141,7 @@
 static void
 add_part (Job *job, const Candidate *from, uint32_t tasks)
 {
-  GangPart *part = &job->gang_part[job->gang_parts++];
+  GangPart *part = &job->gang_part[job->gang_part_count++];
 
   *part = (GangPart){ .tasks = tasks };
   mux_name_copy (part->owner, from->name);
@@ -155,7 +155,7 @@
   uint32_t count = gather (core, job, one, candidate);
   uint32_t left = tasks;
 
-  job->gang_parts = 0;
+  job->gang_part_count = 0;
   qsort (candidate, count, sizeof candidate[0], by_room);
   for (uint32_t i = 0; i < count; i++)
     if (candidate[i].could >= tasks)
@@ -172,14 +172,14 @@
       left -= n;
     }
   if (left > 0)
-    job->gang_parts = 0;
+    job->gang_part_count = 0;
   return left == 0;
 }
 
 static bool
 none_held (const Job *job)
 {
-  return job->gang_now == 0 && job->gang_held == 0;
+  return job->gang_current_part == 0 && job->gang_granted == 0;
 }
 
 /* The gang's tasks that wait to be placed, in the order of their numbers. */
@@ -188,7 +188,7 @@
 {
   Task *task;
 
-  if (job->slots[index].state != SLOT_NEW || !job->slots[index].active)
+  if (job->slots[index].state != SLOT_NEW || !job->slots[index].has_task)
     return NULL;
   task = task_find (core, mux_id_of_part (job->id, index));
   return task != NULL && task->in_gang ? task : NULL;
@@ -197,12 +197,12 @@
 static void
 ask_part (MuxCore *core, Job *job)
 {
-  uint32_t now = job->gang_now;
+  uint32_t now = job->gang_current_part;
   GangPart *part = &job->gang_part[now];
   MuxId group = mux_id_of_part (
       job->id, MUX_JOB_TASKS_MAX + job->gang_rounds * GANG_PARTS_MAX + now + 1);
 
-  for (uint32_t i = part->first; i < job->header.task_count; i++)
+  for (uint32_t i = part->first_task; i < job->header.task_count; i++)
     {
       Task *task = gang_task (core, job, i);
 
@@ -210,10 +210,10 @@
         continue;
       /* Room that is still booked from before is granted at once, and the last
        * grant of a part has the next one asked, from its first task on. */
-      if (++part->asked == part->tasks && now + 1 < job->gang_parts)
-        job->gang_part[now + 1].first = i + 1;
-      task_ask_owner (core, task, part->owner, group, part->tasks);
-      if (job->gang_state != GANG_ASKING || part->asked == part->tasks)
+      if (++part->requested == part->tasks && now + 1 < job->gang_part_count)
+        job->gang_part[now + 1].first_task = i + 1;
+      task_request_owner (core, task, part->owner, group, part->tasks);
+      if (job->gang_state != GANG_REQUESTING || part->requested == part->tasks)
         return;
     }
 }
@@ -235,17 +235,18 @@
   job->gang_rounds++;
   if (!split (core, job, one, tasks))
     {
-      job->gang_at_ms = core->now_ms + core_jitter (core, HOLD_MS);
+      job->gang_timer_ms = core->now_ms + core_jitter (core, HOLD_MS);
       job->gang_bound_count = 0;
       return;
     }
   /* Always in the order of the owners' names, so that two gangs that each
    * hold a part never wait for the other's in a ring. */
-  qsort (job->gang_part, job->gang_parts, sizeof job->gang_part[0], by_owner);
-  job->gang_state = GANG_ASKING;
-  job->gang_now = 0;
-  job->gang_held = 0;
-  job->gang_at_ms = core->now_ms + ELSEWHERE_MS;
+  qsort (job->gang_part, job->gang_part_count, sizeof job->gang_part[0],
+         by_owner);
+  job->gang_state = GANG_REQUESTING;
+  job->gang_current_part = 0;
+  job->gang_granted = 0;
+  job->gang_timer_ms = core->now_ms + ELSEWHERE_MS;
   ask_part (core, job);
 }
 
@@ -254,8 +255,8 @@
 {
   if (job->gang_state != GANG_NONE)
     return;
-  job->gang_state = GANG_PAUSING;
-  job->gang_at_ms = core->now_ms;
+  job->gang_state = GANG_BACKOFF;
+  job->gang_timer_ms = core->now_ms;
 }
 
 /*
@@ -270,28 +271,29 @@
 {
   uint32_t doublings = min (job->gang_rounds, DOUBLINGS_MAX);
 
-  job->gang_state = GANG_PAUSING;
-  job->gang_at_ms
+  job->gang_state = GANG_BACKOFF;
+  job->gang_timer_ms
       = core->now_ms + core_jitter (core, (int64_t) AGAIN_MS << doublings);
   for (uint32_t i = 0; i < job->header.task_count; i++)
     {
       Task *task = gang_task (core, job, i);
 
       if (task != NULL)
-        task_gang_wait (core, task);
+        task_gang_release (core, task);
     }
 }
 
 void
-jobs_gang_refused (MuxCore *core, Task *task, MuxReason reason)
+jobs_gang_task_refused (MuxCore *core, Task *task, MuxReason reason)
 {
   Job *job = job_find (core, task->job);
 
-  if (job == NULL || job->gang_state != GANG_ASKING)
+  if (job == NULL || job->gang_state != GANG_REQUESTING)
     return;
   mux_count_retry (core->counters, reason);
   if (reason == MUX_REASON_NEVER_FITS)
-    bound_owner (job, task->owner, job->gang_part[job->gang_now].tasks);
+    bound_owner (job, task->owner,
+                 job->gang_part[job->gang_current_part].tasks);
   again (core, job);
 }
 
@@ -303,32 +305,32 @@
       Task *task = gang_task (core, job, i);
 
       if (task != NULL)
-        task_record (core, task);
+        task_record_placement (core, task);
     }
   job->gang_state = GANG_NONE;
 }
 
 void
-jobs_gang_held (MuxCore *core, Task *task)
+jobs_gang_task_granted (MuxCore *core, Task *task)
 {
   Job *job = job_find (core, task->job);
 
-  if (job == NULL || job->gang_state != GANG_ASKING)
+  if (job == NULL || job->gang_state != GANG_REQUESTING)
     return;
   /* From the first place on the clock runs: grants do not live long, and a
    * lost one must not leave the others waiting beside it. */
   if (none_held (job))
-    job->gang_at_ms = core->now_ms + HOLD_MS;
-  job->gang_held++;
-  if (job->gang_held < job->gang_part[job->gang_now].tasks)
+    job->gang_timer_ms = core->now_ms + HOLD_MS;
+  job->gang_granted++;
+  if (job->gang_granted < job->gang_part[job->gang_current_part].tasks)
     return;
-  if (job->gang_now + 1 == job->gang_parts)
+  if (job->gang_current_part + 1 == job->gang_part_count)
     {
       record_all (core, job);
       return;
     }
-  job->gang_now++;
-  job->gang_held = 0;
+  job->gang_current_part++;
+  job->gang_granted = 0;
   ask_part (core, job);
 }
 
@@ -347,7 +349,7 @@
   uint32_t count;
 
   one.slots = 1;
-  for (uint32_t i = 0; i < job->gang_parts; i++)
+  for (uint32_t i = 0; i < job->gang_part_count; i++)
     tasks += job->gang_part[i].tasks;
   count = gather (core, job, one, candidate);
   for (uint32_t i = 0; i < count; i++)
@@ -362,20 +364,20 @@
 {
   const MuxClassSpec *spec = config_class (core, job->header.class_name);
 
-  if (job->gang_state == GANG_NONE || core->now_ms < job->gang_at_ms)
+  if (job->gang_state == GANG_NONE || core->now_ms < job->gang_timer_ms)
     return;
-  if (job->gang_state == GANG_ASKING && none_held (job)
+  if (job->gang_state == GANG_REQUESTING && none_held (job)
       && (spec == NULL || !room_elsewhere (core, job, spec)))
     {
-      job->gang_at_ms = core->now_ms + core_jitter (core, ELSEWHERE_MS);
+      job->gang_timer_ms = core->now_ms + core_jitter (core, ELSEWHERE_MS);
       return;
     }
-  if (job->gang_state == GANG_ASKING)
+  if (job->gang_state == GANG_REQUESTING)
     {
       again (core, job);
       return;
     }
-  job->gang_at_ms = core->now_ms + HOLD_MS;
+  job->gang_timer_ms = core->now_ms + HOLD_MS;
   if (spec != NULL && !core->stopping)
     begin_round (core, job, spec);
 }
--- a/src/core/jobs_private.h
+++ b/src/core/jobs_private.h
@@ -5,7 +5,7 @@
 #include "jobs.h"
 
 /* Tasks whose whereabouts share one row. */
-#define PART_TASKS 32
+#define TASKS_PER_PART 32
 /* Most tasks of a job, not a gang, that ask for room or start at once. */
 #define WINDOW_TASKS 64
 /* Bytes of an object's key. */
@@ -28,7 +28,7 @@
 typedef struct
 {
   SlotState state;
-  bool active; /* a task of the core minds it */
+  bool has_task; /* a task of the core minds it */
   uint32_t attempt;
   char worker[MUX_NAME_LEN];
   char addr[MUX_ADDR_LEN];
@@ -55,7 +55,7 @@
   char class_name[MUX_NAME_LEN];
   uint32_t task_count;
   JobState state;
-  bool cancel; /* asked for; the home has to carry it out */
+  bool cancel_requested; /* asked for; the home has to carry it out */
   char home[MUX_NAME_LEN];
   uint64_t home_incarnation;
   char object[OBJECT_KEY_LEN]; /* where the body is; "": no body */
@@ -72,8 +72,8 @@
 {
   char owner[MUX_NAME_LEN];
   uint32_t tasks;
-  uint32_t asked;
-  uint32_t first; /* number of its first task */
+  uint32_t requested;
+  uint32_t first_task; /* number of its first task */
 } GangPart;
 
 /* What an owner turned out to be able to hold at most. */
@@ -88,16 +88,16 @@
  */
 typedef enum
 {
-  GANG_NONE,    /* no gang, or all of it is placed */
-  GANG_PAUSING, /* asks when gang_at_ms comes */
-  GANG_ASKING,  /* its parts are asked one after the other */
+  GANG_NONE,       /* no gang, or all of it is placed */
+  GANG_BACKOFF,    /* asks when gang_at_ms comes */
+  GANG_REQUESTING, /* its parts are asked one after the other */
 } GangState;
 
 typedef struct Job Job;
 struct Job
 {
   MuxId id;
-  uint64_t turn; /* which carrying of this job by this process it is */
+  uint64_t generation; /* which carrying of this job by this process it is */
   JobHeader header;
   uint64_t rev; /* of its row: fences a former home */
   MuxBlob *body;
@@ -108,28 +108,28 @@
   bool urgent; /* a task waits for the write */
   bool writing;
   bool reading;
-  bool stale;         /* its rows must be read before the next write */
+  bool needs_reread;  /* its rows must be read before the next write */
   uint8_t *in_write;  /* parts in the write in flight */
   uint64_t *part_rev; /* as last known */
   bool ended;         /* every slot is final; only its last write is missing */
   bool dropped;       /* carried on elsewhere */
-  uint32_t active;
-  uint32_t asking; /* of which not placed yet */
-  uint32_t final;
+  uint32_t active_count;
+  uint32_t unplaced_count; /* of which not placed yet */
+  uint32_t final_count;
   uint32_t next_new; /* no SLOT_NEW below this one */
   GangState gang_state;
-  int64_t gang_at_ms;
+  int64_t gang_timer_ms;
   uint32_t gang_rounds;
-  uint32_t gang_parts;
-  uint32_t gang_now;  /* part that is being asked */
-  uint32_t gang_held; /* tasks of that part that have room */
+  uint32_t gang_part_count;
+  uint32_t gang_current_part; /* part that is being asked */
+  uint32_t gang_granted;      /* tasks of that part that have room */
   GangPart gang_part[GANG_PARTS_MAX];
   GangBound gang_bound[GANG_PARTS_MAX];
   uint32_t gang_bound_count;
-  int64_t write_ms; /* not before */
-  MuxId *written;   /* keys of tasks that wait for the write in flight */
-  uint32_t written_count;
-  MuxId *pending; /* the same for the next write */
+  int64_t write_ms;     /* not before */
+  MuxId *inflight_keys; /* keys of tasks that wait for the write in flight */
+  uint32_t inflight_count;
+  MuxId *pending_keys; /* the same for the next write */
   uint32_t pending_count;
   UT_hash_handle hh;
 };
@@ -138,11 +138,11 @@
 typedef struct JobWait JobWait;
 struct JobWait
 {
-  uint64_t call;
+  uint64_t call_id;
   MuxId id;
-  int64_t give_up_ms;
-  int64_t look_ms;
-  bool looking;
+  int64_t expires_ms;
+  int64_t next_poll_ms;
+  bool polling;
   JobWait *next;
 };
 
@@ -151,34 +151,34 @@
 struct JobSubmit
 {
   MuxId id;
-  uint64_t call;
+  uint64_t call_id;
   JobHeader header;
   MuxBlob *body;
-  int64_t give_up_ms;
+  int64_t expires_ms;
   uint32_t tries;
   UT_hash_handle hh;
 };
 
 /* A job whose row names this life of this daemon, or may soon, and which is
  * not carried here. */
-typedef struct JobRetake JobRetake;
-struct JobRetake
+typedef struct JobRecheck JobRecheck;
+struct JobRecheck
 {
   MuxId id;
   int64_t at_ms;
-  uint32_t tries; /* left, while there is no row */
+  uint32_t checks_left; /* left, while there is no row */
   UT_hash_handle hh;
 };
 
 struct Jobs
 {
-  uint64_t turns;
-  JobRetake *retakes;
+  uint64_t last_generation;
+  JobRecheck *rechecks;
   Job *open; /* carried by this daemon */
   JobSubmit *submits;
   JobWait *waits;
   int64_t next_write_ms;
-  int64_t next_carry_ms;
+  int64_t next_activation_ms;
   int64_t next_scan_ms;
   bool scanning;
   bool scan_again; /* something changed during the look under way */
@@ -196,13 +196,13 @@
 /** job_part_to_blob() - the slots of part number @part */
 MuxBlob *job_part_to_blob (const Job *job, uint32_t part);
 bool job_part_from_blob (Job *job, uint32_t part, const MuxBlob *blob);
-uint32_t job_parts (const JobHeader *header);
+uint32_t job_part_count (const JobHeader *header);
 /** job_part_of_key() - number of the part that a row holds; UINT32_MAX: none */
 uint32_t job_part_of_key (const Job *job, const char *key);
 /** job_read_parts() - all parts of a job; false: nothing was sent */
-bool job_read_parts (MuxCore *core, Job *job, TableDone done);
+bool job_read_parts (MuxCore *core, Job *job, TableCallback done);
 /** job_parts_found() - learn the parts' revisions */
-void job_parts_found (Job *job, const MuxTableReply *reply);
+void job_set_part_revisions (Job *job, const MuxTableReply *reply);
 
 /* Jobs carried here (jobs.c, jobs_carry.c, jobs_gang.c). */
 Job *job_find (MuxCore *core, MuxId id);
@@ -214,7 +214,7 @@
  * Taken for the answer of the new turn's write, the old one's would start
  * tasks whose places are not recorded.
  */
-Job *job_of_turn (MuxCore *core, MuxId id, uint64_t turn);
+Job *job_of_generation (MuxCore *core, MuxId id, uint64_t turn);
 /** job_new() - takes a reference of @body; NULL: memory is out */
 Job *
 job_new (MuxCore *core, const JobHeader *header, uint64_t rev, MuxBlob *body);
@@ -222,7 +222,7 @@
 /** job_none_placed() - no task has been placed or has ended */
 bool job_none_placed (const Job *job);
 /** job_carry() - give its tasks something to do, as far as its window goes */
-void job_carry (MuxCore *core, Job *job);
+void job_activate_tasks (MuxCore *core, Job *job);
 /** job_gang_begin() - its tasks are there and wait to be placed together */
 void job_gang_begin (MuxCore *core, Job *job);
 void job_gang_tick (MuxCore *core, Job *job);
@@ -241,35 +241,36 @@
 
 /* Submission, adoption and questions (jobs_submit.c, jobs_adopt.c,
  * jobs_show.c). */
-void job_submit (MuxCore *core, const MuxAsk *ask);
+void job_submit (MuxCore *core, const MuxCoreRequest *ask);
 /** job_submitting() - a submission of this id is not recorded yet */
 bool job_submitting (MuxCore *core, MuxId id);
 void job_submits_free (MuxCore *core);
 void job_scan (MuxCore *core);
 /** job_home_lives() - the daemon that carries the job is not known dead */
-bool job_home_lives (MuxCore *core, const JobHeader *header);
+bool job_home_alive (MuxCore *core, const JobHeader *header);
 /** job_retake() - look at the row of a job that this daemon had to let go */
-void job_retake (MuxCore *core, MuxId id);
+void job_recheck (MuxCore *core, MuxId id);
 /** job_let_go() - drop it as another home's, and look whether that one lives */
-void job_let_go (MuxCore *core, Job *job);
-int64_t job_retakes_wake_ms (const MuxCore *core);
-void job_retakes_free (MuxCore *core);
+void job_release (MuxCore *core, Job *job);
+int64_t job_rechecks_wake_ms (const MuxCore *core);
+void job_rechecks_free (MuxCore *core);
 /** job_scan_soon() - look through the open jobs after @after_ms or so */
 void job_scan_soon (MuxCore *core, int64_t after_ms);
-void job_show (MuxCore *core, const MuxAsk *ask);
-void job_list (MuxCore *core, const MuxAsk *ask);
-void job_wait (MuxCore *core, const MuxAsk *ask);
+void job_show (MuxCore *core, const MuxCoreRequest *ask);
+void job_list (MuxCore *core, const MuxCoreRequest *ask);
+void job_wait (MuxCore *core, const MuxCoreRequest *ask);
 void job_waits_tick (MuxCore *core);
 int64_t job_waits_wake_ms (const MuxCore *core);
-void job_ask_cancel (MuxCore *core, const MuxAsk *ask);
+void job_request_cancel (MuxCore *core, const MuxCoreRequest *ask);
 /** job_answer() - the job as known here, to one call */
-void job_answer (MuxCore *core, uint64_t call, uint32_t status, const Job *job);
+void
+job_respond (MuxCore *core, uint64_t call, uint32_t status, const Job *job);
 /** job_answer_header() - the job as its row has it */
-void job_answer_header (MuxCore *core,
-                        uint64_t call,
-                        uint32_t status,
-                        const JobHeader *header);
-void job_waits_tell (MuxCore *core, const JobHeader *header);
+void job_respond_header (MuxCore *core,
+                         uint64_t call,
+                         uint32_t status,
+                         const JobHeader *header);
+void job_waits_notify (MuxCore *core, const JobHeader *header);
 void job_waits_free (MuxCore *core);
 
 #endif
--- a/src/core/jobs_row.c
+++ b/src/core/jobs_row.c
@@ -54,9 +54,9 @@
 }
 
 uint32_t
-job_parts (const JobHeader *header)
+job_part_count (const JobHeader *header)
 {
-  return (header->task_count + PART_TASKS - 1) / PART_TASKS;
+  return (header->task_count + TASKS_PER_PART - 1) / TASKS_PER_PART;
 }
 
 static MuxBlob *
@@ -80,10 +80,10 @@
       "{s:s, s:s, s:I, s:s, s:b, s:s, s:I, s:s, s:I, s:I, s:I}", "id", hex,
       "class", header->class_name, "task_count",
       (json_int_t) header->task_count, "state", job_state_name (header->state),
-      "cancel", header->cancel, "home", header->home, "home_incarnation",
-      (json_int_t) header->home_incarnation, "object", header->object, "done",
-      (json_int_t) header->done, "failed", (json_int_t) header->failed, "at_ms",
-      (json_int_t) header->at_ms));
+      "cancel", header->cancel_requested, "home", header->home,
+      "home_incarnation", (json_int_t) header->home_incarnation, "object",
+      header->object, "done", (json_int_t) header->done, "failed",
+      (json_int_t) header->failed, "at_ms", (json_int_t) header->at_ms));
 }
 
 bool
@@ -113,7 +113,7 @@
   if (good)
     {
       header->task_count = (uint32_t) tasks;
-      header->cancel = cancel != 0;
+      header->cancel_requested = cancel != 0;
       header->home_incarnation = (uint64_t) incarnation;
       header->done = (uint32_t) done;
       header->failed = (uint32_t) failed;
@@ -127,7 +127,7 @@
 static uint32_t
 part_end (const Job *job, uint32_t part)
 {
-  uint32_t end = (part + 1) * PART_TASKS;
+  uint32_t end = (part + 1) * TASKS_PER_PART;
 
   return end < job->header.task_count ? end : job->header.task_count;
 }
@@ -137,7 +137,7 @@
 {
   json_t *array = json_array ();
 
-  for (uint32_t i = part * PART_TASKS; i < part_end (job, part); i++)
+  for (uint32_t i = part * TASKS_PER_PART; i < part_end (job, part); i++)
     {
       const Slot *slot = &job->slots[i];
 
@@ -176,7 +176,7 @@
 {
   json_t *array
       = blob == NULL ? NULL : json_loadb (blob->bytes, blob->len, 0, NULL);
-  uint32_t first = part * PART_TASKS;
+  uint32_t first = part * TASKS_PER_PART;
   bool good = json_is_array (array)
               && json_array_size (array) == part_end (job, part) - first;
 
@@ -194,27 +194,28 @@
   uint32_t part
       = number == NULL ? UINT32_MAX : (uint32_t) strtoul (number + 1, NULL, 10);
 
-  if (part >= job_parts (&job->header))
+  if (part >= job_part_count (&job->header))
     return UINT32_MAX;
   job_part_key (job->id, part, want);
   return strcmp (want, key) == 0 ? part : UINT32_MAX;
 }
 
 void
-job_parts_found (Job *job, const MuxTableReply *reply)
+job_set_part_revisions (Job *job, const MuxTableReply *reply)
 {
-  memset (job->part_rev, 0, job_parts (&job->header) * sizeof *job->part_rev);
+  memset (job->part_rev, 0,
+          job_part_count (&job->header) * sizeof *job->part_rev);
   for (uint32_t i = 0; i < reply->row_count; i++)
     {
       uint32_t part = job_part_of_key (job, reply->rows[i].key);
 
-      if (part < job_parts (&job->header))
+      if (part < job_part_count (&job->header))
         job->part_rev[part] = reply->rows[i].rev;
     }
 }
 
 bool
-job_read_parts (MuxCore *core, Job *job, TableDone done)
+job_read_parts (MuxCore *core, Job *job, TableCallback done)
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_SCAN, 2);
   char hex[MUX_ID_HEX_LEN];
@@ -224,5 +225,5 @@
   mux_id_format (job->id, hex);
   snprintf (call->rows[0].key, sizeof call->rows[0].key, "job/part/%s/", hex);
   call->limit = MUX_ROWS_MAX;
-  return call_table (core, call, done, job->id, job->turn);
+  return call_table (core, call, done, job->id, job->generation);
 }
--- a/src/core/jobs_show.c
+++ b/src/core/jobs_show.c
@@ -18,7 +18,7 @@
   return json_pack (
       "{s:s, s:s, s:s, s:s, s:b, s:I, s:I, s:I}", "id", hex, "class",
       header->class_name, "state", job_state_name (header->state), "home",
-      header->home, "cancel", header->cancel, "task_count",
+      header->home, "cancel", header->cancel_requested, "task_count",
       (json_int_t) header->task_count, "done", (json_int_t) header->done,
       "failed", (json_int_t) header->failed);
 }
@@ -58,29 +58,29 @@
 }
 
 void
-job_answer (MuxCore *core, uint64_t call, uint32_t status, const Job *job)
+job_respond (MuxCore *core, uint64_t call, uint32_t status, const Job *job)
 {
-  core_answer_json (core, call, status, job_json (core, job));
+  core_respond_json (core, call, status, job_json (core, job));
 }
 
 void
-job_answer_header (MuxCore *core,
-                   uint64_t call,
-                   uint32_t status,
-                   const JobHeader *header)
+job_respond_header (MuxCore *core,
+                    uint64_t call,
+                    uint32_t status,
+                    const JobHeader *header)
 {
-  core_answer_json (core, call, status, header_json (header));
+  core_respond_json (core, call, status, header_json (header));
 }
 
 static void
 answer_reason (MuxCore *core, uint64_t call, MuxReason reason, MuxId id)
 {
-  core_answer (core, call, MUX_OUTCOME_INFO, reason, RETRY_MS * 10, id, NULL);
+  core_respond (core, call, MUX_OUTCOME_INFO, reason, RETRY_MS * 10, id, NULL);
 }
 
 /* Reads both places where a job's row may stand. */
 static bool
-get_rows (MuxCore *core, MuxId id, TableDone done, uint64_t aux)
+get_rows (MuxCore *core, MuxId id, TableCallback done, uint64_t aux)
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_GET, 2);
 
@@ -113,18 +113,18 @@
   if (reason != MUX_REASON_NONE)
     answer_reason (core, call, reason, id);
   else
-    job_answer_header (core, call, 200, &header);
+    job_respond_header (core, call, 200, &header);
 }
 
 void
-job_show (MuxCore *core, const MuxAsk *ask)
+job_show (MuxCore *core, const MuxCoreRequest *ask)
 {
   const Job *job = job_find (core, ask->id);
 
   if (job != NULL)
-    job_answer (core, ask->call, 200, job);
-  else if (!get_rows (core, ask->id, show_done, ask->call))
-    answer_reason (core, ask->call, MUX_REASON_RING_FULL, ask->id);
+    job_respond (core, ask->call_id, 200, job);
+  else if (!get_rows (core, ask->id, show_done, ask->call_id))
+    answer_reason (core, ask->call_id, MUX_REASON_RING_FULL, ask->id);
 }
 
 static void
@@ -145,13 +145,13 @@
       if (job_header_from_blob (reply->rows[i].value, &header))
         json_array_append_new (jobs, header_json (&header));
     }
-  core_answer_json (
+  core_respond_json (
       core, call, 200,
       json_pack ("{s:o, s:b}", "jobs", jobs, "more", reply->more));
 }
 
 void
-job_list (MuxCore *core, const MuxAsk *ask)
+job_list (MuxCore *core, const MuxCoreRequest *ask)
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_SCAN, 2);
 
@@ -162,8 +162,9 @@
         job_row_key ("open", ask->id, call->rows[1].key);
       call->limit = MUX_ROWS_MAX;
     }
-  if (call == NULL || !call_table (core, call, list_done, ask->id, ask->call))
-    answer_reason (core, ask->call, MUX_REASON_RING_FULL, ask->id);
+  if (call == NULL
+      || !call_table (core, call, list_done, ask->id, ask->call_id))
+    answer_reason (core, ask->call_id, MUX_REASON_RING_FULL, ask->id);
 }
 
 /* All are told, as the home may have changed since the row was read. */
@@ -196,8 +197,8 @@
       if (job != NULL)
         {
           job->rev = reply->rev;
-          job->header.cancel = true;
-          job_answer (core, call, 200, job);
+          job->header.cancel_requested = true;
+          job_respond (core, call, 200, job);
           job_cancel (core, job);
           return;
         }
@@ -212,8 +213,8 @@
         answer_reason (core, call, MUX_REASON_RING_FULL, id);
       return;
     case MUX_TABLE_UNKNOWN:
-      core_answer (core, call, MUX_OUTCOME_UNKNOWN, MUX_REASON_WRITE_UNKNOWN,
-                   RETRY_MS * 10, id, NULL);
+      core_respond (core, call, MUX_OUTCOME_UNKNOWN, MUX_REASON_WRITE_UNKNOWN,
+                    RETRY_MS * 10, id, NULL);
       return;
     case MUX_TABLE_DOWN:
     case MUX_TABLE_BAD:
@@ -240,10 +241,10 @@
     }
   if (row == 1)
     {
-      job_answer_header (core, call, 200, &header);
+      job_respond_header (core, call, 200, &header);
       return;
     }
-  header.cancel = true;
+  header.cancel_requested = true;
   put = mux_table_call_new (MUX_TABLE_TXN, 1);
   if (put != NULL)
     {
@@ -261,26 +262,26 @@
 }
 
 void
-job_ask_cancel (MuxCore *core, const MuxAsk *ask)
+job_request_cancel (MuxCore *core, const MuxCoreRequest *ask)
 {
-  if (!get_rows (core, ask->id, cancel_read_done, ask->call))
-    answer_reason (core, ask->call, MUX_REASON_RING_FULL, ask->id);
+  if (!get_rows (core, ask->id, cancel_read_done, ask->call_id))
+    answer_reason (core, ask->call_id, MUX_REASON_RING_FULL, ask->id);
 }
 
 void
-job_wait (MuxCore *core, const MuxAsk *ask)
+job_wait (MuxCore *core, const MuxCoreRequest *ask)
 {
   JobWait *wait = calloc (1, sizeof *wait);
 
   if (wait == NULL)
     {
-      answer_reason (core, ask->call, MUX_REASON_INTERNAL, ask->id);
+      answer_reason (core, ask->call_id, MUX_REASON_INTERNAL, ask->id);
       return;
     }
-  wait->call = ask->call;
+  wait->call_id = ask->call_id;
   wait->id = ask->id;
-  wait->give_up_ms = core->now_ms + ask->give_up_ms;
-  wait->look_ms = core->now_ms;
+  wait->expires_ms = core->now_ms + ask->timeout_ms;
+  wait->next_poll_ms = core->now_ms;
   wait->next = core->jobs->waits;
   core->jobs->waits = wait;
 }
@@ -290,7 +291,7 @@
 {
   JobWait **at = &core->jobs->waits;
 
-  while (*at != NULL && (*at)->call != call)
+  while (*at != NULL && (*at)->call_id != call)
     at = &(*at)->next;
   return at;
 }
@@ -314,8 +315,8 @@
 
   if (*at == NULL)
     return;
-  (*at)->looking = false;
-  (*at)->look_ms = core->now_ms + core_jitter (core, LOOK_MS);
+  (*at)->polling = false;
+  (*at)->next_poll_ms = core->now_ms + core_jitter (core, LOOK_MS);
   if (reason == MUX_REASON_UNKNOWN_JOB)
     {
       answer_reason (core, call, reason, id);
@@ -323,7 +324,7 @@
     }
   else if (reason == MUX_REASON_NONE && row == 1)
     {
-      job_answer_header (core, call, 200, &header);
+      job_respond_header (core, call, 200, &header);
       wait_remove (at);
     }
 }
@@ -331,9 +332,9 @@
 static bool
 expire (MuxCore *core, JobWait **at)
 {
-  if (core->now_ms < (*at)->give_up_ms)
+  if (core->now_ms < (*at)->expires_ms)
     return false;
-  answer_reason (core, (*at)->call, MUX_REASON_DEADLINE, (*at)->id);
+  answer_reason (core, (*at)->call_id, MUX_REASON_DEADLINE, (*at)->id);
   wait_remove (at);
   return true;
 }
@@ -349,11 +350,11 @@
 
       if (expire (core, at))
         continue;
-      if (!wait->looking && core->now_ms >= wait->look_ms)
+      if (!wait->polling && core->now_ms >= wait->next_poll_ms)
         {
-          wait->look_ms = core->now_ms + LOOK_MS;
+          wait->next_poll_ms = core->now_ms + LOOK_MS;
           if (job_find (core, wait->id) == NULL)
-            wait->looking = get_rows (core, wait->id, look_done, wait->call);
+            wait->polling = get_rows (core, wait->id, look_done, wait->call_id);
         }
       at = &wait->next;
     }
@@ -366,16 +367,16 @@
 
   for (const JobWait *w = core->jobs->waits; w != NULL; w = w->next)
     {
-      if (!w->looking && w->look_ms < at)
-        at = w->look_ms;
-      if (w->give_up_ms < at)
-        at = w->give_up_ms;
+      if (!w->polling && w->next_poll_ms < at)
+        at = w->next_poll_ms;
+      if (w->expires_ms < at)
+        at = w->expires_ms;
     }
   return at;
 }
 
 void
-job_waits_tell (MuxCore *core, const JobHeader *header)
+job_waits_notify (MuxCore *core, const JobHeader *header)
 {
   JobWait **at = &core->jobs->waits;
 
@@ -386,13 +387,13 @@
           at = &(*at)->next;
           continue;
         }
-      job_answer_header (core, (*at)->call, 200, header);
+      job_respond_header (core, (*at)->call_id, 200, header);
       wait_remove (at);
     }
 }
 
 void
-jobs_caller_gone (MuxCore *core, uint64_t call)
+jobs_caller_disconnected (MuxCore *core, uint64_t call)
 {
   JobWait **at = wait_at (core, call);
 
@@ -405,7 +406,7 @@
 {
   while (core->jobs->waits != NULL)
     {
-      answer_reason (core, core->jobs->waits->call, MUX_REASON_STOPPING,
+      answer_reason (core, core->jobs->waits->call_id, MUX_REASON_STOPPING,
                      core->jobs->waits->id);
       wait_remove (&core->jobs->waits);
     }
--- a/src/core/jobs_submit.c
+++ b/src/core/jobs_submit.c
@@ -44,8 +44,8 @@
 
   HASH_ITER (hh, core->jobs->submits, submit, next)
   {
-    core_answer (core, submit->call, MUX_OUTCOME_UNKNOWN, MUX_REASON_STOPPING,
-                 RETRY_MS * 10, submit->id, NULL);
+    core_respond (core, submit->call_id, MUX_OUTCOME_UNKNOWN,
+                  MUX_REASON_STOPPING, RETRY_MS * 10, submit->id, NULL);
     submit_free (core, submit);
   }
 }
@@ -57,10 +57,10 @@
   MuxOutcome outcome
       = submit->tries > 1 ? MUX_OUTCOME_UNKNOWN : MUX_OUTCOME_NOT_RUN;
 
-  core_answer (core, submit->call, outcome, reason, RETRY_MS * 10, submit->id,
-               NULL);
+  core_respond (core, submit->call_id, outcome, reason, RETRY_MS * 10,
+                submit->id, NULL);
   if (outcome == MUX_OUTCOME_UNKNOWN)
-    job_retake (core, submit->id);
+    job_recheck (core, submit->id);
   submit_free (core, submit);
 }
 
@@ -70,15 +70,15 @@
   Job *job = job_new (core, &submit->header, rev, submit->body);
 
   mux_count (core->counters, MUX_COUNT_JOBS_ACCEPTED, 1);
-  job_answer_header (core, submit->call, 202, &submit->header);
+  job_respond_header (core, submit->call_id, 202, &submit->header);
   /* Recorded is accepted, even if there is no memory to carry it yet. */
   if (job == NULL)
-    job_retake (core, submit->id);
+    job_recheck (core, submit->id);
   submit_free (core, submit);
   if (job == NULL)
     return;
   job->loaded = true;
-  job_carry (core, job);
+  job_activate_tasks (core, job);
 }
 
 /* A row of that id stands: an earlier submission of the same key, or this one
@@ -101,10 +101,10 @@
       accept (core, submit, reply->rows[0].rev);
       return;
     }
-  job_answer_header (core, submit->call, 202, &header);
+  job_respond_header (core, submit->call_id, 202, &header);
   /* The row may have landed after the looks that followed its home's death. */
-  if (header.state == JOB_OPEN && !job_home_lives (core, &header))
-    job_retake (core, submit->id);
+  if (header.state == JOB_OPEN && !job_home_alive (core, &header))
+    job_recheck (core, submit->id);
   submit_free (core, submit);
 }
 
@@ -192,7 +192,7 @@
 }
 
 static MuxReason
-check (MuxCore *core, const MuxAsk *ask, const MuxClassSpec *spec)
+check (MuxCore *core, const MuxCoreRequest *ask, const MuxClassSpec *spec)
 {
   if (!config_loaded (core))
     return MUX_REASON_STORE_DOWN;
@@ -223,10 +223,10 @@
 }
 
 void
-job_submit (MuxCore *core, const MuxAsk *ask)
+job_submit (MuxCore *core, const MuxCoreRequest *ask)
 {
   MuxReason reason = check (core, ask, config_class (core, ask->name));
-  MuxId id = ask->key[0] == 0 ? core_mint (core)
+  MuxId id = ask->key[0] == 0 ? core_new_task_id (core)
                               : mux_id_of_key (ask->name, ask->key);
   JobSubmit *submit = NULL;
 
@@ -239,12 +239,12 @@
     }
   if (reason != MUX_REASON_NONE)
     {
-      core_answer (core, ask->call, MUX_OUTCOME_NOT_RUN, reason, RETRY_MS * 10,
-                   (MuxId){ 0, 0 }, NULL);
+      core_respond (core, ask->call_id, MUX_OUTCOME_NOT_RUN, reason,
+                    RETRY_MS * 10, (MuxId){ 0, 0 }, NULL);
       return;
     }
   submit->id = id;
-  submit->call = ask->call;
+  submit->call_id = ask->call_id;
   submit->body = mux_blob_ref (ask->body);
   submit->header = (JobHeader){ .id = id,
                                 .task_count = ask->task_count,
--- a/src/core/jobs_carry.c
+++ b/src/core/jobs_tasks.c
@@ -16,7 +16,7 @@
 static void
 mark (MuxCore *core, Job *job, uint32_t index, bool urgent)
 {
-  job->dirty[index / PART_TASKS] = 1;
+  job->dirty[index / TASKS_PER_PART] = 1;
   if (urgent)
     {
       job->urgent = true;
@@ -30,7 +30,7 @@
 static void
 look_ended (MuxCore *core, Job *job)
 {
-  if (job->final < job->header.task_count)
+  if (job->final_count < job->header.task_count)
     return;
   job->ended = true;
   job->dirty_any = true;
@@ -46,7 +46,7 @@
   if (slot_final (slot))
     return;
   slot->state = state;
-  job->final++;
+  job->final_count++;
   if (state == SLOT_DONE)
     job->header.done++;
   else
@@ -65,9 +65,9 @@
 {
   Slot *slot = &job->slots[index];
 
-  slot->active = false;
-  job->active--;
-  job->asking -= slot->state == SLOT_NEW;
+  slot->has_task = false;
+  job->active_count--;
+  job->unplaced_count -= slot->state == SLOT_NEW;
   if (index < job->next_new)
     job->next_new = index;
 }
@@ -81,7 +81,7 @@
   TaskOptions options = { .key = mux_id_of_part (job->id, index),
                           .spec = spec,
                           .body = job->body,
-                          .give_up_ms = INT64_MAX,
+                          .expires_ms = INT64_MAX,
                           .job = job->id,
                           .job_index = index,
                           .in_gang = gang,
@@ -91,8 +91,8 @@
                 .not_after_ms = slot->not_after_ms };
   bool given;
 
-  slot->active = true;
-  job->active++;
+  slot->has_task = true;
+  job->active_count++;
   memcpy (at.worker, slot->worker, sizeof at.worker);
   memcpy (at.addr, slot->addr, sizeof at.addr);
   if (slot->state != SLOT_NEW)
@@ -101,7 +101,7 @@
     }
   else
     {
-      job->asking++;
+      job->unplaced_count++;
       given = task_begin (core, &options);
     }
   if (!given)
@@ -110,7 +110,7 @@
 }
 
 void
-job_carry (MuxCore *core, Job *job)
+job_activate_tasks (MuxCore *core, Job *job)
 {
   const MuxClassSpec *spec = config_class (core, job->header.class_name);
   uint32_t room;
@@ -119,7 +119,8 @@
       || core->stopping)
     return;
   /* Tasks that run need no window. */
-  room = job->asking < WINDOW_TASKS ? WINDOW_TASKS - job->asking : 0;
+  room = job->unplaced_count < WINDOW_TASKS ? WINDOW_TASKS - job->unplaced_count
+                                            : 0;
   if (spec->kind == MUX_KIND_GANG)
     room = job->header.task_count;
   /* Room that is still booked from before is granted at once, and that calls
@@ -131,15 +132,15 @@
 
       /* Of a cancelled job only what may run is looked after: it has to be
        * found before it can be stopped. */
-      if (slot_final (slot) || slot->active
-          || (job->header.cancel && slot->state != SLOT_PLACED))
+      if (slot_final (slot) || slot->has_task
+          || (job->header.cancel_requested && slot->state != SLOT_PLACED))
         continue;
       if (slot->state == SLOT_NEW)
         room--;
       if (!give_task (core, job, index, spec))
         return;
     }
-  if (spec->kind == MUX_KIND_GANG && job->asking > 0)
+  if (spec->kind == MUX_KIND_GANG && job->unplaced_count > 0)
     job_gang_begin (core, job);
 }
 
@@ -148,7 +149,7 @@
 {
   TaskEvent event = { .kind = TASK_EV_CANCEL, .reason = MUX_REASON_CANCELLED };
 
-  job->header.cancel = true;
+  job->header.cancel_requested = true;
   /* Slots that were not read yet look new; adoption comes back to this. */
   if (!job->loaded)
     return;
@@ -182,7 +183,7 @@
 }
 
 void
-jobs_record (MuxCore *core, Task *task)
+jobs_record_placement (MuxCore *core, Task *task)
 {
   Job *job = job_find (core, task->job);
   Slot *slot;
@@ -194,17 +195,17 @@
     }
   slot = &job->slots[task->job_index];
   if (slot->state == SLOT_NEW)
-    job->asking--;
+    job->unplaced_count--;
   slot->state = SLOT_PLACED;
   slot->attempt = task->attempt;
-  slot->incarnation = task->at.incarnation;
-  slot->not_after_ms = task->at.not_after_ms;
-  memcpy (slot->worker, task->at.worker, sizeof slot->worker);
-  memcpy (slot->addr, task->at.addr, sizeof slot->addr);
+  slot->incarnation = task->placement.incarnation;
+  slot->not_after_ms = task->placement.not_after_ms;
+  memcpy (slot->worker, task->placement.worker, sizeof slot->worker);
+  memcpy (slot->addr, task->placement.addr, sizeof slot->addr);
   if (job->pending_count < job->header.task_count)
-    job->pending[job->pending_count++] = task->key;
+    job->pending_keys[job->pending_count++] = task->key;
   mark (core, job, task->job_index, true);
-  job_carry (core, job);
+  job_activate_tasks (core, job);
 }
 
 static SlotState
@@ -234,8 +235,8 @@
   if (job == NULL)
     return;
   if (job->slots[task->job_index].state == SLOT_NEW)
-    job->asking--;
-  job->slots[task->job_index].active = false;
-  job->active--;
+    job->unplaced_count--;
+  job->slots[task->job_index].has_task = false;
+  job->active_count--;
   slot_end (core, job, task->job_index, slot_of (task, outcome, reason));
 }
--- a/src/core/jobs_write.c
+++ b/src/core/jobs_write.c
@@ -16,14 +16,14 @@
 
   /* What a task does next may be recorded again, in @pending; the job itself
    * ends or is dropped by answers of the table alone. */
-  for (uint32_t i = 0; i < job->written_count; i++)
+  for (uint32_t i = 0; i < job->inflight_count; i++)
     {
-      Task *task = task_find (core, job->written[i]);
+      Task *task = task_find (core, job->inflight_keys[i]);
 
       if (task != NULL && task->state == TASK_RECORDING)
         task_event (core, task, &event);
     }
-  job->written_count = 0;
+  job->inflight_count = 0;
 }
 
 /* The write did not happen, or that can't be told: the same is due again, and
@@ -32,11 +32,11 @@
 write_again (MuxCore *core, Job *job, int64_t pause_ms)
 {
   for (uint32_t i = 0;
-       i < job->written_count && job->pending_count < job->header.task_count;
+       i < job->inflight_count && job->pending_count < job->header.task_count;
        i++)
-    job->pending[job->pending_count++] = job->written[i];
-  job->written_count = 0;
-  for (uint32_t i = 0; i < job_parts (&job->header); i++)
+    job->pending_keys[job->pending_count++] = job->inflight_keys[i];
+  job->inflight_count = 0;
+  for (uint32_t i = 0; i < job_part_count (&job->header); i++)
     job->dirty[i] = job->dirty[i] || job->in_write[i];
   job->dirty_any = true;
   job->write_ms = core->now_ms + core_jitter (core, pause_ms);
@@ -45,7 +45,7 @@
 static void
 parts_stand (Job *job, uint64_t rev)
 {
-  for (uint32_t i = 0; i < job_parts (&job->header); i++)
+  for (uint32_t i = 0; i < job_part_count (&job->header); i++)
     if (job->in_write[i])
       job->part_rev[i] = rev;
 }
@@ -59,12 +59,12 @@
       break;
     case MUX_TABLE_CONFLICT:
       write_again (core, job, 0);
-      job->stale = true;
+      job->needs_reread = true;
       break;
     case MUX_TABLE_UNKNOWN:
       mux_count_retry (core->counters, MUX_REASON_WRITE_UNKNOWN);
       write_again (core, job, RETRY_MS);
-      job->stale = true;
+      job->needs_reread = true;
       break;
     case MUX_TABLE_DOWN:
     case MUX_TABLE_BAD:
@@ -77,7 +77,7 @@
 static void
 end_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
 {
-  Job *job = job_of_turn (core, id, turn);
+  Job *job = job_of_generation (core, id, turn);
 
   if (job == NULL)
     return;
@@ -94,7 +94,7 @@
                uint64_t turn,
                const MuxTableReply *reply)
 {
-  Job *job = job_of_turn (core, id, turn);
+  Job *job = job_of_generation (core, id, turn);
 
   if (job == NULL)
     return;
@@ -114,7 +114,7 @@
 {
   uint32_t count = 0;
 
-  for (uint32_t i = 0; i < job_parts (&job->header); i++)
+  for (uint32_t i = 0; i < job_part_count (&job->header); i++)
     count += job->dirty[i];
   return count;
 }
@@ -135,7 +135,7 @@
   job_row_key ("open", job->id, call->rows[0].key);
   call->rows[0].rev = job->rev;
   call->rows[0].check_only = true;
-  for (uint32_t i = 0; i < job_parts (&job->header); i++)
+  for (uint32_t i = 0; i < job_part_count (&job->header); i++)
     {
       job->in_write[i] = job->dirty[i];
       if (!job->dirty[i])
@@ -172,14 +172,14 @@
 static MuxTableCall *
 end_call (const MuxCore *core, Job *job)
 {
-  uint32_t parts = job_parts (&job->header);
+  uint32_t parts = job_part_count (&job->header);
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_TXN, 2 + parts);
 
   if (call == NULL)
     return NULL;
-  job->header.state = job->header.cancel       ? JOB_CANCELLED
-                      : job->header.failed > 0 ? JOB_FAILED
-                                               : JOB_DONE;
+  job->header.state = job->header.cancel_requested ? JOB_CANCELLED
+                      : job->header.failed > 0     ? JOB_FAILED
+                                                   : JOB_DONE;
   if (core->wall_ms > job->header.at_ms)
     job->header.at_ms = core->wall_ms;
   job_row_key ("open", job->id, call->rows[0].key);
@@ -204,17 +204,18 @@
   bool last = job->ended;
   MuxTableCall *call = last ? end_call (core, job) : parts_call (job);
 
-  memcpy (job->written, job->pending,
-          job->pending_count * sizeof *job->written);
-  job->written_count = job->pending_count;
+  memcpy (job->inflight_keys, job->pending_keys,
+          job->pending_count * sizeof *job->inflight_keys);
+  job->inflight_count = job->pending_count;
   job->pending_count = 0;
   job->dirty_any = false;
   if (call != NULL
       && call_table (core, call, last ? end_done : parts_written, job->id,
-                     job->turn))
+                     job->generation))
     {
       job->writing = true;
-      core->jobs->next_write_ms = core->now_ms + commit_pace_ms (core);
+      core->jobs->next_write_ms
+          = core->now_ms + commit_write_interval_ms (core);
       return;
     }
   write_again (core, job, RETRY_MS);
@@ -233,7 +234,7 @@
               uint64_t turn,
               const MuxTableReply *reply)
 {
-  Job *job = job_of_turn (core, id, turn);
+  Job *job = job_of_generation (core, id, turn);
 
   if (job == NULL)
     return;
@@ -243,14 +244,14 @@
       return;
     }
   job->reading = false;
-  job->stale = false;
-  job_parts_found (job, reply);
+  job->needs_reread = false;
+  job_set_part_revisions (job, reply);
 }
 
 static void
 reread_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
 {
-  Job *job = job_of_turn (core, id, turn);
+  Job *job = job_of_generation (core, id, turn);
   JobHeader header;
 
   if (job == NULL)
@@ -271,11 +272,11 @@
       || strcmp (header.home, core->name) != 0
       || header.home_incarnation != core->opt.incarnation)
     {
-      job_let_go (core, job);
+      job_release (core, job);
       return;
     }
   job->rev = reply->rows[0].rev;
-  if (header.cancel && !job->header.cancel)
+  if (header.cancel_requested && !job->header.cancel_requested)
     job_cancel (core, job);
   if (!job_read_parts (core, job, parts_reread))
     reread_failed (core, job);
@@ -291,7 +292,8 @@
       job_row_key ("open", job->id, call->rows[0].key);
       job_row_key ("done", job->id, call->rows[1].key);
     }
-  if (call != NULL && call_table (core, call, reread_done, job->id, job->turn))
+  if (call != NULL
+      && call_table (core, call, reread_done, job->id, job->generation))
     job->reading = true;
   else
     reread_failed (core, job);
@@ -300,17 +302,17 @@
 void
 job_reread (MuxCore *core, Job *job)
 {
-  job->stale = true;
+  job->needs_reread = true;
   job->write_ms = core->now_ms;
 }
 
 void
 job_write (MuxCore *core, Job *job)
 {
-  if ((!job->dirty_any && !job->stale) || job->writing || job->reading
+  if ((!job->dirty_any && !job->needs_reread) || job->writing || job->reading
       || core->now_ms < job->write_ms)
     return;
-  if (job->stale)
+  if (job->needs_reread)
     send_reread (core, job);
   else if (core->now_ms >= core->jobs->next_write_ms)
     send_write (core, job);
@@ -319,9 +321,9 @@
 int64_t
 job_write_wake_ms (const MuxCore *core, const Job *job)
 {
-  if ((!job->dirty_any && !job->stale) || job->writing || job->reading)
+  if ((!job->dirty_any && !job->needs_reread) || job->writing || job->reading)
     return INT64_MAX;
-  if (!job->stale && core->jobs->next_write_ms > job->write_ms)
+  if (!job->needs_reread && core->jobs->next_write_ms > job->write_ms)
     return core->jobs->next_write_ms;
   return job->write_ms;
 }
@@ -333,6 +335,6 @@
             job->header.class_name, job_state_name (job->header.state),
             job->header.done, job->header.failed);
   mux_count (core->counters, MUX_COUNT_JOBS_DONE, 1);
-  job_waits_tell (core, &job->header);
+  job_waits_notify (core, &job->header);
   job_free (core, job);
 }
--- a/src/core/lease.c
+++ b/src/core/lease.c
@@ -20,7 +20,7 @@
 }
 
 uint32_t
-lease_ask_ms (const MuxCore *core)
+lease_request_ms (const MuxCore *core)
 {
   int64_t paced_ms = pace_ms (core) * RENEWALS_PER_LEASE;
 
@@ -36,7 +36,7 @@
  * So it is the lease that this worker was last asked for that counts.
  */
 int64_t
-lease_renew_ms (MuxCore *core, const Worker *worker)
+lease_renew_after_ms (MuxCore *core, const Worker *worker)
 {
   int64_t idle_ms = worker->lease_ms / RENEWALS_PER_LEASE;
   int64_t busy_ms = pace_ms (core);
--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -8,8 +8,8 @@
  * stay within its share of control traffic. */
 
 /** lease_ask_ms() - lease to ask of a worker now */
-uint32_t lease_ask_ms (const MuxCore *core);
+uint32_t lease_request_ms (const MuxCore *core);
 /** lease_renew_ms() - from an answer of @worker to its next renewal */
-int64_t lease_renew_ms (MuxCore *core, const Worker *worker);
+int64_t lease_renew_after_ms (MuxCore *core, const Worker *worker);
 
 #endif
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -34,7 +34,7 @@
   uint32_t far = 0;
 
   for (const Member *m = core->members; m != NULL; m = m->hh.next)
-    far += !m->near && m->state != MEMBER_DEAD;
+    far += !m->local && m->state != MEMBER_DEAD;
   return far > FAR_FACTOR_MIN ? far : FAR_FACTOR_MIN;
 }
 
@@ -48,7 +48,7 @@
 }
 
 uint32_t
-members_alive (const MuxCore *core)
+members_live_count (const MuxCore *core)
 {
   uint32_t alive = 0;
 
@@ -139,7 +139,7 @@
   HASH_ITER (hh, core->members, member, next)
   {
     /* The dead are greeted too: it is how a healed cut is found. */
-    if (member->near ? member->state != MEMBER_DEAD || far_too : far_too)
+    if (member->local ? member->state != MEMBER_DEAD || far_too : far_too)
       member_send (core, member, &msg);
   }
   if (!far_too)
@@ -169,7 +169,7 @@
 }
 
 void
-members_told (MuxCore *core, const MuxPeerMsg *msg)
+members_addresses_received (MuxCore *core, const MuxPeerMsg *msg)
 {
   char text[MEMBERS_TOLD * MUX_ADDR_LEN];
   char *rest = text;
@@ -224,7 +224,7 @@
       owner_home_lost (core, member->name, member->incarnation);
       jobs_member_dead (core, member->name);
     }
-  workers_reconsider (core);
+  workers_members_changed (core);
 }
 
 static Member *
@@ -272,13 +272,13 @@
   member->incarnation = msg->from_incarnation;
   mux_name_copy (member->data_centre, msg->from_dc);
   snprintf (member->addr, sizeof member->addr, "%s", msg->from_addr);
-  member->near = strcmp (msg->from_dc, core->data_centre) == 0;
-  member->heard_ms = core->now_ms;
+  member->local = strcmp (msg->from_dc, core->data_centre) == 0;
+  member->last_contact_ms = core->now_ms;
   member->free = msg->free;
   member->total = msg->total;
   member->largest = msg->largest;
   member->queued = msg->queued;
-  member->oldest_ms = msg->oldest_ms;
+  member->oldest_wait_ms = msg->oldest_ms;
   if (member->state != MEMBER_LIVE || member->stopping != msg->stopping)
     {
       bool was_dead = member->state == MEMBER_DEAD;
@@ -296,11 +296,11 @@
         }
     }
   member->revision = msg->revision;
-  config_heard (core, member, msg->revision);
+  config_peer_revision (core, member, msg->revision);
 }
 
 void
-members_bye (MuxCore *core, const MuxPeerMsg *msg)
+members_stopping (MuxCore *core, const MuxPeerMsg *msg)
 {
   Member *member = member_find (core, msg->from);
 
@@ -310,11 +310,11 @@
   member->stopping = true;
   core_log (core, 5, "member_stopping", "member=%s", member->name);
   jobs_member_dead (core, member->name);
-  workers_reconsider (core);
+  workers_members_changed (core);
 }
 
 void
-members_listed (MuxCore *core, const MuxInstanceList *list)
+members_update_list (MuxCore *core, const MuxInstanceList *list)
 {
   for (uint32_t i = 0; i < list->count; i++)
     {
@@ -332,8 +332,8 @@
 static void
 look_silent (MuxCore *core, Member *member, int64_t far)
 {
-  int64_t silent_ms = core->now_ms - member->heard_ms;
-  int64_t factor = member->near ? 1 : far;
+  int64_t silent_ms = core->now_ms - member->last_contact_ms;
+  int64_t factor = member->local ? 1 : far;
 
   if (member->state == MEMBER_LIVE
       && silent_ms >= core->opt.suspect_ms * factor)
@@ -374,13 +374,13 @@
   core_log (core, 4, "was_paused", "gap_ms=%lld", (long long) gap_ms);
   HASH_ITER (hh, core->members, member, next)
   if (member->state != MEMBER_DEAD)
-    member->heard_ms += gap_ms;
+    member->last_contact_ms += gap_ms;
 }
 
 void
 members_tick (MuxCore *core)
 {
-  bool far_too = core->now_ms >= core->next_far_heartbeat_ms;
+  bool far_too = core->now_ms >= core->next_remote_heartbeat_ms;
   int64_t far;
   Member *member, *next;
 
@@ -391,13 +391,13 @@
   update_share (core);
   core->next_heartbeat_ms = core->now_ms + core->opt.heartbeat_ms;
   if (far_too)
-    core->next_far_heartbeat_ms
+    core->next_remote_heartbeat_ms
         = core->now_ms + (int64_t) core->opt.heartbeat_ms * far;
   HASH_ITER (hh, core->members, member, next)
   {
     look_silent (core, member, far);
     if (member->state == MEMBER_DEAD
-        && core->now_ms - member->heard_ms > DEAD_KEPT_MS)
+        && core->now_ms - member->last_contact_ms > DEAD_KEPT_MS)
       {
         HASH_DEL (core->members, member);
         free (member);
@@ -407,13 +407,13 @@
 
 /* Several claims are won in the same moment: one heartbeat tells of all. */
 void
-members_news (MuxCore *core)
+members_announce_room (MuxCore *core)
 {
   int64_t at_ms = core->now_ms + NEWS_MS;
 
   if (at_ms < core->next_heartbeat_ms)
     core->next_heartbeat_ms = at_ms;
-  core->next_far_heartbeat_ms = core->next_heartbeat_ms;
+  core->next_remote_heartbeat_ms = core->next_heartbeat_ms;
 }
 
 int64_t
@@ -423,7 +423,7 @@
 }
 
 void
-members_farewell (MuxCore *core)
+members_announce_stop (MuxCore *core)
 {
   MuxPeerMsg msg = { .verb = MUX_PEER_BYE };
 
@@ -437,7 +437,7 @@
 }
 
 bool
-members_first (MuxCore *core, const char *subject, bool near)
+members_ranked_first (MuxCore *core, const char *subject, bool near)
 {
   uint64_t mine = members_rank (core->name, subject);
 
@@ -447,7 +447,7 @@
     {
       uint64_t rank;
 
-      if (m->state == MEMBER_DEAD || m->stopping || (near && !m->near))
+      if (m->state == MEMBER_DEAD || m->stopping || (near && !m->local))
         continue;
       rank = members_rank (m->name, subject);
       if (rank > mine || (rank == mine && strcmp (m->name, core->name) > 0))
--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -26,8 +26,8 @@
   if (grant == NULL)
     return NULL;
   grant->task = ask->task;
-  grant->ask = *ask;
-  grant->ask.body = NULL;
+  grant->request = *ask;
+  grant->request.body = NULL;
   HASH_ADD (hh, core->grants, task, sizeof grant->task, grant);
   return grant;
 }
@@ -37,8 +37,8 @@
 {
   if (grant->worker != NULL)
     {
-      if (!grant->seen)
-        grant->worker->open--;
+      if (!grant->started)
+        grant->worker->unstarted_grants--;
       DL_DELETE (grant->worker->grants, grant);
     }
   HASH_DEL (core->grants, grant);
@@ -49,11 +49,11 @@
 grant_bind (Grant *grant, Worker *worker, bool seen)
 {
   grant->placed = true;
-  grant->seen = seen;
+  grant->started = seen;
   grant->worker = worker;
   grant->epoch = worker->epoch;
   if (!seen)
-    worker->open++;
+    worker->unstarted_grants++;
   DL_APPEND (worker->grants, grant);
 }
 
@@ -66,7 +66,7 @@
     {
       mux_name_copy (msg->from, core->name);
       msg->from_incarnation = core->opt.incarnation;
-      tasks_peer (core, msg);
+      tasks_peer_message (core, msg);
       return;
     }
   member = member_find (core, home);
@@ -101,10 +101,10 @@
 
   mux_name_copy (msg.worker, worker->name);
   snprintf (msg.worker_addr, sizeof msg.worker_addr, "%s", worker->addr);
-  grant->sends++;
-  if (strcmp (grant->ask.from, core->name) != 0)
+  grant->send_count++;
+  if (strcmp (grant->request.from, core->name) != 0)
     mux_count (core->counters, MUX_COUNT_GRANTS_REMOTE, 1);
-  tell_home (core, grant->ask.from, &msg);
+  tell_home (core, grant->request.from, &msg);
 }
 
 static void
@@ -121,19 +121,19 @@
 static void
 ask_again (MuxCore *core, Grant *grant, const MuxPeerMsg *ask)
 {
-  if (strcmp (grant->ask.from, ask->from) != 0 || grant->seen)
+  if (strcmp (grant->request.from, ask->from) != 0 || grant->started)
     {
       refuse (core, ask, MUX_REASON_KEY_IN_USE, RETRY_MS);
       return;
     }
-  grant->ask.from_incarnation = ask->from_incarnation;
-  grant->unheard = 0;
+  grant->request.from_incarnation = ask->from_incarnation;
+  grant->checks_since_request = 0;
   if (grant->placed)
     send_grant (core, grant);
 }
 
 void
-owner_ask (MuxCore *core, const MuxPeerMsg *ask)
+owner_request (MuxCore *core, const MuxPeerMsg *ask)
 {
   Grant *grant = grant_find (core, ask->task);
   MuxTaskRequest task = { .task = ask->task,
@@ -147,8 +147,8 @@
 
   /* The cancel of an ask in another group was lost: that gang is void. */
   if (grant != NULL && !grant->placed
-      && !mux_id_equal (grant->ask.group, ask->group)
-      && strcmp (grant->ask.from, ask->from) == 0)
+      && !mux_id_equal (grant->request.group, ask->group)
+      && strcmp (grant->request.from, ask->from) == 0)
     {
       void_ask (core, grant);
       grant = NULL;
@@ -185,9 +185,9 @@
 static bool
 is_asker (const Grant *grant, const MuxPeerMsg *msg)
 {
-  return strcmp (grant->ask.from, msg->from) == 0
-         && (grant->ask.from_incarnation == msg->from_incarnation
-             || grant->ask.from_incarnation == 0);
+  return strcmp (grant->request.from, msg->from) == 0
+         && (grant->request.from_incarnation == msg->from_incarnation
+             || grant->request.from_incarnation == 0);
 }
 
 /*
@@ -226,7 +226,7 @@
 }
 
 void
-owner_end (MuxCore *core, const MuxPeerMsg *msg)
+owner_task_ended (MuxCore *core, const MuxPeerMsg *msg)
 {
   Grant *grant = grant_find (core, msg->task);
 
@@ -245,7 +245,7 @@
    * nobody's.  The room would be filled beside the task that runs.  So what
    * was told twice is freed by the worker's list, or when it has run out.
    */
-  if (msg->state == MUX_TASK_ABSENT && grant->sends > 1)
+  if (msg->state == MUX_TASK_ABSENT && grant->send_count > 1)
     return;
   mux_sched_ended (core->sched, msg->task,
                    end_of_state ((MuxTaskState) msg->state), msg->ran_ms,
@@ -267,7 +267,7 @@
     }
   if (placement->worker == MUX_NO_WORKER)
     {
-      MuxPeerMsg ask = grant->ask;
+      MuxPeerMsg ask = grant->request;
 
       grant_free (core, grant);
       refuse (core, &ask, placement->reason, placement->retry_ms);
@@ -281,16 +281,16 @@
 }
 
 void
-owner_pump (MuxCore *core)
+owner_process_placements (MuxCore *core)
 {
   MuxPlacement placement;
 
-  if (core->pumping)
+  if (core->processing_placements)
     return;
-  core->pumping = true;
+  core->processing_placements = true;
   while (mux_sched_next (core->sched, core->now_ms, &placement))
     place (core, &placement);
-  core->pumping = false;
+  core->processing_placements = false;
 }
 
 static void
@@ -301,10 +301,10 @@
 
   if (grant != NULL && grant->worker == worker)
     {
-      if (!grant->seen)
-        worker->open--;
-      grant->seen = true;
-      mux_name_copy (grant->ask.from, report->home);
+      if (!grant->started)
+        worker->unstarted_grants--;
+      grant->started = true;
+      mux_name_copy (grant->request.from, report->home);
       mux_sched_started (core->sched, report->task, core->now_ms);
       mux_sched_report_usage (core->sched, report->task, report->used);
       return;
@@ -338,7 +338,7 @@
     return;
   mux_sched_ended (core->sched, report->task, end_of_state (report->state),
                    report->ran_ms, report->used, core->now_ms);
-  mux_name_copy (home, grant->ask.from);
+  mux_name_copy (home, grant->request.from);
   mux_name_copy (msg.worker, worker->name);
   grant_free (core, grant);
   tell_home (core, home, &msg);
@@ -354,11 +354,11 @@
 {
   Grant *grant, *next;
 
-  if (worker->open == 0)
+  if (worker->unstarted_grants == 0)
     return;
   DL_FOREACH_SAFE (worker->grants, grant, next)
   {
-    if (grant->seen || listed_ms <= grant->not_after_ms)
+    if (grant->started || listed_ms <= grant->not_after_ms)
       continue;
     mux_sched_ended (core->sched, grant->task, MUX_END_NO_START, 0,
                      (MuxSize){ 0 }, core->now_ms);
@@ -367,7 +367,7 @@
 }
 
 void
-owner_report (MuxCore *core, Worker *worker, const MuxWorkerReply *reply)
+owner_worker_report (MuxCore *core, Worker *worker, const MuxWorkerReply *reply)
 {
   for (uint32_t i = 0; i < reply->report_count; i++)
     {
@@ -382,7 +382,7 @@
 }
 
 void
-owner_drop (MuxCore *core, Worker *worker, bool life_over)
+owner_worker_lost (MuxCore *core, Worker *worker, bool life_over)
 {
   while (worker->grants != NULL)
     {
@@ -391,9 +391,9 @@
                          .task = grant->task,
                          .state = MUX_TASK_ABSENT };
       char home[MUX_NAME_LEN];
-      bool tell = life_over && grant->seen;
+      bool tell = life_over && grant->started;
 
-      mux_name_copy (home, grant->ask.from);
+      mux_name_copy (home, grant->request.from);
       mux_name_copy (msg.worker, worker->name);
       grant_free (core, grant);
       if (tell)
@@ -402,14 +402,14 @@
 }
 
 void
-owner_send_back (MuxCore *core, MuxId task, MuxReason reason)
+owner_refuse (MuxCore *core, MuxId task, MuxReason reason)
 {
   Grant *grant = grant_find (core, task);
   MuxPeerMsg ask;
 
   if (grant == NULL || grant->placed)
     return;
-  ask = grant->ask;
+  ask = grant->request;
   mux_sched_cancel (core->sched, task);
   grant_free (core, grant);
   refuse (core, &ask, reason, 0);
@@ -433,7 +433,7 @@
   Grant *grant;
 
   while ((grant = first_waiting (core)) != NULL)
-    owner_send_back (core, grant->task, reason);
+    owner_refuse (core, grant->task, reason);
 }
 
 /*
@@ -447,8 +447,8 @@
   Grant *grant, *next;
 
   HASH_ITER (hh, core->grants, grant, next)
-  if (!grant->placed && strcmp (grant->ask.from, home) == 0
-      && grant->ask.from_incarnation <= incarnation)
+  if (!grant->placed && strcmp (grant->request.from, home) == 0
+      && grant->request.from_incarnation <= incarnation)
     void_ask (core, grant);
 }
 
--- a/src/core/owner_recheck.c
+++ b/src/core/owner_recheck.c
@@ -11,13 +11,13 @@
  * make an ask void: looks, not time, so that this daemon's own pause, in which
  * no repeat could come, counts as one. */
 #define UNHEARD_MS 5000
-#define UNHEARD_MAX 4
+#define CHECKS_SINCE_REQUEST_MAX 4
 
 void
-owner_recheck_later (MuxCore *core)
+owner_schedule_recheck (MuxCore *core)
 {
-  if (core->recheck_ms == 0)
-    core->recheck_ms = core->now_ms + RECHECK_MS;
+  if (core->next_fit_check_ms == 0)
+    core->next_fit_check_ms = core->now_ms + RECHECK_MS;
 }
 
 /* How many of @size the workers could hold if they were empty, up to @enough.
@@ -44,9 +44,9 @@
 static bool
 hopeless (const MuxCore *core, const Grant *grant)
 {
-  const MuxClassSpec *spec = config_class (core, grant->ask.class_name);
+  const MuxClassSpec *spec = config_class (core, grant->request.class_name);
   uint32_t count
-      = mux_id_is_none (grant->ask.group) ? 1 : grant->ask.group_count;
+      = mux_id_is_none (grant->request.group) ? 1 : grant->request.group_count;
   MuxSize size;
 
   if (grant->placed || spec == NULL)
@@ -60,7 +60,8 @@
 unheard (const MuxCore *core, const Grant *grant)
 {
   (void) core;
-  return !grant->placed && grant->unheard >= UNHEARD_MAX;
+  return !grant->placed
+         && grant->checks_since_request >= CHECKS_SINCE_REQUEST_MAX;
 }
 
 static void
@@ -79,7 +80,7 @@
     ids[count++] = grant->task;
   /* A refusal may end other asks of a home in this daemon. */
   for (uint32_t i = 0; i < count; i++)
-    owner_send_back (core, ids[i], reason);
+    owner_refuse (core, ids[i], reason);
   free (ids);
 }
 
@@ -93,11 +94,11 @@
 static void
 drop_unheard (MuxCore *core)
 {
-  if (core->now_ms < core->unheard_ms)
+  if (core->now_ms < core->next_repeat_check_ms)
     return;
-  core->unheard_ms = core->now_ms + UNHEARD_MS;
+  core->next_repeat_check_ms = core->now_ms + UNHEARD_MS;
   for (Grant *grant = core->grants; grant != NULL; grant = grant->hh.next)
-    grant->unheard++;
+    grant->checks_since_request++;
   send_back_all (core, unheard, MUX_REASON_PEER_SILENT);
 }
 
@@ -111,8 +112,8 @@
 owner_recheck (MuxCore *core)
 {
   drop_unheard (core);
-  if (core->recheck_ms == 0 || core->now_ms < core->recheck_ms)
+  if (core->next_fit_check_ms == 0 || core->now_ms < core->next_fit_check_ms)
     return;
-  core->recheck_ms = 0;
+  core->next_fit_check_ms = 0;
   send_back_all (core, hopeless, MUX_REASON_NO_WORKERS);
 }
--- a/src/core/budget.c
+++ b/src/core/retry_budget.c
@@ -1,4 +1,4 @@
-#include "budget.h"
+#include "retry_budget.h"
 
 #include <stdlib.h>
 
@@ -8,19 +8,19 @@
 /* Retries that a quiet class has at hand. */
 #define FULL (50 * RETRY_COST)
 
-struct Budgets
+struct RetryBudget
 {
   char class_name[MUX_NAME_LEN];
   int64_t left;
   UT_hash_handle hh;
 };
 
-static Budgets *
+static RetryBudget *
 find (MuxCore *core, const char *class_name)
 {
-  Budgets *budget;
+  RetryBudget *budget;
 
-  HASH_FIND_STR (core->budgets, class_name, budget);
+  HASH_FIND_STR (core->retry_budgets, class_name, budget);
   if (budget != NULL)
     return budget;
   budget = calloc (1, sizeof *budget);
@@ -28,23 +28,23 @@
     return NULL;
   mux_name_copy (budget->class_name, class_name);
   budget->left = FULL;
-  HASH_ADD_STR (core->budgets, class_name, budget);
+  HASH_ADD_STR (core->retry_budgets, class_name, budget);
   return budget;
 }
 
 void
-budget_earn (MuxCore *core, const char *class_name)
+retry_budget_credit (MuxCore *core, const char *class_name)
 {
-  Budgets *budget = find (core, class_name);
+  RetryBudget *budget = find (core, class_name);
 
   if (budget != NULL && budget->left < FULL)
     budget->left += EARN;
 }
 
 bool
-budget_take (MuxCore *core, const char *class_name)
+retry_budget_spend (MuxCore *core, const char *class_name)
 {
-  Budgets *budget = find (core, class_name);
+  RetryBudget *budget = find (core, class_name);
 
   if (budget == NULL || budget->left < RETRY_COST)
     return false;
@@ -53,13 +53,13 @@
 }
 
 void
-budgets_free (MuxCore *core)
+retry_budgets_free (MuxCore *core)
 {
-  Budgets *budget, *next;
+  RetryBudget *budget, *next;
 
-  HASH_ITER (hh, core->budgets, budget, next)
+  HASH_ITER (hh, core->retry_budgets, budget, next)
   {
-    HASH_DEL (core->budgets, budget);
+    HASH_DEL (core->retry_budgets, budget);
     free (budget);
   }
 }
--- a/src/core/budget.h
+++ b/src/core/retry_budget.h
@@ -1,5 +1,5 @@
-#ifndef CORE_BUDGET_H
-#define CORE_BUDGET_H
+#ifndef CORE_RETRY_BUDGET_H
+#define CORE_RETRY_BUDGET_H
 
 #include "core_private.h"
 
@@ -7,9 +7,9 @@
  * that a failing cell is not buried under its own retries. */
 
 /** budget_earn() - a request or task of the class came */
-void budget_earn (MuxCore *core, const char *class_name);
+void retry_budget_credit (MuxCore *core, const char *class_name);
 /** budget_take() - false: the class's budget is spent */
-bool budget_take (MuxCore *core, const char *class_name);
-void budgets_free (MuxCore *core);
+bool retry_budget_spend (MuxCore *core, const char *class_name);
+void retry_budgets_free (MuxCore *core);
 
 #endif
--- a/src/core/show.c
+++ b/src/core/show.c
@@ -28,7 +28,7 @@
       member_state_name (member->state), "stopping", member->stopping,
       "revision", (json_int_t) member->revision, "incarnation",
       (json_int_t) member->incarnation, "silent_ms",
-      (json_int_t) (core->now_ms - member->heard_ms), "queued",
+      (json_int_t) (core->now_ms - member->last_contact_ms), "queued",
       (json_int_t) member->queued, "free", mux_size_to_json (member->free),
       "total", mux_size_to_json (member->total));
 }
@@ -47,7 +47,7 @@
       if (m->revision < revision || m->state == MEMBER_DEAD)
         json_array_append_new (late, json_string (m->name));
     }
-  core_answer_json (
+  core_respond_json (
       core, call, 200,
       json_pack ("{s:s, s:s, s:I, s:b, s:b, s:b, s:I, s:I, s:I, s:I, s:o, "
                  "s:o, s:o, s:o}",
@@ -66,11 +66,11 @@
 static const char *
 worker_state_name (const Worker *worker)
 {
-  if (worker->listed == MUX_INSTANCE_GONE)
+  if (worker->listed_state == MUX_INSTANCE_GONE)
     return "gone";
-  if (worker->listed == MUX_INSTANCE_LEAVING || worker->leaving)
+  if (worker->listed_state == MUX_INSTANCE_LEAVING || worker->leaving)
     return "leaving";
-  if (worker->unheard > 0)
+  if (worker->unanswered_calls > 0)
     return "silent";
   return "live";
 }
@@ -101,7 +101,7 @@
 
   for (const Worker *w = core->workers; w != NULL; w = w->hh.next)
     json_array_append_new (workers, worker_json (core, w));
-  core_answer_json (
+  core_respond_json (
       core, call, 200,
       json_pack ("{s:s, s:o}", "instance", core->name, "workers", workers));
 }
@@ -134,7 +134,7 @@
       json_array_append_new (classes, risk_json (&risks[i]));
     }
   free (risks);
-  core_answer_json (
+  core_respond_json (
       core, call, 200,
       json_pack ("{s:s, s:o}", "instance", core->name, "classes", classes));
 }
--- a/src/core/sweep.c
+++ b/src/core/sweep.c
@@ -169,7 +169,7 @@
   if (sweep->busy || core->now_ms < sweep->next_ms)
     return;
   sweep->next_ms = core->now_ms + ROUND_MS;
-  if (core->wall_ms == 0 || !members_first (core, SWEEP_SUBJECT, false))
+  if (core->wall_ms == 0 || !members_ranked_first (core, SWEEP_SUBJECT, false))
     return;
   call = mux_table_call_new (MUX_TABLE_SCAN, 2);
   if (call == NULL)
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -1,6 +1,6 @@
 #include "task_private.h"
 
-#include "budget.h"
+#include "retry_budget.h"
 #include "commit.h"
 #include "config.h"
 #include "jobs.h"
@@ -23,10 +23,10 @@
 }
 
 void
-task_wake (MuxCore *core, Task *task, int64_t after_ms)
+task_set_timer (MuxCore *core, Task *task, int64_t after_ms)
 {
-  task->wake_ms = core->now_ms + after_ms;
-  timers_add (core->timers, task->wake_ms, task->key);
+  task->timer_ms = core->now_ms + after_ms;
+  timers_add (core->timers, task->timer_ms, task->key);
 }
 
 bool
@@ -45,10 +45,10 @@
    * shorter one, would be held until that.  The first caller's limit is the
    * task's, and only another caller's can make it later.
    */
-  if (task->waiters == NULL || give_up_ms > task->give_up_ms)
-    task->give_up_ms = give_up_ms;
-  waiter->call = call;
-  waiter->give_up_ms = give_up_ms;
+  if (task->waiters == NULL || give_up_ms > task->expires_ms)
+    task->expires_ms = give_up_ms;
+  waiter->call_id = call;
+  waiter->expires_ms = give_up_ms;
   waiter->next = task->waiters;
   task->waiters = waiter;
   return true;
@@ -71,7 +71,7 @@
 }
 
 void
-task_attempt_set (MuxCore *core, Task *task, uint32_t attempt)
+task_set_attempt (MuxCore *core, Task *task, uint32_t attempt)
 {
   if (task->by_id.tbl != NULL)
     HASH_DELETE (by_id, core->tasks_by_id, task);
@@ -81,7 +81,7 @@
 }
 
 Task *
-task_make (MuxCore *core, const TaskOptions *options)
+task_new (MuxCore *core, const TaskOptions *options)
 {
   const MuxClassSpec *spec = options->spec;
   Task *task = calloc (1, sizeof *task);
@@ -89,7 +89,7 @@
   if (task == NULL)
     return NULL;
   task->key = options->key;
-  task_attempt_set (core, task, options->attempt);
+  task_set_attempt (core, task, options->attempt);
   mux_name_copy (task->class_name, spec->name);
   task->kind = spec->kind;
   task->size = spec->size;
@@ -97,62 +97,62 @@
   task->run_ms = spec->run_ms;
   task->idempotent = spec->idempotent;
   task->keyed = options->keyed;
-  task->minting = options->minting;
-  task->first = options->first;
+  task->for_ticket = options->for_ticket;
+  task->key_is_new = options->key_is_new;
   task->has_job = !mux_id_is_none (options->job);
   task->job = options->job;
   task->job_index = options->job_index;
   task->in_gang = options->in_gang;
   task->start_by_ms = core->now_ms + spec->start_within_ms;
-  task->give_up_ms = options->give_up_ms;
+  task->expires_ms = options->expires_ms;
   task->body = mux_blob_ref (options->body);
   HASH_ADD (hh, core->tasks, key, sizeof task->key, task);
-  if (options->call != 0
-      && !task_add_waiter (core, task, options->call, options->give_up_ms))
+  if (options->call_id != 0
+      && !task_add_waiter (core, task, options->call_id, options->expires_ms))
     {
       task_free (core, task);
       return NULL;
     }
-  budget_earn (core, task->class_name);
+  retry_budget_credit (core, task->class_name);
   return task;
 }
 
 bool
 task_begin (MuxCore *core, const TaskOptions *options)
 {
-  Task *task = task_make (core, options);
+  Task *task = task_new (core, options);
 
   if (task == NULL)
     return false;
-  task->state = task->in_gang ? TASK_WAITING : TASK_ASKING;
+  task->state = task->in_gang ? TASK_WAITING : TASK_REQUESTING;
   if (!task->in_gang)
-    task_ask (core, task);
+    task_request_room (core, task);
   return true;
 }
 
 bool
 task_resume (MuxCore *core, const TaskOptions *options, const Intent *at)
 {
-  Task *task = task_make (core, options);
+  Task *task = task_new (core, options);
 
   if (task == NULL)
     return false;
-  task->at = *at;
+  task->placement = *at;
   task->state = TASK_FOLLOWING;
-  task_fetch (core, task, 0);
-  task_wake (core, task, WORKER_TIMEOUT_MS * 2);
+  task_call_fetch (core, task, 0);
+  task_set_timer (core, task, WORKER_TIMEOUT_MS * 2);
   return true;
 }
 
 void
-task_mark_refused (Task *task)
+task_mark_waiters_refused (Task *task)
 {
   for (Waiter *waiter = task->waiters; waiter != NULL; waiter = waiter->next)
     waiter->refused = true;
 }
 
 bool
-task_tell_refused (MuxCore *core, Task *task, MuxOutcome outcome)
+task_respond_refused (MuxCore *core, Task *task, MuxOutcome outcome)
 {
   Waiter **at = &task->waiters;
 
@@ -167,8 +167,8 @@
         }
       *at = waiter->next;
       /* No attempt is named: another submission of the key may run it. */
-      core_answer (core, waiter->call, outcome, task->last_reason,
-                   task->last_retry_ms, (MuxId){ 0, 0 }, NULL);
+      core_respond (core, waiter->call_id, outcome, task->last_reason,
+                    task->last_retry_ms, (MuxId){ 0, 0 }, NULL);
       free (waiter);
     }
   return task->waiters != NULL;
@@ -186,23 +186,23 @@
 }
 
 void
-task_detach (MuxCore *core,
-             Task *task,
-             MuxOutcome outcome,
-             MuxReason reason,
-             uint32_t retry_ms)
+task_detach_callers (MuxCore *core,
+                     Task *task,
+                     MuxOutcome outcome,
+                     MuxReason reason,
+                     uint32_t retry_ms)
 {
   while (task->waiters != NULL)
     {
       Waiter *waiter = task->waiters;
 
       task->waiters = waiter->next;
-      core_answer (core, waiter->call, outcome, reason, retry_ms, task->id,
-                   NULL);
+      core_respond (core, waiter->call_id, outcome, reason, retry_ms, task->id,
+                    NULL);
       free (waiter);
     }
-  task->give_up_ms = core->now_ms + LINGER_MS;
-  timers_add (core->timers, task->give_up_ms, task->key);
+  task->expires_ms = core->now_ms + LINGER_MS;
+  timers_add (core->timers, task->expires_ms, task->key);
 }
 
 void
@@ -225,8 +225,8 @@
       Waiter *waiter = task->waiters;
 
       task->waiters = waiter->next;
-      core_answer (core, waiter->call, outcome, reason, retry_ms, named,
-                   result);
+      core_respond (core, waiter->call_id, outcome, reason, retry_ms, named,
+                    result);
       free (waiter);
     }
   if (task->has_job)
@@ -237,7 +237,7 @@
 void
 task_drop (MuxCore *core, Task *task)
 {
-  task_ask_cancel (core, task);
+  task_cancel_request (core, task);
   task_free (core, task);
 }
 
@@ -252,16 +252,16 @@
     {
       Waiter *waiter = *at;
 
-      if (waiter->give_up_ms > core->now_ms
+      if (waiter->expires_ms > core->now_ms
           || (task->waiters == waiter && waiter->next == NULL))
         {
           at = &waiter->next;
           continue;
         }
       *at = waiter->next;
-      core_answer (core, waiter->call, MUX_OUTCOME_UNKNOWN,
-                   MUX_REASON_UNKNOWN_FATE, task_unknown_retry_ms (task),
-                   task->id, NULL);
+      core_respond (core, waiter->call_id, MUX_OUTCOME_UNKNOWN,
+                    MUX_REASON_UNKNOWN_FATE, task_unknown_retry_ms (task),
+                    task->id, NULL);
       free (waiter);
     }
 }
@@ -275,9 +275,9 @@
   if (task == NULL)
     return;
   expire_waiters (core, task);
-  if (core->now_ms >= task->give_up_ms)
-    event.kind = TASK_EV_GIVE_UP;
-  else if (task->wake_ms != at_ms)
+  if (core->now_ms >= task->expires_ms)
+    event.kind = TASK_EV_EXPIRED;
+  else if (task->timer_ms != at_ms)
     return;
   task_event (core, task, &event);
 }
@@ -294,8 +294,8 @@
     /* Its worker may have gone with the daemon that would have told of it,
      * and that need not be the one that granted it. */
     if (task->has_job && task->state == TASK_RUNNING)
-      task_look_soon (core, task);
-    if ((task->state != TASK_ASKING && task->state != TASK_HOLDING)
+      task_poll_soon (core, task);
+    if ((task->state != TASK_REQUESTING && task->state != TASK_HOLDING)
         || strcmp (task->owner, owner) != 0)
       continue;
     task_event (core, task, &event);
@@ -303,7 +303,7 @@
 }
 
 uint32_t
-tasks_waiting (const MuxCore *core)
+tasks_waiting_count (const MuxCore *core)
 {
   uint32_t waiting = 0;
 
@@ -327,12 +327,12 @@
         Waiter *waiter = task->waiters;
 
         task->waiters = waiter->next;
-        core_answer (core, waiter->call, MUX_OUTCOME_UNKNOWN,
-                     MUX_REASON_STOPPING, task_unknown_retry_ms (task),
-                     task->id, NULL);
+        core_respond (core, waiter->call_id, MUX_OUTCOME_UNKNOWN,
+                      MUX_REASON_STOPPING, task_unknown_retry_ms (task),
+                      task->id, NULL);
         free (waiter);
       }
     task_free (core, task);
   }
-  budgets_free (core);
+  retry_budgets_free (core);
 }
