--- a/src/core/task_call.c
+++ b/src/core/task_call.c
@@ -42,7 +42,8 @@
 too_late_to_tell (const Task *task, const MuxWorkerReply *reply)
 {
   return (reply->state == MUX_TASK_ABSENT || reply->state == MUX_TASK_FORGOTTEN)
-         && reply->worker_clock_ms > task->at.not_after_ms + WORKER_MEMORY_MS;
+         && reply->worker_clock_ms
+                > task->placement.not_after_ms + WORKER_MEMORY_MS;
 }
 
 /* A call's number stands above its attempt, so that replies tell both. */
@@ -62,7 +63,7 @@
 static bool
 stale_absence (const Task *task, uint32_t call, const MuxWorkerReply *reply)
 {
-  return reply->state == MUX_TASK_ABSENT && call <= task->running_at;
+  return reply->state == MUX_TASK_ABSENT && call <= task->running_at_call;
 }
 
 static void
@@ -75,14 +76,14 @@
     }
   if (too_late_to_tell (task, reply))
     {
-      happened (core, task, TASK_EV_OTHER_LIFE, MUX_REASON_UNKNOWN_FATE);
+      happened (core, task, TASK_EV_WORKER_STATE_LOST, MUX_REASON_UNKNOWN_FATE);
       return;
     }
   switch (reply->state)
     {
     case MUX_TASK_RUNNING:
-      task->running_at = task->calls;
-      happened (core, task, TASK_EV_SEEN_RUNNING, MUX_REASON_NONE);
+      task->running_at_call = task->call_count;
+      happened (core, task, TASK_EV_RUNNING, MUX_REASON_NONE);
       break;
     case MUX_TASK_DONE:
     case MUX_TASK_DONE_GONE:
@@ -94,7 +95,7 @@
       happened (core, task, TASK_EV_ABSENT, MUX_REASON_NONE);
       break;
     case MUX_TASK_FORGOTTEN:
-      happened (core, task, TASK_EV_NEVER, MUX_REASON_FENCED_TOMBSTONE);
+      happened (core, task, TASK_EV_TOMBSTONED, MUX_REASON_FENCED_TOMBSTONE);
       break;
     }
 }
@@ -152,10 +153,10 @@
       on_state (core, task, (uint32_t) (aux >> 32), reply);
       break;
     case MUX_WORKER_NO_ANSWER:
-      happened (core, task, TASK_EV_LOST, MUX_REASON_WORKER_SILENT);
+      happened (core, task, TASK_EV_NO_REPLY, MUX_REASON_WORKER_SILENT);
       break;
     case MUX_WORKER_IS_LEAVING:
-      worker_left (core, reply->worker);
+      worker_set_leaving (core, reply->worker);
       happened (core, task, TASK_EV_NOT_STARTED, MUX_REASON_WORKER_LEAVING);
       break;
     default:
@@ -171,29 +172,31 @@
 
   if (task == NULL)
     return;
-  task->probed = false;
+  task->fetch_in_flight = false;
   switch (reply->status)
     {
     case MUX_WORKER_OK:
       on_state (core, task, (uint32_t) (aux >> 32), reply);
       break;
     case MUX_WORKER_OLD_INCARNATION:
-      happened (core, task, TASK_EV_OTHER_LIFE, MUX_REASON_FENCED_INCARNATION);
+      happened (core, task, TASK_EV_WORKER_STATE_LOST,
+                MUX_REASON_FENCED_INCARNATION);
       break;
     default:
-      if (worker_gone (core, task->at.worker))
-        happened (core, task, TASK_EV_OTHER_LIFE, MUX_REASON_WORKER_SILENT);
+      if (worker_gone (core, task->placement.worker))
+        happened (core, task, TASK_EV_WORKER_STATE_LOST,
+                  MUX_REASON_WORKER_SILENT);
       else
-        happened (core, task, TASK_EV_LOST, MUX_REASON_WORKER_SILENT);
+        happened (core, task, TASK_EV_NO_REPLY, MUX_REASON_WORKER_SILENT);
       break;
     }
 }
 
 static bool
-send_call (MuxCore *core, Task *task, MuxWorkerCall *call, WorkerDone done)
+send_call (MuxCore *core, Task *task, MuxWorkerCall *call, WorkerCallback done)
 {
   return call_worker (core, call, done, task->key,
-                      aux_of (++task->calls, task->attempt));
+                      aux_of (++task->call_count, task->attempt));
 }
 
 static void
@@ -201,16 +204,16 @@
 {
   *call = (MuxWorkerCall){ .verb = verb,
                            .task = task->id,
-                           .incarnation = task->at.incarnation,
+                           .incarnation = task->placement.incarnation,
                            .timeout_ms = WORKER_TIMEOUT_MS };
-  mux_name_copy (call->worker, task->at.worker);
-  snprintf (call->addr, sizeof call->addr, "%s", task->at.addr);
+  mux_name_copy (call->worker, task->placement.worker);
+  snprintf (call->addr, sizeof call->addr, "%s", task->placement.addr);
 }
 
 static uint32_t
 bounded_wait (const MuxCore *core, const Task *task)
 {
-  int64_t left = task->give_up_ms - core->now_ms;
+  int64_t left = task->expires_ms - core->now_ms;
 
   if (left < 0)
     return 0;
@@ -218,13 +221,13 @@
 }
 
 void
-task_start (MuxCore *core, Task *task)
+task_call_start (MuxCore *core, Task *task)
 {
   MuxWorkerCall call;
 
   call_init (task, MUX_WORKER_START, &call);
   call.epoch = task->epoch;
-  call.not_after_ms = task->at.not_after_ms;
+  call.not_after_ms = task->placement.not_after_ms;
   call.wait_ms = task->has_job ? 0 : bounded_wait (core, task);
   call.timeout_ms += call.wait_ms;
   mux_name_copy (call.class_name, task->class_name);
@@ -233,28 +236,28 @@
   call.size = task->size;
   call.run_ms = task->run_ms;
   call.body = task->body;
-  task->looks = 0;
+  task->poll_count = 0;
   mux_count (core->counters, MUX_COUNT_STARTS, 1);
-  task_wake (core, task, PROBE_MS + (int64_t) task->run_ms * PROBE_RUNS);
+  task_set_timer (core, task, PROBE_MS + (int64_t) task->run_ms * PROBE_RUNS);
   if (!send_call (core, task, &call, start_done))
     happened (core, task, TASK_EV_NOT_STARTED, MUX_REASON_RING_FULL);
 }
 
 void
-task_fetch (MuxCore *core, Task *task, uint32_t wait_ms)
+task_call_fetch (MuxCore *core, Task *task, uint32_t wait_ms)
 {
   MuxWorkerCall call;
 
-  if (task->probed)
+  if (task->fetch_in_flight)
     return;
   call_init (task, MUX_WORKER_FETCH, &call);
   call.wait_ms = wait_ms;
   call.timeout_ms += wait_ms;
-  task->probed = send_call (core, task, &call, look_done);
+  task->fetch_in_flight = send_call (core, task, &call, look_done);
 }
 
 void
-task_forget (MuxCore *core, Task *task)
+task_call_forget (MuxCore *core, Task *task)
 {
   MuxWorkerCall call;
 
@@ -263,7 +266,7 @@
 }
 
 void
-task_stop (MuxCore *core, Task *task)
+task_call_stop (MuxCore *core, Task *task)
 {
   MuxWorkerCall call;
 
--- a/src/core/task_ask.c
+++ b/src/core/task_grant.c
@@ -27,7 +27,7 @@
 tried (const Task *task, const char *owner)
 {
   for (uint32_t i = 0; i < OWNERS_MAX; i++)
-    if (strcmp (task->tried[i], owner) == 0)
+    if (strcmp (task->refused_by[i], owner) == 0)
       return true;
   return false;
 }
@@ -85,7 +85,7 @@
     {
       uint64_t rank = members_rank (m->name, key);
 
-      if (!m->near || !member_usable (m) || m->total.slots == 0
+      if (!m->local || !member_usable (m) || m->total.slots == 0
           || (best.usable && rank < best_rank))
         continue;
       best = (Choice){ .usable = true, .name = m->name, .member = m };
@@ -117,7 +117,7 @@
       if (!member_usable (m))
         continue;
       choice = weigh (task, m->name, m, m->free, m->total, m->queued,
-                      m->near ? 1 : FAR_COST);
+                      m->local ? 1 : FAR_COST);
       if (better (&choice, &best))
         best = choice;
     }
@@ -125,16 +125,16 @@
 }
 
 bool
-task_asked_all (MuxCore *core, const Task *task)
+task_owners_exhausted (MuxCore *core, const Task *task)
 {
-  return task->asks >= OWNERS_MAX || !choose (core, task).usable;
+  return task->owners_tried >= OWNERS_MAX || !choose (core, task).usable;
 }
 
 void
-task_refused_by (Task *task, const char *owner)
+task_mark_owner_refused (Task *task, const char *owner)
 {
-  if (task->asks > 0 && task->asks <= OWNERS_MAX)
-    mux_name_copy (task->tried[task->asks - 1], owner);
+  if (task->owners_tried > 0 && task->owners_tried <= OWNERS_MAX)
+    mux_name_copy (task->refused_by[task->owners_tried - 1], owner);
 }
 
 static uint32_t
@@ -156,15 +156,15 @@
                      .group = task->group,
                      .group_count = task->group_count,
                      .start_within_ms = left_ms (core, task->start_by_ms),
-                     .give_up_ms = left_ms (core, task->give_up_ms) };
+                     .give_up_ms = left_ms (core, task->expires_ms) };
 
   mux_name_copy (msg.class_name, task->class_name);
-  task_wake (core, task, core_jitter (core, ASK_REPEAT_MS));
+  task_set_timer (core, task, core_jitter (core, GRANT_REQUEST_REPEAT_MS));
   if (strcmp (task->owner, core->name) == 0)
     {
       mux_name_copy (msg.from, core->name);
       msg.from_incarnation = core->opt.incarnation;
-      owner_ask (core, &msg);
+      owner_request (core, &msg);
       return;
     }
   member = member_find (core, task->owner);
@@ -173,7 +173,7 @@
 }
 
 void
-task_ask (MuxCore *core, Task *task)
+task_request_room (MuxCore *core, Task *task)
 {
   Choice choice = choose (core, task);
 
@@ -190,7 +190,7 @@
       return;
     }
   mux_name_copy (task->owner, choice.name);
-  task->asks++;
+  task->owners_tried++;
   if (choice.member != NULL)
     {
       choice.member->free = mux_size_sub (choice.member->free, task->size);
@@ -201,13 +201,13 @@
 }
 
 void
-task_ask_owner (MuxCore *core,
-                Task *task,
-                const char *owner,
-                MuxId group,
-                uint32_t count)
+task_request_owner (MuxCore *core,
+                    Task *task,
+                    const char *owner,
+                    MuxId group,
+                    uint32_t count)
 {
-  task->state = TASK_ASKING;
+  task->state = TASK_REQUESTING;
   task->group = group;
   task->group_count = count;
   mux_name_copy (task->owner, owner);
@@ -226,7 +226,7 @@
 }
 
 void
-task_ask_repeat (MuxCore *core, Task *task)
+task_repeat_request (MuxCore *core, Task *task)
 {
   send_ask (core, task);
 }
@@ -243,7 +243,7 @@
       if (msg->verb == MUX_PEER_GRANT_CANCEL)
         owner_cancel (core, msg);
       else
-        owner_end (core, msg);
+        owner_task_ended (core, msg);
       return;
     }
   member = member_find (core, owner);
@@ -252,7 +252,7 @@
 }
 
 void
-task_ask_cancel (MuxCore *core, Task *task)
+task_cancel_request (MuxCore *core, Task *task)
 {
   MuxPeerMsg msg = { .verb = MUX_PEER_GRANT_CANCEL, .task = task->id };
 
@@ -262,12 +262,12 @@
 }
 
 void
-task_grant_end (MuxCore *core, Task *task, MuxTaskState state, uint32_t ran_ms)
+task_end_grant (MuxCore *core, Task *task, MuxTaskState state, uint32_t ran_ms)
 {
   MuxPeerMsg msg = { .verb = MUX_PEER_GRANT_END,
                      .task = task->id,
                      .state = state,
-                     .not_after_ms = task->at.not_after_ms,
+                     .not_after_ms = task->placement.not_after_ms,
                      .ran_ms = ran_ms };
 
   if (!task->granted)
@@ -277,7 +277,7 @@
 }
 
 void
-task_release_stray (MuxCore *core, const MuxPeerMsg *grant)
+task_release_unwanted_grant (MuxCore *core, const MuxPeerMsg *grant)
 {
   MuxPeerMsg msg = { .verb = MUX_PEER_GRANT_END,
                      .task = grant->task,
--- a/src/core/task_peer.c
+++ b/src/core/task_peer.c
@@ -21,12 +21,12 @@
 
   if (task != NULL && strcmp (task->owner, msg->from) == 0)
     {
-      if (task->state == TASK_ASKING)
+      if (task->state == TASK_REQUESTING)
         task_event (core, task, &event);
       return;
     }
   /* From an owner that was given up on: its room must not stay booked. */
-  task_release_stray (core, msg);
+  task_release_unwanted_grant (core, msg);
 }
 
 static void
@@ -38,7 +38,7 @@
                       .reason = msg->reason,
                       .retry_ms = msg->retry_ms };
 
-  if (task != NULL && task->state == TASK_ASKING
+  if (task != NULL && task->state == TASK_REQUESTING
       && strcmp (task->owner, msg->from) == 0)
     task_event (core, task, &event);
 }
@@ -47,8 +47,8 @@
 on_ended (MuxCore *core, const MuxPeerMsg *msg)
 {
   Task *task = of_attempt (core, msg->task);
-  TaskEvent event
-      = { .kind = TASK_EV_OTHER_LIFE, .reason = MUX_REASON_FENCED_INCARNATION };
+  TaskEvent event = { .kind = TASK_EV_WORKER_STATE_LOST,
+                      .reason = MUX_REASON_FENCED_INCARNATION };
 
   if (task == NULL)
     return;
@@ -58,15 +58,15 @@
        * from the worker. */
       task->granted = false;
       if (task->state == TASK_RUNNING || task->state == TASK_STARTED)
-        task_fetch (core, task, 0);
+        task_call_fetch (core, task, 0);
       return;
     }
-  if (strcmp (msg->worker, task->at.worker) == 0)
+  if (strcmp (msg->worker, task->placement.worker) == 0)
     task_event (core, task, &event);
 }
 
 void
-tasks_peer (MuxCore *core, const MuxPeerMsg *msg)
+tasks_peer_message (MuxCore *core, const MuxPeerMsg *msg)
 {
   switch (msg->verb)
     {
--- a/src/core/task_request.c
+++ b/src/core/task_request.c
@@ -13,17 +13,17 @@
 
 static void
 refuse_request (MuxCore *core,
-                const MuxAsk *ask,
+                const MuxCoreRequest *ask,
                 MuxReason reason,
                 uint32_t retry_ms)
 {
   /* Another time or elsewhere the same may be taken, or have been. */
-  bool named = (ask->key[0] != 0 && !ask->first) || ask->ticket[0] != 0;
+  bool named = (ask->key[0] != 0 && !ask->key_is_new) || ask->ticket[0] != 0;
 
-  core_answer (core, ask->call,
-               named && mux_reason_passes (reason) ? MUX_OUTCOME_UNKNOWN
-                                                   : MUX_OUTCOME_NOT_RUN,
-               reason, retry_ms, (MuxId){ 0, 0 }, NULL);
+  core_respond (core, ask->call_id,
+                named && mux_reason_passes (reason) ? MUX_OUTCOME_UNKNOWN
+                                                    : MUX_OUTCOME_NOT_RUN,
+                reason, retry_ms, (MuxId){ 0, 0 }, NULL);
 }
 
 static bool
@@ -38,20 +38,20 @@
 
 /* The same key again at the same daemon: both get the one answer. */
 void
-task_join (MuxCore *core, Task *task, const MuxAsk *ask)
+task_join (MuxCore *core, Task *task, const MuxCoreRequest *ask)
 {
   /* Two that each claim to be the first can't both be. */
-  task->first = false;
+  task->key_is_new = false;
   if (!same_body (task->body, ask->body))
     refuse_request (core, ask, MUX_REASON_KEY_IN_USE, 0);
-  else if (!task_add_waiter (core, task, ask->call,
-                             core->now_ms + ask->give_up_ms))
+  else if (!task_add_waiter (core, task, ask->call_id,
+                             core->now_ms + ask->timeout_ms))
     refuse_request (core, ask, MUX_REASON_INTERNAL, RETRY_MS);
 }
 
 bool
 task_request_refused (MuxCore *core,
-                      const MuxAsk *ask,
+                      const MuxCoreRequest *ask,
                       const MuxClassSpec *spec)
 {
   if (core->stopping)
@@ -62,7 +62,7 @@
     refuse_request (core, ask, MUX_REASON_UNKNOWN_CLASS, 0);
   else if (spec->kind != MUX_KIND_SERVICE)
     refuse_request (core, ask, MUX_REASON_KIND_MISMATCH, 0);
-  else if (ask->give_up_ms == 0)
+  else if (ask->timeout_ms == 0)
     refuse_request (core, ask, MUX_REASON_DEADLINE, 0);
   else
     return false;
@@ -70,13 +70,13 @@
 }
 
 void
-tasks_request (MuxCore *core, const MuxAsk *ask)
+tasks_request (MuxCore *core, const MuxCoreRequest *ask)
 {
   const MuxClassSpec *spec = config_class (core, ask->name);
   TaskOptions options = { .spec = spec,
                           .body = ask->body,
-                          .call = ask->call,
-                          .give_up_ms = core->now_ms + ask->give_up_ms,
+                          .call_id = ask->call_id,
+                          .expires_ms = core->now_ms + ask->timeout_ms,
                           .attempt = 1 };
   Task *task;
 
@@ -85,13 +85,13 @@
     return;
   if (ask->key[0] == 0)
     {
-      options.key = core_mint (core);
+      options.key = core_new_task_id (core);
     }
   else
     {
       options.key = mux_id_of_key (ask->name, ask->key);
       options.keyed = true;
-      options.first = ask->first;
+      options.key_is_new = ask->key_is_new;
     }
   task = task_find (core, options.key);
   if (task != NULL)
@@ -115,17 +115,17 @@
 
 bool
 task_begin_ticket (MuxCore *core,
-                   const MuxAsk *ask,
+                   const MuxCoreRequest *ask,
                    const MuxClassSpec *spec,
                    const Ticket *ticket)
 {
   TaskOptions options = { .spec = spec,
                           .key = ticket->key,
                           .body = ask->body,
-                          .call = ask->call,
-                          .give_up_ms = core->now_ms + ask->give_up_ms,
+                          .call_id = ask->call_id,
+                          .expires_ms = core->now_ms + ask->timeout_ms,
                           .attempt = 1 };
-  Task *task = task_make (core, &options);
+  Task *task = task_new (core, &options);
 
   if (task == NULL)
     return false;
@@ -133,13 +133,14 @@
   task->granted = true;
   mux_name_copy (task->owner, ticket->owner);
   task->epoch = ticket->epoch;
-  task->at = (Intent){ .attempt = 1,
-                       .incarnation = ticket->incarnation,
-                       .not_after_ms = ticket->not_after_ms,
-                       .home_incarnation = core->opt.incarnation };
-  mux_name_copy (task->at.worker, ticket->worker);
-  mux_name_copy (task->at.home, core->name);
-  snprintf (task->at.addr, sizeof task->at.addr, "%s", ticket->addr);
+  task->placement = (Intent){ .attempt = 1,
+                              .incarnation = ticket->incarnation,
+                              .not_after_ms = ticket->not_after_ms,
+                              .home_incarnation = core->opt.incarnation };
+  mux_name_copy (task->placement.worker, ticket->worker);
+  mux_name_copy (task->placement.home, core->name);
+  snprintf (task->placement.addr, sizeof task->placement.addr, "%s",
+            ticket->addr);
   task_start_now (core, task);
   return true;
 }
--- a/src/core/task_steps_end.c
+++ b/src/core/task_steps_end.c
@@ -1,6 +1,6 @@
 #include "task_steps.h"
 
-#include "budget.h"
+#include "retry_budget.h"
 
 /* How attempts and tasks end, and what their callers are told. */
 
@@ -23,9 +23,9 @@
   task->last_reason = reason;
   task->last_retry_ms = RETRY_MS;
   task->granted = false;
-  task->probed = false;
-  task->absent_seen = false;
-  task->lost = 0;
+  task->fetch_in_flight = false;
+  task->absent_once = false;
+  task->unanswered_calls = 0;
   task->in_gang = false;
   task->group = (MuxId){ 0, 0 };
   task->group_count = 0;
@@ -46,37 +46,37 @@
       task_finish_not_run (core, task, reason, 0);
       return;
     }
-  task_attempt_set (core, task, task->attempt + 1);
+  task_set_attempt (core, task, task->attempt + 1);
   task->retries++;
-  if (!budget_take (core, task->class_name) && !task->has_job)
+  if (!retry_budget_spend (core, task->class_name) && !task->has_job)
     {
       task_finish_not_run (core, task, MUX_REASON_RETRY_BUDGET, RETRY_MS * 10);
       return;
     }
   if (doublings == 0)
     {
-      task_ask_fresh (core, task);
+      task_request_room_anew (core, task);
       return;
     }
   if (doublings > BACKOFF_DOUBLINGS)
     doublings = BACKOFF_DOUBLINGS;
-  task_pause_then_ask (core, task, (int64_t) RETRY_MS << (doublings - 1));
+  task_request_room_later (core, task, (int64_t) RETRY_MS << (doublings - 1));
 }
 
 void
-step_give_up_early (MuxCore *core, Task *task, const TaskEvent *event)
+step_expired_before_start (MuxCore *core, Task *task, const TaskEvent *event)
 {
   MuxReason reason = task->last_reason;
 
   (void) event;
-  task_give_back (core, task);
+  task_release_room (core, task);
   if (reason == MUX_REASON_NONE)
     reason = MUX_REASON_DEADLINE;
   task_finish_not_run (core, task, reason, task->last_retry_ms);
 }
 
 void
-step_give_up_late (MuxCore *core, Task *task, const TaskEvent *event)
+step_expired_after_start (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
   if (task->waiters == NULL)
@@ -84,29 +84,29 @@
       task_free (core, task);
       return;
     }
-  task_detach (core, task, MUX_OUTCOME_UNKNOWN, MUX_REASON_UNKNOWN_FATE,
-               task_unknown_retry_ms (task));
+  task_detach_callers (core, task, MUX_OUTCOME_UNKNOWN, MUX_REASON_UNKNOWN_FATE,
+                       task_unknown_retry_ms (task));
 }
 
 void
-step_cancel_early (MuxCore *core, Task *task, const TaskEvent *event)
+step_cancel_before_start (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  task_give_back (core, task);
+  task_release_room (core, task);
   task_finish_not_run (core, task, MUX_REASON_CANCELLED, 0);
 }
 
 void
-step_cancel_late (MuxCore *core, Task *task, const TaskEvent *event)
+step_cancel_after_start (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
   task->cancelled = true;
-  task_settle (core, task);
+  task_resolve (core, task);
 }
 
 void
 step_cancel_running (MuxCore *core, Task *task, const TaskEvent *event)
 {
   task->cancelled = true;
-  step_seen_running (core, task, event);
+  step_running (core, task, event);
 }
--- a/src/core/task_steps_ask.c
+++ b/src/core/task_steps_grant.c
@@ -13,40 +13,40 @@
 #define ASK_PAUSE_MAX_MS 5000
 
 void
-task_pause_then_ask (MuxCore *core, Task *task, int64_t pause_ms)
+task_request_room_later (MuxCore *core, Task *task, int64_t pause_ms)
 {
   task->state = TASK_WAITING;
-  task_wake (core, task, core_jitter (core, pause_ms));
+  task_set_timer (core, task, core_jitter (core, pause_ms));
 }
 
 void
-task_ask_fresh (MuxCore *core, Task *task)
+task_request_room_anew (MuxCore *core, Task *task)
 {
-  task->state = TASK_ASKING;
-  task->asks = 0;
-  memset (task->tried, 0, sizeof task->tried);
-  task_ask (core, task);
+  task->state = TASK_REQUESTING;
+  task->owners_tried = 0;
+  memset (task->refused_by, 0, sizeof task->refused_by);
+  task_request_room (core, task);
 }
 
 void
-step_ask (MuxCore *core, Task *task, const TaskEvent *event)
+step_request_room (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  task_ask_fresh (core, task);
+  task_request_room_anew (core, task);
 }
 
 void
-step_ask_repeat (MuxCore *core, Task *task, const TaskEvent *event)
+step_repeat_request (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
   /* Who was asked may be dead and not known to be, or long busy. */
   if (task_room_elsewhere (core, task))
     {
-      task_ask_cancel (core, task);
-      task_ask_fresh (core, task);
+      task_cancel_request (core, task);
+      task_request_room_anew (core, task);
       return;
     }
-  task_ask_repeat (core, task);
+  task_repeat_request (core, task);
 }
 
 void
@@ -55,18 +55,19 @@
   const MuxPeerMsg *msg = event->msg;
 
   task->granted = true;
-  task->at = (Intent){ .attempt = task->attempt,
-                       .grant = ++core->next_grant,
-                       .incarnation = msg->incarnation,
-                       .home_incarnation = core->opt.incarnation,
-                       .not_after_ms = msg->not_after_ms,
-                       .at_ms = core->wall_ms };
-  mux_name_copy (task->at.worker, msg->worker);
-  mux_name_copy (task->at.home, core->name);
-  snprintf (task->at.addr, sizeof task->at.addr, "%s", msg->worker_addr);
+  task->placement = (Intent){ .attempt = task->attempt,
+                              .grant_number = ++core->next_grant,
+                              .incarnation = msg->incarnation,
+                              .home_incarnation = core->opt.incarnation,
+                              .not_after_ms = msg->not_after_ms,
+                              .at_ms = core->wall_ms };
+  mux_name_copy (task->placement.worker, msg->worker);
+  mux_name_copy (task->placement.home, core->name);
+  snprintf (task->placement.addr, sizeof task->placement.addr, "%s",
+            msg->worker_addr);
   task->epoch = msg->epoch;
   task->size = msg->size;
-  if (task->minting)
+  if (task->for_ticket)
     {
       ticket_granted (core, task, msg);
       return;
@@ -74,12 +75,12 @@
   if (task->in_gang)
     {
       task->state = TASK_HOLDING;
-      jobs_gang_held (core, task);
+      jobs_gang_task_granted (core, task);
       return;
     }
   if (task->has_job)
     {
-      task_record (core, task);
+      task_record_placement (core, task);
       return;
     }
   if (!task->keyed || (task->idempotent && commit_store_down (core)))
@@ -91,32 +92,32 @@
 }
 
 void
-task_give_back (MuxCore *core, Task *task)
+task_release_room (MuxCore *core, Task *task)
 {
   if (task->granted)
-    task_grant_end (core, task, MUX_TASK_ABSENT, 0);
+    task_end_grant (core, task, MUX_TASK_ABSENT, 0);
   else
-    task_ask_cancel (core, task);
+    task_cancel_request (core, task);
 }
 
 void
-task_gang_wait (MuxCore *core, Task *task)
+task_gang_release (MuxCore *core, Task *task)
 {
-  task_give_back (core, task);
+  task_release_room (core, task);
   task->owner[0] = 0;
   task->state = TASK_WAITING;
-  task->wake_ms = 0;
+  task->timer_ms = 0;
   /* A new number: a late grant of the last round can't be taken for one of
    * the next. */
-  task_attempt_set (core, task, task->attempt + 1);
+  task_set_attempt (core, task, task->attempt + 1);
 }
 
 void
-task_record (MuxCore *core, Task *task)
+task_record_placement (MuxCore *core, Task *task)
 {
   task->in_gang = false;
   task->state = TASK_RECORDING;
-  jobs_record (core, task);
+  jobs_record_placement (core, task);
 }
 
 /* Whether asking again later can't help the one who waits now. */
@@ -160,15 +161,15 @@
     }
   if (task->in_gang)
     {
-      jobs_gang_refused (core, task, event->reason);
+      jobs_gang_task_refused (core, task, event->reason);
       return;
     }
   if (task->owner[0] != 0)
     {
-      task_refused_by (task, task->owner);
-      if (!task_asked_all (core, task))
+      task_mark_owner_refused (task, task->owner);
+      if (!task_owners_exhausted (core, task))
         {
-          task_ask (core, task);
+          task_request_room (core, task);
           return;
         }
     }
@@ -179,5 +180,5 @@
   else if (refusal_final (core, task, event->reason))
     task_finish_not_run (core, task, event->reason, event->retry_ms);
   else
-    task_pause_then_ask (core, task, pause_ms);
+    task_request_room_later (core, task, pause_ms);
 }
--- a/src/core/task_steps_refuse.c
+++ b/src/core/task_steps_refuse.c
@@ -10,7 +10,7 @@
 static MuxOutcome
 outcome_of (const Task *task)
 {
-  return task->ran ? MUX_OUTCOME_FAILED : MUX_OUTCOME_NOT_RUN;
+  return task->may_have_run ? MUX_OUTCOME_FAILED : MUX_OUTCOME_NOT_RUN;
 }
 
 /*
@@ -28,7 +28,7 @@
 {
   task->last_reason = reason;
   task->last_retry_ms = retry_ms;
-  if (!task->keyed || task->first || task->waiters == NULL)
+  if (!task->keyed || task->key_is_new || task->waiters == NULL)
     {
       task_finish (core, task, outcome_of (task), reason, retry_ms,
                    MUX_TASK_ABSENT, NULL);
@@ -40,8 +40,8 @@
       return;
     }
   task->state = TASK_REFUSING;
-  task_mark_refused (task);
-  task_wake (core, task, ROW_MS);
+  task_mark_waiters_refused (task);
+  task_set_timer (core, task, ROW_MS);
   /* With memory out the task has its answer and is gone after this. */
   commit_read (core, task);
 }
@@ -51,28 +51,28 @@
 static void
 tell (MuxCore *core, Task *task, MuxOutcome outcome)
 {
-  if (!task_tell_refused (core, task, outcome))
+  if (!task_respond_refused (core, task, outcome))
     {
       task_free (core, task);
       return;
     }
   task->last_reason = MUX_REASON_NONE;
   task->granted = false;
-  task_ask_fresh (core, task);
+  task_request_room_anew (core, task);
 }
 
 /* The caller's limit may have passed long before: only the time set for the
  * row counts here. */
 void
-step_refusal_late (MuxCore *core, Task *task, const TaskEvent *event)
+step_refusal_unchecked (MuxCore *core, Task *task, const TaskEvent *event)
 {
-  if (event->kind != TASK_EV_STORE_DOWN && core->now_ms < task->wake_ms)
+  if (event->kind != TASK_EV_STORE_DOWN && core->now_ms < task->timer_ms)
     return;
   tell (core, task, MUX_OUTCOME_UNKNOWN);
 }
 
 void
-step_refusal_true (MuxCore *core, Task *task, const TaskEvent *event)
+step_refusal_confirmed (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
   tell (core, task, outcome_of (task));
@@ -81,11 +81,12 @@
 /* A row stands.  One that this submission wrote, or has settled, changes
  * nothing; another's attempt is followed for as long as the caller waits. */
 void
-step_refusal_row (MuxCore *core, Task *task, const TaskEvent *event)
+step_refusal_row_found (MuxCore *core, Task *task, const TaskEvent *event)
 {
-  if (event->rev == task->row_rev || task_wrote_row (core, task, event->intent))
+  if (event->rev == task->row_rev
+      || task_row_is_own (core, task, event->intent))
     tell (core, task, outcome_of (task));
-  else if (core->now_ms >= task->give_up_ms)
+  else if (core->now_ms >= task->expires_ms)
     tell (core, task, MUX_OUTCOME_UNKNOWN);
   else
     step_row_found (core, task, event);
--- a/src/core/task_steps_row.c
+++ b/src/core/task_steps_row.c
@@ -12,7 +12,7 @@
   task->state = TASK_RECORDING;
   if (!commit_put (core, task))
     {
-      task_grant_end (core, task, MUX_TASK_ABSENT, 0);
+      task_end_grant (core, task, MUX_TASK_ABSENT, 0);
       task_finish_not_run (core, task, MUX_REASON_INTERNAL, RETRY_MS);
     }
 }
@@ -32,13 +32,14 @@
  * The number of the grant tells the two apart.
  */
 bool
-task_wrote_row (const MuxCore *core, const Task *task, const Intent *intent)
+task_row_is_own (const MuxCore *core, const Task *task, const Intent *intent)
 {
-  return intent->attempt == task->attempt && intent->grant == task->at.grant
+  return intent->attempt == task->attempt
+         && intent->grant_number == task->placement.grant_number
          && intent->home_incarnation == core->opt.incarnation
          && strcmp (intent->home, core->name) == 0
-         && strcmp (intent->worker, task->at.worker) == 0
-         && intent->incarnation == task->at.incarnation;
+         && strcmp (intent->worker, task->placement.worker) == 0
+         && intent->incarnation == task->placement.incarnation;
 }
 
 /* Somebody's attempt is on record: this submission gets that one's answer,
@@ -46,22 +47,22 @@
 void
 step_row_found (MuxCore *core, Task *task, const TaskEvent *event)
 {
-  if (task->granted && task_wrote_row (core, task, event->intent))
+  if (task->granted && task_row_is_own (core, task, event->intent))
     {
       step_row_written (core, task, event);
       return;
     }
   mux_count_retry (core->counters, MUX_REASON_FENCED_ROW);
-  task_grant_end (core, task, MUX_TASK_ABSENT, 0);
+  task_end_grant (core, task, MUX_TASK_ABSENT, 0);
   task->row_rev = event->rev;
-  task->at = *event->intent;
-  task->absent_seen = false;
-  task->probed = false;
-  task->lost = 0;
-  task_attempt_set (core, task, event->intent->attempt);
+  task->placement = *event->intent;
+  task->absent_once = false;
+  task->fetch_in_flight = false;
+  task->unanswered_calls = 0;
+  task_set_attempt (core, task, event->intent->attempt);
   task->state = TASK_FOLLOWING;
-  task_fetch (core, task, 0);
-  task_wake (core, task, WORKER_TIMEOUT_MS * 2);
+  task_call_fetch (core, task, 0);
+  task_set_timer (core, task, WORKER_TIMEOUT_MS * 2);
 }
 
 void
@@ -71,7 +72,7 @@
   task->row_rev = MUX_REV_ABSENT;
   if (!task->granted)
     {
-      task_pause_then_ask (core, task, RETRY_MS);
+      task_request_room_later (core, task, RETRY_MS);
       return;
     }
   task_write_row (core, task);
@@ -101,12 +102,12 @@
       task_start_now (core, task);
       return;
     }
-  task_grant_end (core, task, MUX_TASK_ABSENT, 0);
+  task_end_grant (core, task, MUX_TASK_ABSENT, 0);
   if (!task->has_job && !task->idempotent)
     {
       task_finish_not_run (core, task, MUX_REASON_STORE_DOWN, UNKNOWN_RETRY_MS);
       return;
     }
   mux_count_retry (core->counters, MUX_REASON_STORE_DOWN);
-  task_pause_then_ask (core, task, UNKNOWN_RETRY_MS);
+  task_request_room_later (core, task, UNKNOWN_RETRY_MS);
 }
--- a/src/core/task_steps_run.c
+++ b/src/core/task_steps_run.c
@@ -19,8 +19,8 @@
 task_start_now (MuxCore *core, Task *task)
 {
   task->state = TASK_STARTED;
-  task->lost = 0;
-  task_start (core, task);
+  task->unanswered_calls = 0;
+  task_call_start (core, task);
 }
 
 static bool
@@ -40,8 +40,8 @@
 {
   const MuxWorkerReply *reply = event->reply;
 
-  task->ran = true;
-  task_grant_end (core, task, reply->state, reply->ran_ms);
+  task->may_have_run = true;
+  task_end_grant (core, task, reply->state, reply->ran_ms);
   switch (reply->state)
     {
     case MUX_TASK_DONE:
@@ -67,7 +67,7 @@
 void
 step_not_started (MuxCore *core, Task *task, const TaskEvent *event)
 {
-  task_grant_end (core, task, MUX_TASK_ABSENT, 0);
+  task_end_grant (core, task, MUX_TASK_ABSENT, 0);
   /* Under a ticket an earlier submission may have run in the life that the
    * worker has forgotten. */
   if (task->ticketed && event->reason == MUX_REASON_FENCED_INCARNATION)
@@ -102,16 +102,16 @@
     look_ms = JOB_LOOK_FIRST_MS;
   if (look_ms < JOB_LOOK_MIN_MS)
     look_ms = JOB_LOOK_MIN_MS;
-  for (uint32_t i = 0; i < task->looks && look_ms < JOB_LOOK_MAX_MS; i++)
+  for (uint32_t i = 0; i < task->poll_count && look_ms < JOB_LOOK_MAX_MS; i++)
     look_ms *= 2;
   return look_ms < JOB_LOOK_MAX_MS ? look_ms : JOB_LOOK_MAX_MS;
 }
 
 void
-task_look_soon (MuxCore *core, Task *task)
+task_poll_soon (MuxCore *core, Task *task)
 {
-  task->looks = 0;
-  task_wake (core, task, core_jitter (core, JOB_LOOK_FIRST_MS));
+  task->poll_count = 0;
+  task_set_timer (core, task, core_jitter (core, JOB_LOOK_FIRST_MS));
 }
 
 static void
@@ -119,25 +119,25 @@
 {
   if (task->has_job)
     {
-      task_wake (core, task, core_jitter (core, job_look_ms (task)));
-      task->looks++;
+      task_set_timer (core, task, core_jitter (core, job_look_ms (task)));
+      task->poll_count++;
       return;
     }
-  task_wake (core, task, FETCH_WAIT_MS + WORKER_TIMEOUT_MS * 2);
-  task_fetch (core, task, FETCH_WAIT_MS);
+  task_set_timer (core, task, FETCH_WAIT_MS + WORKER_TIMEOUT_MS * 2);
+  task_call_fetch (core, task, FETCH_WAIT_MS);
 }
 
 void
-step_seen_running (MuxCore *core, Task *task, const TaskEvent *event)
+step_running (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  task->ran = true;
-  task->lost = 0;
+  task->may_have_run = true;
+  task->unanswered_calls = 0;
   if (task->cancelled)
     {
       task->state = TASK_STOPPING;
-      task_stop (core, task);
-      task_wake (core, task, WORKER_TIMEOUT_MS);
+      task_call_stop (core, task);
+      task_set_timer (core, task, WORKER_TIMEOUT_MS);
       return;
     }
   task->state = TASK_RUNNING;
@@ -147,41 +147,41 @@
 /* While the start is still out, a probe that finds it running only shows that
  * the start's own connection may yet bring the end. */
 void
-step_probe_running (MuxCore *core, Task *task, const TaskEvent *event)
+step_start_running (MuxCore *core, Task *task, const TaskEvent *event)
 {
-  task->lost = 0;
+  task->unanswered_calls = 0;
   if (task->has_job)
     {
-      step_seen_running (core, task, event);
+      step_running (core, task, event);
       return;
     }
-  task->ran = true;
-  task_wake (core, task, FETCH_WAIT_MS + WORKER_TIMEOUT_MS);
-  task_fetch (core, task, FETCH_WAIT_MS);
+  task->may_have_run = true;
+  task_set_timer (core, task, FETCH_WAIT_MS + WORKER_TIMEOUT_MS);
+  task_call_fetch (core, task, FETCH_WAIT_MS);
 }
 
 /* The start is still on its way; its own reply will say what became of it. */
 void
-step_not_there_yet (MuxCore *core, Task *task, const TaskEvent *event)
+step_start_not_arrived (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  task_wake (core, task, core_jitter (core, ABSENT_PAUSE_MS));
+  task_set_timer (core, task, core_jitter (core, ABSENT_RECHECK_MS));
 }
 
 void
-step_look (MuxCore *core, Task *task, const TaskEvent *event)
+step_poll (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  task_fetch (core, task, 0);
-  task_wake (core, task, WORKER_TIMEOUT_MS * 2);
+  task_call_fetch (core, task, 0);
+  task_set_timer (core, task, WORKER_TIMEOUT_MS * 2);
 }
 
 void
-step_await (MuxCore *core, Task *task, const TaskEvent *event)
+step_await_end (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
   if (task->has_job)
-    task_fetch (core, task, 0);
+    task_call_fetch (core, task, 0);
   await_end (core, task);
 }
 
@@ -189,6 +189,6 @@
 step_stop_again (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  task_stop (core, task);
-  task_wake (core, task, WORKER_TIMEOUT_MS);
+  task_call_stop (core, task);
+  task_set_timer (core, task, WORKER_TIMEOUT_MS);
 }
--- a/src/core/ticket.c
+++ b/src/core/ticket.c
@@ -83,22 +83,22 @@
 }
 
 static void
-refuse (MuxCore *core, const MuxAsk *ask, MuxReason reason)
+refuse (MuxCore *core, const MuxCoreRequest *ask, MuxReason reason)
 {
-  core_answer (core, ask->call, MUX_OUTCOME_NOT_RUN, reason, 0, (MuxId){ 0, 0 },
-               NULL);
+  core_respond (core, ask->call_id, MUX_OUTCOME_NOT_RUN, reason, 0,
+                (MuxId){ 0, 0 }, NULL);
 }
 
 void
-ticket_ask (MuxCore *core, const MuxAsk *ask)
+ticket_issue (MuxCore *core, const MuxCoreRequest *ask)
 {
   const MuxClassSpec *spec = config_class (core, ask->name);
   TaskOptions options = { .spec = spec,
-                          .key = core_mint (core),
-                          .call = ask->call,
-                          .give_up_ms = core->now_ms + ask->give_up_ms,
+                          .key = core_new_task_id (core),
+                          .call_id = ask->call_id,
+                          .expires_ms = core->now_ms + ask->timeout_ms,
                           .attempt = 1,
-                          .minting = true };
+                          .for_ticket = true };
 
   if (task_request_refused (core, ask, spec))
     return;
@@ -122,20 +122,20 @@
   snprintf (ticket.addr, sizeof ticket.addr, "%s", grant->worker_addr);
   if (!ticket_write (core, &ticket, text))
     {
-      task_grant_end (core, task, MUX_TASK_ABSENT, 0);
+      task_end_grant (core, task, MUX_TASK_ABSENT, 0);
       task_finish (core, task, MUX_OUTCOME_NOT_RUN, MUX_REASON_INTERNAL, 0,
                    MUX_TASK_ABSENT, NULL);
       return;
     }
   json = json_pack ("{s:s, s:I}", "ticket", text, "valid_ms",
                     (json_int_t) GRANT_TTL_MS);
-  core_answer_json (core, task->waiters->call, 200, json);
+  core_respond_json (core, task->waiters->call_id, 200, json);
   mux_count (core->counters, MUX_COUNT_TICKETS, 1);
   task_free (core, task);
 }
 
 void
-ticket_request (MuxCore *core, const MuxAsk *ask)
+ticket_redeem (MuxCore *core, const MuxCoreRequest *ask)
 {
   const MuxClassSpec *spec = config_class (core, ask->name);
   Ticket ticket;
--- a/src/core/ticket.h
+++ b/src/core/ticket.h
@@ -29,10 +29,10 @@
 bool ticket_read (const MuxCore *core, const char *text, Ticket *ticket);
 
 /** ticket_ask() - a caller wants one for a class */
-void ticket_ask (MuxCore *core, const MuxAsk *ask);
+void ticket_issue (MuxCore *core, const MuxCoreRequest *ask);
 /** ticket_granted() - room was found: answer with the ticket */
 void ticket_granted (MuxCore *core, Task *task, const MuxPeerMsg *grant);
 /** ticket_request() - a caller comes with one */
-void ticket_request (MuxCore *core, const MuxAsk *ask);
+void ticket_redeem (MuxCore *core, const MuxCoreRequest *ask);
 
 #endif
--- a/src/core/worker.c
+++ b/src/core/worker.c
@@ -27,22 +27,23 @@
 {
   const Worker *worker = worker_find (core, name);
 
-  return worker != NULL && worker->listed == MUX_INSTANCE_GONE;
+  return worker != NULL && worker->listed_state == MUX_INSTANCE_GONE;
 }
 
 int64_t
 worker_clock_ms (const MuxCore *core, const Worker *worker)
 {
-  return core->now_ms + worker->clock_ahead_ms;
+  return core->now_ms + worker->clock_offset_ms;
 }
 
 static bool
 usable (MuxCore *core, const Worker *worker)
 {
-  return worker->claim == CLAIM_HELD && worker->listed == MUX_INSTANCE_LIVE
-         && !worker->leaving && worker->unheard < UNHEARD_MAX
+  return worker->claim == CLAIM_HELD
+         && worker->listed_state == MUX_INSTANCE_LIVE && !worker->leaving
+         && worker->unanswered_calls < UNANSWERED_CALLS_MAX
          && !config_drained (core, worker->name)
-         && members_first (core, worker->name, true);
+         && members_ranked_first (core, worker->name, true);
 }
 
 void
@@ -54,11 +55,11 @@
   if (worker->index != MUX_NO_WORKER)
     mux_sched_worker_set_usable (core->sched, worker->index, worker->usable);
   if (was && !worker->usable)
-    owner_recheck_later (core);
+    owner_schedule_recheck (core);
 }
 
 void
-workers_usable (MuxCore *core)
+workers_update_usable (MuxCore *core)
 {
   Worker *worker, *next;
 
@@ -67,7 +68,7 @@
 }
 
 void
-worker_left (MuxCore *core, const char *name)
+worker_set_leaving (MuxCore *core, const char *name)
 {
   Worker *worker = worker_find (core, name);
 
@@ -94,20 +95,20 @@
   snprintf (worker->addr, sizeof worker->addr, "%s", it->addr);
   mux_name_copy (worker->rack, it->rack);
   mux_name_copy (worker->data_centre, it->data_centre);
-  worker->near = strcmp (it->data_centre, core->data_centre) == 0;
-  if (worker->listed == it->state)
+  worker->local = strcmp (it->data_centre, core->data_centre) == 0;
+  if (worker->listed_state == it->state)
     return;
-  worker->listed = it->state;
+  worker->listed_state = it->state;
   if (it->state == MUX_INSTANCE_GONE && worker->claim == CLAIM_HELD)
     {
       core_log (core, 4, "worker_gone", "worker=%s", worker->name);
-      worker_let_go (core, worker, true);
+      worker_claim_ended (core, worker, true);
     }
   worker_update_usable (core, worker);
 }
 
 void
-workers_listed (MuxCore *core, const MuxInstanceList *list)
+workers_update_list (MuxCore *core, const MuxInstanceList *list)
 {
   for (uint32_t i = 0; i < list->count; i++)
     if (list->item[i].role == MUX_ROLE_WORKER)
@@ -115,19 +116,19 @@
 }
 
 void
-workers_reconsider (MuxCore *core)
+workers_members_changed (MuxCore *core)
 {
   Worker *worker, *next;
 
   HASH_ITER (hh, core->workers, worker, next)
   {
-    if (!worker->near || worker->claim != CLAIM_NONE)
+    if (!worker->local || worker->claim != CLAIM_NONE)
       continue;
     /* Who held it has died or stops: no duel, so no wait. */
-    if (members_first (core, worker->name, true))
-      worker->next_ms = core->now_ms;
+    if (members_ranked_first (core, worker->name, true))
+      worker->next_call_ms = core->now_ms;
   }
-  workers_usable (core);
+  workers_update_usable (core);
 }
 
 /*
@@ -144,24 +145,24 @@
 static void
 tend (MuxCore *core, Worker *worker)
 {
-  bool first = members_first (core, worker->name, true);
+  bool first = members_ranked_first (core, worker->name, true);
 
   switch (worker->claim)
     {
     case CLAIM_NONE:
-      if (first && worker->listed != MUX_INSTANCE_GONE && may_claim (core)
-          && core->now_ms >= worker->next_ms)
+      if (first && worker->listed_state != MUX_INSTANCE_GONE && may_claim (core)
+          && core->now_ms >= worker->next_call_ms)
         worker_claim (core, worker);
       break;
     case CLAIM_HELD:
       if (!first)
-        worker_give (core, worker);
+        worker_release (core, worker);
       if (worker->claim == CLAIM_HELD && !worker->renewing
-          && core->now_ms >= worker->next_ms)
+          && core->now_ms >= worker->next_call_ms)
         worker_renew (core, worker);
       break;
-    case CLAIM_ASKED:
-    case CLAIM_GIVING:
+    case CLAIM_REQUESTED:
+    case CLAIM_RELEASING:
       break;
     }
 }
@@ -169,18 +170,18 @@
 void
 workers_tick (MuxCore *core)
 {
-  if (core->now_ms < core->next_workers_ms)
+  if (core->now_ms < core->next_worker_check_ms)
     return;
-  core->next_workers_ms = core->now_ms + WORKERS_LOOK_MS;
+  core->next_worker_check_ms = core->now_ms + WORKERS_LOOK_MS;
   for (Worker *w = core->workers; w != NULL; w = w->hh.next)
-    if (w->near)
+    if (w->local)
       tend (core, w);
 }
 
 int64_t
 workers_wake_ms (const MuxCore *core)
 {
-  return core->workers == NULL ? INT64_MAX : core->next_workers_ms;
+  return core->workers == NULL ? INT64_MAX : core->next_worker_check_ms;
 }
 
 MuxSize
@@ -210,7 +211,7 @@
   uint32_t held = 0;
 
   for (const Worker *w = core->workers; w != NULL; w = w->hh.next)
-    if (w->claim == CLAIM_HELD || w->claim == CLAIM_GIVING)
+    if (w->claim == CLAIM_HELD || w->claim == CLAIM_RELEASING)
       held++;
   return held;
 }
--- a/src/core/worker_claim.c
+++ b/src/core/worker_claim.c
@@ -35,9 +35,9 @@
 }
 
 void
-worker_let_go (MuxCore *core, Worker *worker, bool life_over)
+worker_claim_ended (MuxCore *core, Worker *worker, bool life_over)
 {
-  owner_drop (core, worker, life_over);
+  owner_worker_lost (core, worker, life_over);
   if (worker->index != MUX_NO_WORKER)
     {
       mux_sched_worker_remove (core->sched, worker->index);
@@ -46,7 +46,7 @@
   worker->index = MUX_NO_WORKER;
   worker->claim = CLAIM_NONE;
   worker->usable = false;
-  owner_recheck_later (core);
+  owner_schedule_recheck (core);
   mux_count (core->counters, MUX_COUNT_CLAIMS_LOST, 1);
 }
 
@@ -74,15 +74,15 @@
 static void
 heard (MuxCore *core, Worker *worker, const MuxWorkerReply *reply)
 {
-  worker->heard_ms = core->now_ms;
-  worker->unheard = 0;
+  worker->last_contact_ms = core->now_ms;
+  worker->unanswered_calls = 0;
   worker->leaving = reply->leaving;
   worker->cursor = reply->cursor;
   worker->incarnation = reply->incarnation;
   /* Its clock had read worker_now_ms before the answer reached us, so the
    * difference is never too large: a last moment computed from it is never
    * later than meant. */
-  worker->clock_ahead_ms = reply->worker_clock_ms - core->now_ms;
+  worker->clock_offset_ms = reply->worker_clock_ms - core->now_ms;
   if (!mux_size_fits (reply->capacity, worker->capacity)
       || !mux_size_fits (worker->capacity, reply->capacity))
     {
@@ -95,8 +95,8 @@
 static void
 unheard (MuxCore *core, Worker *worker)
 {
-  worker->unheard++;
-  if (worker->unheard == UNHEARD_MAX)
+  worker->unanswered_calls++;
+  if (worker->unanswered_calls == UNANSWERED_CALLS_MAX)
     core_log (core, 4, "worker_silent", "worker=%s", worker->name);
   mux_count_retry (core->counters, MUX_REASON_WORKER_SILENT);
   worker_update_usable (core, worker);
@@ -130,8 +130,8 @@
   mux_count_retry (core->counters, reason);
   core_log (core, 4, "claim_lost", "worker=%s reason=%s owner=%s", worker->name,
             mux_reason_name (reason), worker->owner);
-  worker_let_go (core, worker, restarted);
-  worker->next_ms
+  worker_claim_ended (core, worker, restarted);
+  worker->next_call_ms
       = core->now_ms + (restarted ? 0 : duel_wait_ms (core, worker));
 }
 
@@ -144,7 +144,7 @@
   Worker *worker = worker_find (core, reply->worker);
 
   (void) subject;
-  if (worker == NULL || worker->claim != CLAIM_ASKED)
+  if (worker == NULL || worker->claim != CLAIM_REQUESTED)
     return;
   worker->claim = CLAIM_NONE;
   if (reply->owner[0] != 0)
@@ -155,8 +155,9 @@
 
       worker->epoch = reply->epoch;
       mux_count_retry (core->counters, MUX_REASON_FENCED_EPOCH);
-      worker->next_ms = first_try ? core->now_ms
-                                  : core->now_ms + duel_wait_ms (core, worker);
+      worker->next_call_ms = first_try
+                                 ? core->now_ms
+                                 : core->now_ms + duel_wait_ms (core, worker);
       return;
     }
   if (reply->status != MUX_WORKER_OK)
@@ -165,20 +166,20 @@
       if (reply->status == MUX_WORKER_NO_ANSWER)
         worker->epoch++;
       unheard (core, worker);
-      worker->next_ms = core->now_ms + core_jitter (core, RETRY_MS * 5);
+      worker->next_call_ms = core->now_ms + core_jitter (core, RETRY_MS * 5);
       return;
     }
   worker->epoch = reply->epoch;
   mux_name_copy (worker->owner, core->name);
   heard (core, worker, reply);
-  worker->next_ms = core->now_ms + lease_renew_ms (core, worker);
+  worker->next_call_ms = core->now_ms + lease_renew_after_ms (core, worker);
   if (!take_hold (core, worker, reply))
     return;
-  owner_report (core, worker, reply);
+  owner_worker_report (core, worker, reply);
   worker_update_usable (core, worker);
   /* Homes ask who had room when last heard: after a takeover that would be
    * the dead one for as long as a far heartbeat takes. */
-  members_news (core);
+  members_announce_room (core);
 }
 
 static void
@@ -190,7 +191,7 @@
   *call = (MuxWorkerCall){ .verb = verb };
   mux_name_copy (call->worker, worker->name);
   snprintf (call->addr, sizeof call->addr, "%s", worker->addr);
-  worker->lease_ms = call->lease_ms = lease_ask_ms (core);
+  worker->lease_ms = call->lease_ms = lease_request_ms (core);
   call->timeout_ms = WORKER_TIMEOUT_MS;
   call->epoch = worker->epoch;
 }
@@ -202,9 +203,9 @@
 
   call_init (core, worker, MUX_WORKER_CLAIM, &call);
   call.epoch = worker->epoch + 1;
-  worker->next_ms = core->now_ms + core_jitter (core, RETRY_MS);
+  worker->next_call_ms = core->now_ms + core_jitter (core, RETRY_MS);
   if (call_worker (core, &call, claim_done, (MuxId){ 0, 0 }, worker->epoch > 0))
-    worker->claim = CLAIM_ASKED;
+    worker->claim = CLAIM_REQUESTED;
 }
 
 static void
@@ -226,9 +227,9 @@
     {
     case MUX_WORKER_OK:
       heard (core, worker, reply);
-      owner_report (core, worker, reply);
+      owner_worker_report (core, worker, reply);
       worker_update_usable (core, worker);
-      worker->next_ms = core->now_ms + lease_renew_ms (core, worker);
+      worker->next_call_ms = core->now_ms + lease_renew_after_ms (core, worker);
       break;
     case MUX_WORKER_OLD_EPOCH:
       worker->epoch = reply->epoch;
@@ -240,7 +241,7 @@
       break;
     default:
       unheard (core, worker);
-      worker->next_ms = core->now_ms + core_jitter (core, RETRY_MS * 2);
+      worker->next_call_ms = core->now_ms + core_jitter (core, RETRY_MS * 2);
       break;
     }
 }
@@ -253,7 +254,7 @@
   call_init (core, worker, MUX_WORKER_RENEW, &call);
   call.incarnation = worker->incarnation;
   call.cursor = worker->cursor;
-  worker->next_ms = core->now_ms + RETRY_MS;
+  worker->next_call_ms = core->now_ms + RETRY_MS;
   worker->renewing
       = call_worker (core, &call, renew_done, (MuxId){ 0, 0 }, worker->epoch);
 }
@@ -265,7 +266,7 @@
   Member *best = NULL;
 
   for (Member *m = core->members; m != NULL; m = m->hh.next)
-    if (m->near && member_usable (m)
+    if (m->local && member_usable (m)
         && (best == NULL
             || members_rank (m->name, worker->name)
                    > members_rank (best->name, worker->name)))
@@ -285,10 +286,10 @@
 
   (void) subject;
   (void) aux;
-  if (worker == NULL || worker->claim != CLAIM_GIVING)
+  if (worker == NULL || worker->claim != CLAIM_RELEASING)
     return;
-  worker_let_go (core, worker, false);
-  worker->next_ms = core->now_ms + core->opt.lease_ms;
+  worker_claim_ended (core, worker, false);
+  worker->next_call_ms = core->now_ms + core->opt.lease_ms;
   core_log (core, 5, "claim_given", "worker=%s", worker->name);
   member = successor (core, worker);
   if (member == NULL)
@@ -310,7 +311,8 @@
 
   DL_FOREACH (worker->grants, grant)
   {
-    if (!grant->seen && grant->not_after_ms >= worker_clock_ms (core, worker))
+    if (!grant->started
+        && grant->not_after_ms >= worker_clock_ms (core, worker))
       return true;
   }
   return false;
@@ -318,16 +320,16 @@
 
 /* Only once no granted start is on its way: it would be fenced. */
 void
-worker_give (MuxCore *core, Worker *worker)
+worker_release (MuxCore *core, Worker *worker)
 {
   MuxWorkerCall call;
 
   worker_update_usable (core, worker);
-  if (worker->open > 0 && start_on_way (core, worker))
+  if (worker->unstarted_grants > 0 && start_on_way (core, worker))
     return;
   call_init (core, worker, MUX_WORKER_RELEASE, &call);
   if (call_worker (core, &call, release_done, (MuxId){ 0, 0 }, 0))
-    worker->claim = CLAIM_GIVING;
+    worker->claim = CLAIM_RELEASING;
 }
 
 void
@@ -335,9 +337,9 @@
 {
   Worker *worker = worker_find (core, msg->worker);
 
-  if (worker == NULL || !worker->near || worker->claim != CLAIM_NONE)
+  if (worker == NULL || !worker->local || worker->claim != CLAIM_NONE)
     return;
   if (msg->epoch > worker->epoch)
     worker->epoch = msg->epoch;
-  worker->next_ms = core->now_ms;
+  worker->next_call_ms = core->now_ms;
 }
--- a/src/daemon/cell_run.c
+++ b/src/daemon/cell_run.c
@@ -44,7 +44,7 @@
 {
   MuxEventLogOptions options = { .name = daemon->options->name,
                                  .queue = LOG_QUEUE,
-                                 .per_kind_s = LOG_PER_KIND_S };
+                                 .rate_limit_per_s = LOG_PER_KIND_S };
 
   daemon->counters = mux_counters_new ();
   daemon->log = mux_event_log_new (&options);
@@ -69,10 +69,10 @@
                                                : given->peer_listen,
       .lease_ms = given->lease_ms,
       .dead_ms = given->dead_ms,
-      .strength_milli = given->strength_milli,
+      .strength_milli = given->cpu_share_milli,
       .revoke_timeout_ms = given->revoke_timeout_ms,
       .quota_overrun_milli = given->quota_overrun_milli,
-      .ended_retention_s = given->key_keep_s,
+      .ended_retention_s = given->key_retention_s,
     },
   };
 
@@ -91,7 +91,7 @@
 make_platform (CellDaemon *daemon, MuxError *err)
 {
   MuxPlatformOptions options = {
-    .inbox = mux_cell_thread_replies (daemon->thread),
+    .inbox = mux_cell_thread_platform_inbox (daemon->thread),
     .store = daemon->options->store,
     .approvals = daemon->options->approvals,
     .queue = CALL_QUEUE,
@@ -106,9 +106,9 @@
 {
   MuxPeerZmqOptions options = mux_peer_options (daemon->options);
 
-  options.inbox = mux_cell_thread_peers (daemon->thread);
+  options.inbox = mux_cell_thread_peer_inbox (daemon->thread);
   options.queue = PEER_QUEUE;
-  options.silent_ms = PEER_SILENT_MS;
+  options.silence_timeout_ms = PEER_SILENT_MS;
   options.counters = daemon->counters;
   daemon->peer = mux_peer_zmq_new (&options, daemon->peer_listen, err);
   return daemon->peer != NULL;
@@ -171,7 +171,7 @@
 {
   mux_log (MUX_LOG_NOTICE, "stop_begun", "linger_ms=%d", LINGER_MS);
   mux_platform_server_begin_drain (daemon->door);
-  mux_cell_thread_leave (daemon->thread);
+  mux_cell_thread_stop_work (daemon->thread);
   linger ();
   mux_platform_server_drain (daemon->door, DRAIN_MS);
   mux_log (MUX_LOG_NOTICE, "stop_ended", "name=%s", daemon->options->name);
@@ -193,7 +193,7 @@
     }
   mux_log (MUX_LOG_NOTICE, "started", "name=%s listen=%s peer=%s store=%s",
            options->name, options->listen, daemon.peer_listen, options->store);
-  mux_wait_for_stop (&wanted);
+  mux_wait_for_stop_signal (&wanted);
   leave (&daemon);
   cell_daemon_free (&daemon);
   return EXIT_SUCCESS;
--- a/src/daemon/cell_thread.c
+++ b/src/daemon/cell_thread.c
@@ -2,7 +2,7 @@
 
 #include "base/log.h"
 #include "base/ring.h"
-#include "question_waiters.h"
+#include "response_waiters.h"
 #include "clock.h"
 
 #include <signal.h>
@@ -46,7 +46,7 @@
   MuxCellThreadOptions options;
   MuxCell *cell;
   MuxRing *ring;
-  MuxQuestionWaiters *callers;
+  MuxResponseWaiters *callers;
   MuxCellPort *platform;
   MuxPeerPort *peer;
   pthread_t thread;
@@ -61,7 +61,7 @@
 static MuxCellTime
 read_time (const MuxCellThread *thread)
 {
-  return (MuxCellTime){ mux_now_ms (), mux_wall_ms (), thread->heard_ms };
+  return (MuxCellTime){ mux_boottime_ms (), mux_wall_ms (), thread->heard_ms };
 }
 
 static Event *
@@ -72,7 +72,7 @@
   if (event == NULL)
     return NULL;
   event->kind = kind;
-  event->arrived_ms = mux_now_ms ();
+  event->arrived_ms = mux_boottime_ms ();
   return event;
 }
 
@@ -89,7 +89,7 @@
 {
   MuxCellThread *thread = (MuxCellThread *) sink;
 
-  if (!mux_question_waiters_answer (thread->callers, reply))
+  if (!mux_response_waiters_deliver (thread->callers, reply))
     mux_count (thread->options.cell.counters, MUX_COUNT_EVENTS_DROPPED, 1);
 }
 
@@ -188,7 +188,7 @@
 
   *reply = (MuxResponse){ .outcome = MUX_RESPONSE_REFUSED,
                           .retry_ms = COME_BACK_MS };
-  if (!mux_question_waiters_enter (thread->callers, &call))
+  if (!mux_response_waiters_add (thread->callers, &call))
     {
       mux_request_free (question);
       return;
@@ -197,10 +197,10 @@
   if (!push_question (thread, question))
     {
       mux_request_free (question);
-      (void) mux_question_waiters_wait (thread->callers, call, 0, reply);
+      (void) mux_response_waiters_wait (thread->callers, call, 0, reply);
       return;
     }
-  if (!mux_question_waiters_wait (thread->callers, call, wait_ms, reply)
+  if (!mux_response_waiters_wait (thread->callers, call, wait_ms, reply)
       && write)
     reply->outcome = MUX_RESPONSE_UNKNOWN;
 }
@@ -233,7 +233,7 @@
   thread->options = *options;
   thread->options.cell.sink = &thread->sink;
   thread->ring = mux_ring_new (options->queue);
-  thread->callers = mux_question_waiters_new (options->cell.incarnation);
+  thread->callers = mux_response_waiters_new (options->cell.incarnation);
   thread->cell = mux_cell_new (&thread->options.cell, err);
   if (thread->ring != NULL && thread->callers != NULL && thread->cell != NULL)
     return thread;
@@ -264,10 +264,10 @@
 static bool
 handle_waiting (MuxCellThread *thread, int64_t wake_ms)
 {
-  int64_t wait_ms = wake_ms - mux_now_ms ();
+  int64_t wait_ms = wake_ms - mux_boottime_ms ();
   Event *event
       = mux_ring_wait (thread->ring, wait_ms > 0 ? (int32_t) wait_ms : 0);
-  int64_t looked_ms = mux_now_ms ();
+  int64_t looked_ms = mux_boottime_ms ();
   bool any = event != NULL;
 
   for (int i = 0; event != NULL; i++)
@@ -275,7 +275,7 @@
       handle (thread, event);
       if (i == BATCH)
         return true;
-      looked_ms = mux_now_ms ();
+      looked_ms = mux_boottime_ms ();
       event = mux_ring_pop (thread->ring);
     }
   thread->heard_ms = looked_ms;
@@ -286,7 +286,7 @@
 thread_main (void *arg)
 {
   MuxCellThread *thread = arg;
-  int64_t wake_ms = mux_now_ms ();
+  int64_t wake_ms = mux_boottime_ms ();
   int64_t ticked_ms = 0;
 
   while (!atomic_load (&thread->quit))
@@ -300,9 +300,9 @@
         }
       if (any && ticked_ms + TICK_LEAST_MS < wake_ms)
         wake_ms = ticked_ms + TICK_LEAST_MS;
-      if (mux_now_ms () < wake_ms)
+      if (mux_boottime_ms () < wake_ms)
         continue;
-      ticked_ms = mux_now_ms ();
+      ticked_ms = mux_boottime_ms ();
       wake_ms = mux_cell_tick (thread->cell, read_time (thread));
       atomic_store (&thread->ready, mux_cell_ready (thread->cell));
     }
@@ -331,7 +331,7 @@
 }
 
 void
-mux_cell_thread_leave (MuxCellThread *thread)
+mux_cell_thread_stop_work (MuxCellThread *thread)
 {
   atomic_store (&thread->leave, true);
   mux_ring_wake (thread->ring, 1);
@@ -363,18 +363,18 @@
       event_free (event);
     }
   mux_ring_free (thread->ring);
-  mux_question_waiters_free (thread->callers);
+  mux_response_waiters_free (thread->callers);
   free (thread);
 }
 
 MuxPlatformInbox *
-mux_cell_thread_replies (MuxCellThread *thread)
+mux_cell_thread_platform_inbox (MuxCellThread *thread)
 {
   return &thread->replies;
 }
 
 MuxInbox *
-mux_cell_thread_peers (MuxCellThread *thread)
+mux_cell_thread_peer_inbox (MuxCellThread *thread)
 {
   return &thread->peers;
 }
--- a/src/daemon/cell_thread.h
+++ b/src/daemon/cell_thread.h
@@ -31,13 +31,13 @@
                             MuxPeerPort *peer,
                             MuxError *err);
 /** mux_cell_thread_leave() - give the claim up, go on to serve callers */
-void mux_cell_thread_leave (MuxCellThread *thread);
+void mux_cell_thread_stop_work (MuxCellThread *thread);
 /** mux_cell_thread_join() - end the thread */
 void mux_cell_thread_join (MuxCellThread *thread);
 /** mux_cell_thread_free() - nobody pushes any more */
 void mux_cell_thread_free (MuxCellThread *thread);
-MuxPlatformInbox *mux_cell_thread_replies (MuxCellThread *thread);
-MuxInbox *mux_cell_thread_peers (MuxCellThread *thread);
+MuxPlatformInbox *mux_cell_thread_platform_inbox (MuxCellThread *thread);
+MuxInbox *mux_cell_thread_peer_inbox (MuxCellThread *thread);
 MuxCellBackend *mux_cell_thread_backend (MuxCellThread *thread);
 
 #endif
--- a/src/daemon/clock.c
+++ b/src/daemon/clock.c
@@ -19,7 +19,7 @@
  * leases and grants, which have lapsed at the workers, still hold.
  */
 int64_t
-mux_now_ms (void)
+mux_boottime_ms (void)
 {
   return read_ms (CLOCK_BOOTTIME);
 }
--- a/src/daemon/clock.h
+++ b/src/daemon/clock.h
@@ -6,7 +6,7 @@
 #include <time.h>
 
 /** mux_now_ms() - the daemon's clock: CLOCK_BOOTTIME */
-int64_t mux_now_ms (void);
+int64_t mux_boottime_ms (void);
 /** mux_wall_ms() - time of day, for people and for incarnations */
 int64_t mux_wall_ms (void);
 /** mux_cond_init() - a condition whose timed waits use CLOCK_MONOTONIC */
--- a/src/daemon/core_thread.c
+++ b/src/daemon/core_thread.c
@@ -16,11 +16,11 @@
 
 struct MuxCoreThread
 {
-  MuxSink sink;           /* first: the core sees this alone */
-  MuxDoorBackend backend; /* the door sees this alone */
+  MuxCoreSink sink;       /* first: the core sees this alone */
+  MuxHttpBackend backend; /* the door sees this alone */
   MuxCoreThreadOptions options;
   MuxCore *core;
-  MuxDoor *door;
+  MuxHttpServer *door;
   uint32_t worker_calls; /* outstanding */
   uint32_t table_calls;  /* outstanding */
   pthread_t thread;
@@ -35,29 +35,29 @@
 };
 
 static MuxCoreThread *
-thread_of_sink (MuxSink *sink)
+thread_of_sink (MuxCoreSink *sink)
 {
   return (MuxCoreThread *) sink;
 }
 
 static MuxCoreThread *
-thread_of_backend (MuxDoorBackend *backend)
+thread_of_backend (MuxHttpBackend *backend)
 {
   return (MuxCoreThread *) ((char *) backend
                             - offsetof (MuxCoreThread, backend));
 }
 
 static void
-sink_answer (MuxSink *sink, const MuxAnswer *answer)
+sink_answer (MuxCoreSink *sink, const MuxCoreResponse *answer)
 {
   MuxCoreThread *thread = thread_of_sink (sink);
 
-  if (!mux_door_answer (thread->door, answer))
+  if (!mux_http_server_respond (thread->door, answer))
     mux_count (thread->options.core.counters, MUX_COUNT_EVENTS_DROPPED, 1);
 }
 
 static bool
-sink_worker_call (MuxSink *sink, const MuxWorkerCall *call)
+sink_worker_call (MuxCoreSink *sink, const MuxWorkerCall *call)
 {
   MuxCoreThread *thread = thread_of_sink (sink);
   MuxWorkerPort *port = thread->options.worker;
@@ -70,7 +70,7 @@
 }
 
 static bool
-sink_table_call (MuxSink *sink, MuxTableCall *call)
+sink_table_call (MuxCoreSink *sink, MuxTableCall *call)
 {
   MuxCoreThread *thread = thread_of_sink (sink);
   MuxPlatformPort *port = thread->options.platform;
@@ -87,7 +87,7 @@
 }
 
 static bool
-sink_peer_send (MuxSink *sink, const char *addr, const MuxPeerMsg *msg)
+sink_peer_send (MuxCoreSink *sink, const char *addr, const MuxPeerMsg *msg)
 {
   MuxPeerPort *port = thread_of_sink (sink)->options.peer;
 
@@ -95,26 +95,30 @@
 }
 
 static void
-sink_state_log (MuxSink *sink, int level, const char *event, const char *text)
+sink_state_log (MuxCoreSink *sink,
+                int level,
+                const char *event,
+                const char *text)
 {
   (void) sink;
   mux_log ((MuxLogLevel) level, event, "%s", text);
 }
 
 static bool
-backend_submit (MuxDoorBackend *backend, MuxAsk *ask)
+backend_submit (MuxHttpBackend *backend, MuxCoreRequest *ask)
 {
-  return mux_inbox_ask (thread_of_backend (backend)->options.inbox, ask);
+  return mux_inbox_push_request (thread_of_backend (backend)->options.inbox,
+                                 ask);
 }
 
 static void
-backend_gone (MuxDoorBackend *backend, uint64_t call)
+backend_gone (MuxHttpBackend *backend, uint64_t call)
 {
-  mux_inbox_gone (thread_of_backend (backend)->options.inbox, call);
+  mux_inbox_push_disconnect (thread_of_backend (backend)->options.inbox, call);
 }
 
 static bool
-backend_ready (MuxDoorBackend *backend)
+backend_ready (MuxHttpBackend *backend)
 {
   return thread_of_backend (backend)->ready;
 }
@@ -129,10 +133,10 @@
       mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the core's thread");
       return NULL;
     }
-  thread->sink = (MuxSink){ sink_answer, sink_worker_call, sink_table_call,
-                            sink_peer_send, sink_state_log };
+  thread->sink = (MuxCoreSink){ sink_answer, sink_worker_call, sink_table_call,
+                                sink_peer_send, sink_state_log };
   thread->backend
-      = (MuxDoorBackend){ backend_submit, backend_gone, backend_ready };
+      = (MuxHttpBackend){ backend_submit, backend_gone, backend_ready };
   thread->options = *options;
   thread->options.core.sink = &thread->sink;
   pthread_mutex_init (&thread->lock, NULL);
@@ -147,7 +151,7 @@
 static void
 step (MuxCoreThread *thread, const MuxEvent *event)
 {
-  mux_core_step (thread->core, event, mux_now_ms ());
+  mux_core_step (thread->core, event, mux_boottime_ms ());
 }
 
 static bool
@@ -220,16 +224,16 @@
 static bool
 take_asks (MuxCoreThread *thread)
 {
-  MuxAsk *ask;
+  MuxCoreRequest *ask;
   uint32_t n = 0;
 
   while (n < BATCH
-         && (ask = mux_inbox_take_ask (thread->options.inbox)) != NULL)
+         && (ask = mux_inbox_take_request (thread->options.inbox)) != NULL)
     {
-      MuxEvent event = { MUX_EVENT_ASK, { .ask = ask } };
+      MuxEvent event = { MUX_EVENT_REQUEST, { .request = ask } };
 
       step (thread, &event);
-      mux_ask_free (ask);
+      mux_core_request_free (ask);
       n++;
     }
   return n > 0;
@@ -238,10 +242,11 @@
 static bool
 take_gone (MuxCoreThread *thread)
 {
-  MuxEvent event = { MUX_EVENT_CALLER_GONE, { .call = 0 } };
+  MuxEvent event = { MUX_EVENT_CALLER_DISCONNECTED, { .call_id = 0 } };
   bool any = false;
 
-  while ((event.u.call = mux_inbox_take_gone (thread->options.inbox)) != 0)
+  while ((event.u.call_id = mux_inbox_take_disconnect (thread->options.inbox))
+         != 0)
     {
       step (thread, &event);
       any = true;
@@ -265,7 +270,7 @@
 {
   MuxEvent event = { .kind = MUX_EVENT_TICK };
 
-  if (mux_core_wake_ms (thread->core) <= mux_now_ms ())
+  if (mux_core_wake_ms (thread->core) <= mux_boottime_ms ())
     step (thread, &event);
 }
 
@@ -284,14 +289,14 @@
 static void
 sleep_until_due (MuxCoreThread *thread)
 {
-  int64_t now_ms = mux_now_ms ();
+  int64_t now_ms = mux_boottime_ms ();
   int64_t wake_ms = mux_core_wake_ms (thread->core);
 
   if (wake_ms <= now_ms)
     return;
   if (wake_ms - now_ms > SLEEP_MAX_MS)
     wake_ms = now_ms + SLEEP_MAX_MS;
-  mux_inbox_sleep (thread->options.inbox, (int32_t) (wake_ms - now_ms));
+  mux_inbox_wait (thread->options.inbox, (int32_t) (wake_ms - now_ms));
 }
 
 static void *
@@ -303,7 +308,7 @@
     {
       bool any;
 
-      mux_inbox_mark (thread->options.inbox);
+      mux_inbox_prepare_wait (thread->options.inbox);
       any = take_worker_replies (thread);
       any |= take_table_replies (thread);
       any |= take_instances (thread);
@@ -321,7 +326,9 @@
 }
 
 bool
-mux_core_thread_start (MuxCoreThread *thread, MuxDoor *door, MuxError *err)
+mux_core_thread_start (MuxCoreThread *thread,
+                       MuxHttpServer *door,
+                       MuxError *err)
 {
   thread->door = door;
   thread->running = pthread_create (&thread->thread, NULL, run, thread) == 0;
@@ -330,7 +337,7 @@
   return true;
 }
 
-MuxDoorBackend *
+MuxHttpBackend *
 mux_core_thread_backend (MuxCoreThread *thread)
 {
   return &thread->backend;
--- a/src/daemon/core_thread.h
+++ b/src/daemon/core_thread.h
@@ -2,7 +2,7 @@
 #define DAEMON_CORE_THREAD_H
 
 #include "core/core.h"
-#include "door.h"
+#include "http_server.h"
 #include "inbox.h"
 
 /*
@@ -37,10 +37,11 @@
 MuxCoreThread *mux_core_thread_new (const MuxCoreThreadOptions *options,
                                     MuxError *err);
 /** mux_core_thread_start() - run it; answers go to @door */
-bool
-mux_core_thread_start (MuxCoreThread *thread, MuxDoor *door, MuxError *err);
+bool mux_core_thread_start (MuxCoreThread *thread,
+                            MuxHttpServer *door,
+                            MuxError *err);
 /** mux_core_thread_backend() - what the door is given */
-MuxDoorBackend *mux_core_thread_backend (MuxCoreThread *thread);
+MuxHttpBackend *mux_core_thread_backend (MuxCoreThread *thread);
 /** mux_core_thread_stop_work() - begin the graceful stop */
 void mux_core_thread_stop_work (MuxCoreThread *thread);
 /** mux_core_thread_wait_stopped() - until the graceful stop has finished
--- a/src/daemon/event_log.c
+++ b/src/daemon/event_log.c
@@ -144,14 +144,14 @@
 static bool
 within_budget (MuxEventLog *log, Kind *kind)
 {
-  int64_t second = mux_now_ms () / MS_PER_S;
+  int64_t second = mux_boottime_ms () / MS_PER_S;
 
   if (kind->second != second)
     {
       kind->second = second;
       kind->used = 0;
     }
-  if (kind->used < log->options.per_kind_s)
+  if (kind->used < log->options.rate_limit_per_s)
     {
       kind->used++;
       return true;
--- a/src/daemon/event_log.h
+++ b/src/daemon/event_log.h
@@ -24,7 +24,7 @@
 {
   const char *name;
   uint32_t queue;
-  uint32_t per_kind_s;
+  uint32_t rate_limit_per_s;
 } MuxEventLogOptions;
 
 MuxEventLog *mux_event_log_new (const MuxEventLogOptions *options);
--- a/src/daemon/door_connection.c
+++ b/src/daemon/http_connection.c
@@ -1,4 +1,4 @@
-#include "door_private.h"
+#include "http_server_private.h"
 
 #include <errno.h>
 #include <strings.h>
@@ -9,16 +9,17 @@
 static _Thread_local struct MHD_Connection *this_connection;
 
 void
-mux_connection_request_begins (MuxDoor *door, struct MHD_Connection *connection)
+mux_connection_begin_request (MuxHttpServer *door,
+                              struct MHD_Connection *connection)
 {
   this_connection = connection;
   pthread_mutex_lock (&door->lock);
-  door->unwritten++;
+  door->requests_in_flight++;
   pthread_mutex_unlock (&door->lock);
 }
 
 void
-mux_connection_timeout (uint32_t seconds)
+mux_connection_set_timeout (uint32_t seconds)
 {
   if (this_connection != NULL)
     MHD_set_connection_option (this_connection, MHD_CONNECTION_OPTION_TIMEOUT,
@@ -26,7 +27,7 @@
 }
 
 bool
-mux_connection_gone (void)
+mux_connection_peer_closed (void)
 {
   const union MHD_ConnectionInfo *info;
   char byte;
@@ -65,7 +66,7 @@
 }
 
 bool
-mux_connection_repeats_header (const char *name)
+mux_connection_has_duplicate_header (const char *name)
 {
   HeaderCount header = { name, 0 };
 
@@ -76,12 +77,12 @@
 }
 
 void
-mux_connection_request_ended (MuxDoor *door)
+mux_connection_end_request (MuxHttpServer *door)
 {
   this_connection = NULL;
   pthread_mutex_lock (&door->lock);
-  door->unwritten--;
-  if (door->unwritten == 0)
-    pthread_cond_broadcast (&door->written);
+  door->requests_in_flight--;
+  if (door->requests_in_flight == 0)
+    pthread_cond_broadcast (&door->drained);
   pthread_mutex_unlock (&door->lock);
 }
--- a/src/daemon/door_respond.c
+++ b/src/daemon/http_respond.c
@@ -1,4 +1,4 @@
-#include "door_private.h"
+#include "http_server_private.h"
 
 #include <inttypes.h>
 #include <jansson.h>
@@ -55,7 +55,8 @@
 }
 
 void
-mux_respond_answer (struct _u_response *response, const MuxAnswer *answer)
+mux_respond_core_response (struct _u_response *response,
+                           const MuxCoreResponse *answer)
 {
   char task[MUX_ID_HEX_LEN];
   bool refused = answer->status >= STATUS_ERROR;
@@ -76,7 +77,8 @@
       return;
     }
   add_header (response, "Content-Type",
-              answer->json ? "application/json" : "application/octet-stream");
+              answer->is_json ? "application/json"
+                              : "application/octet-stream");
   if (answer->body == NULL || answer->body->len == 0)
     return;
   if (ulfius_set_binary_body_response (response,
@@ -94,7 +96,7 @@
 }
 
 void
-mux_respond_refusal (MuxDoor *door,
+mux_respond_refusal (MuxHttpServer *door,
                      struct _u_response *response,
                      MuxReason reason,
                      bool named,
@@ -126,7 +128,7 @@
 }
 
 void
-mux_respond_metrics (MuxDoor *door, struct _u_response *response)
+mux_respond_metrics (MuxHttpServer *door, struct _u_response *response)
 {
   size_t len = mux_counters_print (door->options.counters, NULL, 0);
   /* Counters that grow meanwhile may need some bytes more. */
@@ -146,17 +148,17 @@
 }
 
 void
-mux_respond_healthz (MuxDoor *door, struct _u_response *response)
+mux_respond_healthz (MuxHttpServer *door, struct _u_response *response)
 {
   (void) door;
   set_page (response, MHD_HTTP_OK, "ok\n");
 }
 
 void
-mux_respond_readyz (MuxDoor *door, struct _u_response *response)
+mux_respond_readyz (MuxHttpServer *door, struct _u_response *response)
 {
-  bool ready = !door->refuse_new
-               && door->options.backend->ready (door->options.backend);
+  bool ready
+      = !door->draining && door->options.backend->ready (door->options.backend);
 
   if (ready)
     set_page (response, MHD_HTTP_OK, "ready\n");
--- a/src/daemon/door_routes.c
+++ b/src/daemon/http_routes.c
@@ -1,4 +1,4 @@
-#include "door_private.h"
+#include "http_server_private.h"
 
 #include "base/number.h"
 
@@ -38,7 +38,7 @@
 }
 
 bool
-mux_route_first (const struct _u_request *request)
+mux_route_is_first_attempt (const struct _u_request *request)
 {
   const char *first = header (request, "Cuminmux-First");
 
@@ -51,7 +51,7 @@
                const char *name,
                MuxFindings *findings)
 {
-  if (mux_connection_repeats_header (name))
+  if (mux_connection_has_duplicate_header (name))
     mux_findings_add (findings, name, "is given twice");
   return header (request, name);
 }
@@ -76,14 +76,16 @@
 }
 
 static void
-read_key (const struct _u_request *request, MuxAsk *ask, MuxReason *reason)
+read_key (const struct _u_request *request,
+          MuxCoreRequest *ask,
+          MuxReason *reason)
 {
   const char *key = header (request, "Idempotency-Key");
   size_t len;
 
   if (key == NULL)
     return;
-  if (mux_connection_repeats_header ("Idempotency-Key"))
+  if (mux_connection_has_duplicate_header ("Idempotency-Key"))
     *reason = MUX_REASON_BAD_KEY;
   len = strlen (key);
   for (size_t i = 0; i < len; i++)
@@ -96,7 +98,9 @@
 }
 
 static void
-read_ticket (const struct _u_request *request, MuxAsk *ask, MuxReason *reason)
+read_ticket (const struct _u_request *request,
+             MuxCoreRequest *ask,
+             MuxReason *reason)
 {
   const char *ticket = header (request, "Cuminmux-Ticket");
 
@@ -104,14 +108,16 @@
     return;
   /* With a key besides, it would not be clear which of them names the work. */
   if (ticket[0] == 0 || strlen (ticket) >= MUX_TICKET_LEN || ask->key[0] != 0
-      || mux_connection_repeats_header ("Cuminmux-Ticket"))
+      || mux_connection_has_duplicate_header ("Cuminmux-Ticket"))
     *reason = MUX_REASON_BAD_TICKET;
   else
     memcpy (ask->ticket, ticket, strlen (ticket) + 1);
 }
 
 static void
-read_body (const struct _u_request *request, MuxAsk *ask, MuxReason *reason)
+read_body (const struct _u_request *request,
+           MuxCoreRequest *ask,
+           MuxReason *reason)
 {
   ask->body = mux_blob_new (request->binary_body, request->binary_body_length);
   if (ask->body == NULL)
@@ -120,7 +126,7 @@
 
 static void
 read_request (const struct _u_request *request,
-              MuxAsk *ask,
+              MuxCoreRequest *ask,
               MuxFindings *findings,
               MuxReason *reason)
 {
@@ -131,27 +137,27 @@
   if (text != NULL)
     read_number (text, "Cuminmux-Give-Up-Ms", 1, WAIT_MAX_MS, &give_up_ms,
                  findings);
-  ask->give_up_ms = (uint32_t) give_up_ms;
+  ask->timeout_ms = (uint32_t) give_up_ms;
   read_key (request, ask, reason);
-  ask->first = mux_route_first (request);
+  ask->key_is_new = mux_route_is_first_attempt (request);
   read_ticket (request, ask, reason);
   read_body (request, ask, reason);
 }
 
 static void
 read_ticket_ask (const struct _u_request *request,
-                 MuxAsk *ask,
+                 MuxCoreRequest *ask,
                  MuxFindings *findings,
                  MuxReason *reason)
 {
   (void) reason;
   read_name (query (request, "class_name"), "path.class", ask->name, findings);
-  ask->give_up_ms = GIVE_UP_DEFAULT_MS;
+  ask->timeout_ms = GIVE_UP_DEFAULT_MS;
 }
 
 static void
 read_job_submit (const struct _u_request *request,
-                 MuxAsk *ask,
+                 MuxCoreRequest *ask,
                  MuxFindings *findings,
                  MuxReason *reason)
 {
@@ -167,7 +173,7 @@
 
 static void
 read_job (const struct _u_request *request,
-          MuxAsk *ask,
+          MuxCoreRequest *ask,
           MuxFindings *findings,
           MuxReason *reason)
 {
@@ -178,7 +184,7 @@
 
 static void
 read_job_get (const struct _u_request *request,
-              MuxAsk *ask,
+              MuxCoreRequest *ask,
               MuxFindings *findings,
               MuxReason *reason)
 {
@@ -191,12 +197,14 @@
                        findings)
       || wait_ms == 0)
     return;
-  ask->verb = MUX_ASK_JOB_WAIT;
-  ask->give_up_ms = (uint32_t) wait_ms;
+  ask->verb = MUX_CORE_JOB_WAIT;
+  ask->timeout_ms = (uint32_t) wait_ms;
 }
 
 static void
-read_sort (const struct _u_request *request, MuxAsk *ask, MuxReason *reason)
+read_sort (const struct _u_request *request,
+           MuxCoreRequest *ask,
+           MuxReason *reason)
 {
   static const char *const name[MUX_CONFIG_SORT_COUNT] = {
     [MUX_CONFIG_CLASS] = "class",
@@ -217,7 +225,7 @@
 
 static void
 read_config_object (const struct _u_request *request,
-                    MuxAsk *ask,
+                    MuxCoreRequest *ask,
                     MuxFindings *findings,
                     MuxReason *reason)
 {
@@ -227,7 +235,7 @@
 
 static void
 read_config_list (const struct _u_request *request,
-                  MuxAsk *ask,
+                  MuxCoreRequest *ask,
                   MuxFindings *findings,
                   MuxReason *reason)
 {
@@ -238,41 +246,41 @@
 /* Who changes what, and what they saw before. */
 static void
 read_change (const struct _u_request *request,
-             MuxAsk *ask,
+             MuxCoreRequest *ask,
              MuxFindings *findings)
 {
   const char *change = single_header (request, "Cuminmux-Change", findings);
   const char *who = single_header (request, "Cuminmux-Who", findings);
   const char *expect = query (request, "expect");
 
-  if (change != NULL && !mux_id_parse (change, &ask->change))
+  if (change != NULL && !mux_id_parse (change, &ask->change_id))
     mux_findings_add (findings, "Cuminmux-Change",
                       "32 hexadecimal digits needed");
   if (who != NULL)
-    read_name (who, "Cuminmux-Who", ask->who, findings);
+    read_name (who, "Cuminmux-Who", ask->author, findings);
   if (expect != NULL)
-    ask->expect_set = read_number (expect, "query.expect", 0, UINT64_MAX,
-                                   &ask->expect, findings);
+    ask->has_expected = read_number (expect, "query.expect", 0, UINT64_MAX,
+                                     &ask->expected_revision, findings);
 }
 
 static void
 read_config_change (const struct _u_request *request,
-                    MuxAsk *ask,
+                    MuxCoreRequest *ask,
                     MuxFindings *findings,
                     MuxReason *reason)
 {
   read_config_object (request, ask, findings, reason);
   read_change (request, ask, findings);
-  if (ask->verb == MUX_ASK_CONFIG_PUT)
+  if (ask->verb == MUX_CORE_CONFIG_PUT)
     read_body (request, ask, reason);
-  if (ask->verb == MUX_ASK_CONFIG_REVERT)
+  if (ask->verb == MUX_CORE_CONFIG_REVERT)
     read_number (query (request, "to"), "query.to", 0, UINT64_MAX,
                  &ask->revision, findings);
 }
 
 static void
 read_history (const struct _u_request *request,
-              MuxAsk *ask,
+              MuxCoreRequest *ask,
               MuxFindings *findings,
               MuxReason *reason)
 {
@@ -285,7 +293,7 @@
 
 static void
 read_undrain (const struct _u_request *request,
-              MuxAsk *ask,
+              MuxCoreRequest *ask,
               MuxFindings *findings,
               MuxReason *reason)
 {
@@ -298,43 +306,45 @@
 
 static void
 read_drain (const struct _u_request *request,
-            MuxAsk *ask,
+            MuxCoreRequest *ask,
             MuxFindings *findings,
             MuxReason *reason)
 {
   read_undrain (request, ask, findings, reason);
-  ask->flag = true;
+  ask->drain = true;
 }
 
 /* The variables of a path have names of their own: ulfius keeps them in one
  * map with the query. */
 static const MuxRoute routes[] = {
-  { "POST", "/v1/request/:class_name", MUX_ASK_REQUEST, read_request, NULL },
-  { "POST", "/v1/ticket/:class_name", MUX_ASK_TICKET, read_ticket_ask, NULL },
-  { "POST", "/v1/jobs", MUX_ASK_JOB_SUBMIT, read_job_submit, NULL },
-  { "GET", "/v1/jobs", MUX_ASK_JOB_LIST, NULL, NULL },
-  { "GET", "/v1/jobs/:job_id", MUX_ASK_JOB_GET, read_job_get, NULL },
-  { "DELETE", "/v1/jobs/:job_id", MUX_ASK_JOB_CANCEL, read_job, NULL },
-  { "PUT", "/v1/config/:sort_name/:object_name", MUX_ASK_CONFIG_PUT,
+  { "POST", "/v1/request/:class_name", MUX_CORE_RUN_TASK, read_request, NULL },
+  { "POST", "/v1/ticket/:class_name", MUX_CORE_ISSUE_TICKET, read_ticket_ask,
+    NULL },
+  { "POST", "/v1/jobs", MUX_CORE_JOB_SUBMIT, read_job_submit, NULL },
+  { "GET", "/v1/jobs", MUX_CORE_JOB_LIST, NULL, NULL },
+  { "GET", "/v1/jobs/:job_id", MUX_CORE_JOB_GET, read_job_get, NULL },
+  { "DELETE", "/v1/jobs/:job_id", MUX_CORE_JOB_CANCEL, read_job, NULL },
+  { "PUT", "/v1/config/:sort_name/:object_name", MUX_CORE_CONFIG_PUT,
     read_config_change, NULL },
-  { "DELETE", "/v1/config/:sort_name/:object_name", MUX_ASK_CONFIG_REMOVE,
+  { "DELETE", "/v1/config/:sort_name/:object_name", MUX_CORE_CONFIG_REMOVE,
     read_config_change, NULL },
-  { "GET", "/v1/config/:sort_name/:object_name", MUX_ASK_CONFIG_GET,
+  { "GET", "/v1/config/:sort_name/:object_name", MUX_CORE_CONFIG_GET,
     read_config_object, NULL },
-  { "GET", "/v1/config/:sort_name", MUX_ASK_CONFIG_LIST, read_config_list,
+  { "GET", "/v1/config/:sort_name", MUX_CORE_CONFIG_LIST, read_config_list,
     NULL },
-  { "POST", "/v1/config/:sort_name/:object_name/revert", MUX_ASK_CONFIG_REVERT,
+  { "POST", "/v1/config/:sort_name/:object_name/revert", MUX_CORE_CONFIG_REVERT,
     read_config_change, NULL },
-  { "GET", "/v1/history", MUX_ASK_CONFIG_HISTORY, read_history, NULL },
-  { "GET", "/v1/status", MUX_ASK_STATUS, NULL, NULL },
-  { "GET", "/v1/workers", MUX_ASK_WORKERS, NULL, NULL },
-  { "GET", "/v1/risk", MUX_ASK_RISK, NULL, NULL },
-  { "POST", "/v1/workers/:worker_name/drain", MUX_ASK_DRAIN, read_drain, NULL },
-  { "POST", "/v1/workers/:worker_name/undrain", MUX_ASK_DRAIN, read_undrain,
+  { "GET", "/v1/history", MUX_CORE_CONFIG_HISTORY, read_history, NULL },
+  { "GET", "/v1/status", MUX_CORE_STATUS, NULL, NULL },
+  { "GET", "/v1/workers", MUX_CORE_WORKERS, NULL, NULL },
+  { "GET", "/v1/risk", MUX_CORE_RISK, NULL, NULL },
+  { "POST", "/v1/workers/:worker_name/drain", MUX_CORE_DRAIN, read_drain,
+    NULL },
+  { "POST", "/v1/workers/:worker_name/undrain", MUX_CORE_DRAIN, read_undrain,
     NULL },
-  { "GET", "/metrics", MUX_ASK_STATUS, NULL, mux_respond_metrics },
-  { "GET", "/healthz", MUX_ASK_STATUS, NULL, mux_respond_healthz },
-  { "GET", "/readyz", MUX_ASK_STATUS, NULL, mux_respond_readyz },
+  { "GET", "/metrics", MUX_CORE_STATUS, NULL, mux_respond_metrics },
+  { "GET", "/healthz", MUX_CORE_STATUS, NULL, mux_respond_healthz },
+  { "GET", "/readyz", MUX_CORE_STATUS, NULL, mux_respond_readyz },
 };
 
 const MuxRoute *
@@ -345,14 +355,16 @@
 }
 
 bool
-mux_route_is_new_work (const MuxRoute *route)
+mux_route_is_write (const MuxRoute *route)
 {
   return strcmp (route->method, "GET") != 0;
 }
 
 bool
-mux_route_is_work (const MuxRoute *route)
+mux_route_uses_caller_slot (const MuxRoute *route)
 {
-  return route->verb == MUX_ASK_REQUEST || route->verb == MUX_ASK_TICKET
-         || route->verb == MUX_ASK_JOB_SUBMIT || route->verb == MUX_ASK_JOB_GET;
+  return route->verb == MUX_CORE_RUN_TASK
+         || route->verb == MUX_CORE_ISSUE_TICKET
+         || route->verb == MUX_CORE_JOB_SUBMIT
+         || route->verb == MUX_CORE_JOB_GET;
 }
--- a/src/daemon/door.c
+++ b/src/daemon/http_server.c
@@ -1,4 +1,4 @@
-#include "door_private.h"
+#include "http_server_private.h"
 
 #include "adapter/listen.h"
 #include "clock.h"
@@ -14,10 +14,10 @@
 #define UNUSED_PORT 1
 #define OPTIONS_MAX 12
 
-MuxDoor *
-mux_door_new (const MuxDoorOptions *options, MuxError *err)
+MuxHttpServer *
+mux_http_server_new (const MuxHttpServerOptions *options, MuxError *err)
 {
-  MuxDoor *door = calloc (1, sizeof *door);
+  MuxHttpServer *door = calloc (1, sizeof *door);
 
   if (door == NULL)
     {
@@ -25,21 +25,21 @@
       return NULL;
     }
   door->options = *options;
-  door->port_fd = -1;
+  door->listen_fd = -1;
   pthread_mutex_init (&door->lock, NULL);
-  mux_cond_init (&door->written);
-  door->waiters = mux_waiters_new (options->callers_max);
-  if (door->waiters != NULL)
+  mux_cond_init (&door->drained);
+  door->pending = mux_pending_calls_new (options->callers_max);
+  if (door->pending != NULL)
     return door;
   mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the callers");
-  mux_door_free (door);
+  mux_http_server_free (door);
   return NULL;
 }
 
 static void *
 request_begins (void *cls, const char *uri, struct MHD_Connection *connection)
 {
-  mux_connection_request_begins (cls, connection);
+  mux_connection_begin_request (cls, connection);
   return ulfius_uri_logger (NULL, uri);
 }
 
@@ -50,58 +50,58 @@
                enum MHD_RequestTerminationCode code)
 {
   mhd_request_completed (NULL, connection, request, code);
-  mux_connection_request_ended (cls);
+  mux_connection_end_request (cls);
 }
 
 static bool
-add_routes (MuxDoor *door)
+add_routes (MuxHttpServer *door)
 {
   uint32_t count;
   const MuxRoute *routes = mux_routes (&count);
 
-  door->binding = calloc (count + 1, sizeof *door->binding);
-  if (door->binding == NULL)
+  door->bindings = calloc (count + 1, sizeof *door->bindings);
+  if (door->bindings == NULL)
     return false;
   for (uint32_t i = 0; i < count; i++)
     {
-      door->binding[i] = (MuxRouteBinding){ door, &routes[i] };
-      if (ulfius_add_endpoint_by_val (&door->http, routes[i].method, NULL,
-                                      routes[i].path, 0, mux_door_serve,
-                                      &door->binding[i])
+      door->bindings[i] = (MuxRouteBinding){ door, &routes[i] };
+      if (ulfius_add_endpoint_by_val (&door->ulfius, routes[i].method, NULL,
+                                      routes[i].path, 0, mux_http_server_handle,
+                                      &door->bindings[i])
           != U_OK)
         return false;
     }
-  door->binding[count] = (MuxRouteBinding){ door, NULL };
-  return ulfius_set_default_endpoint (&door->http, mux_door_serve,
-                                      &door->binding[count])
+  door->bindings[count] = (MuxRouteBinding){ door, NULL };
+  return ulfius_set_default_endpoint (&door->ulfius, mux_http_server_handle,
+                                      &door->bindings[count])
          == U_OK;
 }
 
 static bool
-make_http (MuxDoor *door)
+make_http (MuxHttpServer *door)
 {
-  if (ulfius_init_instance (&door->http, UNUSED_PORT, NULL, NULL) != U_OK)
+  if (ulfius_init_instance (&door->ulfius, UNUSED_PORT, NULL, NULL) != U_OK)
     return false;
-  door->http_made = true;
-  door->http.max_post_body_size = (size_t) door->options.body_max + 1;
+  door->ulfius_initialized = true;
+  door->ulfius.max_post_body_size = (size_t) door->options.body_max_bytes + 1;
   /* A body is bytes, whatever type its caller gives it. */
-  door->http.allowed_post_processor = U_POST_PROCESS_NONE;
+  door->ulfius.allowed_post_processor = U_POST_PROCESS_NONE;
   /* With its check on, ulfius drops a header that is not UTF-8 without a
    * word, and a keyed request would run as one without a key. */
-  door->http.check_utf8 = 0;
+  door->ulfius.check_utf8 = 0;
   return add_routes (door);
 }
 
 /* Callers that wait, as many again that keep a connection open between
  * requests, and operators. */
 static unsigned int
-connection_limit (const MuxDoor *door)
+connection_limit (const MuxHttpServer *door)
 {
-  return 2 * (door->options.callers_max + MUX_WAITERS_RESERVE);
+  return 2 * (door->options.callers_max + MUX_PENDING_CALLS_RESERVED);
 }
 
 static bool
-start_http (MuxDoor *door, int fd)
+start_http (MuxHttpServer *door, int fd)
 {
   unsigned int flags = MHD_USE_THREAD_PER_CONNECTION
                        | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL
@@ -111,7 +111,8 @@
     { MHD_OPTION_NOTIFY_COMPLETED, (intptr_t) request_ended, door },
     { MHD_OPTION_URI_LOG_CALLBACK, (intptr_t) request_begins, door },
     { MHD_OPTION_CONNECTION_LIMIT, (intptr_t) connection_limit (door), NULL },
-    { MHD_OPTION_CONNECTION_TIMEOUT, (intptr_t) door->options.idle_s, NULL },
+    { MHD_OPTION_CONNECTION_TIMEOUT, (intptr_t) door->options.idle_timeout_s,
+      NULL },
     { MHD_OPTION_THREAD_STACK_SIZE, THREAD_STACK, NULL },
   };
   uint32_t used = 6;
@@ -128,12 +129,12 @@
       };
     }
   options[used] = (struct MHD_OptionItem){ MHD_OPTION_END, 0, NULL };
-  return ulfius_start_framework_with_mhd_options (&door->http, flags, options)
+  return ulfius_start_framework_with_mhd_options (&door->ulfius, flags, options)
          == U_OK;
 }
 
 bool
-mux_door_listen (MuxDoor *door, char *bound, MuxError *err)
+mux_http_server_listen (MuxHttpServer *door, char *bound, MuxError *err)
 {
   int fd;
 
@@ -152,66 +153,66 @@
 }
 
 bool
-mux_door_answer (MuxDoor *door, const MuxAnswer *answer)
+mux_http_server_respond (MuxHttpServer *door, const MuxCoreResponse *answer)
 {
-  return mux_waiters_answer (door->waiters, answer);
+  return mux_pending_calls_complete (door->pending, answer);
 }
 
 void
-mux_door_refuse_new (MuxDoor *door)
+mux_http_server_begin_drain (MuxHttpServer *door)
 {
-  door->refuse_new = true;
+  door->draining = true;
 }
 
 void
-mux_door_close_port (MuxDoor *door)
+mux_http_server_stop_accepting (MuxHttpServer *door)
 {
-  if (!door->listening || door->port_fd >= 0)
+  if (!door->listening || door->listen_fd >= 0)
     return;
-  door->port_fd = MHD_quiesce_daemon (door->http.mhd_daemon);
-  if (door->port_fd >= 0)
-    close (door->port_fd);
+  door->listen_fd = MHD_quiesce_daemon (door->ulfius.mhd_daemon);
+  if (door->listen_fd >= 0)
+    close (door->listen_fd);
 }
 
 bool
-mux_door_drain (MuxDoor *door, uint32_t timeout_ms)
+mux_http_server_drain (MuxHttpServer *door, uint32_t timeout_ms)
 {
   struct timespec deadline = mux_deadline_after (timeout_ms);
   int rc = 0;
 
   pthread_mutex_lock (&door->lock);
-  while (door->unwritten > 0 && rc == 0)
-    rc = pthread_cond_timedwait (&door->written, &door->lock, &deadline);
+  while (door->requests_in_flight > 0 && rc == 0)
+    rc = pthread_cond_timedwait (&door->drained, &door->lock, &deadline);
   pthread_mutex_unlock (&door->lock);
   return rc == 0;
 }
 
 void
-mux_door_abandon (MuxDoor *door)
+mux_http_server_fail_pending (MuxHttpServer *door)
 {
-  mux_waiters_close (door->waiters);
+  mux_pending_calls_close (door->pending);
 }
 
 void
-mux_door_stop_listening (MuxDoor *door)
+mux_http_server_stop (MuxHttpServer *door)
 {
   if (door == NULL || !door->listening)
     return;
-  ulfius_stop_framework (&door->http);
+  ulfius_stop_framework (&door->ulfius);
   door->listening = false;
 }
 
 void
-mux_door_free (MuxDoor *door)
+mux_http_server_free (MuxHttpServer *door)
 {
   if (door == NULL)
     return;
-  mux_door_stop_listening (door);
-  if (door->http_made)
-    ulfius_clean_instance (&door->http);
-  mux_waiters_free (door->waiters);
-  pthread_cond_destroy (&door->written);
+  mux_http_server_stop (door);
+  if (door->ulfius_initialized)
+    ulfius_clean_instance (&door->ulfius);
+  mux_pending_calls_free (door->pending);
+  pthread_cond_destroy (&door->drained);
   pthread_mutex_destroy (&door->lock);
-  free (door->binding);
+  free (door->bindings);
   free (door);
 }
--- a/src/daemon/inbox.c
+++ b/src/daemon/inbox.c
@@ -141,8 +141,8 @@
   inbox->port.instances = put_instances;
   inbox->counters = options->counters;
   inbox->bell = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC);
-  inbox->asks = mux_ring_new (options->asks);
-  inbox->gone = mux_ring_new (options->asks);
+  inbox->asks = mux_ring_new (options->requests);
+  inbox->gone = mux_ring_new (options->requests);
   inbox->peers = mux_ring_new (options->peers);
   inbox->worker_replies = mux_ring_new (options->worker_replies);
   inbox->table_replies = mux_ring_new (options->table_replies);
@@ -190,11 +190,11 @@
 static void
 free_asks (MuxDaemonInbox *inbox)
 {
-  MuxAsk *ask;
+  MuxCoreRequest *ask;
 
-  while (inbox->asks != NULL && (ask = mux_inbox_take_ask (inbox)) != NULL)
-    mux_ask_free (ask);
-  while (inbox->gone != NULL && mux_inbox_take_gone (inbox) != 0)
+  while (inbox->asks != NULL && (ask = mux_inbox_take_request (inbox)) != NULL)
+    mux_core_request_free (ask);
+  while (inbox->gone != NULL && mux_inbox_take_disconnect (inbox) != 0)
     continue;
   mux_ring_free (inbox->asks);
   mux_ring_free (inbox->gone);
@@ -222,13 +222,13 @@
 }
 
 bool
-mux_inbox_ask (MuxDaemonInbox *inbox, MuxAsk *ask)
+mux_inbox_push_request (MuxDaemonInbox *inbox, MuxCoreRequest *ask)
 {
   return push (inbox, inbox->asks, ask);
 }
 
 void
-mux_inbox_gone (MuxDaemonInbox *inbox, uint64_t call)
+mux_inbox_push_disconnect (MuxDaemonInbox *inbox, uint64_t call)
 {
   uint64_t *item = malloc (sizeof *item);
 
@@ -269,14 +269,14 @@
   return mux_ring_pop (inbox->peers);
 }
 
-MuxAsk *
-mux_inbox_take_ask (MuxDaemonInbox *inbox)
+MuxCoreRequest *
+mux_inbox_take_request (MuxDaemonInbox *inbox)
 {
   return mux_ring_pop (inbox->asks);
 }
 
 uint64_t
-mux_inbox_take_gone (MuxDaemonInbox *inbox)
+mux_inbox_take_disconnect (MuxDaemonInbox *inbox)
 {
   uint64_t *item = mux_ring_pop (inbox->gone);
   uint64_t call;
@@ -298,7 +298,7 @@
 }
 
 void
-mux_ask_free (MuxAsk *ask)
+mux_core_request_free (MuxCoreRequest *ask)
 {
   if (ask == NULL)
     return;
@@ -307,13 +307,13 @@
 }
 
 void
-mux_inbox_mark (MuxDaemonInbox *inbox)
+mux_inbox_prepare_wait (MuxDaemonInbox *inbox)
 {
   inbox->marked = atomic_load (&inbox->pushed);
 }
 
 void
-mux_inbox_sleep (MuxDaemonInbox *inbox, int32_t timeout_ms)
+mux_inbox_wait (MuxDaemonInbox *inbox, int32_t timeout_ms)
 {
   struct pollfd fd = { inbox->bell, POLLIN, 0 };
   eventfd_t rings;
--- a/src/daemon/inbox.h
+++ b/src/daemon/inbox.h
@@ -24,7 +24,7 @@
 typedef struct
 {
   MuxCounters *counters;
-  uint32_t asks;
+  uint32_t requests;
   uint32_t peers;
   uint32_t worker_replies;
   uint32_t table_replies;
@@ -37,9 +37,9 @@
 /** mux_inbox_port() - what adapters are given */
 MuxInbox *mux_inbox_port (MuxDaemonInbox *inbox);
 /** mux_inbox_ask() - takes @ask over when it returns true */
-bool mux_inbox_ask (MuxDaemonInbox *inbox, MuxAsk *ask);
+bool mux_inbox_push_request (MuxDaemonInbox *inbox, MuxCoreRequest *ask);
 /** mux_inbox_gone() - best effort */
-void mux_inbox_gone (MuxDaemonInbox *inbox, uint64_t call);
+void mux_inbox_push_disconnect (MuxDaemonInbox *inbox, uint64_t call);
 /** mux_inbox_wake() - let mux_inbox_sleep() return */
 void mux_inbox_wake (MuxDaemonInbox *inbox);
 
@@ -48,15 +48,15 @@
 MuxTableReply *mux_inbox_take_table_reply (MuxDaemonInbox *inbox);
 MuxInstanceList *mux_inbox_take_instances (MuxDaemonInbox *inbox);
 MuxPeerMsg *mux_inbox_take_peer_msg (MuxDaemonInbox *inbox);
-MuxAsk *mux_inbox_take_ask (MuxDaemonInbox *inbox);
+MuxCoreRequest *mux_inbox_take_request (MuxDaemonInbox *inbox);
 /** mux_inbox_take_gone() - call of a caller that hung up; 0: empty */
-uint64_t mux_inbox_take_gone (MuxDaemonInbox *inbox);
+uint64_t mux_inbox_take_disconnect (MuxDaemonInbox *inbox);
 void mux_peer_msg_free (MuxPeerMsg *msg);
-void mux_ask_free (MuxAsk *ask);
+void mux_core_request_free (MuxCoreRequest *ask);
 /** mux_inbox_mark() - to be called before the rings are looked into */
-void mux_inbox_mark (MuxDaemonInbox *inbox);
+void mux_inbox_prepare_wait (MuxDaemonInbox *inbox);
 /** mux_inbox_sleep() - until something came since the mark, at most
  * @timeout_ms */
-void mux_inbox_sleep (MuxDaemonInbox *inbox, int32_t timeout_ms);
+void mux_inbox_wait (MuxDaemonInbox *inbox, int32_t timeout_ms);
 
 #endif
--- a/src/daemon/waiters.c
+++ b/src/daemon/pending_calls.c
@@ -1,4 +1,4 @@
-#include "waiters.h"
+#include "pending_calls.h"
 
 #include "clock.h"
 
@@ -12,10 +12,10 @@
   pthread_cond_t changed;
   uint32_t generation;
   bool answered;
-  MuxAnswer answer;
+  MuxCoreResponse answer;
 } Slot;
 
-struct MuxWaiters
+struct MuxPendingCalls
 {
   pthread_mutex_t lock; /* guards free_slot and free_count */
   uint32_t free_count;
@@ -25,11 +25,11 @@
   Slot slot[];
 };
 
-MuxWaiters *
-mux_waiters_new (uint32_t max)
+MuxPendingCalls *
+mux_pending_calls_new (uint32_t max)
 {
-  uint32_t count = max + MUX_WAITERS_RESERVE;
-  MuxWaiters *waiters
+  uint32_t count = max + MUX_PENDING_CALLS_RESERVED;
+  MuxPendingCalls *waiters
       = calloc (1, sizeof *waiters + count * sizeof waiters->slot[0]);
 
   if (waiters == NULL)
@@ -53,7 +53,7 @@
 }
 
 void
-mux_waiters_free (MuxWaiters *waiters)
+mux_pending_calls_free (MuxPendingCalls *waiters)
 {
   if (waiters == NULL)
     return;
@@ -80,9 +80,9 @@
 }
 
 bool
-mux_waiters_enter (MuxWaiters *waiters, bool reserved, uint64_t *call)
+mux_pending_calls_add (MuxPendingCalls *waiters, bool reserved, uint64_t *call)
 {
-  uint32_t keep = reserved ? 0 : MUX_WAITERS_RESERVE;
+  uint32_t keep = reserved ? 0 : MUX_PENDING_CALLS_RESERVED;
   uint32_t index = 0;
   bool found;
   Slot *slot;
@@ -105,15 +105,15 @@
   return true;
 }
 
-MuxWaitEnd
-mux_waiters_wait (MuxWaiters *waiters,
-                  uint64_t call,
-                  uint32_t slice_ms,
-                  MuxAnswer *answer)
+MuxWaitResult
+mux_pending_calls_wait (MuxPendingCalls *waiters,
+                        uint64_t call,
+                        uint32_t slice_ms,
+                        MuxCoreResponse *answer)
 {
   Slot *slot = &waiters->slot[slot_of_call (call)];
   struct timespec deadline = mux_deadline_after (slice_ms);
-  MuxWaitEnd end = MUX_WAIT_TIMEOUT;
+  MuxWaitResult end = MUX_WAIT_TIMEOUT;
   int rc = 0;
 
   pthread_mutex_lock (&slot->lock);
@@ -132,7 +132,7 @@
 }
 
 void
-mux_waiters_leave (MuxWaiters *waiters, uint64_t call)
+mux_pending_calls_remove (MuxPendingCalls *waiters, uint64_t call)
 {
   uint32_t index = slot_of_call (call);
   Slot *slot = &waiters->slot[index];
@@ -149,9 +149,10 @@
 }
 
 bool
-mux_waiters_answer (MuxWaiters *waiters, const MuxAnswer *answer)
+mux_pending_calls_complete (MuxPendingCalls *waiters,
+                            const MuxCoreResponse *answer)
 {
-  uint32_t index = slot_of_call (answer->call);
+  uint32_t index = slot_of_call (answer->call_id);
   Slot *slot;
   bool found;
 
@@ -159,7 +160,7 @@
     return false;
   slot = &waiters->slot[index];
   pthread_mutex_lock (&slot->lock);
-  found = slot->generation == generation_of_call (answer->call)
+  found = slot->generation == generation_of_call (answer->call_id)
           && !slot->answered;
   if (found)
     {
@@ -173,7 +174,7 @@
 }
 
 void
-mux_waiters_close (MuxWaiters *waiters)
+mux_pending_calls_close (MuxPendingCalls *waiters)
 {
   waiters->closed = true;
   for (uint32_t i = 0; i < waiters->slot_count; i++)
--- a/src/daemon/process.c
+++ b/src/daemon/process.c
@@ -16,7 +16,7 @@
 }
 
 void
-mux_wait_for_stop (const sigset_t *wanted)
+mux_wait_for_stop_signal (const sigset_t *wanted)
 {
   int number = 0;
 
--- a/src/daemon/process.h
+++ b/src/daemon/process.h
@@ -20,7 +20,7 @@
 /** mux_wait_for_stop() - until SIGTERM or SIGINT; a SIGHUP is noted alone:
  * settings are flags and environment, which don't change while a process lives
  */
-void mux_wait_for_stop (const sigset_t *wanted);
+void mux_wait_for_stop_signal (const sigset_t *wanted);
 
 /** mux_peer_options() - what the settings say of the way to other daemons; the
  * inbox, the queue, the silence and the counters are left to fill in */
--- a/src/daemon/question_waiters.c
+++ b/src/daemon/response_waiters.c
@@ -1,4 +1,4 @@
-#include "question_waiters.h"
+#include "response_waiters.h"
 
 #include "clock.h"
 
@@ -14,17 +14,17 @@
   UT_hash_handle hh;
 } Caller;
 
-struct MuxQuestionWaiters
+struct MuxResponseWaiters
 {
   pthread_mutex_t lock;
   uint64_t next_call;
   Caller *by_call;
 };
 
-MuxQuestionWaiters *
-mux_question_waiters_new (uint64_t first_call)
+MuxResponseWaiters *
+mux_response_waiters_new (uint64_t first_call)
 {
-  MuxQuestionWaiters *callers = calloc (1, sizeof *callers);
+  MuxResponseWaiters *callers = calloc (1, sizeof *callers);
 
   if (callers == NULL)
     return NULL;
@@ -34,7 +34,7 @@
 }
 
 void
-mux_question_waiters_free (MuxQuestionWaiters *callers)
+mux_response_waiters_free (MuxResponseWaiters *callers)
 {
   if (callers == NULL)
     return;
@@ -43,7 +43,7 @@
 }
 
 bool
-mux_question_waiters_enter (MuxQuestionWaiters *callers, uint64_t *call)
+mux_response_waiters_add (MuxResponseWaiters *callers, uint64_t *call)
 {
   Caller *caller = calloc (1, sizeof *caller);
 
@@ -59,7 +59,7 @@
 }
 
 static Caller *
-find (MuxQuestionWaiters *callers, uint64_t call)
+find (MuxResponseWaiters *callers, uint64_t call)
 {
   Caller *caller;
 
@@ -68,7 +68,7 @@
 }
 
 bool
-mux_question_waiters_wait (MuxQuestionWaiters *callers,
+mux_response_waiters_wait (MuxResponseWaiters *callers,
                            uint64_t call,
                            uint32_t timeout_ms,
                            MuxResponse *reply)
@@ -93,8 +93,8 @@
 }
 
 bool
-mux_question_waiters_answer (MuxQuestionWaiters *callers,
-                             const MuxResponse *reply)
+mux_response_waiters_deliver (MuxResponseWaiters *callers,
+                              const MuxResponse *reply)
 {
   Caller *caller;
 
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -7,7 +7,7 @@
 #include "core_thread.h"
 #include "pem.h"
 #include "process.h"
-#include "waiters.h"
+#include "pending_calls.h"
 
 #include <inttypes.h>
 #include <signal.h>
@@ -41,7 +41,7 @@
   MuxPlatformPort *platform;
   MuxPeerPort *peer;
   MuxCoreThread *core;
-  MuxDoor *door;
+  MuxHttpServer *door;
   char *tls_cert;
   char *tls_key;
   char listen[MUX_ADDR_LEN];
@@ -79,8 +79,8 @@
   MuxInboxOptions options = {
     .counters = daemon->counters,
     /* Every caller has at most one ask inside. */
-    .asks = power_of_two_over (
-        2 * (daemon->options->callers_max + MUX_WAITERS_RESERVE)),
+    .requests = power_of_two_over (
+        2 * (daemon->options->callers_max + MUX_PENDING_CALLS_RESERVED)),
     .peers = PEER_RING,
     .worker_replies = power_of_two_over (worker_calls_max (daemon->options)),
     .table_replies = power_of_two_over (table_calls_max (daemon->options)),
@@ -117,7 +117,7 @@
     .data_centre = daemon->options->data_centre,
     .threads = daemon->options->platform_threads,
     .queue = PLATFORM_QUEUE,
-    .list_every_ms = daemon->options->list_every_ms,
+    .list_interval_ms = daemon->options->list_interval_ms,
     .counters = daemon->counters,
   };
 
@@ -134,7 +134,8 @@
 
   options.inbox = mux_inbox_port (daemon->inbox);
   options.queue = PEER_QUEUE;
-  options.silent_ms = SILENT_HEARTBEATS * daemon->options->heartbeat_ms;
+  options.silence_timeout_ms
+      = SILENT_HEARTBEATS * daemon->options->heartbeat_ms;
   options.counters = daemon->counters;
   daemon->peer = mux_peer_zmq_new (&options, daemon->peer_listen, err);
   return daemon->peer != NULL;
@@ -167,7 +168,7 @@
       .dead_ms = given->dead_ms,
       .queue_max = given->queue_max,
       .writes_per_s = given->writes_per_s,
-      .key_keep_s = given->key_keep_s,
+      .key_keep_s = given->key_retention_s,
       /* All daemons of a user have it, and nobody else. */
       .ticket_key = given->curve_secret_key,
     },
@@ -184,18 +185,18 @@
 make_door (Daemon *daemon, MuxError *err)
 {
   const MuxDaemonOptions *given = daemon->options;
-  MuxDoorOptions options = {
+  MuxHttpServerOptions options = {
     .backend = mux_core_thread_backend (daemon->core),
     .counters = daemon->counters,
     .listen = given->listen,
     .callers_max = given->callers_max,
-    .idle_s = given->caller_idle_s,
-    .body_max = given->body_max_kib * KIB,
+    .idle_timeout_s = given->caller_idle_timeout_s,
+    .body_max_bytes = given->body_max_kib * KIB,
     .tls_cert = daemon->tls_cert,
     .tls_key = daemon->tls_key,
   };
 
-  daemon->door = mux_door_new (&options, err);
+  daemon->door = mux_http_server_new (&options, err);
   return daemon->door != NULL;
 }
 
@@ -222,7 +223,7 @@
          && make_peer (daemon, err) && make_core (daemon, err)
          && make_door (daemon, err)
          && mux_core_thread_start (daemon->core, daemon->door, err)
-         && mux_door_listen (daemon->door, daemon->listen, err);
+         && mux_http_server_listen (daemon->door, daemon->listen, err);
 }
 
 /*
@@ -234,10 +235,10 @@
 daemon_free (Daemon *daemon)
 {
   if (daemon->door != NULL)
-    mux_door_abandon (daemon->door);
-  if (daemon->door != NULL && !mux_door_drain (daemon->door, ABANDON_MS))
+    mux_http_server_fail_pending (daemon->door);
+  if (daemon->door != NULL && !mux_http_server_drain (daemon->door, ABANDON_MS))
     mux_log (MUX_LOG_WARNING, "answers_cut", "after_ms=%d", ABANDON_MS);
-  mux_door_stop_listening (daemon->door);
+  mux_http_server_stop (daemon->door);
   if (daemon->core != NULL)
     mux_core_thread_join (daemon->core);
   if (daemon->peer != NULL)
@@ -247,7 +248,7 @@
   if (daemon->worker != NULL)
     daemon->worker->free (daemon->worker);
   mux_core_thread_free (daemon->core);
-  mux_door_free (daemon->door);
+  mux_http_server_free (daemon->door);
   mux_inbox_free (daemon->inbox);
   mux_counters_free (daemon->counters);
   free (daemon->tls_cert);
@@ -273,25 +274,25 @@
 static void
 stop_gracefully (Daemon *daemon)
 {
-  int64_t end_ms = mux_now_ms () + daemon->options->stop_after_ms;
+  int64_t end_ms = mux_boottime_ms () + daemon->options->stop_timeout_ms;
   bool stopped;
   int64_t left_ms;
 
   mux_log (MUX_LOG_NOTICE, "stop_begun", "bound_ms=%" PRIu32,
-           daemon->options->stop_after_ms);
-  mux_door_refuse_new (daemon->door);
+           daemon->options->stop_timeout_ms);
+  mux_http_server_begin_drain (daemon->door);
   mux_core_thread_stop_work (daemon->core);
   stopped = mux_core_thread_wait_stopped (daemon->core,
-                                          daemon->options->stop_after_ms);
+                                          daemon->options->stop_timeout_ms);
   if (stopped)
     {
-      mux_door_close_port (daemon->door);
+      mux_http_server_stop_accepting (daemon->door);
       linger ();
     }
-  left_ms = end_ms - mux_now_ms ();
+  left_ms = end_ms - mux_boottime_ms ();
   if (stopped)
-    stopped
-        = mux_door_drain (daemon->door, left_ms > 0 ? (uint32_t) left_ms : 0);
+    stopped = mux_http_server_drain (daemon->door,
+                                     left_ms > 0 ? (uint32_t) left_ms : 0);
   mux_log (stopped ? MUX_LOG_NOTICE : MUX_LOG_WARNING, "stop_ended", "whole=%s",
            stopped ? "yes" : "no");
 }
@@ -326,7 +327,7 @@
   warn_without_keys (&daemon);
   printf ("listening %s peer %s\n", daemon.listen, daemon.peer_listen);
   fflush (stdout);
-  mux_wait_for_stop (&stop);
+  mux_wait_for_stop_signal (&stop);
   stop_gracefully (&daemon);
   daemon_free (&daemon);
   return EXIT_SUCCESS;
--- a/src/daemon/settings_table.c
+++ b/src/daemon/settings_table.c
@@ -212,17 +212,17 @@
   options->dead_ms = integer (options, DEAD_MS);
   options->queue_max = integer (options, QUEUE_MAX);
   options->writes_per_s = integer (options, WRITES_PER_S);
-  options->key_keep_s = integer (options, KEY_KEEP_S);
+  options->key_retention_s = integer (options, KEY_KEEP_S);
   options->callers_max = integer (options, CALLERS_MAX);
-  options->caller_idle_s = integer (options, CALLER_IDLE_S);
+  options->caller_idle_timeout_s = integer (options, CALLER_IDLE_S);
   options->worker_threads = integer (options, WORKER_THREADS);
   options->worker_control_threads = integer (options, WORKER_CONTROL_THREADS);
   options->platform_threads = integer (options, PLATFORM_THREADS);
-  options->list_every_ms = integer (options, LIST_EVERY_MS);
+  options->list_interval_ms = integer (options, LIST_EVERY_MS);
   options->body_max_kib = integer (options, BODY_MAX_KIB);
-  options->strength_milli = cpu_share_milli (text (options, STRENGTH));
+  options->cpu_share_milli = cpu_share_milli (text (options, STRENGTH));
   options->revoke_timeout_ms = integer (options, REVOKE_TIMEOUT_MS);
-  options->stop_after_ms = integer (options, STOP_AFTER_MS);
+  options->stop_timeout_ms = integer (options, STOP_AFTER_MS);
   options->log_level = (MuxLogLevel) integer (options, LOG_LEVEL);
 }
 
@@ -247,7 +247,7 @@
   if ((*options->curve_secret_key == 0) != (*options->curve_public_key == 0))
     mux_findings_add (findings, specs[CURVE_SECRET_KEY].env,
                       "goes together with CUMINMUX_CURVE_PUBLIC_KEY");
-  if (options->strength_milli == 0)
+  if (options->cpu_share_milli == 0)
     mux_findings_add (findings, "--cpu-share", "must be over 0 and at most %d",
                       CPU_SHARE_MAX);
   if (*text (options, QUOTA_OVERRUN) != 0
--- a/src/daemon/settings_table.h
+++ b/src/daemon/settings_table.h
@@ -60,15 +60,15 @@
   uint32_t dead_ms;
   uint32_t queue_max;
   uint32_t writes_per_s;
-  uint32_t key_keep_s;
+  uint32_t key_retention_s;
   uint32_t callers_max;
-  uint32_t caller_idle_s;
+  uint32_t caller_idle_timeout_s;
   uint32_t worker_threads;
   uint32_t worker_control_threads;
   uint32_t platform_threads;
-  uint32_t list_every_ms;
+  uint32_t list_interval_ms;
   uint32_t body_max_kib;
-  uint32_t stop_after_ms;
+  uint32_t stop_timeout_ms;
   const char *curve_secret_key;
   const char *curve_public_key;
   const char *tls_cert_file;
@@ -77,7 +77,7 @@
   const char *approvals;
   uint32_t revoke_timeout_ms;
   uint32_t quota_overrun_milli;
-  uint32_t strength_milli;
+  uint32_t cpu_share_milli;
   const char *ready_listen;
   const char *metrics_listen;
   MuxLogLevel log_level;
--- a/test/proof/proof_give_up.c
+++ b/test/proof/proof_give_up.c
@@ -32,16 +32,16 @@
 static void
 first_is_not_run (Scenario *s)
 {
-  MuxAsk ask = { .verb = MUX_ASK_REQUEST,
-                 .name = "once",
-                 .key = "voucher-17",
-                 .first = true,
-                 .give_up_ms = SHORT_MS,
-                 .body = mux_blob_new ("run_ms=10", 9) };
+  MuxCoreRequest ask = { .verb = MUX_CORE_RUN_TASK,
+                         .name = "once",
+                         .key = "voucher-17",
+                         .key_is_new = true,
+                         .timeout_ms = SHORT_MS,
+                         .body = mux_blob_new ("run_ms=10", 9) };
   uint32_t call;
 
   s->store_fails = s->net->table.down = true;
-  for (uint32_t i = 0; i < 2; i++, ask.first = false)
+  for (uint32_t i = 0; i < 2; i++, ask.key_is_new = false)
     {
       call = scenario_call (s, 0, &ask);
       scenario_run (s, SHORT_MS);
--- a/test/proof/proof_once.c
+++ b/test/proof/proof_once.c
@@ -268,7 +268,7 @@
   scenario_run (s, 710000);
   for (uint32_t i = 0; i < 4; i++)
     {
-      scenario_call (s, 0, &(MuxAsk){ .verb = MUX_ASK_STATUS });
+      scenario_call (s, 0, &(MuxCoreRequest){ .verb = MUX_CORE_STATUS });
       scenario_run (s, 65000);
     }
   scenario_restart_worker (s, 0);
--- a/test/support/config_cell.c
+++ b/test/support/config_cell.c
@@ -7,7 +7,7 @@
     = { "nizwa-hall", "bahla-hall", "izki-hall" };
 
 static void
-answer_came (void *user, uint32_t node, const MuxAnswer *answer)
+answer_came (void *user, uint32_t node, const MuxCoreResponse *answer)
 {
   (void) node;
   config_cell_take (user, answer);
@@ -36,9 +36,9 @@
 }
 
 void
-config_cell_take (ConfigCell *cell, const MuxAnswer *answer)
+config_cell_take (ConfigCell *cell, const MuxCoreResponse *answer)
 {
-  if (answer->call != cell->call)
+  if (answer->call_id != cell->call)
     return;
   cell->answers++;
   cell->answer = *answer;
@@ -50,15 +50,15 @@
 }
 
 void
-config_cell_send (ConfigCell *cell, uint32_t node, MuxAsk *ask)
+config_cell_send (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask)
 {
-  ask->call = ++cell->call;
+  ask->call_id = ++cell->call;
   cell->answers = 0;
   fake_net_ask (cell->net, node, ask);
 }
 
 void
-config_cell_ask (ConfigCell *cell, uint32_t node, MuxAsk *ask)
+config_cell_ask (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask)
 {
   config_cell_send (cell, node, ask);
   while (cell->answers == 0)
@@ -72,7 +72,7 @@
                  const char *name,
                  const char *value)
 {
-  MuxAsk ask = { .verb = MUX_ASK_CONFIG_PUT, .sort = sort };
+  MuxCoreRequest ask = { .verb = MUX_CORE_CONFIG_PUT, .sort = sort };
 
   mux_name_copy (ask.name, name);
   ask.body = mux_blob_new (value, strlen (value));
--- a/test/support/config_cell.h
+++ b/test/support/config_cell.h
@@ -21,18 +21,18 @@
   FakeNet *net;
   uint64_t call;
   uint32_t answers;
-  MuxAnswer answer;
+  MuxCoreResponse answer;
   json_t *json;
 } ConfigCell;
 
 void config_cell_init (ConfigCell *cell, uint64_t seed, uint32_t nodes);
 void config_cell_free (ConfigCell *cell);
 /** config_cell_take() - keep @answer if it belongs to the last ask */
-void config_cell_take (ConfigCell *cell, const MuxAnswer *answer);
+void config_cell_take (ConfigCell *cell, const MuxCoreResponse *answer);
 /** config_cell_send() - ask without awaiting the answer */
-void config_cell_send (ConfigCell *cell, uint32_t node, MuxAsk *ask);
+void config_cell_send (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask);
 /** config_cell_ask() - ask and run the cell until the answer is there */
-void config_cell_ask (ConfigCell *cell, uint32_t node, MuxAsk *ask);
+void config_cell_ask (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask);
 /** config_cell_put() - set an object; Return: its revision, 0: refused */
 uint64_t config_cell_put (ConfigCell *cell,
                           uint32_t node,
--- a/test/support/core_record.c
+++ b/test/support/core_record.c
@@ -11,23 +11,23 @@
 #define LABEL_LEN 192
 
 static const char *const ask_names[] = {
-  [MUX_ASK_REQUEST] = "request",
-  [MUX_ASK_TICKET] = "ticket",
-  [MUX_ASK_JOB_SUBMIT] = "job-submit",
-  [MUX_ASK_JOB_GET] = "job-get",
-  [MUX_ASK_JOB_WAIT] = "job-wait",
-  [MUX_ASK_JOB_CANCEL] = "job-cancel",
-  [MUX_ASK_JOB_LIST] = "job-list",
-  [MUX_ASK_CONFIG_PUT] = "config-put",
-  [MUX_ASK_CONFIG_REMOVE] = "config-remove",
-  [MUX_ASK_CONFIG_GET] = "config-get",
-  [MUX_ASK_CONFIG_LIST] = "config-list",
-  [MUX_ASK_CONFIG_HISTORY] = "config-history",
-  [MUX_ASK_CONFIG_REVERT] = "config-revert",
-  [MUX_ASK_STATUS] = "status",
-  [MUX_ASK_WORKERS] = "workers",
-  [MUX_ASK_DRAIN] = "drain",
-  [MUX_ASK_RISK] = "risk",
+  [MUX_CORE_RUN_TASK] = "request",
+  [MUX_CORE_ISSUE_TICKET] = "ticket",
+  [MUX_CORE_JOB_SUBMIT] = "job-submit",
+  [MUX_CORE_JOB_GET] = "job-get",
+  [MUX_CORE_JOB_WAIT] = "job-wait",
+  [MUX_CORE_JOB_CANCEL] = "job-cancel",
+  [MUX_CORE_JOB_LIST] = "job-list",
+  [MUX_CORE_CONFIG_PUT] = "config-put",
+  [MUX_CORE_CONFIG_REMOVE] = "config-remove",
+  [MUX_CORE_CONFIG_GET] = "config-get",
+  [MUX_CORE_CONFIG_LIST] = "config-list",
+  [MUX_CORE_CONFIG_HISTORY] = "config-history",
+  [MUX_CORE_CONFIG_REVERT] = "config-revert",
+  [MUX_CORE_STATUS] = "status",
+  [MUX_CORE_WORKERS] = "workers",
+  [MUX_CORE_DRAIN] = "drain",
+  [MUX_CORE_RISK] = "risk",
 };
 static const char *const worker_verbs[] = {
   [MUX_WORKER_CLAIM] = "claim",           [MUX_WORKER_RENEW] = "renew",
@@ -171,20 +171,20 @@
 }
 
 static void
-put_ask (FILE *out, const MuxAsk *ask)
+put_ask (FILE *out, const MuxCoreRequest *ask)
 {
-  fprintf (out, "ask %llu %s", (unsigned long long) ask->call,
+  fprintf (out, "ask %llu %s", (unsigned long long) ask->call_id,
            ask_names[ask->verb]);
   if (ask->name[0] != 0)
     fprintf (out, " %s", ask->name);
   put_text (out, "key", ask->key);
   put_id (out, "id", ask->id);
-  put_number (out, "give_up_ms", ask->give_up_ms);
+  put_number (out, "give_up_ms", ask->timeout_ms);
   put_number (out, "tasks", ask->task_count);
-  if (ask->expect_set)
-    fprintf (out, " expect=%llu", (unsigned long long) ask->expect);
+  if (ask->has_expected)
+    fprintf (out, " expect=%llu", (unsigned long long) ask->expected_revision);
   put_number (out, "revision", (int64_t) ask->revision);
-  put_text (out, "who", ask->who);
+  put_text (out, "who", ask->author);
   put_blob (out, ask->body);
   putc ('\n', out);
 }
@@ -258,11 +258,12 @@
   put_time (tap);
   switch (event->kind)
     {
-    case MUX_EVENT_ASK:
-      put_ask (out, event->u.ask);
+    case MUX_EVENT_REQUEST:
+      put_ask (out, event->u.request);
       break;
-    case MUX_EVENT_CALLER_GONE:
-      fprintf (out, "caller %llu gone\n", (unsigned long long) event->u.call);
+    case MUX_EVENT_CALLER_DISCONNECTED:
+      fprintf (out, "caller %llu gone\n",
+               (unsigned long long) event->u.call_id);
       break;
     case MUX_EVENT_WORKER_REPLY:
       put_worker_reply (out, event->u.worker_reply,
@@ -286,7 +287,7 @@
 
 /* Begins an action's line. */
 static FILE *
-action (MuxSink *sink)
+action (MuxCoreSink *sink)
 {
   NodeTap *tap = (NodeTap *) sink;
 
@@ -301,11 +302,11 @@
 }
 
 static void
-take_answer (MuxSink *sink, const MuxAnswer *answer)
+take_answer (MuxCoreSink *sink, const MuxCoreResponse *answer)
 {
   FILE *out = action (sink);
 
-  fprintf (out, "answer %llu %s %u", (unsigned long long) answer->call,
+  fprintf (out, "answer %llu %s %u", (unsigned long long) answer->call_id,
            mux_outcome_name (answer->outcome), answer->status);
   if (answer->reason != MUX_REASON_NONE)
     put_text (out, "reason", mux_reason_name (answer->reason));
@@ -316,7 +317,7 @@
 }
 
 static bool
-take_worker_call (MuxSink *sink, const MuxWorkerCall *call)
+take_worker_call (MuxCoreSink *sink, const MuxWorkerCall *call)
 {
   FILE *out = action (sink);
   char *label = ((NodeTap *) sink)->label[call->call_id % CALLS_MAX];
@@ -342,7 +343,7 @@
 }
 
 static bool
-take_table_call (MuxSink *sink, MuxTableCall *call)
+take_table_call (MuxCoreSink *sink, MuxTableCall *call)
 {
   FILE *out = action (sink);
   char *label = ((NodeTap *) sink)->label[call->call_id % CALLS_MAX];
@@ -357,7 +358,7 @@
 }
 
 static bool
-take_peer_msg (MuxSink *sink, const char *addr, const MuxPeerMsg *msg)
+take_peer_msg (MuxCoreSink *sink, const char *addr, const MuxPeerMsg *msg)
 {
   FILE *out = action (sink);
   const FakeNet *net = ((NodeTap *) sink)->record->net;
@@ -371,7 +372,7 @@
 }
 
 static void
-take_log (MuxSink *sink, int level, const char *event, const char *text)
+take_log (MuxCoreSink *sink, int level, const char *event, const char *text)
 {
   fprintf (action (sink), "log %d %s %s\n", level, event, text);
 }
@@ -390,7 +391,7 @@
     {
       NodeTap *tap = &record->taps[i];
 
-      tap->tap = (FakeTap){ .sink = { .answer = take_answer,
+      tap->tap = (FakeTap){ .sink = { .respond = take_answer,
                                       .worker_call = take_worker_call,
                                       .table_call = take_table_call,
                                       .peer_send = take_peer_msg,
--- a/test/support/door_bench.c
+++ b/test/support/door_bench.c
@@ -7,10 +7,10 @@
   FakeBackend *fake = calloc (1, sizeof *fake);
 
   assert_non_null (fake);
-  fake_backend_open (fake,
-                     (MuxDoorOptions){ .callers_max = DOOR_BENCH_CALLERS_MAX,
-                                       .idle_s = 1,
-                                       .body_max = DOOR_BENCH_BODY_MAX });
+  fake_backend_open (
+      fake, (MuxHttpServerOptions){ .callers_max = DOOR_BENCH_CALLERS_MAX,
+                                    .idle_timeout_s = 1,
+                                    .body_max_bytes = DOOR_BENCH_BODY_MAX });
   *state = fake;
   return 0;
 }
@@ -57,12 +57,12 @@
 void
 door_bench_answer (FakeBackend *fake, uint64_t call, const char *text)
 {
-  MuxAnswer answer = { .call = call,
-                       .outcome = MUX_OUTCOME_DONE,
-                       .status = 200,
-                       .body = mux_blob_new (text, strlen (text)) };
+  MuxCoreResponse answer = { .call_id = call,
+                             .outcome = MUX_OUTCOME_DONE,
+                             .status = 200,
+                             .body = mux_blob_new (text, strlen (text)) };
 
-  assert_true (mux_door_answer (fake->door, &answer));
+  assert_true (mux_http_server_respond (fake->door, &answer));
   mux_blob_unref (answer.body);
 }
 
--- a/test/support/fake_backend.c
+++ b/test/support/fake_backend.c
@@ -3,16 +3,16 @@
 #include "support/test.h"
 
 static bool
-submit (MuxDoorBackend *backend, MuxAsk *ask)
+submit (MuxHttpBackend *backend, MuxCoreRequest *ask)
 {
   FakeBackend *fake = (FakeBackend *) backend;
-  MuxAnswer answer;
+  MuxCoreResponse answer;
   FakeMode mode;
 
   pthread_mutex_lock (&fake->lock);
   mode = fake->mode;
   answer = fake->answer;
-  answer.call = ask->call;
+  answer.call_id = ask->call_id;
   if (mode != FAKE_FULL && fake->ask_count < FAKE_ASKS_MAX)
     fake->asks[fake->ask_count++] = *ask;
   pthread_cond_broadcast (&fake->changed);
@@ -21,12 +21,12 @@
     return false;
   free (ask);
   if (mode == FAKE_ANSWER)
-    mux_door_answer (fake->door, &answer);
+    mux_http_server_respond (fake->door, &answer);
   return true;
 }
 
 static void
-gone (MuxDoorBackend *backend, uint64_t call)
+gone (MuxHttpBackend *backend, uint64_t call)
 {
   FakeBackend *fake = (FakeBackend *) backend;
 
@@ -37,18 +37,18 @@
 }
 
 static bool
-ready (MuxDoorBackend *backend)
+ready (MuxHttpBackend *backend)
 {
   return ((FakeBackend *) backend)->is_ready;
 }
 
 void
-fake_backend_open (FakeBackend *fake, MuxDoorOptions options)
+fake_backend_open (FakeBackend *fake, MuxHttpServerOptions options)
 {
   MuxError err = { MUX_ERROR_NONE, "" };
 
   memset (fake, 0, sizeof *fake);
-  fake->backend = (MuxDoorBackend){ submit, gone, ready };
+  fake->backend = (MuxHttpBackend){ submit, gone, ready };
   fake->is_ready = true;
   fake->answer.outcome = MUX_OUTCOME_INFO;
   fake->answer.status = 200;
@@ -58,9 +58,9 @@
   options.listen = "127.0.0.1:0";
   options.backend = &fake->backend;
   options.counters = fake->counters;
-  fake->door = mux_door_new (&options, &err);
+  fake->door = mux_http_server_new (&options, &err);
   assert_non_null (fake->door);
-  if (!mux_door_listen (fake->door, fake->addr, &err))
+  if (!mux_http_server_listen (fake->door, fake->addr, &err))
     fail_msg ("%s", err.text);
 }
 
@@ -89,8 +89,8 @@
 void
 fake_backend_close (FakeBackend *fake)
 {
-  mux_door_abandon (fake->door);
-  mux_door_free (fake->door);
+  mux_http_server_fail_pending (fake->door);
+  mux_http_server_free (fake->door);
   for (uint32_t i = 0; i < fake->ask_count; i++)
     mux_blob_unref (fake->asks[i].body);
   mux_counters_free (fake->counters);
--- a/test/support/fake_backend.h
+++ b/test/support/fake_backend.h
@@ -1,7 +1,7 @@
 #ifndef SUPPORT_FAKE_BACKEND_H
 #define SUPPORT_FAKE_BACKEND_H
 
-#include "../../src/daemon/door.h"
+#include "../../src/daemon/http_server.h"
 
 #include <pthread.h>
 
@@ -32,14 +32,14 @@
  */
 typedef struct
 {
-  MuxDoorBackend backend;
-  MuxDoor *door;
+  MuxHttpBackend backend;
+  MuxHttpServer *door;
   char addr[MUX_ADDR_LEN];
   MuxCounters *counters;
   FakeMode mode;
-  MuxAnswer answer;
+  MuxCoreResponse answer;
   bool is_ready;
-  MuxAsk asks[FAKE_ASKS_MAX];
+  MuxCoreRequest asks[FAKE_ASKS_MAX];
   uint32_t ask_count;
   uint64_t gone_call;
   pthread_mutex_t lock;
@@ -47,7 +47,7 @@
 } FakeBackend;
 
 /** fake_backend_open() - a door of @options on a port that the kernel picks */
-void fake_backend_open (FakeBackend *fake, MuxDoorOptions options);
+void fake_backend_open (FakeBackend *fake, MuxHttpServerOptions options);
 /** fake_backend_wait_asks() - until so many asks have come */
 void fake_backend_wait_asks (FakeBackend *fake, uint32_t count);
 /** fake_backend_wait_gone() - until a hang-up came; its call */
--- a/test/support/fake_net.c
+++ b/test/support/fake_net.c
@@ -260,9 +260,10 @@
 }
 
 void
-fake_net_ask (FakeNet *net, uint32_t node, const MuxAsk *ask)
+fake_net_ask (FakeNet *net, uint32_t node, const MuxCoreRequest *ask)
 {
-  fake_net_give (net, node, &(MuxEvent){ .kind = MUX_EVENT_ASK, .u.ask = ask });
+  fake_net_give (net, node,
+                 &(MuxEvent){ .kind = MUX_EVENT_REQUEST, .u.request = ask });
 }
 
 void
--- a/test/support/fake_net.h
+++ b/test/support/fake_net.h
@@ -36,7 +36,7 @@
 typedef struct
 {
   void *user;
-  void (*answer) (void *user, uint32_t node, const MuxAnswer *answer);
+  void (*answer) (void *user, uint32_t node, const MuxCoreResponse *answer);
   void (*worker_call) (void *user, uint32_t node, const MuxWorkerCall *call);
 } FakeHooks;
 
@@ -82,7 +82,7 @@
 void fake_net_start (FakeNet *net, uint32_t node);
 /** fake_net_give() - an event for a core, now */
 void fake_net_give (FakeNet *net, uint32_t node, const MuxEvent *event);
-void fake_net_ask (FakeNet *net, uint32_t node, const MuxAsk *ask);
+void fake_net_ask (FakeNet *net, uint32_t node, const MuxCoreRequest *ask);
 /** fake_net_reply() - a worker's reply, @delay_ms from now; takes it over */
 void fake_net_reply (FakeNet *net,
                      uint32_t node,
--- a/test/support/fake_sink.c
+++ b/test/support/fake_sink.c
@@ -16,12 +16,12 @@
 }
 
 static void
-take_answer (MuxSink *sink, const MuxAnswer *answer)
+take_answer (MuxCoreSink *sink, const MuxCoreResponse *answer)
 {
   FakeSink *fake = (FakeSink *) sink;
 
   if (fake->tap != NULL)
-    fake->tap->sink.answer (&fake->tap->sink, answer);
+    fake->tap->sink.respond (&fake->tap->sink, answer);
   fake->answers = fake_sink_grow (fake->answers, fake->answer_count,
                                   &fake->answer_cap, sizeof fake->answers[0]);
   mux_blob_ref (answer->body);
@@ -29,7 +29,7 @@
 }
 
 static bool
-take_worker_call (MuxSink *sink, const MuxWorkerCall *call)
+take_worker_call (MuxCoreSink *sink, const MuxWorkerCall *call)
 {
   FakeSink *fake = (FakeSink *) sink;
 
@@ -46,7 +46,7 @@
 }
 
 static bool
-take_table_call (MuxSink *sink, MuxTableCall *call)
+take_table_call (MuxCoreSink *sink, MuxTableCall *call)
 {
   FakeSink *fake = (FakeSink *) sink;
 
@@ -65,7 +65,7 @@
 }
 
 static bool
-take_peer_msg (MuxSink *sink, const char *addr, const MuxPeerMsg *msg)
+take_peer_msg (MuxCoreSink *sink, const char *addr, const MuxPeerMsg *msg)
 {
   FakeSink *fake = (FakeSink *) sink;
 
@@ -82,7 +82,7 @@
 }
 
 static void
-take_log (MuxSink *sink, int level, const char *event, const char *text)
+take_log (MuxCoreSink *sink, int level, const char *event, const char *text)
 {
   FakeSink *fake = (FakeSink *) sink;
 
@@ -95,11 +95,11 @@
 fake_sink_init (FakeSink *fake)
 {
   *fake = (FakeSink){ 0 };
-  fake->sink = (MuxSink){ .answer = take_answer,
-                          .worker_call = take_worker_call,
-                          .table_call = take_table_call,
-                          .peer_send = take_peer_msg,
-                          .state_log = take_log };
+  fake->sink = (MuxCoreSink){ .respond = take_answer,
+                              .worker_call = take_worker_call,
+                              .table_call = take_table_call,
+                              .peer_send = take_peer_msg,
+                              .state_log = take_log };
 }
 
 void
--- a/test/support/fake_sink.h
+++ b/test/support/fake_sink.h
@@ -15,7 +15,7 @@
 typedef struct FakeTap FakeTap;
 struct FakeTap
 {
-  MuxSink sink;
+  MuxCoreSink sink;
   void (*event) (FakeTap *tap, const MuxEvent *event);
 };
 
@@ -35,12 +35,12 @@
  */
 typedef struct
 {
-  MuxSink sink;
+  MuxCoreSink sink;
   FakeTap *tap;
   bool full;
   uint32_t answer_count, worker_count, table_count, sent_count;
   uint32_t answer_cap, worker_cap, table_cap, sent_cap;
-  MuxAnswer *answers;
+  MuxCoreResponse *answers;
   MuxWorkerCall *worker_calls;
   MuxTableCall **table_calls;
   FakeSent *sent;
--- a/test/support/peer_end.c
+++ b/test/support/peer_end.c
@@ -22,7 +22,7 @@
                               .listen = "127.0.0.1:0",
                               .name = "test",
                               .queue = 1024,
-                              .silent_ms = silent_ms,
+                              .silence_timeout_ms = silent_ms,
                               .counters = peer->counters };
 }
 
--- a/test/support/platform_fixture.c
+++ b/test/support/platform_fixture.c
@@ -40,7 +40,7 @@
                                      .data_centre = DATA_CENTRE,
                                      .threads = threads,
                                      .queue = QUEUE,
-                                     .list_every_ms = 1,
+                                     .list_interval_ms = 1,
                                      .counters = fixture->counters };
   MuxError err = { 0 };
 
--- a/test/support/scenario.c
+++ b/test/support/scenario.c
@@ -109,7 +109,7 @@
 static void
 configure (Scenario *s, MuxConfigSort sort, const char *name, const char *value)
 {
-  MuxAsk ask = { .verb = MUX_ASK_CONFIG_PUT, .sort = sort };
+  MuxCoreRequest ask = { .verb = MUX_CORE_CONFIG_PUT, .sort = sort };
   uint32_t call;
 
   mux_name_copy (ask.name, name);
@@ -226,11 +226,12 @@
   ScenarioWork *work = &s->works[tag];
   uint32_t call = add_call (s, node, tag, give_up_ms);
   char body[64];
-  MuxAsk ask = { .call = call + 1,
-                 .verb = work->parts > 0 ? MUX_ASK_JOB_SUBMIT : MUX_ASK_REQUEST,
-                 .give_up_ms = give_up_ms,
-                 .wall_ms = s->dated ? s->net->now_ms : 0,
-                 .task_count = work->parts };
+  MuxCoreRequest ask
+      = { .call_id = call + 1,
+          .verb = work->parts > 0 ? MUX_CORE_JOB_SUBMIT : MUX_CORE_RUN_TASK,
+          .timeout_ms = give_up_ms,
+          .wall_ms = s->dated ? s->net->now_ms : 0,
+          .task_count = work->parts };
 
   work->calls++;
   mux_name_copy (ask.name, class_names[work->class_id]);
@@ -256,11 +257,11 @@
 }
 
 uint32_t
-scenario_call (Scenario *s, uint32_t node, MuxAsk *ask)
+scenario_call (Scenario *s, uint32_t node, MuxCoreRequest *ask)
 {
-  uint32_t call = add_call (s, node, SCENARIO_NO_TAG, ask->give_up_ms);
+  uint32_t call = add_call (s, node, SCENARIO_NO_TAG, ask->timeout_ms);
 
-  ask->call = call + 1;
+  ask->call_id = call + 1;
   ask->wall_ms = s->dated ? s->net->now_ms : 0;
   fake_net_ask (s->net, node, ask);
   return call;
@@ -269,9 +270,9 @@
 void
 scenario_cancel (Scenario *s, uint32_t node, uint32_t tag)
 {
-  MuxAsk ask = { .verb = MUX_ASK_JOB_CANCEL, .id = s->works[tag].id };
+  MuxCoreRequest ask = { .verb = MUX_CORE_JOB_CANCEL, .id = s->works[tag].id };
 
-  ask.call = add_call (s, node, SCENARIO_NO_TAG, JOB_GIVE_UP_MS) + 1;
+  ask.call_id = add_call (s, node, SCENARIO_NO_TAG, JOB_GIVE_UP_MS) + 1;
   s->works[tag].cancelled = true;
   fake_net_ask (s->net, node, &ask);
 }
--- a/test/support/scenario.h
+++ b/test/support/scenario.h
@@ -63,8 +63,8 @@
   int64_t answered_ms;
   uint32_t give_up_ms;
   uint32_t answers;
-  MuxAnswer answer; /* without its body */
-  bool whole;       /* the body was this work's whole answer */
+  MuxCoreResponse answer; /* without its body */
+  bool whole;             /* the body was this work's whole answer */
 } ScenarioCall;
 
 /**
@@ -131,7 +131,7 @@
                            uint32_t run_ms,
                            uint32_t give_up_ms);
 /** scenario_call() - a question or change; Return: number of the call */
-uint32_t scenario_call (Scenario *s, uint32_t node, MuxAsk *ask);
+uint32_t scenario_call (Scenario *s, uint32_t node, MuxCoreRequest *ask);
 void scenario_cancel (Scenario *s, uint32_t node, uint32_t tag);
 void scenario_stop (Scenario *s, uint32_t node);
 void scenario_restart_worker (Scenario *s, uint32_t worker);
@@ -154,7 +154,8 @@
 /** scenario_logged() - a line of a worker's execution log */
 void scenario_logged (void *ctx, const StandinWorkerEvent *event);
 /** scenario_answered() - an answer came */
-void scenario_answered (void *user, uint32_t node, const MuxAnswer *answer);
+void
+scenario_answered (void *user, uint32_t node, const MuxCoreResponse *answer);
 /** scenario_life_over() - every execution of a worker's life has ended */
 void scenario_life_over (Scenario *s, uint32_t worker);
 /** scenario_check_ended() - after all has healed: every call was answered,
--- a/test/support/scenario_check.c
+++ b/test/support/scenario_check.c
@@ -176,7 +176,7 @@
 static bool
 is_whole (const ScenarioCall *call,
           const ScenarioWork *work,
-          const MuxAnswer *answer)
+          const MuxCoreResponse *answer)
 {
   char id[MUX_ID_HEX_LEN];
   char want[160];
@@ -189,7 +189,7 @@
 }
 
 static void
-check_done (Scenario *s, ScenarioCall *call, const MuxAnswer *answer)
+check_done (Scenario *s, ScenarioCall *call, const MuxCoreResponse *answer)
 {
   call->whole = is_whole (call, &s->works[call->tag], answer);
   if (!call->whole && answer->reason != MUX_REASON_ALREADY_RAN)
@@ -216,10 +216,10 @@
 }
 
 void
-scenario_answered (void *user, uint32_t node, const MuxAnswer *answer)
+scenario_answered (void *user, uint32_t node, const MuxCoreResponse *answer)
 {
   Scenario *s = user;
-  ScenarioCall *call = &s->calls[answer->call - 1];
+  ScenarioCall *call = &s->calls[answer->call_id - 1];
   ScenarioWork *work
       = call->tag == SCENARIO_NO_TAG ? NULL : &s->works[call->tag];
 
@@ -228,11 +228,12 @@
     return;
   if (s->verbose)
     printf ("%lld entry-%u answers call %u tag=%d %s %s\n",
-            (long long) s->net->now_ms, node, (uint32_t) answer->call - 1,
+            (long long) s->net->now_ms, node, (uint32_t) answer->call_id - 1,
             (int) call->tag, mux_outcome_name (answer->outcome),
             mux_reason_name (answer->reason));
   if (call->answers++ > 0)
-    scenario_wrong (s, "call %u was answered twice", (uint32_t) answer->call);
+    scenario_wrong (s, "call %u was answered twice",
+                    (uint32_t) answer->call_id);
   call->answer = *answer;
   call->answer.body = NULL;
   call->answered_ms = s->net->now_ms;
--- a/test/unit/test_config.c
+++ b/test/unit/test_config.c
@@ -16,11 +16,11 @@
 static void
 ask (ConfigCell *cell,
      uint32_t node,
-     MuxAskVerb verb,
+     MuxCoreVerb verb,
      MuxConfigSort sort,
      const char *name)
 {
-  MuxAsk it = { .verb = verb, .sort = sort };
+  MuxCoreRequest it = { .verb = verb, .sort = sort };
 
   mux_name_copy (it.name, name);
   config_cell_ask (cell, node, &it);
@@ -30,14 +30,14 @@
 static uint64_t
 shown (ConfigCell *cell, uint32_t node)
 {
-  ask (cell, node, MUX_ASK_CONFIG_GET, MUX_CONFIG_CLASS, "desk");
+  ask (cell, node, MUX_CORE_CONFIG_GET, MUX_CONFIG_CLASS, "desk");
   return config_cell_number (cell, "revision");
 }
 
 static size_t
 listed (ConfigCell *cell, uint32_t node, MuxConfigSort sort)
 {
-  ask (cell, node, MUX_ASK_CONFIG_LIST, sort, "");
+  ask (cell, node, MUX_CORE_CONFIG_LIST, sort, "");
   return json_array_size (json_object_get (cell->json, "items"));
 }
 
@@ -71,7 +71,7 @@
 static void
 drain (ConfigCell *cell, uint32_t node, const char *worker, bool on)
 {
-  MuxAsk it = { .verb = MUX_ASK_DRAIN, .flag = on };
+  MuxCoreRequest it = { .verb = MUX_CORE_DRAIN, .drain = on };
 
   mux_name_copy (it.name, worker);
   config_cell_ask (cell, node, &it);
@@ -108,7 +108,7 @@
 
   begin (cell, 1);
   put_classes (cell, 300);
-  ask (cell, 0, MUX_ASK_CONFIG_REMOVE, MUX_CONFIG_CLASS, "class-7");
+  ask (cell, 0, MUX_CORE_CONFIG_REMOVE, MUX_CONFIG_CLASS, "class-7");
   cell->net->table.down = true;
   node = fake_net_add (cell->net, "entry-new", "izki-hall");
   assert_false (mux_core_ready (cell->net->nodes[node].core));
@@ -195,14 +195,14 @@
 test_expect (void **state)
 {
   ConfigCell *cell = *state;
-  MuxAsk it = { .verb = MUX_ASK_CONFIG_PUT,
-                .sort = MUX_CONFIG_CLASS,
-                .name = "desk",
-                .expect_set = true };
+  MuxCoreRequest it = { .verb = MUX_CORE_CONFIG_PUT,
+                        .sort = MUX_CONFIG_CLASS,
+                        .name = "desk",
+                        .has_expected = true };
   char value[256];
   uint64_t revision;
 
-  it.expect = begin (cell, 5);
+  it.expected_revision = begin (cell, 5);
   config_cell_class (value, 200);
   it.body = mux_blob_new (value, strlen (value));
   config_cell_ask (cell, 1, &it);
@@ -216,7 +216,7 @@
       json_integer_value (json_object_get (
           json_object_get (cell->json, "value"), "start_within_ms")),
       200);
-  it.expect = 0;
+  it.expected_revision = 0;
   config_cell_ask (cell, 2, &it);
   assert_refused (cell, MUX_REASON_REVISION);
   mux_blob_unref (it.body);
@@ -231,10 +231,10 @@
   (void) state;
   for (uint64_t seed = 1; seed <= 6; seed++)
     {
-      MuxAsk it = { .verb = MUX_ASK_DRAIN,
-                    .name = "worker-1",
-                    .flag = true,
-                    .change = { 7, seed } };
+      MuxCoreRequest it = { .verb = MUX_CORE_DRAIN,
+                            .name = "worker-1",
+                            .drain = true,
+                            .change_id = { 7, seed } };
       ConfigCell cell;
       uint64_t revision;
 
@@ -254,7 +254,7 @@
       fake_net_run (cell.net, 3000);
       config_cell_ask (&cell, 2, &it);
       assert_int_equal (config_cell_number (&cell, "revision"), revision);
-      ask (&cell, 2, MUX_ASK_CONFIG_HISTORY, MUX_CONFIG_CLASS, "");
+      ask (&cell, 2, MUX_CORE_CONFIG_HISTORY, MUX_CONFIG_CLASS, "");
       assert_int_equal (
           json_array_size (json_object_get (cell.json, "changes")), 3);
       config_cell_free (&cell);
@@ -276,7 +276,7 @@
 {
   MuxEvent event = { .kind = kind };
 
-  event.u.ask = what;
+  event.u.request = what;
   mux_core_step (bench->core, &event, bench->now_ms);
 }
 
@@ -349,11 +349,11 @@
 static void
 test_write_lands_during_check (void **state)
 {
-  MuxAsk it = { .verb = MUX_ASK_CONFIG_PUT,
-                .sort = MUX_CONFIG_PRODUCT,
-                .name = "kiosk",
-                .expect_set = true,
-                .change = { 1, 1 } };
+  MuxCoreRequest it = { .verb = MUX_CORE_CONFIG_PUT,
+                        .sort = MUX_CONFIG_PRODUCT,
+                        .name = "kiosk",
+                        .has_expected = true,
+                        .change_id = { 1, 1 } };
   MuxTableCall *write, *check;
   MuxTableReply *absent, *lost;
   Bench bench;
@@ -363,7 +363,7 @@
   bench_give (&bench, MUX_EVENT_TICK, NULL);
   bench_reply (&bench, bench_take (&bench, MUX_TABLE_GET, "config/head"), NULL);
   it.body = mux_blob_new (CONFIG_NO_QUOTA, strlen (CONFIG_NO_QUOTA));
-  bench_give (&bench, MUX_EVENT_ASK, &it);
+  bench_give (&bench, MUX_EVENT_REQUEST, &it);
   bench_reply (&bench, bench_take (&bench, MUX_TABLE_GET, "config/change/"),
                NULL);
   write = bench_take (&bench, MUX_TABLE_TXN, "config/head");
@@ -434,13 +434,13 @@
   assert_finding (cell, "name");
   config_cell_put (cell, 0, MUX_CONFIG_PRODUCT, "a/b", CONFIG_NO_QUOTA);
   assert_finding (cell, "name");
-  ask (cell, 0, MUX_ASK_CONFIG_REMOVE, MUX_CONFIG_PRODUCT, "kiosk");
+  ask (cell, 0, MUX_CORE_CONFIG_REMOVE, MUX_CONFIG_PRODUCT, "kiosk");
   assert_finding (cell, "name");
-  ask (cell, 0, MUX_ASK_CONFIG_REMOVE, MUX_CONFIG_CLASS, "desk");
+  ask (cell, 0, MUX_CORE_CONFIG_REMOVE, MUX_CONFIG_CLASS, "desk");
   assert_int_equal (cell->answer.status, 200);
-  ask (cell, 0, MUX_ASK_CONFIG_REMOVE, MUX_CONFIG_CLASS, "desk");
+  ask (cell, 0, MUX_CORE_CONFIG_REMOVE, MUX_CONFIG_CLASS, "desk");
   assert_refused (cell, MUX_REASON_UNKNOWN_CLASS);
-  ask (cell, 0, MUX_ASK_CONFIG_REMOVE, MUX_CONFIG_PRODUCT, "kiosk");
+  ask (cell, 0, MUX_CORE_CONFIG_REMOVE, MUX_CONFIG_PRODUCT, "kiosk");
   assert_int_equal (cell->answer.status, 200);
   config_cell_class (value, 100);
   config_cell_put (cell, 0, MUX_CONFIG_CLASS, "desk", value);
@@ -450,12 +450,12 @@
 static void
 revert (ConfigCell *cell, uint32_t node, uint64_t to)
 {
-  MuxAsk it = { .verb = MUX_ASK_CONFIG_REVERT,
-                .sort = MUX_CONFIG_CLASS,
-                .name = "desk",
-                .revision = to,
-                .who = "on-call",
-                .wall_ms = 5 };
+  MuxCoreRequest it = { .verb = MUX_CORE_CONFIG_REVERT,
+                        .sort = MUX_CONFIG_CLASS,
+                        .name = "desk",
+                        .revision = to,
+                        .author = "on-call",
+                        .wall_ms = 5 };
 
   config_cell_ask (cell, node, &it);
 }
@@ -476,7 +476,7 @@
   third = config_cell_put (cell, 0, MUX_CONFIG_CLASS, "desk", value);
   revert (cell, 1, third - 1);
   assert_int_equal (config_cell_number (cell, "revision"), third + 1);
-  ask (cell, 1, MUX_ASK_CONFIG_HISTORY, MUX_CONFIG_CLASS, "");
+  ask (cell, 1, MUX_CORE_CONFIG_HISTORY, MUX_CONFIG_CLASS, "");
   last = json_array_get (json_object_get (cell->json, "changes"),
                          (size_t) third);
   assert_int_equal (json_integer_value (json_object_get (
@@ -487,7 +487,7 @@
   assert_int_equal (json_integer_value (json_object_get (last, "when_ms")), 5);
   revert (cell, 2, first - 1);
   assert_int_equal (cell->answer.status, 200);
-  ask (cell, 2, MUX_ASK_CONFIG_GET, MUX_CONFIG_CLASS, "desk");
+  ask (cell, 2, MUX_CORE_CONFIG_GET, MUX_CONFIG_CLASS, "desk");
   assert_refused (cell, MUX_REASON_UNKNOWN_CLASS);
   revert (cell, 2, third + 100);
   assert_finding (cell, "to");
@@ -500,12 +500,12 @@
 } Tally;
 
 static void
-count_answer (void *user, uint32_t node, const MuxAnswer *answer)
+count_answer (void *user, uint32_t node, const MuxCoreResponse *answer)
 {
   Tally *tally = user;
 
   (void) node;
-  tally->answers[answer->call]++;
+  tally->answers[answer->call_id]++;
   tally->full += answer->reason == MUX_REASON_QUEUE_FULL;
 }
 
@@ -523,7 +523,8 @@
   cell->net->hooks = hooks;
   for (uint32_t i = 0; i < 100; i++)
     {
-      MuxAsk it = { .verb = MUX_ASK_DRAIN, .flag = true, .call = i };
+      MuxCoreRequest it
+          = { .verb = MUX_CORE_DRAIN, .drain = true, .call_id = i };
 
       snprintf (it.name, sizeof it.name, "worker-%u", i);
       fake_net_ask (cell->net, 0, &it);
--- a/test/unit/test_config_race.c
+++ b/test/unit/test_config_race.c
@@ -140,7 +140,7 @@
 static void
 take_told (Race *race,
            Operator *op,
-           const MuxAnswer *answer,
+           const MuxCoreResponse *answer,
            const json_t *body)
 {
   op->call = 0;
@@ -163,18 +163,18 @@
 }
 
 static void
-answer_came (void *user, uint32_t node, const MuxAnswer *answer)
+answer_came (void *user, uint32_t node, const MuxCoreResponse *answer)
 {
   Race *race = user;
-  uint64_t who = answer->call >> 32;
+  uint64_t who = answer->call_id >> 32;
   json_t *body = answer->body == NULL ? NULL
                                       : json_loadb (answer->body->bytes,
                                                     answer->body->len, 0, NULL);
 
   config_cell_take (&race->cell, answer);
-  if (answer->call == PROBE + node && answer->status == 200)
+  if (answer->call_id == PROBE + node && answer->status == 200)
     look_shown (race, node, body);
-  if (who > 0 && race->operators[who - 1].call != answer->call)
+  if (who > 0 && race->operators[who - 1].call != answer->call_id)
     wrong (race, "a second answer came", 0);
   else if (who > 0)
     take_told (race, &race->operators[who - 1], answer, body);
@@ -188,11 +188,11 @@
 {
   Operator *op = &race->operators[index];
   Change *change = &op->changes[op->number];
-  MuxAsk ask = { .verb = MUX_ASK_CONFIG_PUT,
-                 .sort = MUX_CONFIG_CLASS,
-                 .name = "desk",
-                 .change = { index + 1, op->number + 1 },
-                 .who = "operator" };
+  MuxCoreRequest ask = { .verb = MUX_CORE_CONFIG_PUT,
+                         .sort = MUX_CONFIG_CLASS,
+                         .name = "desk",
+                         .change_id = { index + 1, op->number + 1 },
+                         .author = "operator" };
   char value[256];
 
   if (op->call != 0 || op->number == CHANGES
@@ -201,9 +201,9 @@
   look_refused (race, index);
   change->expect_set = index % 2 == 1;
   change->expect = op->seen;
-  ask.expect_set = change->expect_set;
-  ask.expect = change->expect;
-  ask.call = op->call = (uint64_t) (index + 1) << 32 | ++op->asks;
+  ask.has_expected = change->expect_set;
+  ask.expected_revision = change->expect;
+  ask.call_id = op->call = (uint64_t) (index + 1) << 32 | ++op->asks;
   config_cell_class (value, index * CHANGES + op->number + 1);
   ask.body = mux_blob_new (value, strlen (value));
   fake_net_ask (race->cell.net, (index + op->asks) % NODES, &ask);
@@ -213,13 +213,13 @@
 static void
 probe (Race *race)
 {
-  MuxAsk ask = { .verb = MUX_ASK_CONFIG_GET,
-                 .sort = MUX_CONFIG_CLASS,
-                 .name = "desk" };
+  MuxCoreRequest ask = { .verb = MUX_CORE_CONFIG_GET,
+                         .sort = MUX_CONFIG_CLASS,
+                         .name = "desk" };
 
   for (uint32_t node = 0; node < NODES; node++)
     {
-      ask.call = PROBE + node;
+      ask.call_id = PROBE + node;
       fake_net_ask (race->cell.net, node, &ask);
     }
 }
--- a/test/unit/test_core_pacing.c
+++ b/test/unit/test_core_pacing.c
@@ -192,10 +192,10 @@
   CoreHarnessOptions options
       = { .workers = WORKERS, .slots = 64, .table_ms = 5 };
   CoreHarness *h = core_harness_new (&options);
-  MuxAsk ask = { .verb = MUX_ASK_JOB_SUBMIT,
-                 .name = "nightly",
-                 .task_count = 320,
-                 .body = mux_blob_new ("run_ms=500\n", 11) };
+  MuxCoreRequest ask = { .verb = MUX_CORE_JOB_SUBMIT,
+                         .name = "nightly",
+                         .task_count = 320,
+                         .body = mux_blob_new ("run_ms=500\n", 11) };
 
   (void) state;
   put_class (h, "nightly", "batch", 500);
@@ -219,8 +219,8 @@
     .workers = WORKERS, .slots = 64, .remote = true, .members = 2, .table_ms = 1
   };
   CoreHarness *h = core_harness_new (&options);
-  MuxAsk ask
-      = { .verb = MUX_ASK_JOB_SUBMIT, .name = "desk", .task_count = 1000 };
+  MuxCoreRequest ask
+      = { .verb = MUX_CORE_JOB_SUBMIT, .name = "desk", .task_count = 1000 };
   uint64_t before;
 
   (void) state;
@@ -246,10 +246,10 @@
   CoreHarnessOptions options
       = { .workers = 8, .slots = 64, .members = 24, .near = 1, .table_ms = 1 };
   CoreHarness *h = core_harness_new (&options);
-  MuxAsk ask = { .verb = MUX_ASK_REQUEST,
-                 .name = "desk",
-                 .give_up_ms = 10000,
-                 .body = mux_blob_new ("run_ms=5\n", 9) };
+  MuxCoreRequest ask = { .verb = MUX_CORE_RUN_TASK,
+                         .name = "desk",
+                         .timeout_ms = 10000,
+                         .body = mux_blob_new ("run_ms=5\n", 9) };
   StandinPlatformStats from;
   StandinPlatformStats to;
 
--- a/test/unit/test_door.c
+++ b/test/unit/test_door.c
@@ -35,10 +35,10 @@
   assert_int_equal (reply.body_len, sizeof bytes);
   assert_memory_equal (reply.body, bytes, sizeof bytes);
   assert_int_equal (fake->ask_count, 1);
-  assert_int_equal (fake->asks[0].verb, MUX_ASK_REQUEST);
+  assert_int_equal (fake->asks[0].verb, MUX_CORE_RUN_TASK);
   assert_string_equal (fake->asks[0].name, "basket");
   assert_string_equal (fake->asks[0].key, "k 1~");
-  assert_int_equal (fake->asks[0].give_up_ms, 1500);
+  assert_int_equal (fake->asks[0].timeout_ms, 1500);
   assert_int_equal (fake->asks[0].body->len, sizeof bytes);
   assert_memory_equal (fake->asks[0].body->bytes, bytes, sizeof bytes);
   mux_blob_unref (fake->answer.body);
@@ -60,10 +60,10 @@
   fake_backend_wait_asks (fake, 1);
   second = door_bench_begin (fake, "POST /v1/request/b HTTP/1.1");
   fake_backend_wait_asks (fake, 2);
-  door_bench_answer (fake, fake->asks[1].call, "of the second");
+  door_bench_answer (fake, fake->asks[1].call_id, "of the second");
   reply = raw_read_reply (second);
   door_bench_expect_body (&reply, "of the second");
-  door_bench_answer (fake, fake->asks[0].call, "of the first");
+  door_bench_answer (fake, fake->asks[0].call_id, "of the first");
   reply = raw_read_reply (first);
   door_bench_expect_body (&reply, "of the first");
   close (first);
@@ -97,7 +97,7 @@
   door_bench_expect_status (fake, "GET /v1/status HTTP/1.1", "", 0, 200);
   for (uint32_t i = 0; i < DOOR_BENCH_CALLERS_MAX; i++)
     {
-      door_bench_answer (fake, fake->asks[i].call, "whole");
+      door_bench_answer (fake, fake->asks[i].call_id, "whole");
       reply = raw_read_reply (fds[i]);
       door_bench_expect_body (&reply, "whole");
       close (fds[i]);
@@ -122,10 +122,10 @@
   FakeBackend *fake = *state;
   RawReply reply;
 
-  fake->answer = (MuxAnswer){ .outcome = MUX_OUTCOME_NOT_RUN,
-                              .reason = MUX_REASON_QUEUE_FULL,
-                              .status = 429,
-                              .retry_after_ms = 1500 };
+  fake->answer = (MuxCoreResponse){ .outcome = MUX_OUTCOME_NOT_RUN,
+                                    .reason = MUX_REASON_QUEUE_FULL,
+                                    .status = 429,
+                                    .retry_after_ms = 1500 };
   reply = door_bench_ask (fake, "POST /v1/request/a HTTP/1.1", "", 0);
   assert_int_equal (reply.status, 429);
   assert_string_equal (raw_header (&reply, "Cuminmux-Outcome"), "not_run");
@@ -150,17 +150,17 @@
   fake->mode = FAKE_HOLD;
   fd = door_bench_begin (fake, "POST /v1/request/a HTTP/1.1");
   fake_backend_wait_asks (fake, 1);
-  mux_door_refuse_new (fake->door);
+  mux_http_server_begin_drain (fake->door);
   reply = door_bench_ask (fake, "POST /v1/request/a HTTP/1.1", "", 0);
   door_bench_expect_come_back (&reply, "stopping");
   assert_string_equal (raw_header (&reply, "Connection"), "close");
   raw_reply_free (&reply);
   door_bench_expect_status (fake, "GET /readyz HTTP/1.1", "", 0, 503);
-  mux_door_close_port (fake->door);
-  assert_false (mux_door_drain (fake->door, 0));
-  door_bench_answer (fake, fake->asks[0].call, "confirmed");
-  assert_true (mux_door_drain (fake->door, 60000));
-  mux_door_stop_listening (fake->door);
+  mux_http_server_stop_accepting (fake->door);
+  assert_false (mux_http_server_drain (fake->door, 0));
+  door_bench_answer (fake, fake->asks[0].call_id, "confirmed");
+  assert_true (mux_http_server_drain (fake->door, 60000));
+  mux_http_server_stop (fake->door);
   reply = raw_read_reply (fd);
   door_bench_expect_body (&reply, "confirmed");
   close (fd);
@@ -178,7 +178,7 @@
   fake->mode = FAKE_HOLD;
   fd = door_bench_begin (fake, "POST /v1/request/a HTTP/1.1");
   fake_backend_wait_asks (fake, 1);
-  mux_door_abandon (fake->door);
+  mux_http_server_fail_pending (fake->door);
   reply = raw_read_reply (fd);
   assert_int_equal (reply.status, 504);
   assert_string_equal (raw_header (&reply, "Cuminmux-Outcome"), "unknown");
@@ -204,7 +204,7 @@
   silent = raw_connect (fake->addr);
   raw_wait_closed (silent);
   close (silent);
-  door_bench_answer (fake, fake->asks[0].call, "late but whole");
+  door_bench_answer (fake, fake->asks[0].call_id, "late but whole");
   reply = raw_read_reply (waiting);
   door_bench_expect_body (&reply, "late but whole");
   raw_wait_closed (waiting);
@@ -216,17 +216,17 @@
 static void
 test_caller_hangs_up (void **state)
 {
-  MuxAnswer late = { .outcome = MUX_OUTCOME_DONE, .status = 200 };
+  MuxCoreResponse late = { .outcome = MUX_OUTCOME_DONE, .status = 200 };
   FakeBackend *fake = *state;
   uint64_t call;
 
   fake->mode = FAKE_HOLD;
   close (door_bench_begin (fake, "POST /v1/request/a HTTP/1.1"));
   call = fake_backend_wait_gone (fake);
-  assert_int_equal (call, fake->asks[0].call);
-  assert_true (mux_door_drain (fake->door, 60000));
-  late.call = call;
-  assert_false (mux_door_answer (fake->door, &late));
+  assert_int_equal (call, fake->asks[0].call_id);
+  assert_true (mux_http_server_drain (fake->door, 60000));
+  late.call_id = call;
+  assert_false (mux_http_server_respond (fake->door, &late));
 }
 
 static void
--- a/test/unit/test_door_input.c
+++ b/test/unit/test_door_input.c
@@ -119,27 +119,27 @@
   static const struct
   {
     const char *request;
-    MuxAskVerb verb;
+    MuxCoreVerb verb;
   } cases[] = {
-    { "POST /v1/jobs?class=c&tasks=3 HTTP/1.1", MUX_ASK_JOB_SUBMIT },
-    { "GET /v1/jobs HTTP/1.1", MUX_ASK_JOB_LIST },
-    { "GET /v1/jobs/" TASK_ID " HTTP/1.1", MUX_ASK_JOB_GET },
-    { "GET /v1/jobs/" TASK_ID "?wait_ms=5 HTTP/1.1", MUX_ASK_JOB_WAIT },
-    { "DELETE /v1/jobs/" TASK_ID " HTTP/1.1", MUX_ASK_JOB_CANCEL },
-    { "PUT /v1/config/class/a?expect=0 HTTP/1.1", MUX_ASK_CONFIG_PUT },
-    { "DELETE /v1/config/product/a HTTP/1.1", MUX_ASK_CONFIG_REMOVE },
-    { "GET /v1/config/cell/cell HTTP/1.1", MUX_ASK_CONFIG_GET },
-    { "GET /v1/config/class HTTP/1.1", MUX_ASK_CONFIG_LIST },
-    { "POST /v1/config/class/a/revert?to=7 HTTP/1.1", MUX_ASK_CONFIG_REVERT },
-    { "GET /v1/history?after=9 HTTP/1.1", MUX_ASK_CONFIG_HISTORY },
-    { "GET /v1/status HTTP/1.1", MUX_ASK_STATUS },
-    { "GET /v1/workers HTTP/1.1", MUX_ASK_WORKERS },
-    { "GET /v1/risk HTTP/1.1", MUX_ASK_RISK },
-    { "POST /v1/workers/w1/drain HTTP/1.1", MUX_ASK_DRAIN },
-    { "POST /v1/workers/w1/undrain HTTP/1.1", MUX_ASK_DRAIN },
+    { "POST /v1/jobs?class=c&tasks=3 HTTP/1.1", MUX_CORE_JOB_SUBMIT },
+    { "GET /v1/jobs HTTP/1.1", MUX_CORE_JOB_LIST },
+    { "GET /v1/jobs/" TASK_ID " HTTP/1.1", MUX_CORE_JOB_GET },
+    { "GET /v1/jobs/" TASK_ID "?wait_ms=5 HTTP/1.1", MUX_CORE_JOB_WAIT },
+    { "DELETE /v1/jobs/" TASK_ID " HTTP/1.1", MUX_CORE_JOB_CANCEL },
+    { "PUT /v1/config/class/a?expect=0 HTTP/1.1", MUX_CORE_CONFIG_PUT },
+    { "DELETE /v1/config/product/a HTTP/1.1", MUX_CORE_CONFIG_REMOVE },
+    { "GET /v1/config/cell/cell HTTP/1.1", MUX_CORE_CONFIG_GET },
+    { "GET /v1/config/class HTTP/1.1", MUX_CORE_CONFIG_LIST },
+    { "POST /v1/config/class/a/revert?to=7 HTTP/1.1", MUX_CORE_CONFIG_REVERT },
+    { "GET /v1/history?after=9 HTTP/1.1", MUX_CORE_CONFIG_HISTORY },
+    { "GET /v1/status HTTP/1.1", MUX_CORE_STATUS },
+    { "GET /v1/workers HTTP/1.1", MUX_CORE_WORKERS },
+    { "GET /v1/risk HTTP/1.1", MUX_CORE_RISK },
+    { "POST /v1/workers/w1/drain HTTP/1.1", MUX_CORE_DRAIN },
+    { "POST /v1/workers/w1/undrain HTTP/1.1", MUX_CORE_DRAIN },
   };
   FakeBackend *fake = *state;
-  MuxAsk *asks = fake->asks;
+  MuxCoreRequest *asks = fake->asks;
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
@@ -152,14 +152,14 @@
     }
   assert_int_equal (asks[0].task_count, 3);
   assert_int_equal (asks[2].id.lo, 2);
-  assert_int_equal (asks[3].give_up_ms, 5);
-  assert_true (asks[5].expect_set);
+  assert_int_equal (asks[3].timeout_ms, 5);
+  assert_true (asks[5].has_expected);
   assert_string_equal (asks[5].body->bytes, "{}");
   assert_int_equal (asks[6].sort, MUX_CONFIG_PRODUCT);
   assert_int_equal (asks[9].revision, 7);
   assert_int_equal (asks[10].revision, 9);
-  assert_true (asks[14].flag);
-  assert_false (asks[15].flag);
+  assert_true (asks[14].drain);
+  assert_false (asks[15].drain);
 }
 
 static void
--- a/test/unit/test_event_log.c
+++ b/test/unit/test_event_log.c
@@ -39,7 +39,7 @@
 log_new (uint32_t per_kind_s)
 {
   MuxEventLogOptions options
-      = { .name = "entry-1", .queue = 64, .per_kind_s = per_kind_s };
+      = { .name = "entry-1", .queue = 64, .rate_limit_per_s = per_kind_s };
 
   return mux_event_log_new (&options);
 }
--- a/test/unit/test_golden_core.c
+++ b/test/unit/test_golden_core.c
@@ -182,14 +182,14 @@
 put_cell (Scenario *s, uint32_t node, const char *who, const char *value)
 {
   uint32_t call;
-  MuxAsk ask = { .verb = MUX_ASK_CONFIG_PUT,
-                 .sort = MUX_CONFIG_CELL,
-                 .name = "cell",
-                 .expect_set = true };
+  MuxCoreRequest ask = { .verb = MUX_CORE_CONFIG_PUT,
+                         .sort = MUX_CONFIG_CELL,
+                         .name = "cell",
+                         .has_expected = true };
 
-  mux_name_copy (ask.who, who);
+  mux_name_copy (ask.author, who);
   ask.body = mux_blob_new (value, strlen (value));
-  ask.change = (MuxId){ 1, node + 1 };
+  ask.change_id = (MuxId){ 1, node + 1 };
   call = scenario_call (s, node, &ask);
   mux_blob_unref (ask.body);
   return call;
--- a/test/unit/test_golden_door.c
+++ b/test/unit/test_golden_door.c
@@ -1,4 +1,4 @@
-#include "../../src/daemon/door.h"
+#include "../../src/daemon/http_server.h"
 #include "support/golden.h"
 #include "support/raw_http.h"
 #include "support/scenario.h"
@@ -25,9 +25,9 @@
  */
 typedef struct
 {
-  MuxDoorBackend backend;
+  MuxHttpBackend backend;
   Scenario *s;
-  MuxDoor *door;
+  MuxHttpServer *door;
   MuxCounters *counters;
   char addr[MUX_ADDR_LEN];
   int asks[2]; /* pipe of pointers */
@@ -39,7 +39,7 @@
 } Session;
 
 static bool
-take_ask (MuxDoorBackend *backend, MuxAsk *ask)
+take_ask (MuxHttpBackend *backend, MuxCoreRequest *ask)
 {
   Session *session = (Session *) backend;
 
@@ -47,24 +47,24 @@
 }
 
 static void
-take_gone (MuxDoorBackend *backend, uint64_t call)
+take_gone (MuxHttpBackend *backend, uint64_t call)
 {
   (void) backend;
   (void) call;
 }
 
 static bool
-is_ready (MuxDoorBackend *backend)
+is_ready (MuxHttpBackend *backend)
 {
   return mux_core_ready (((Session *) backend)->s->net->nodes[0].core);
 }
 
 static void
-give_answer (void *user, uint32_t node, const MuxAnswer *answer)
+give_answer (void *user, uint32_t node, const MuxCoreResponse *answer)
 {
   Session *session = user;
 
-  if (node == 0 && mux_door_answer (session->door, answer))
+  if (node == 0 && mux_http_server_respond (session->door, answer))
     session->answered++;
 }
 
@@ -83,14 +83,14 @@
 set_up (void **state)
 {
   Session *session = calloc (1, sizeof *session);
-  MuxDoorOptions options = { .listen = "127.0.0.1:0",
-                             .callers_max = 4,
-                             .idle_s = 60,
-                             .body_max = BODY_MAX };
+  MuxHttpServerOptions options = { .listen = "127.0.0.1:0",
+                                   .callers_max = 4,
+                                   .idle_timeout_s = 60,
+                                   .body_max_bytes = BODY_MAX };
   MuxError err = { MUX_ERROR_NONE, "" };
 
   assert_non_null (session);
-  session->backend = (MuxDoorBackend){ take_ask, take_gone, is_ready };
+  session->backend = (MuxHttpBackend){ take_ask, take_gone, is_ready };
   assert_int_equal (pipe (session->asks), 0);
   session->s = scenario_new (SEED, 2, 2, 2);
   session->s->net->random.state = SEED;
@@ -101,9 +101,9 @@
   session->counters = mux_counters_new ();
   options.backend = &session->backend;
   options.counters = session->counters;
-  session->door = mux_door_new (&options, &err);
+  session->door = mux_http_server_new (&options, &err);
   if (session->door == NULL
-      || !mux_door_listen (session->door, session->addr, &err))
+      || !mux_http_server_listen (session->door, session->addr, &err))
     fail_msg ("%s", err.text);
   session->log = open_memstream (&session->text, &session->text_len);
   *state = session;
@@ -115,7 +115,7 @@
 {
   Session *session = *state;
 
-  mux_door_free (session->door);
+  mux_http_server_free (session->door);
   mux_counters_free (session->counters);
   session->s->net->hooks = (FakeHooks){ .user = NULL };
   scenario_free (session->s);
@@ -132,7 +132,7 @@
 answer_ask (Session *session)
 {
   uint32_t want = session->answered + 1;
-  MuxAsk *ask;
+  MuxCoreRequest *ask;
 
   assert_int_equal (read (session->asks[0], &ask, sizeof ask), sizeof ask);
   fake_net_ask (session->s->net, 0, ask);
--- a/test/unit/test_inbox.c
+++ b/test/unit/test_inbox.c
@@ -15,9 +15,10 @@
 setup (void **state)
 {
   Bench *bench = calloc (1, sizeof *bench);
-  MuxInboxOptions options = {
-    .asks = RING, .peers = RING, .worker_replies = RING, .table_replies = RING
-  };
+  MuxInboxOptions options = { .requests = RING,
+                              .peers = RING,
+                              .worker_replies = RING,
+                              .table_replies = RING };
 
   assert_non_null (bench);
   bench->counters = mux_counters_new ();
@@ -56,15 +57,16 @@
   Bench *bench = *state;
   MuxInbox *port = mux_inbox_port (bench->inbox);
   MuxPeerMsg msg = { .verb = MUX_PEER_HEARTBEAT };
-  MuxAsk *surplus = calloc (1, sizeof *surplus);
+  MuxCoreRequest *surplus = calloc (1, sizeof *surplus);
   MuxWorkerReply *reply;
 
   for (int i = 0; i < RING_ROOM; i++)
     {
-      assert_true (mux_inbox_ask (bench->inbox, calloc (1, sizeof (MuxAsk))));
+      assert_true (mux_inbox_push_request (
+          bench->inbox, calloc (1, sizeof (MuxCoreRequest))));
       assert_true (port->peer_msg (port, &msg));
     }
-  assert_false (mux_inbox_ask (bench->inbox, surplus));
+  assert_false (mux_inbox_push_request (bench->inbox, surplus));
   free (surplus);
   assert_false (port->peer_msg (port, &msg));
   assert_int_equal (mux_refused_value (bench->counters, MUX_REASON_RING_FULL),
@@ -127,14 +129,14 @@
   Bench *bench = *state;
   MuxInbox *port = mux_inbox_port (bench->inbox);
 
-  mux_inbox_mark (bench->inbox);
+  mux_inbox_prepare_wait (bench->inbox);
   assert_true (port->worker_reply (port, reply_new (1)));
-  mux_inbox_sleep (bench->inbox, -1);
-  mux_inbox_mark (bench->inbox);
-  mux_inbox_gone (bench->inbox, 9);
-  mux_inbox_sleep (bench->inbox, -1);
-  assert_int_equal (mux_inbox_take_gone (bench->inbox), 9);
-  assert_int_equal (mux_inbox_take_gone (bench->inbox), 0);
+  mux_inbox_wait (bench->inbox, -1);
+  mux_inbox_prepare_wait (bench->inbox);
+  mux_inbox_push_disconnect (bench->inbox, 9);
+  mux_inbox_wait (bench->inbox, -1);
+  assert_int_equal (mux_inbox_take_disconnect (bench->inbox), 9);
+  assert_int_equal (mux_inbox_take_disconnect (bench->inbox), 0);
 }
 
 #define TEST(f) cmocka_unit_test_setup_teardown (f, setup, teardown)
--- a/test/unit/test_platform_adapter.c
+++ b/test/unit/test_platform_adapter.c
@@ -1,4 +1,4 @@
-#include "../../src/adapter/platform_internal.h"
+#include "../../src/adapter/platform_private.h"
 #include "support/platform_fixture.h"
 #include "support/test.h"
 
@@ -172,7 +172,7 @@
                size_t len)
 {
   MuxBytes body = { 0 };
-  PlatformAnswer answer
+  PlatformResponse answer
       = { .status = http_status, .no_effect = no_effect, .body = &body };
   MuxTableReply *reply;
   MuxTableStatus status;
--- a/test/unit/test_question_waiters.c
+++ b/test/unit/test_question_waiters.c
@@ -1,4 +1,4 @@
-#include "../../src/daemon/question_waiters.h"
+#include "../../src/daemon/response_waiters.h"
 
 #include "support/test.h"
 
@@ -8,7 +8,7 @@
 
 typedef struct
 {
-  MuxQuestionWaiters *callers;
+  MuxResponseWaiters *callers;
   uint64_t call;
   MuxResponse reply;
   bool answered;
@@ -19,7 +19,7 @@
 {
   Waiter *waiter = arg;
 
-  waiter->answered = mux_question_waiters_wait (waiter->callers, waiter->call,
+  waiter->answered = mux_response_waiters_wait (waiter->callers, waiter->call,
                                                 60000, &waiter->reply);
   return NULL;
 }
@@ -27,7 +27,7 @@
 static void
 test_each_gets_its_own (void **state)
 {
-  MuxQuestionWaiters *callers = mux_question_waiters_new (1);
+  MuxResponseWaiters *callers = mux_response_waiters_new (1);
   Waiter waiter[CALLERS];
   pthread_t thread[CALLERS];
 
@@ -35,7 +35,7 @@
   for (uint32_t i = 0; i < CALLERS; i++)
     {
       waiter[i].callers = callers;
-      assert_true (mux_question_waiters_enter (callers, &waiter[i].call));
+      assert_true (mux_response_waiters_add (callers, &waiter[i].call));
       assert_int_equal (
           pthread_create (&thread[i], NULL, wait_main, &waiter[i]), 0);
     }
@@ -46,7 +46,7 @@
               .outcome = MUX_RESPONSE_PENDING,
               .pending = (uint32_t) waiter[CALLERS - 1 - i].call };
 
-      assert_true (mux_question_waiters_answer (callers, &reply));
+      assert_true (mux_response_waiters_deliver (callers, &reply));
     }
   for (uint32_t i = 0; i < CALLERS; i++)
     {
@@ -54,7 +54,7 @@
       assert_true (waiter[i].answered);
       assert_int_equal (waiter[i].reply.pending, waiter[i].call);
     }
-  mux_question_waiters_free (callers);
+  mux_response_waiters_free (callers);
 }
 
 /*
@@ -64,20 +64,20 @@
 static void
 test_late_answer_finds_nobody (void **state)
 {
-  MuxQuestionWaiters *callers = mux_question_waiters_new (1);
+  MuxResponseWaiters *callers = mux_response_waiters_new (1);
   MuxResponse reply = { .outcome = MUX_RESPONSE_ACCEPTED };
   MuxResponse got;
   uint64_t first;
   uint64_t second;
 
   (void) state;
-  assert_true (mux_question_waiters_enter (callers, &first));
-  assert_false (mux_question_waiters_wait (callers, first, 0, &got));
-  assert_true (mux_question_waiters_enter (callers, &second));
+  assert_true (mux_response_waiters_add (callers, &first));
+  assert_false (mux_response_waiters_wait (callers, first, 0, &got));
+  assert_true (mux_response_waiters_add (callers, &second));
   reply.call_id = first;
-  assert_false (mux_question_waiters_answer (callers, &reply));
-  assert_false (mux_question_waiters_wait (callers, second, 0, &got));
-  mux_question_waiters_free (callers);
+  assert_false (mux_response_waiters_deliver (callers, &reply));
+  assert_false (mux_response_waiters_wait (callers, second, 0, &got));
+  mux_response_waiters_free (callers);
 }
 
 /*
@@ -88,21 +88,21 @@
 static void
 test_next_process_gives_no_number_again (void **state)
 {
-  MuxQuestionWaiters *former = mux_question_waiters_new (1 << 16);
-  MuxQuestionWaiters *callers = mux_question_waiters_new (2 << 16);
+  MuxResponseWaiters *former = mux_response_waiters_new (1 << 16);
+  MuxResponseWaiters *callers = mux_response_waiters_new (2 << 16);
   MuxResponse reply = { .outcome = MUX_RESPONSE_ACCEPTED };
   MuxResponse got;
   uint64_t call;
 
   (void) state;
-  assert_true (mux_question_waiters_enter (former, &reply.call_id));
-  assert_true (mux_question_waiters_enter (callers, &call));
+  assert_true (mux_response_waiters_add (former, &reply.call_id));
+  assert_true (mux_response_waiters_add (callers, &call));
   assert_int_equal (call, 2 << 16);
-  assert_false (mux_question_waiters_answer (callers, &reply));
-  assert_false (mux_question_waiters_wait (former, reply.call_id, 0, &got));
-  assert_false (mux_question_waiters_wait (callers, call, 0, &got));
-  mux_question_waiters_free (former);
-  mux_question_waiters_free (callers);
+  assert_false (mux_response_waiters_deliver (callers, &reply));
+  assert_false (mux_response_waiters_wait (former, reply.call_id, 0, &got));
+  assert_false (mux_response_waiters_wait (callers, call, 0, &got));
+  mux_response_waiters_free (former);
+  mux_response_waiters_free (callers);
 }
 
 int
--- a/test/unit/test_retry_advice.c
+++ b/test/unit/test_retry_advice.c
@@ -17,7 +17,7 @@
 static void
 submit (ConfigCell *cell, const char *class, uint32_t tasks)
 {
-  MuxAsk ask = { .verb = MUX_ASK_JOB_SUBMIT, .task_count = tasks };
+  MuxCoreRequest ask = { .verb = MUX_CORE_JOB_SUBMIT, .task_count = tasks };
 
   mux_name_copy (ask.name, class);
   config_cell_ask (cell, 0, &ask);
--- a/test/unit/test_tls.c
+++ b/test/unit/test_tls.c
@@ -90,11 +90,11 @@
   identity_make (&bench->right, ip);
   identity_make (&bench->wrong, ip);
   fake_backend_open (&bench->fake,
-                     (MuxDoorOptions){ .callers_max = 1,
-                                       .idle_s = 60,
-                                       .body_max = 4096,
-                                       .tls_cert = bench->right.cert,
-                                       .tls_key = bench->right.key });
+                     (MuxHttpServerOptions){ .callers_max = 1,
+                                             .idle_timeout_s = 60,
+                                             .body_max_bytes = 4096,
+                                             .tls_cert = bench->right.cert,
+                                             .tls_key = bench->right.key });
   *state = bench;
   return 0;
 }
