--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -70,7 +70,7 @@
   uint64_t seed;
   uint32_t lease_ms;
   uint32_t dead_ms;
-  uint32_t strength_milli;
+  uint32_t cpu_share_milli;
   uint32_t ended_retention_s;
   uint32_t revoke_timeout_ms;
   uint32_t quota_overrun_milli;
--- a/src/cell/admit.c
+++ b/src/cell/admit.c
@@ -481,7 +481,8 @@
   int64_t silent_ms = cell->time.now_ms - cell->planner_hello_reply_ms;
 
   if (cell->role != CELL_FOLLOWER || cell->planner_hello_reply_ms == 0
-      || cell->planner_store_failing_ms != 0 || silent_ms >= UNREACHABLE_MS)
+      || cell->planner_store_failing_since_ms != 0
+      || silent_ms >= UNREACHABLE_MS)
     return false;
   if (longest_wait_ms (cell) < BACKLOG_WAIT_MS
       && cell->planner_late_ms < RELAY_TIMEOUT_MS)
--- a/src/cell/approval_query.c
+++ b/src/cell/approval_query.c
@@ -466,7 +466,7 @@
  * daemon.
  */
 void
-cell_approvals_tick (MuxCell *cell)
+cell_approval_queries_tick (MuxCell *cell)
 {
   CellApprovalQuery *query;
   CellApprovalQuery *next;
--- a/src/cell/approval_record.c
+++ b/src/cell/approval_record.c
@@ -98,7 +98,7 @@
     (void) json_array_append_new (list, json_string (stage->recorded[i]));
   for (uint32_t i = 0; i < stage->approval_count; i++)
     {
-      const CellWorker *worker = cell->worker_at[stage->approval[i].slot];
+      const CellWorker *worker = cell->worker_by_slot[stage->approval[i].slot];
 
       if (stage->approval[i].approved && worker != NULL
           && !was_recorded (stage, worker->info.id))
--- a/src/cell/authorize.c
+++ b/src/cell/authorize.c
@@ -53,7 +53,7 @@
 static MuxResponseOutcome
 unknown_key (const MuxCell *cell)
 {
-  return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_CONFIG])
+  return cell_feed_is_fresh (cell, &cell->feed[CELL_FEED_CONFIG])
              ? MUX_RESPONSE_UNAUTHORIZED
              : MUX_RESPONSE_REFUSED;
 }
--- a/src/cell/bad_row.c
+++ b/src/cell/bad_row.c
@@ -90,9 +90,9 @@
                      const char *what)
 {
   static const MuxCounter counters[]
-      = { [CELL_ROW_KEY] = MUX_COUNT_ROWS_BAD_KEY,
-          [CELL_ROW_VALUE] = MUX_COUNT_ROWS_BAD_VALUE,
-          [CELL_ROW_FIELD] = MUX_COUNT_ROWS_BAD_FIELD };
+      = { [CELL_ROW_BAD_KEY] = MUX_COUNT_ROWS_BAD_KEY,
+          [CELL_ROW_BAD_VALUE] = MUX_COUNT_ROWS_BAD_VALUE,
+          [CELL_ROW_BAD_FIELD] = MUX_COUNT_ROWS_BAD_FIELD };
 
   if (row->removed || !is_new (cell, row))
     return;
@@ -109,7 +109,7 @@
 
   if (json_is_object (json))
     return json;
-  cell_report_bad_row (cell, row, CELL_ROW_VALUE, "value");
+  cell_report_bad_row (cell, row, CELL_ROW_BAD_VALUE, "value");
   json_decref (json);
   return NULL;
 }
--- a/src/cell/call.c
+++ b/src/cell/call.c
@@ -91,18 +91,20 @@
   if (served)
     {
       cell->store_served_ms = cell->time.now_ms;
-      if (cell->store_failing_ms != 0)
+      if (cell->store_failing_since_ms != 0)
         cell->store_changed_ms = cell->time.now_ms;
-      if (cell->store_failing_ms != 0
-          && cell->time.now_ms - cell->store_failing_ms > STORE_UNAVAILABLE_MS)
-        cell_log (cell, "store_back", "{s:I}", "away_ms",
-                  (json_int_t) (cell->time.now_ms - cell->store_failing_ms));
-      cell->store_failing_ms = 0;
+      if (cell->store_failing_since_ms != 0
+          && cell->time.now_ms - cell->store_failing_since_ms
+                 > STORE_UNAVAILABLE_MS)
+        cell_log (
+            cell, "store_back", "{s:I}", "away_ms",
+            (json_int_t) (cell->time.now_ms - cell->store_failing_since_ms));
+      cell->store_failing_since_ms = 0;
       return;
     }
-  if (cell->store_failing_ms != 0)
+  if (cell->store_failing_since_ms != 0)
     return;
-  cell->store_failing_ms = cell->time.now_ms;
+  cell->store_failing_since_ms = cell->time.now_ms;
   cell->store_changed_ms = cell->time.now_ms;
   cell_log (cell, "store_failing", "{s:s}", "status",
             mux_cell_status_name (reply->status));
@@ -111,7 +113,7 @@
 void
 cell_store_timed_out (MuxCell *cell, int64_t since_ms)
 {
-  cell->store_failing_ms = since_ms;
+  cell->store_failing_since_ms = since_ms;
   cell->store_changed_ms = cell->time.now_ms;
   cell_log (cell, "store_failing", "{s:s}", "status", "silent");
 }
@@ -119,8 +121,9 @@
 bool
 cell_store_available (const MuxCell *cell)
 {
-  return cell->store_failing_ms == 0
-         || cell->time.now_ms - cell->store_failing_ms < STORE_UNAVAILABLE_MS;
+  return cell->store_failing_since_ms == 0
+         || cell->time.now_ms - cell->store_failing_since_ms
+                < STORE_UNAVAILABLE_MS;
 }
 
 /*
@@ -171,8 +174,8 @@
   int64_t now = cell->time.now_ms;
 
   return reply->status != MUX_CELL_UNKNOWN
-         || now - entry->sent_ms < CELL_ANSWER_MS
-         || now - cell->store_served_ms >= CELL_ANSWER_MS;
+         || now - entry->sent_ms < CELL_REPLY_MAX_MS
+         || now - cell->store_served_ms >= CELL_REPLY_MAX_MS;
 }
 
 int64_t
--- a/src/cell/candidate.c
+++ b/src/cell/candidate.c
@@ -148,7 +148,7 @@
   for (uint32_t i = 0; i < stage->approval_count; i++)
     {
       const CellApproval *approval = &stage->approval[i];
-      CellWorker *worker = cell->worker_at[approval->slot];
+      CellWorker *worker = cell->worker_by_slot[approval->slot];
 
       if (worker != NULL && approval->approved)
         add_with_room (cell, stage, worker, approval, found, candidate);
--- a/src/cell/cell.c
+++ b/src/cell/cell.c
@@ -27,9 +27,10 @@
     {
       /* The one in force stays, so that callers of its queues are served. */
       cell->config_unreadable = true;
-      cell_report_bad_row (
-          cell, row, row->bad_field != NULL ? CELL_ROW_FIELD : CELL_ROW_VALUE,
-          row->bad_field != NULL ? row->bad_field : "value");
+      cell_report_bad_row (cell, row,
+                           row->bad_field != NULL ? CELL_ROW_BAD_FIELD
+                                                  : CELL_ROW_BAD_VALUE,
+                           row->bad_field != NULL ? row->bad_field : "value");
       return;
     }
   cell->config_unreadable = false;
@@ -57,26 +58,26 @@
 static void
 init_follows (MuxCell *cell)
 {
-  cell->follow[FOLLOW_CONFIG] = (CellFollow){ .name = "config",
-                                              .table = MUX_TABLE_CONFIG,
-                                              .on_row = config_row,
-                                              .enabled = true };
-  cell->follow[FOLLOW_CLAIM]
-      = (CellFollow){ .name = "claim",
-                      .table = MUX_TABLE_CLAIM,
-                      .on_row = cell_claim_row,
-                      .on_full_read = cell_claim_full_read,
-                      .enabled = true };
-  cell->follow[FOLLOW_WORKERS]
-      = (CellFollow){ .name = "workers",
-                      .table = MUX_TABLE_WORKERS,
-                      .on_row = cell_worker_row,
-                      .on_full_read = cell_workers_full_read };
-  cell->follow[FOLLOW_JOBS] = (CellFollow){ .name = "jobs",
-                                            .table = MUX_TABLE_JOBS,
-                                            .on_row = cell_jobs_row,
-                                            .on_full_read = cell_jobs_full_read,
-                                            .by_part = true };
+  cell->feed[CELL_FEED_CONFIG] = (CellFeed){ .name = "config",
+                                             .table = MUX_TABLE_CONFIG,
+                                             .on_row = config_row,
+                                             .enabled = true };
+  cell->feed[CELL_FEED_CLAIM]
+      = (CellFeed){ .name = "claim",
+                    .table = MUX_TABLE_CLAIM,
+                    .on_row = cell_claim_row,
+                    .on_full_read = cell_claim_full_read,
+                    .enabled = true };
+  cell->feed[CELL_FEED_WORKERS]
+      = (CellFeed){ .name = "workers",
+                    .table = MUX_TABLE_WORKERS,
+                    .on_row = cell_worker_row,
+                    .on_full_read = cell_workers_full_read };
+  cell->feed[CELL_FEED_JOBS] = (CellFeed){ .name = "jobs",
+                                           .table = MUX_TABLE_JOBS,
+                                           .on_row = cell_jobs_row,
+                                           .on_full_read = cell_jobs_full_read,
+                                           .by_part = true };
 }
 
 MuxCell *
@@ -128,7 +129,7 @@
   cell_services_free (cell);
   cell_bad_rows_free (cell);
   mux_blob_unref (cell->admission_blob);
-  free (cell->worker_at);
+  free (cell->worker_by_slot);
   cell_workspaces_free (cell);
   mux_queue_config_free (cell->config);
   free (cell);
@@ -183,7 +184,7 @@
       cell_losses_tick (cell);
       cell_jobs_tick (cell);
       cell_unreadable_tick (cell);
-      cell_approvals_tick (cell);
+      cell_approval_queries_tick (cell);
       cell_wait_log_tick (cell);
       cell_run_times_tick (cell);
       cell_load_log_tick (cell);
@@ -201,8 +202,8 @@
     cell->last_event_ms = time.now_ms;
   cell_claim_tick (cell);
   cell->last_event_ms = time.now_ms;
-  for (uint32_t i = 0; i < FOLLOW_COUNT; i++)
-    cell_follow_tick (cell, &cell->follow[i]);
+  for (uint32_t i = 0; i < CELL_FEED_COUNT; i++)
+    cell_feed_tick (cell, &cell->feed[i]);
   cell_keys_tick (cell);
   cell_submit_tick (cell);
   cell_job_queries_tick (cell);
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -79,9 +79,9 @@
  */
 typedef enum
 {
-  CELL_ROW_KEY,   /* key or part is invalid for the table */
-  CELL_ROW_VALUE, /* value is missing or not in the table's format */
-  CELL_ROW_FIELD, /* a field is missing, of another type or out of range */
+  CELL_ROW_BAD_KEY,   /* key or part is invalid for the table */
+  CELL_ROW_BAD_VALUE, /* value is missing or not in the table's format */
+  CELL_ROW_BAD_FIELD, /* a field is missing, of another type or out of range */
 } CellRowFault;
 
 /** cell_report_bad_row() - logs and counts a row that is ignored, once per
@@ -111,10 +111,10 @@
 void cell_services_free (MuxCell *cell);
 
 /* follow.c */
-void cell_follow_tick (MuxCell *cell, CellFollow *follow);
-void cell_follow_start (CellFollow *follow, uint64_t term, uint64_t version);
+void cell_feed_tick (MuxCell *cell, CellFeed *follow);
+void cell_feed_start (CellFeed *follow, uint64_t term, uint64_t version);
 /** cell_follow_is_fresh() - the table's copy is no older than allowed */
-bool cell_follow_is_fresh (const MuxCell *cell, const CellFollow *follow);
+bool cell_feed_is_fresh (const MuxCell *cell, const CellFeed *follow);
 
 /* late.c: overload of the planner */
 /** cell_reply_latency_record() - adds the call that a worker has just answered
@@ -488,9 +488,9 @@
 /** cell_step_wait_begin() - the step has become ready */
 void cell_step_wait_begin (const MuxCell *cell, CellStage *stage);
 /** cell_step_blocked_on() - sets what it is blocked on from now on */
-void cell_step_blocked_on (const MuxCell *cell,
-                           CellStage *stage,
-                           CellBlockedOn reason);
+void cell_step_set_blocked_on (const MuxCell *cell,
+                               CellStage *stage,
+                               CellBlockedOn reason);
 /** cell_step_query_sent() - an approval query about it was sent */
 void cell_step_query_sent (const MuxCell *cell,
                            CellStage *stage,
@@ -541,7 +541,7 @@
 CellWorker *cell_worker_add (MuxCell *cell, const char *id);
 /** cell_worker_replaced() - another incarnation answers at its address */
 void cell_worker_replaced (MuxCell *cell, CellWorker *worker);
-void cell_worker_dead (MuxCell *cell, CellWorker *worker, const char *why);
+void cell_worker_mark_dead (MuxCell *cell, CellWorker *worker, const char *why);
 void cell_workers_tick (MuxCell *cell);
 void cell_workers_free (MuxCell *cell);
 bool cell_worker_usable (const MuxCell *cell, const CellWorker *worker);
@@ -780,7 +780,7 @@
 bool cell_workers_are_stable (const MuxCell *cell);
 /** cell_run_lived_ms() - lower bound of how long the run has run, from the
  * worker's reports */
-int64_t cell_run_lived_ms (const CellBooking *booking);
+int64_t cell_run_min_duration_ms (const CellBooking *booking);
 bool cell_run_was_short (int64_t lived_ms);
 
 /* crash.c: runs that were lost with their workers */
@@ -938,7 +938,7 @@
                                uint32_t count,
                                uint32_t valid_ms);
 /** cell_approvals_tick() - give up queries that were not answered in time */
-void cell_approvals_tick (MuxCell *cell);
+void cell_approval_queries_tick (MuxCell *cell);
 void cell_approval_queries_free (MuxCell *cell);
 /** cell_approval_query_is_short() - whether a query about @count workers is too
  * short to keep daemons from urgent stages */
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -39,7 +39,7 @@
 #define CELL_WORKER_TIMEOUT_MS 700
 /* A reply to a call that does not wait for changes comes within this time or
  * not at all: twice what the slowest stores take. */
-#define CELL_ANSWER_MS 600
+#define CELL_REPLY_MAX_MS 600
 /* A planner sends no orders once its claim has not been confirmed for so long:
  * longer than the store's usual outages of some 5 s, so that running tasks
  * survive them.  It stops sooner if the store serves other daemons. */
@@ -47,7 +47,7 @@
 /* After a pause of this length between two events the claim is read again
  * before any order is sent: the instance may have been frozen while another
  * daemon took over.  Well above the time between two ticks on a busy core. */
-#define CELL_PAUSE_MS 700
+#define CELL_PAUSE_MAX_MS 700
 /* An order without a reply is carried out within this time or never. */
 #define CELL_LATE_ORDERS_MS 15000
 /* Run numbers of one term.  A planner does not know which numbers its
@@ -167,15 +167,15 @@
   char from[MUX_ROW_NAME_LEN];
   uint64_t version;
   int64_t next_ms;
-} CellFollow;
+} CellFeed;
 
 enum
 {
-  FOLLOW_CONFIG,
-  FOLLOW_CLAIM,
-  FOLLOW_WORKERS, /* planner only */
-  FOLLOW_JOBS,    /* planner only; the takeover reads the parts itself */
-  FOLLOW_COUNT
+  CELL_FEED_CONFIG,
+  CELL_FEED_CLAIM,
+  CELL_FEED_WORKERS, /* planner only */
+  CELL_FEED_JOBS,    /* planner only; the takeover reads the parts itself */
+  CELL_FEED_COUNT
 };
 
 /**
@@ -441,7 +441,7 @@
   bool began;
   bool worker_ended;
   bool in_outage;
-  int64_t lived_ms;
+  int64_t ran_ms;
   CellLossSpan span;
   int64_t at_wall_ms;
   char worker[MUX_NAME_LEN];
@@ -1090,11 +1090,11 @@
   int64_t unlisted_ms;
   int64_t leaves_at_ms;
   uint32_t roster;
-  uint32_t roster_before;
+  uint32_t roster_previous;
   uint32_t roster_pending;
   int64_t unreachable_since_ms;
   int64_t down_before_ms;
-  int64_t marked_expiry_ms;
+  int64_t stored_expiry_ms;
   int64_t lease_over_since_ms;
   bool confirmed;
   bool reachable;
@@ -1105,7 +1105,7 @@
   int64_t clock_at_ms;
   int64_t lease_expires_ms;
   int64_t unanswered_sent_ms;
-  int64_t stale_until_ms;
+  int64_t late_orders_until_ms;
   uint64_t acked;
   uint64_t acked_sent;
   uint64_t ends_seen;
@@ -1114,7 +1114,7 @@
   int64_t next_renew_ms;
   int64_t avoid_until_ms;
   int64_t backoff_ms;
-  int64_t no_fill_until_ms;
+  int64_t no_best_effort_until_ms;
   int64_t direct_until_ms;
   uint32_t reroutes;
   int64_t idle_until_ms;
@@ -1238,7 +1238,7 @@
   int64_t next_wall_check_ms;
   uint64_t next_call; /* id of the next call */
   CellPending *pending;
-  CellFollow follow[FOLLOW_COUNT];
+  CellFeed feed[CELL_FEED_COUNT];
   MuxQueueConfig *config;      /* in force; owned; NULL: none read yet */
   int64_t config_confirmed_ms; /* when it was the newest one; 0: never */
   bool config_unreadable;      /* the store has a newer one that is not */
@@ -1254,9 +1254,9 @@
   int64_t store_clock_at_ms; /* when that call was sent */
   int64_t reply_clock_ms;    /* store's clock in the current reply; 0: none */
   int64_t store_served_ms;   /* last reply that was not a failure */
-  int64_t store_failing_ms;  /* first failure since then; 0: none */
-  int64_t commit_took_ms;    /* duration of the last commit of any part */
-  int64_t store_changed_ms;  /* when it last began to fail, or to serve */
+  int64_t store_failing_since_ms; /* first failure since then; 0: none */
+  int64_t commit_took_ms;         /* duration of the last commit of any part */
+  int64_t store_changed_ms;       /* when it last began to fail, or to serve */
 
   /* The claim. */
   CellClaim claim;
@@ -1291,18 +1291,19 @@
   int64_t claim_retry_ms; /* also if its holder was this daemon */
   bool planner_restarted; /* a later process answers in the holder's place */
   int64_t planner_last_contact_ms;
-  uint64_t heartbeat_version;       /* of the heartbeat row last read */
-  bool heartbeat_exists;            /* the row is in the store */
-  int64_t planner_hello_reply_ms;   /* its last reply to a hello */
-  int64_t planner_store_failing_ms; /* since when, as it reports; 0: it works */
-  int64_t planner_late_ms;          /* its event delay, as it reports */
-  MuxAdmission admission;           /* the planner's, as last received */
+  uint64_t heartbeat_version;             /* of the heartbeat row last read */
+  bool heartbeat_exists;                  /* the row is in the store */
+  int64_t planner_hello_reply_ms;         /* its last reply to a hello */
+  int64_t planner_store_failing_since_ms; /* since when, as it reports; 0: it
+                                             works */
+  int64_t planner_late_ms;                /* its event delay, as it reports */
+  MuxAdmission admission;                 /* the planner's, as last received */
   int64_t admission_updated_ms;
   MuxThrottle throttle;    /* the planner's, as last received */
   MuxBlob *admission_blob; /* both, encoded for other daemons; NULL: none */
   int64_t admission_blob_ms;
   /* Since when the store fails the planner and serves this daemon; 0: no. */
-  int64_t only_planner_failing_ms;
+  int64_t only_planner_failing_since_ms;
   int64_t probed_ms; /* when the store last answered a probe */
   int64_t next_probe_ms;
   int64_t next_hello_ms;
@@ -1330,13 +1331,13 @@
   CellIncarnations *incarnations;
   uint32_t worker_slots;       /* slots given out in this term */
   uint32_t direct_workers;     /* workers called without a proxy */
-  CellWorker **worker_at;      /* by slot; owned; NULL: forgotten */
+  CellWorker **worker_by_slot; /* by slot; owned; NULL: forgotten */
   int64_t all_confirmed_at_ms; /* when @all_confirmed was computed */
   bool all_confirmed;          /* each worker of the roster has listed its runs,
                                   or its lease is over */
   uint32_t worker_scan_slot;   /* slot the next check of workers begins at */
   int64_t worker_scanned_ms;   /* when the last one was */
-  CellWorker *reserved;        /* workers with reservations */
+  CellWorker *reserved_workers; /* workers with reservations */
   CellMember *members;
   CellMember *free_members;          /* those that put no approval query */
   int64_t queriers_counted_ms;       /* when the next two were counted */
@@ -1353,20 +1354,20 @@
   bool replan;         /* something changed: plan at the next tick */
   uint64_t change_seq; /* counts changes that are to be stored */
   bool roster_loaded;
-  bool roster_busy;           /* a call about the roster is outstanding */
-  uint64_t roster_fence;      /* version its next commit depends on */
-  bool roster_fence_doubtful; /* a commit went unanswered: read it */
+  bool roster_busy;          /* a call about the roster is outstanding */
+  uint64_t roster_fence;     /* version its next commit depends on */
+  bool roster_fence_unknown; /* a commit went unanswered: read it */
   char roster_from[MUX_ROW_NAME_LEN]; /* first key of the next page */
   int64_t roster_next_ms;
   uint32_t unscanned_steps;  /* waiting steps that no pass has scanned */
-  int64_t next_plan_ms;      /* next pass if nothing changes */
+  int64_t next_idle_pass_ms; /* next pass if nothing changes */
   int64_t next_periodic_ms;  /* next run of the periodic checks */
   uint64_t quota_term;       /* all workers were confirmed in this term */
   MuxQuota unconfirmed_room; /* of workers that have not listed their runs */
   int64_t next_overdue_ms;   /* next check for lost proxied calls */
   int64_t next_loss_check_ms;
-  uint32_t down_next; /* events recorded in @down so far */
-  CellDownEvent down[CELL_DOWN_MAX];
+  uint32_t down_event_count; /* events recorded in @down so far */
+  CellDownEvent down_events[CELL_DOWN_MAX];
   int64_t next_wait_log_ms;
   MuxRunTimes run_times; /* learned, or received from a planner */
   int64_t next_run_times_log_ms;
--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -44,8 +44,8 @@
   cell->role = CELL_FOLLOWER;
   cell->term = 0;
   cell->claim_after_ms = cell->time.now_ms + STEP_DOWN_WAIT_MS;
-  cell->follow[FOLLOW_JOBS].enabled = false;
-  cell->follow[FOLLOW_WORKERS].enabled = false;
+  cell->feed[CELL_FEED_JOBS].enabled = false;
+  cell->feed[CELL_FEED_WORKERS].enabled = false;
   HASH_ITER (hh, cell->jobs, job, next_job)
   cell_job_remove (cell, job);
   HASH_ITER (hh, cell->ended_jobs, ended, next_ended)
@@ -94,7 +94,7 @@
 static int64_t
 weak_delay_ms (const MuxCell *cell)
 {
-  uint32_t share_milli = cell->options.strength_milli;
+  uint32_t share_milli = cell->options.cpu_share_milli;
 
   return share_milli < STRONG_SHARE_MILLI
              ? (int64_t) WEAK_DELAY_MAX_MS * (STRONG_SHARE_MILLI - share_milli)
@@ -126,7 +126,7 @@
 
   if (row->part[0] != 0)
     {
-      cell_report_bad_row (cell, row, CELL_ROW_KEY, "part");
+      cell_report_bad_row (cell, row, CELL_ROW_BAD_KEY, "part");
       return;
     }
   if (row->table == MUX_TABLE_CLAIM
@@ -159,9 +159,9 @@
   cell->claim_read_ms = cell->time.now_ms;
   cell->hellos.acked_number = 0;
   cell->planner_last_contact_ms = cell->time.now_ms;
-  cell->planner_store_failing_ms = 0;
+  cell->planner_store_failing_since_ms = 0;
   cell->planner_late_ms = 0;
-  cell->only_planner_failing_ms = 0;
+  cell->only_planner_failing_since_ms = 0;
   cell->planner_restarted = false;
   cell->planner_hello_reply_ms = 0;
   cell->next_hello_ms = 0;
@@ -279,13 +279,13 @@
 {
   int64_t now = cell->time.now_ms;
 
-  if (cell->planner_store_failing_ms == 0)
+  if (cell->planner_store_failing_since_ms == 0)
     return false;
-  if (cell->only_planner_failing_ms == 0
+  if (cell->only_planner_failing_since_ms == 0
       || now - cell->probed_ms > PROBE_GAP_MAX_MS)
-    cell->only_planner_failing_ms = now;
+    cell->only_planner_failing_since_ms = now;
   cell->probed_ms = now;
-  return now - cell->only_planner_failing_ms
+  return now - cell->only_planner_failing_since_ms
          > PLANNER_FAILING_MS + claim_delay_ms (cell);
 }
 
@@ -303,7 +303,7 @@
     cell_claim_row (cell, &reply->row[i]);
   if (reply->status != MUX_CELL_OK)
     {
-      cell->only_planner_failing_ms = 0;
+      cell->only_planner_failing_since_ms = 0;
       cell->claim_after_ms = cell->time.now_ms + RETRY_MS;
       return;
     }
@@ -341,7 +341,7 @@
   msg.table_ok = cell_store_available (cell);
   msg.epoch = cell->claim.version;
   msg.call_id = cell_hello_next (cell, msg.table_ok);
-  msg.cpu_share_milli = cell->options.strength_milli;
+  msg.cpu_share_milli = cell->options.cpu_share_milli;
   msg.stopping = cell->stopping;
   msg.wall_ms = cell->own_wall_ms;
   (void) cell->options.sink->peer_send (cell->options.sink, cell->claim.addr,
@@ -396,7 +396,7 @@
   else if (cell->planner_restarted)
     send_claim (cell, "restarted");
   else if (planner_is_silent (cell)
-           || (cell->planner_store_failing_ms != 0
+           || (cell->planner_store_failing_since_ms != 0
                && now >= cell->next_probe_ms))
     check_before_claim (cell);
 }
@@ -410,7 +410,7 @@
     {
       /* If this process was paused, the missing contact is not the planner's
        * fault. */
-      if (paused_ms > CELL_PAUSE_MS)
+      if (paused_ms > CELL_PAUSE_MAX_MS)
         cell->planner_last_contact_ms = cell->time.now_ms;
       follower_tick (cell);
     }
@@ -461,11 +461,11 @@
   cell_planner_wall_time_received (cell, msg->wall_ms);
   if (msg->table_ok)
     {
-      cell->planner_store_failing_ms = 0;
-      cell->only_planner_failing_ms = 0;
+      cell->planner_store_failing_since_ms = 0;
+      cell->only_planner_failing_since_ms = 0;
     }
-  else if (cell->planner_store_failing_ms == 0)
-    cell->planner_store_failing_ms = cell->time.now_ms;
+  else if (cell->planner_store_failing_since_ms == 0)
+    cell->planner_store_failing_since_ms = cell->time.now_ms;
 }
 
 void
--- a/src/cell/claim_rows.c
+++ b/src/cell/claim_rows.c
@@ -66,7 +66,7 @@
   claim->known = true;
   claim->unreadable = !row->removed && (json == NULL || bad_field != NULL);
   if (bad_field != NULL)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD, bad_field);
+    cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD, bad_field);
   if (claim->unreadable)
     {
       json_decref (json);
--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -166,7 +166,7 @@
   return (CellLoss){ .run = booking->run,
                      .began = booking->began,
                      .worker_ended = booking->worker->replaced,
-                     .lived_ms = cell_run_lived_ms (booking),
+                     .ran_ms = cell_run_min_duration_ms (booking),
                      .span = cell_run_span (cell, booking) };
 }
 
@@ -190,9 +190,9 @@
   cell_unbook (cell, booking);
   cell_run_ended (cell, task, worker, loss.run, MUX_RUN_LEASE_EXPIRED, "");
   (void) drop_own_pending (task);
-  if (long_run || cell_run_clears_task (task, loss.lived_ms))
+  if (long_run || cell_run_clears_task (task, loss.ran_ms))
     (void) drop_all (task);
-  if (!cell_run_was_short (loss.lived_ms)
+  if (!cell_run_was_short (loss.ran_ms)
       && cell_lost_in_outage (cell, task, &loss))
     return;
   if (counts)
@@ -202,7 +202,7 @@
 void
 cell_loss_run_listed (MuxCell *cell, const CellBooking *booking)
 {
-  if (cell_run_clears_task (booking->task, cell_run_lived_ms (booking))
+  if (cell_run_clears_task (booking->task, cell_run_min_duration_ms (booking))
       && drop_all (booking->task))
     losses_changed (cell, booking->task);
 }
@@ -479,7 +479,7 @@
       || !cell_lost_in_outage (cell, task, loss))
     return false;
   loss->in_outage = true;
-  if (!cell_run_was_short (loss->lived_ms))
+  if (!cell_run_was_short (loss->ran_ms))
     drop (task, i);
   return true;
 }
--- a/src/cell/crash_log.c
+++ b/src/cell/crash_log.c
@@ -30,7 +30,7 @@
                 "run", (int) loss->run, "worker", loss->worker, "addr",
                 loss->addr, "lost_wall_ms", (json_int_t) loss->at_wall_ms,
                 "in_outage", (int) loss->in_outage, "lived_ms",
-                (json_int_t) loss->lived_ms);
+                (json_int_t) loss->ran_ms);
     }
 }
 
@@ -45,7 +45,7 @@
             "task", (int) task->index, "run", (int) loss->run, "worker",
             loss->worker, "worker_ended", (int) loss->worker_ended, "began",
             (int) loss->began, "in_outage", (int) loss->in_outage, "lived_ms",
-            (json_int_t) loss->lived_ms, "crashed", (int) losses.crashed,
+            (json_int_t) loss->ran_ms, "crashed", (int) losses.crashed,
             "untold", (int) losses.unconfirmed, "unreachable",
             (int) losses.unreachable);
 }
--- a/src/cell/crash_rows.c
+++ b/src/cell/crash_rows.c
@@ -80,7 +80,7 @@
             json_array_get (group_of (list, loss), LOST_RUNS),
             json_pack ("[i, i, i, i, I]", (int) i, (int) loss->run,
                        flags_of (loss), (int) loss->in_outage,
-                       (json_int_t) loss->lived_ms));
+                       (json_int_t) loss->ran_ms));
       }
   return list;
 }
@@ -156,7 +156,7 @@
   loss->outcome_unknown = (flags & FLAG_OUTCOME_UNKNOWN) != 0;
   loss->in_outage
       = json_integer_value (json_array_get (run, RUN_IN_OUTAGE)) != 0;
-  loss->lived_ms = json_integer_value (json_array_get (run, RUN_LIVED_MS));
+  loss->ran_ms = json_integer_value (json_array_get (run, RUN_LIVED_MS));
   loss->from_predecessor
       = loss->outcome_unknown || (flags & FLAG_FROM_PREDECESSOR) != 0;
   if (loss->run > task->last_run)
--- a/src/cell/follow.c
+++ b/src/cell/follow.c
@@ -9,7 +9,7 @@
  * one made around an outage of the store 3 s after the end of that (the
  * platform's bounds); a cancelled job's tasks have ended, and a worker's drain
  * is known, after as much. A call that is lost silently is given up after
- * FEED_WAIT_MS and CELL_ANSWER_MS, and the next one answered within the
+ * FEED_WAIT_MS and CELL_REPLY_MAX_MS, and the next one answered within the
  * latter: 2.2 s, from the end of an outage on.
  */
 
@@ -34,7 +34,7 @@
                             const MuxCellReply *reply);
 
 void
-cell_follow_start (CellFollow *follow, uint64_t term, uint64_t version)
+cell_feed_start (CellFeed *follow, uint64_t term, uint64_t version)
 {
   follow->enabled = true;
   follow->term = term;
@@ -49,24 +49,24 @@
 }
 
 bool
-cell_follow_is_fresh (const MuxCell *cell, const CellFollow *follow)
+cell_feed_is_fresh (const MuxCell *cell, const CellFeed *follow)
 {
   return follow->known_until_ms != 0
          && cell->time.now_ms - follow->known_until_ms < STALE_MS;
 }
 
 static bool
-is_at_start (const CellFollow *follow)
+is_at_start (const CellFeed *follow)
 {
   return follow->from[0] == 0 && follow->part == 0;
 }
 
 static void
-send_call (MuxCell *cell, CellFollow *follow, MuxCellCall *call)
+send_call (MuxCell *cell, CellFeed *follow, MuxCellCall *call)
 {
   CellPending pending = { .on_reply = follow_replied,
                           .term = follow->term,
-                          .context = (uint64_t) (follow - cell->follow) };
+                          .context = (uint64_t) (follow - cell->feed) };
 
   follow->call_id = cell->next_call;
   follow->sent_ms = cell->time.now_ms;
@@ -75,7 +75,7 @@
 }
 
 static void
-send_scan (MuxCell *cell, CellFollow *follow)
+send_scan (MuxCell *cell, CellFeed *follow)
 {
   MuxCellCall *call = cell_scan_call (
       follow->table, follow->by_part ? cell->part[follow->part].name : "");
@@ -89,7 +89,7 @@
 }
 
 static void
-send_follow (MuxCell *cell, CellFollow *follow)
+send_follow (MuxCell *cell, CellFeed *follow)
 {
   MuxCellCall *call = mux_cell_call_new (MUX_CELL_FEED);
 
@@ -99,14 +99,15 @@
   call->after = follow->version;
   /* While the store fails any answer is news: a call that waited for a change
    * would leave callers refused for seconds after the store is back. */
-  call->wait_ms = cell->store_failing_ms == 0 ? FEED_WAIT_MS : 0;
-  call->timeout_ms = cell->store_failing_ms == 0 ? FEED_WAIT_MS + CELL_ANSWER_MS
-                                                 : CELL_ANSWER_MS;
+  call->wait_ms = cell->store_failing_since_ms == 0 ? FEED_WAIT_MS : 0;
+  call->timeout_ms = cell->store_failing_since_ms == 0
+                         ? FEED_WAIT_MS + CELL_REPLY_MAX_MS
+                         : CELL_REPLY_MAX_MS;
   send_call (cell, follow, call);
 }
 
 static void
-log_loss (MuxCell *cell, CellFollow *follow, const char *why)
+log_loss (MuxCell *cell, CellFeed *follow, const char *why)
 {
   /* Calls without a wait fail all through an outage. */
   if (follow->wait_ms == 0)
@@ -117,7 +118,7 @@
 }
 
 static void
-log_answer (MuxCell *cell, CellFollow *follow)
+log_answer (MuxCell *cell, CellFeed *follow)
 {
   if (follow->lost)
     cell_log (cell, "feed_back", "{s:s, s:I}", "feed", follow->name,
@@ -137,23 +138,23 @@
  * answer.
  */
 static void
-abandon_suspect_call (MuxCell *cell, CellFollow *follow)
+abandon_suspect_call (MuxCell *cell, CellFeed *follow)
 {
   int64_t now = cell->time.now_ms;
 
   if (!follow->busy || !follow->loaded
       || follow->sent_ms >= cell->store_changed_ms
-      || now - follow->sent_ms < CELL_ANSWER_MS)
+      || now - follow->sent_ms < CELL_REPLY_MAX_MS)
     return;
   cell_call_abandon (cell, follow->call_id);
   follow->busy = false;
   follow->next_ms = now;
   log_loss (cell, follow,
-            cell->store_failing_ms != 0 ? "store_failing" : "store_back");
+            cell->store_failing_since_ms != 0 ? "store_failing" : "store_back");
 }
 
 void
-cell_follow_tick (MuxCell *cell, CellFollow *follow)
+cell_feed_tick (MuxCell *cell, CellFeed *follow)
 {
   if (!follow->enabled)
     return;
@@ -172,7 +173,7 @@
  * the call was sent. */
 static int64_t
 answered_ms (const MuxCell *cell,
-             const CellFollow *follow,
+             const CellFeed *follow,
              const MuxCellReply *reply)
 {
   int64_t waited_ms = follow->sent_ms + follow->wait_ms;
@@ -183,7 +184,7 @@
 }
 
 static void
-call_failed (MuxCell *cell, CellFollow *follow, const MuxCellReply *reply)
+call_failed (MuxCell *cell, CellFeed *follow, const MuxCellReply *reply)
 {
   int64_t now = cell->time.now_ms;
 
@@ -200,7 +201,7 @@
  */
 static void
 confirm_config (MuxCell *cell,
-                const CellFollow *follow,
+                const CellFeed *follow,
                 const MuxCellReply *reply)
 {
   if (follow->table == MUX_TABLE_CONFIG && reply->row_count <= COMPLETE_ROWS_MAX
@@ -211,7 +212,7 @@
 /* A full read has the version of its first page: what changed while the
  * others were read is delivered again, which does no harm. */
 static void
-page_read (MuxCell *cell, CellFollow *follow, const MuxCellReply *reply)
+page_read (MuxCell *cell, CellFeed *follow, const MuxCellReply *reply)
 {
   if (is_at_start (follow))
     follow->version = reply->version;
@@ -237,7 +238,7 @@
                 const CellPending *pending,
                 const MuxCellReply *reply)
 {
-  CellFollow *follow = &cell->follow[pending->context];
+  CellFeed *follow = &cell->feed[pending->context];
 
   follow->busy = false;
   if (reply->status == MUX_CELL_HISTORY_GONE)
--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -72,7 +72,7 @@
   for (uint32_t i = 0; i < stage->approval_count; i++)
     {
       const CellApproval *approval = &stage->approval[i];
-      CellWorker *worker = cell->worker_at[approval->slot];
+      CellWorker *worker = cell->worker_by_slot[approval->slot];
 
       if (worker != NULL && approval->approved)
         n += fill_place (cell, stage, worker, approval, hash, &place[n]);
@@ -87,7 +87,7 @@
   CellWorker *worker;
   uint32_t n = 0;
 
-  DL_FOREACH2 (cell->reserved, worker, reserved_next)
+  DL_FOREACH2 (cell->reserved_workers, worker, reserved_next)
   if (cell_was_reserved (stage, worker))
     n += fill_place (cell, stage, worker, NULL, hash, &place[n]);
   return n;
@@ -483,7 +483,7 @@
       if (!starts_are_recorded (cell, stage, place, count))
         {
           hold_until_recorded (cell, stage, place, count);
-          cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_RECORD);
+          cell_step_set_blocked_on (cell, stage, CELL_BLOCKED_ON_RECORD);
           return;
         }
       cell_holds_release (stage);
@@ -495,13 +495,13 @@
     {
       count = sort_approved (place, count);
       hold_until_recorded (cell, stage, place, count);
-      cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_RECORD);
+      cell_step_set_blocked_on (cell, stage, CELL_BLOCKED_ON_RECORD);
       return;
     }
   if (may_query)
     query_workers (cell, stage, place, count, &room);
   if (!stage->query_pending)
-    cell_step_blocked_on (cell, stage, blocked_on (stage, &room));
+    cell_step_set_blocked_on (cell, stage, blocked_on (stage, &room));
   reservations_left = reservations_of (cell, stage, reservations_left);
   if (*reservations_left == 0 || room.approved_eventually < need
       || stage->hold_count > 0)
@@ -518,7 +518,7 @@
   const CellWorker *worker;
   size_t reserved = 0;
 
-  DL_COUNT2 (cell->reserved, worker, reserved, reserved_next);
+  DL_COUNT2 (cell->reserved_workers, worker, reserved, reserved_next);
   return cell_worker_scan_max (cell) + stage->approval_count + reserved + 1;
 }
 
@@ -554,7 +554,7 @@
     {
       cell_quota_reserve (cell, stage);
       cell_holds_release (stage);
-      cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_QUOTA);
+      cell_step_set_blocked_on (cell, stage, CELL_BLOCKED_ON_QUOTA);
       return;
     }
   if (needed)
--- a/src/cell/handover.c
+++ b/src/cell/handover.c
@@ -105,7 +105,7 @@
   if (cell->yield_busy || cell->time.now_ms < cell->yield_after_ms)
     return;
   successor
-      = choose_successor (cell, YIELD_FACTOR * cell->options.strength_milli);
+      = choose_successor (cell, YIELD_FACTOR * cell->options.cpu_share_milli);
   cell->yield_after_ms = cell->time.now_ms + YIELD_CHECK_MS;
   if (successor != NULL)
     cell->yield_busy = write_release (cell, successor, yield_written);
@@ -132,7 +132,7 @@
       return;
     }
   if (!write_release (cell,
-                      choose_successor (cell, cell->options.strength_milli),
+                      choose_successor (cell, cell->options.cpu_share_milli),
                       release_written))
     cell->claim_released = true;
 }
--- a/src/cell/heartbeat.c
+++ b/src/cell/heartbeat.c
@@ -179,7 +179,7 @@
 {
   int64_t now = cell->time.now_ms;
 
-  if (paused_ms > CELL_PAUSE_MS)
+  if (paused_ms > CELL_PAUSE_MAX_MS)
     cell_claim_doubt (cell, "paused");
   if (cell->claim_verified_ms == 0)
     {
--- a/src/cell/incarnation.c
+++ b/src/cell/incarnation.c
@@ -170,8 +170,9 @@
 {
   if (earlier->unanswered_sent_ms != 0
       && earlier->unanswered_sent_ms + CELL_LATE_ORDERS_MS
-             > next->stale_until_ms)
-    next->stale_until_ms = earlier->unanswered_sent_ms + CELL_LATE_ORDERS_MS;
+             > next->late_orders_until_ms)
+    next->late_orders_until_ms
+        = earlier->unanswered_sent_ms + CELL_LATE_ORDERS_MS;
   move_bookings (cell, earlier, next);
   cell_worker_replaced (cell, earlier);
 }
--- a/src/cell/job_query.c
+++ b/src/cell/job_query.c
@@ -157,7 +157,7 @@
                    || *state == MUX_JOB_CANCELLED);
 
   if (json != NULL && !valid)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD, "state");
+    cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD, "state");
   json_decref (json);
   return valid;
 }
--- a/src/cell/job_rows.c
+++ b/src/cell/job_rows.c
@@ -20,7 +20,7 @@
    * what is missing.  It is not removed either: a daemon that can read it
    * continues it, and its caller can cancel it. */
   if (json != NULL && spec == NULL)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD,
+    cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD,
                          findings.count > 0 ? findings.item[0].text
                                             : "out of memory");
   json_decref (json);
@@ -31,7 +31,7 @@
     }
   if (strcmp (spec->id, row->key) != 0)
     {
-      cell_report_bad_row (cell, row, CELL_ROW_FIELD, "id");
+      cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD, "id");
       cell_unreadable_add (cell, row->key, true);
       mux_job_free (spec);
       return;
@@ -117,7 +117,7 @@
     return;
   snprintf (id, sizeof id, "%.*s", (int) (is_cancel ? len - 1 : len), row->key);
   if (!is_in_place (cell, row, id))
-    cell_report_bad_row (cell, row, CELL_ROW_KEY, "key");
+    cell_report_bad_row (cell, row, CELL_ROW_BAD_KEY, "key");
   else if (is_cancel)
     cancel_row (cell, id);
   else if (cell_job_find (cell, row->key) == NULL
--- a/src/cell/load.c
+++ b/src/cell/load.c
@@ -31,7 +31,7 @@
   cell->roster_loaded = false;
   cell->roster_busy = false;
   cell->roster_fence = 0;
-  cell->roster_fence_doubtful = false;
+  cell->roster_fence_unknown = false;
   cell->roster_from[0] = 0;
   cell->roster_next_ms = 0;
 }
@@ -109,7 +109,7 @@
   bool valid = term > 0 && (uint64_t) term <= row->version;
 
   if (json != NULL && !valid)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD, "term");
+    cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD, "term");
   json_decref (json);
   if (valid)
     return (uint64_t) term;
@@ -276,8 +276,8 @@
   cell_log (cell, "planning", "{s:I, s:i, s:I}", "term",
             (json_int_t) cell->term, "jobs", (int) HASH_COUNT (cell->jobs),
             "after_ms", (json_int_t) (cell->time.now_ms - cell->term_began_ms));
-  cell_follow_start (&cell->follow[FOLLOW_JOBS], cell->term, cell->term);
-  cell_follow_start (&cell->follow[FOLLOW_WORKERS], cell->term, 0);
+  cell_feed_start (&cell->feed[CELL_FEED_JOBS], cell->term, cell->term);
+  cell_feed_start (&cell->feed[CELL_FEED_WORKERS], cell->term, 0);
   HASH_ITER (hh, cell->jobs, job, next)
   cell_job_resume (cell, job);
 }
--- a/src/cell/outage.c
+++ b/src/cell/outage.c
@@ -31,7 +31,8 @@
 void
 cell_outage_record (MuxCell *cell, const CellWorker *worker)
 {
-  CellDownEvent *down = &cell->down[cell->down_next++ % CELL_DOWN_MAX];
+  CellDownEvent *down
+      = &cell->down_events[cell->down_event_count++ % CELL_DOWN_MAX];
 
   *down = (CellDownEvent){ .addr = mux_hash_name (worker->info.addr, 0),
                            .rack = rack_of (&worker->info),
@@ -43,7 +44,7 @@
 static void
 count_workers (const MuxCell *cell, CellLossSpan *span)
 {
-  bool list_is_read = cell->follow[FOLLOW_WORKERS].loaded;
+  bool list_is_read = cell->feed[CELL_FEED_WORKERS].loaded;
   const CellWorker *worker;
   const CellWorker *next;
 
@@ -119,7 +120,7 @@
     {
       const CellLoss *loss = &task->loss[i];
 
-      if (!loss->outcome_unknown && loss->lived_ms < SHORT_RUN_MS
+      if (!loss->outcome_unknown && loss->ran_ms < SHORT_RUN_MS
           && (loss->span.to_ms == 0 || loss->span.to_ms >= from_ms))
         address_set_add (set, mux_hash_name (loss->addr, 0));
     }
@@ -137,7 +138,7 @@
 
       add_losses (task, from_ms, set);
       if (booking != NULL && !booking->worker->reachable
-          && cell_run_lived_ms (booking) < SHORT_RUN_MS)
+          && cell_run_min_duration_ms (booking) < SHORT_RUN_MS)
         address_set_add (set, mux_hash_name (booking->worker->info.addr, 0));
     }
 }
@@ -154,9 +155,10 @@
 cell_workers_are_stable (const MuxCell *cell)
 {
   const CellDownEvent *last
-      = &cell->down[(cell->down_next - 1) % CELL_DOWN_MAX];
+      = &cell->down_events[(cell->down_event_count - 1) % CELL_DOWN_MAX];
 
-  return cell->down_next == 0 || cell->time.now_ms - last->to_ms > STABLE_MS;
+  return cell->down_event_count == 0
+         || cell->time.now_ms - last->to_ms > STABLE_MS;
 }
 
 bool
@@ -173,10 +175,10 @@
     return false;
   address_set_add (&own, mux_hash_name (loss->addr, 0));
   add_step (task->stage, span->from_ms, &own);
-  for (uint32_t i = 1; i <= cell->down_next && i <= CELL_DOWN_MAX; i++)
+  for (uint32_t i = 1; i <= cell->down_event_count && i <= CELL_DOWN_MAX; i++)
     {
       const CellDownEvent *down
-          = &cell->down[(cell->down_next - i) % CELL_DOWN_MAX];
+          = &cell->down_events[(cell->down_event_count - i) % CELL_DOWN_MAX];
 
       if (down->at_ms < span->from_ms)
         return false;
@@ -194,7 +196,7 @@
 }
 
 int64_t
-cell_run_lived_ms (const CellBooking *booking)
+cell_run_min_duration_ms (const CellBooking *booking)
 {
   int64_t ms = booking->worker->clock_at_ms - booking->first_report_ms;
 
--- a/src/cell/place.c
+++ b/src/cell/place.c
@@ -109,7 +109,7 @@
   cell->scan_cost += stage->approval_count;
   for (uint32_t i = 0; i < stage->approval_count; i++)
     {
-      CellWorker *worker = cell->worker_at[stage->approval[i].slot];
+      CellWorker *worker = cell->worker_by_slot[stage->approval[i].slot];
 
       if (worker != NULL
           && cell_usable_proof (cell, &stage->approval[i]) != NULL)
@@ -162,7 +162,7 @@
   for (uint32_t i = 0; i < stage->approval_count && left > 0; i++)
     {
       const CellApproval *approval = &stage->approval[i];
-      CellWorker *worker = cell->worker_at[approval->slot];
+      CellWorker *worker = cell->worker_by_slot[approval->slot];
 
       if (worker == NULL || !approval->approved
           || (!stage->query_pending
@@ -283,7 +283,7 @@
 
   if (placement.over_quota)
     {
-      cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_QUOTA);
+      cell_step_set_blocked_on (cell, stage, CELL_BLOCKED_ON_QUOTA);
       return;
     }
   if (!needed)
@@ -298,7 +298,8 @@
   if (placement.short_of_workers && needed)
     query_candidates (cell, stage);
   if (!stage->query_pending && cell_stage_waiting_tasks (stage) > 0)
-    cell_step_blocked_on (cell, stage, blocked_on (cell, stage, &placement));
+    cell_step_set_blocked_on (cell, stage,
+                              blocked_on (cell, stage, &placement));
   if (stage->rank == CELL_RANK_STARVED)
     hold_approved (cell, stage);
   cell_stage_update (cell, stage);
--- a/src/cell/plan.c
+++ b/src/cell/plan.c
@@ -84,7 +84,7 @@
   return cell_worker_matches (stage, worker)
          && cell_worker_usable (cell, worker)
          && (!stage->spec->best_effort
-             || cell->time.now_ms >= worker->no_fill_until_ms);
+             || cell->time.now_ms >= worker->no_best_effort_until_ms);
 }
 
 void
@@ -284,7 +284,7 @@
 bool
 cell_room_is_current (const MuxCell *cell)
 {
-  return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_WORKERS]);
+  return cell_feed_is_fresh (cell, &cell->feed[CELL_FEED_WORKERS]);
 }
 
 /* A step of many tasks may exceed the scan budget of its pass and start most of
@@ -307,12 +307,12 @@
   if (!cell_is_active_planner (cell) || cell->stopping || cell->jobs_unverified
       || !cell_room_is_current (cell))
     return;
-  if (cell->time.now_ms < cell->next_plan_ms && !cell->replan)
+  if (cell->time.now_ms < cell->next_idle_pass_ms && !cell->replan)
     return;
   if (cell->time.now_ms < cell->next_pass_ms)
     return;
   cell->replan = false;
-  cell->next_plan_ms = cell->time.now_ms + IDLE_PASS_INTERVAL_MS;
+  cell->next_idle_pass_ms = cell->time.now_ms + IDLE_PASS_INTERVAL_MS;
   cell_plan_order_rerank (cell);
   cell->scan_cost = 0;
   cell->idle_scan_cost = 0;
--- a/src/cell/progress_rows.c
+++ b/src/cell/progress_rows.c
@@ -358,7 +358,7 @@
   if (json != NULL)
     bad_field = cell_progress_apply (cell, job, json);
   if (bad_field != NULL)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD, bad_field);
+    cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD, bad_field);
   job->progress_unreadable = json == NULL || bad_field != NULL;
   cell_queue_count_update (cell, job);
   json_decref (json);
--- a/src/cell/relay.c
+++ b/src/cell/relay.c
@@ -20,7 +20,7 @@
 cell_planner_is_reachable (const MuxCell *cell)
 {
   return cell->planner_hello_reply_ms != 0
-         && cell->planner_store_failing_ms == 0
+         && cell->planner_store_failing_since_ms == 0
          && cell->time.now_ms - cell->planner_hello_reply_ms
                 < HELLO_REPLY_MAX_AGE_MS;
 }
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -218,7 +218,7 @@
   }
   if (!over)
     return;
-  worker->no_fill_until_ms = cell->time.now_ms + NO_BEST_EFFORT_MS;
+  worker->no_best_effort_until_ms = cell->time.now_ms + NO_BEST_EFFORT_MS;
   DL_FOREACH (worker->bookings, booking)
   if (booking->task->stage->spec->best_effort)
     cell_stop_booking (cell, booking);
--- a/src/cell/request.c
+++ b/src/cell/request.c
@@ -34,7 +34,7 @@
 static MuxResponseOutcome
 no_queue_outcome (const MuxCell *cell)
 {
-  return cell_follow_is_fresh (cell, &cell->follow[FOLLOW_CONFIG])
+  return cell_feed_is_fresh (cell, &cell->feed[CELL_FEED_CONFIG])
              ? MUX_RESPONSE_NO_QUEUE
              : MUX_RESPONSE_REFUSED;
 }
--- a/src/cell/reserve.c
+++ b/src/cell/reserve.c
@@ -21,9 +21,9 @@
     return;
   worker->is_reserved = is_reserved;
   if (is_reserved)
-    DL_APPEND2 (cell->reserved, worker, reserved_prev, reserved_next);
+    DL_APPEND2 (cell->reserved_workers, worker, reserved_prev, reserved_next);
   else
-    DL_DELETE2 (cell->reserved, worker, reserved_prev, reserved_next);
+    DL_DELETE2 (cell->reserved_workers, worker, reserved_prev, reserved_next);
 }
 
 static CellReservation *
@@ -72,7 +72,7 @@
   CellWorker *worker;
   CellWorker *next;
 
-  DL_FOREACH_SAFE2 (cell->reserved, worker, next, reserved_next)
+  DL_FOREACH_SAFE2 (cell->reserved_workers, worker, next, reserved_next)
   for (uint32_t i = worker->reservation_count; i-- > 0;)
     {
       CellReservation *reservation = &worker->reservation[i];
@@ -93,7 +93,7 @@
 {
   CellWorker *worker;
 
-  DL_FOREACH2 (cell->reserved, worker, reserved_next)
+  DL_FOREACH2 (cell->reserved_workers, worker, reserved_next)
   {
     CellReservation *reservation = find (worker, stage);
 
@@ -108,7 +108,7 @@
   CellWorker *worker;
   bool any = false;
 
-  DL_FOREACH2 (cell->reserved, worker, reserved_next)
+  DL_FOREACH2 (cell->reserved_workers, worker, reserved_next)
   {
     CellReservation *reservation = find (worker, stage);
 
@@ -227,7 +227,7 @@
   CellWorker *worker;
   CellWorker *next;
 
-  DL_FOREACH_SAFE2 (cell->reserved, worker, next, reserved_next)
+  DL_FOREACH_SAFE2 (cell->reserved_workers, worker, next, reserved_next)
   {
     CellReservation *reservation = find (worker, stage);
 
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -58,7 +58,7 @@
   int64_t expires_ms = 0;
 
   if (json != NULL && bad != NULL)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD, bad);
+    cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD, bad);
   if (worker != NULL)
     worker->roster = CELL_ROSTER_NAMED;
   if (worker != NULL && bad == NULL)
@@ -71,7 +71,7 @@
       worker->unlisted_ms = cell->time.now_ms;
       worker->roster
           = expires_ms != 0 ? CELL_ROSTER_WITH_EXPIRY : CELL_ROSTER_NAMED;
-      worker->marked_expiry_ms
+      worker->stored_expiry_ms
           = expires_ms != 0 ? cell->time.now_ms + (expires_ms - store_clock_ms)
                             : 0;
     }
@@ -94,7 +94,7 @@
     else if (mux_incarnation_valid (reply->row[i].key))
       load_row (cell, &reply->row[i], reply->store_clock_ms);
     else
-      cell_report_bad_row (cell, &reply->row[i], CELL_ROW_KEY, "key");
+      cell_report_bad_row (cell, &reply->row[i], CELL_ROW_BAD_KEY, "key");
   cell->roster_loaded = !cell_next_page (cell->roster_from, reply);
   if (!cell->roster_loaded)
     cell->roster_next_ms = cell->time.now_ms;
@@ -125,7 +125,7 @@
 static bool
 can_store_expiry (const MuxCell *cell, const CellWorker *worker)
 {
-  return cell->store_clock_at_ms != 0 && cell->store_failing_ms == 0
+  return cell->store_clock_at_ms != 0 && cell->store_failing_since_ms == 0
          && worker->info.addr[0] != 0;
 }
 
@@ -190,7 +190,7 @@
     if (status == MUX_CELL_OK)
       worker->roster = worker->roster_pending;
     else if (status != MUX_CELL_UNKNOWN)
-      worker->roster = worker->roster_before;
+      worker->roster = worker->roster_previous;
     worker->roster_pending = 0;
   }
 }
@@ -205,7 +205,7 @@
   if (reply->status == MUX_CELL_CONFLICT)
     cell_claim_doubt (cell, "roster_conflict");
   if (reply->status == MUX_CELL_UNKNOWN || reply->status == MUX_CELL_CONFLICT)
-    cell->roster_fence_doubtful = true;
+    cell->roster_fence_unknown = true;
   if (reply->status != MUX_CELL_OK)
     {
       cell->roster_next_ms = cell->time.now_ms + RETRY_MS;
@@ -240,7 +240,7 @@
 write_entry (MuxCell *cell, CellWorker *worker, MuxCellCall *call)
 {
   worker->roster_pending = wanted_state (cell, worker);
-  worker->roster_before = worker->roster;
+  worker->roster_previous = worker->roster;
   worker->roster |= worker->roster_pending;
   if (worker->roster_pending == CELL_ROSTER_NONE)
     cell_call_add_change (call, MUX_CHANGE_REMOVE, MUX_TABLE_ROSTER,
@@ -308,7 +308,7 @@
   if (reply->status != MUX_CELL_OK)
     return;
   cell->roster_fence = reply->row_count > 0 ? reply->row[0].version : 0;
-  cell->roster_fence_doubtful = false;
+  cell->roster_fence_unknown = false;
   cell->roster_next_ms = cell->time.now_ms;
 }
 
@@ -344,7 +344,7 @@
       || !wants_commit (cell))
     return;
   cell->roster_next_ms = cell->time.now_ms + RETRY_MS;
-  if (cell->roster_fence_doubtful)
+  if (cell->roster_fence_unknown)
     read_fence (cell);
   else
     commit (cell);
--- a/src/cell/step_wait.c
+++ b/src/cell/step_wait.c
@@ -11,9 +11,9 @@
 }
 
 void
-cell_step_blocked_on (const MuxCell *cell,
-                      CellStage *stage,
-                      CellBlockedOn reason)
+cell_step_set_blocked_on (const MuxCell *cell,
+                          CellStage *stage,
+                          CellBlockedOn reason)
 {
   CellStepWait *wait = &stage->wait;
   int64_t now_ms = cell->time.now_ms;
@@ -30,9 +30,9 @@
 {
   stage->wait.queries++;
   stage->wait.candidates += query->candidate_count;
-  cell_step_blocked_on (cell, stage,
-                        query->is_renewal ? CELL_BLOCKED_ON_PROOF
-                                          : CELL_BLOCKED_ON_ANSWER);
+  cell_step_set_blocked_on (cell, stage,
+                            query->is_renewal ? CELL_BLOCKED_ON_PROOF
+                                              : CELL_BLOCKED_ON_ANSWER);
   mux_count (cell->options.counters, MUX_COUNT_APPROVAL_NAMES,
              query->candidate_count);
 }
@@ -46,7 +46,7 @@
   int64_t took_ms = cell->time.now_ms - query->sent_ms;
 
   stage->wait.approved += approved;
-  cell_step_blocked_on (cell, stage, CELL_BLOCKED_ON_TURN);
+  cell_step_set_blocked_on (cell, stage, CELL_BLOCKED_ON_TURN);
   mux_count (cell->options.counters, MUX_COUNT_APPROVALS_GIVEN, approved);
   mux_count (cell->options.counters, MUX_COUNT_APPROVAL_TIME,
              took_ms > 0 ? (uint64_t) took_ms : 0);
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -318,8 +318,8 @@
                            "no_answer");
     else if (!submission->outcome_unknown
              && (now >= submission->deadline_ms || !cell_store_available (cell)
-                 || (cell->store_failing_ms != 0
-                     && now - cell->store_failing_ms >= REFUSE_AFTER_MS)))
+                 || (cell->store_failing_since_ms != 0
+                     && now - cell->store_failing_since_ms >= REFUSE_AFTER_MS)))
       cell_submission_end (cell, part, submission, MUX_RESPONSE_REFUSED,
                            "store_failing");
   }
@@ -479,7 +479,7 @@
 
       if (part->submissions == NULL)
         continue;
-      if (part->submitting && cell->store_failing_ms == 0
+      if (part->submitting && cell->store_failing_since_ms == 0
           && cell->time.now_ms - part->submit_sent_ms > STORE_SILENT_MS
           && cell->time.now_ms - cell->store_served_ms > STORE_SILENT_MS)
         cell_store_timed_out (cell, part->submit_sent_ms);
--- a/src/cell/unreadable_rows.c
+++ b/src/cell/unreadable_rows.c
@@ -116,5 +116,5 @@
   }
   json_decref (json);
   if (unreadable->overflow)
-    cell_report_bad_row (cell, row, CELL_ROW_FIELD, "ends");
+    cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD, "ends");
 }
--- a/src/cell/worker.c
+++ b/src/cell/worker.c
@@ -30,11 +30,11 @@
 
   if (cell->worker_slots % SLOTS_INCREMENT != 0)
     return true;
-  list = realloc (cell->worker_at, (cell->worker_slots + SLOTS_INCREMENT)
-                                       * sizeof (CellWorker *));
+  list = realloc (cell->worker_by_slot, (cell->worker_slots + SLOTS_INCREMENT)
+                                            * sizeof (CellWorker *));
   if (list == NULL)
     return false;
-  cell->worker_at = list;
+  cell->worker_by_slot = list;
   return true;
 }
 
@@ -58,7 +58,7 @@
       return NULL;
     }
   worker->slot = cell->worker_slots++;
-  cell->worker_at[worker->slot] = worker;
+  cell->worker_by_slot[worker->slot] = worker;
   worker->roster = CELL_ROSTER_NONE;
   HASH_ADD_KEYPTR (hh, cell->workers, worker->info.id, strlen (worker->info.id),
                    worker);
@@ -76,7 +76,7 @@
   cell_reservations_clear_worker (cell, worker);
   cell_incarnation_remove (cell, worker);
   HASH_DEL (cell->workers, worker);
-  cell->worker_at[worker->slot] = NULL;
+  cell->worker_by_slot[worker->slot] = NULL;
   free (worker);
 }
 
@@ -134,7 +134,7 @@
 
 /* The worker has ended, or its lease has: no run is left there. */
 void
-cell_worker_dead (MuxCell *cell, CellWorker *worker, const char *why)
+cell_worker_mark_dead (MuxCell *cell, CellWorker *worker, const char *why)
 {
   if (worker->dead)
     return;
@@ -159,7 +159,7 @@
       worker->down_before_ms = cell->time.now_ms;
       cell_outage_record (cell, worker);
     }
-  cell_worker_dead (cell, worker, "other_life");
+  cell_worker_mark_dead (cell, worker, "other_life");
 }
 
 /* The id is kept: it is the key of the hash table. */
@@ -229,8 +229,8 @@
   if (bad_field != NULL)
     cell_report_bad_row (cell, row,
                          row->worker == NULL && row->bad_field == NULL
-                             ? CELL_ROW_VALUE
-                             : CELL_ROW_FIELD,
+                             ? CELL_ROW_BAD_VALUE
+                             : CELL_ROW_BAD_FIELD,
                          bad_field);
   cell_incarnations_unlist (cell, row->key, NULL);
 }
@@ -269,14 +269,14 @@
       || !mux_incarnation_name (incarnation, row->key,
                                 entry != NULL ? entry->started_ms : 0))
     {
-      cell_report_bad_row (cell, row, CELL_ROW_KEY, "key");
+      cell_report_bad_row (cell, row, CELL_ROW_BAD_KEY, "key");
       return;
     }
   /* Entries of earlier incarnations are ignored, whoever writes them. */
   if (entry != NULL
       && cell_incarnation_is_outdated (cell, row->key, entry->started_ms))
     {
-      cell_report_bad_row (cell, row, CELL_ROW_FIELD, "born");
+      cell_report_bad_row (cell, row, CELL_ROW_BAD_FIELD, "born");
       return;
     }
   if (!row->removed)
@@ -339,7 +339,7 @@
   worker->confirmed = false;
   worker->reachable = false;
   worker->lease_expires_ms = 0;
-  worker->marked_expiry_ms = 0;
+  worker->stored_expiry_ms = 0;
   worker->lease_over_since_ms = 0;
   worker->next_renew_ms = cell->time.now_ms + CELL_RENEW_PAUSE_MS;
 }
@@ -369,7 +369,7 @@
       && (!worker->reachable || !worker->confirmed)
       && (worker->lease_expires_ms != 0 || !worker->confirmed)
       && cell_lease_is_over (cell, worker))
-    cell_worker_dead (cell, worker, "lease_over");
+    cell_worker_mark_dead (cell, worker, "lease_over");
   if (worker->dead)
     lose_late_starts (cell, worker);
   if (worker->dead && !worker->replaced && !cell_in_roster (worker))
@@ -426,7 +426,7 @@
 
       if (cell->worker_scan_slot >= cell->worker_slots)
         cell->worker_scan_slot = 0;
-      worker = cell->worker_at[cell->worker_scan_slot++];
+      worker = cell->worker_by_slot[cell->worker_scan_slot++];
       if (worker == NULL)
         continue;
       worker_tick (cell, worker);
--- a/src/cell/worker_lease.c
+++ b/src/cell/worker_lease.c
@@ -56,8 +56,8 @@
 static int64_t
 stale_lease_until_ms (const CellWorker *worker)
 {
-  return worker->stale_until_ms > worker->clock_at_ms
-             ? worker->stale_until_ms + cell_longest_lease_ms ()
+  return worker->late_orders_until_ms > worker->clock_at_ms
+             ? worker->late_orders_until_ms + cell_longest_lease_ms ()
              : 0;
 }
 
@@ -97,9 +97,9 @@
 cell_unconfirmed_lease_left (const MuxCell *cell, const CellWorker *worker)
 {
   int64_t left = cell_predecessor_lease_left (cell);
-  int64_t stored_left = worker->marked_expiry_ms - cell->time.now_ms;
+  int64_t stored_left = worker->stored_expiry_ms - cell->time.now_ms;
 
-  if (worker->marked_expiry_ms == 0 || stored_left >= left)
+  if (worker->stored_expiry_ms == 0 || stored_left >= left)
     return left;
   return stored_left > 0 ? stored_left : 0;
 }
@@ -117,8 +117,8 @@
 
   /* An expiry stored by a predecessor is never after the end of the longest
    * lease. */
-  if (!worker->confirmed && worker->marked_expiry_ms != 0
-      && now - EXPIRY_MARGIN_MS > worker->marked_expiry_ms)
+  if (!worker->confirmed && worker->stored_expiry_ms != 0
+      && now - EXPIRY_MARGIN_MS > worker->stored_expiry_ms)
     return true;
   if (!worker->confirmed)
     return now - EXPIRY_MARGIN_MS > predecessor_lease_until_ms (cell);
@@ -157,7 +157,7 @@
 {
   int64_t until = worker->clock_ms + LEASE_MAX_MS;
 
-  if (cell->time.now_ms < worker->stale_until_ms
+  if (cell->time.now_ms < worker->late_orders_until_ms
       && until > worker->lease_expires_ms)
     worker->lease_expires_ms = until;
 }
--- a/src/cell/worker_scan.c
+++ b/src/cell/worker_scan.c
@@ -48,7 +48,7 @@
 {
   while (scan->slots_left > 0 && scan->workers_left > 0)
     {
-      CellWorker *worker = cell->worker_at[scan->slot];
+      CellWorker *worker = cell->worker_by_slot[scan->slot];
 
       scan->slot = (scan->slot + 1) % cell->worker_slots;
       scan->slots_left--;
--- a/src/daemon/cell_run.c
+++ b/src/daemon/cell_run.c
@@ -69,7 +69,7 @@
                                                : given->peer_listen,
       .lease_ms = given->lease_ms,
       .dead_ms = given->dead_ms,
-      .strength_milli = given->cpu_share_milli,
+      .cpu_share_milli = given->cpu_share_milli,
       .revoke_timeout_ms = given->revoke_timeout_ms,
       .quota_overrun_milli = given->quota_overrun_milli,
       .ended_retention_s = given->key_retention_s,
--- a/test/support/cell_world.c
+++ b/test/support/cell_world.c
@@ -756,7 +756,7 @@
     .unreadable_max = world->unread_max,
     .revoke_timeout_ms = world->revoke_timeout_ms,
     .quota_overrun_milli = world->quota_overrun_milli,
-    .strength_milli
+    .cpu_share_milli
     = cell->strength_milli != 0 ? cell->strength_milli : STRENGTH_MILLI,
   };
   static char names[WORLD_CELLS_MAX][MUX_NAME_LEN];
--- a/test/unit/test_cell_feeds.c
+++ b/test/unit/test_cell_feeds.c
@@ -365,7 +365,7 @@
                              .incarnation = 1,
                              .lease_ms = 4000,
                              .dead_ms = 60000,
-                             .strength_milli = 1000,
+                             .cpu_share_milli = 1000,
                              .ended_retention_s = 60 };
   MuxCellCall *call;
   MuxCellReply *reply;
