--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -111,10 +111,10 @@
 void cell_services_free (MuxCell *cell);
 
 /* follow.c */
-void cell_feed_tick (MuxCell *cell, CellFeed *follow);
-void cell_feed_start (CellFeed *follow, uint64_t term, uint64_t version);
-/** cell_follow_is_fresh() - the table's copy is no older than allowed */
-bool cell_feed_is_fresh (const MuxCell *cell, const CellFeed *follow);
+void cell_feed_tick (MuxCell *cell, CellFeed *feed);
+void cell_feed_start (CellFeed *feed, uint64_t term, uint64_t version);
+/** cell_feed_is_fresh() - the table's copy is no older than allowed */
+bool cell_feed_is_fresh (const MuxCell *cell, const CellFeed *feed);
 
 /* late.c: overload of the planner */
 /** cell_reply_latency_record() - adds the call that a worker has just answered
@@ -758,9 +758,9 @@
 /** cell_losses_exceeded() - the task has crashed too many workers to be
  * started again */
 bool cell_losses_exceeded (const MuxCell *cell, const CellTask *task);
-/** cell_run_clears_task() - a run that lasted @lived_ms shows that the task
+/** cell_run_clears_task() - a run that lasted @ran_ms shows that the task
  * does not crash its workers */
-bool cell_run_clears_task (const CellTask *task, int64_t lived_ms);
+bool cell_run_clears_task (const CellTask *task, int64_t ran_ms);
 
 /* outage.c: correlated failures of workers */
 /** cell_outage_record() - records that the worker is unreachable */
@@ -778,10 +778,10 @@
                           const CellLoss *loss);
 /** cell_workers_are_stable() - no worker became unreachable lately */
 bool cell_workers_are_stable (const MuxCell *cell);
-/** cell_run_lived_ms() - lower bound of how long the run has run, from the
- * worker's reports */
+/** cell_run_min_duration_ms() - lower bound of how long the run has run, from
+ * the worker's reports */
 int64_t cell_run_min_duration_ms (const CellBooking *booking);
-bool cell_run_was_short (int64_t lived_ms);
+bool cell_run_was_short (int64_t ran_ms);
 
 /* crash.c: runs that were lost with their workers */
 /** cell_loss_add() - appends a zeroed loss
--- a/src/cell/crash_rows.c
+++ b/src/cell/crash_rows.c
@@ -5,7 +5,7 @@
 
 /* Losses of a stage's tasks as they are stored, grouped by the workers lost:
  * [worker, address, whether it has ended, wall-clock time, [[task, run,
- * flags, in an outage, lived_ms], ...]]. Rows of older versions of the
+ * flags, in an outage, ran_ms], ...]]. Rows of older versions of the
  * program end at the flags, and those versions ignore what follows. */
 
 enum
@@ -23,7 +23,7 @@
   RUN_NUMBER,
   RUN_FLAGS,
   RUN_IN_OUTAGE,
-  RUN_LIVED_MS,
+  RUN_RAN_MS,
 };
 
 /* Flags of a run; see struct CellLoss. */
@@ -105,8 +105,7 @@
          && is_number (json_array_get (run, RUN_NUMBER), UINT32_MAX)
          && is_number (json_array_get (run, RUN_FLAGS), FLAGS_ALL)
          && is_number_if_any (json_array_get (run, RUN_IN_OUTAGE), 1)
-         && is_number_if_any (json_array_get (run, RUN_LIVED_MS),
-                              INT64_MAX / 2);
+         && is_number_if_any (json_array_get (run, RUN_RAN_MS), INT64_MAX / 2);
 }
 
 static bool
@@ -156,7 +155,7 @@
   loss->outcome_unknown = (flags & FLAG_OUTCOME_UNKNOWN) != 0;
   loss->in_outage
       = json_integer_value (json_array_get (run, RUN_IN_OUTAGE)) != 0;
-  loss->ran_ms = json_integer_value (json_array_get (run, RUN_LIVED_MS));
+  loss->ran_ms = json_integer_value (json_array_get (run, RUN_RAN_MS));
   loss->from_predecessor
       = loss->outcome_unknown || (flags & FLAG_FROM_PREDECESSOR) != 0;
   if (loss->run > task->last_run)
--- a/src/cell/follow.c
+++ b/src/cell/follow.c
@@ -29,102 +29,101 @@
  * call, which is paid for; a change is delayed by half of it on average. */
 #define BATCH_PAUSE_MS 30
 
-static void follow_replied (MuxCell *cell,
-                            const CellPending *pending,
-                            const MuxCellReply *reply);
+static void feed_replied (MuxCell *cell,
+                          const CellPending *pending,
+                          const MuxCellReply *reply);
 
 void
-cell_feed_start (CellFeed *follow, uint64_t term, uint64_t version)
+cell_feed_start (CellFeed *feed, uint64_t term, uint64_t version)
 {
-  follow->enabled = true;
-  follow->term = term;
-  follow->loaded = version != 0;
-  follow->busy = false;
-  follow->known_until_ms = 0;
-  follow->lost = false;
-  follow->part = 0;
-  follow->from[0] = 0;
-  follow->version = version;
-  follow->next_ms = 0;
+  feed->enabled = true;
+  feed->term = term;
+  feed->loaded = version != 0;
+  feed->busy = false;
+  feed->known_until_ms = 0;
+  feed->lost = false;
+  feed->part = 0;
+  feed->from[0] = 0;
+  feed->version = version;
+  feed->next_ms = 0;
 }
 
 bool
-cell_feed_is_fresh (const MuxCell *cell, const CellFeed *follow)
+cell_feed_is_fresh (const MuxCell *cell, const CellFeed *feed)
 {
-  return follow->known_until_ms != 0
-         && cell->time.now_ms - follow->known_until_ms < STALE_MS;
+  return feed->known_until_ms != 0
+         && cell->time.now_ms - feed->known_until_ms < STALE_MS;
 }
 
 static bool
-is_at_start (const CellFeed *follow)
+is_at_start (const CellFeed *feed)
 {
-  return follow->from[0] == 0 && follow->part == 0;
+  return feed->from[0] == 0 && feed->part == 0;
 }
 
 static void
-send_call (MuxCell *cell, CellFeed *follow, MuxCellCall *call)
+send_call (MuxCell *cell, CellFeed *feed, MuxCellCall *call)
 {
-  CellPending pending = { .on_reply = follow_replied,
-                          .term = follow->term,
-                          .context = (uint64_t) (follow - cell->feed) };
+  CellPending pending = { .on_reply = feed_replied,
+                          .term = feed->term,
+                          .context = (uint64_t) (feed - cell->feed) };
 
-  follow->call_id = cell->next_call;
-  follow->sent_ms = cell->time.now_ms;
-  follow->wait_ms = call->wait_ms;
-  follow->busy = cell_call (cell, call, &pending);
+  feed->call_id = cell->next_call;
+  feed->sent_ms = cell->time.now_ms;
+  feed->wait_ms = call->wait_ms;
+  feed->busy = cell_call (cell, call, &pending);
 }
 
 static void
-send_scan (MuxCell *cell, CellFeed *follow)
+send_scan (MuxCell *cell, CellFeed *feed)
 {
   MuxCellCall *call = cell_scan_call (
-      follow->table, follow->by_part ? cell->part[follow->part].name : "");
+      feed->table, feed->by_part ? cell->part[feed->part].name : "");
 
   if (call == NULL)
     return;
-  snprintf (call->from, sizeof call->from, "%s", follow->from);
-  if (is_at_start (follow) && follow->on_full_read != NULL)
-    follow->on_full_read (cell, false);
-  send_call (cell, follow, call);
+  snprintf (call->from, sizeof call->from, "%s", feed->from);
+  if (is_at_start (feed) && feed->on_full_read != NULL)
+    feed->on_full_read (cell, false);
+  send_call (cell, feed, call);
 }
 
 static void
-send_follow (MuxCell *cell, CellFeed *follow)
+send_feed_call (MuxCell *cell, CellFeed *feed)
 {
   MuxCellCall *call = mux_cell_call_new (MUX_CELL_FEED);
 
   if (call == NULL)
     return;
-  call->table = follow->table;
-  call->after = follow->version;
+  call->table = feed->table;
+  call->after = feed->version;
   /* While the store fails any answer is news: a call that waited for a change
    * would leave callers refused for seconds after the store is back. */
   call->wait_ms = cell->store_failing_since_ms == 0 ? FEED_WAIT_MS : 0;
   call->timeout_ms = cell->store_failing_since_ms == 0
                          ? FEED_WAIT_MS + CELL_REPLY_MAX_MS
                          : CELL_REPLY_MAX_MS;
-  send_call (cell, follow, call);
+  send_call (cell, feed, call);
 }
 
 static void
-log_loss (MuxCell *cell, CellFeed *follow, const char *why)
+log_loss (MuxCell *cell, CellFeed *feed, const char *why)
 {
   /* Calls without a wait fail all through an outage. */
-  if (follow->wait_ms == 0)
+  if (feed->wait_ms == 0)
     return;
-  follow->lost = follow->known_until_ms != 0;
-  cell_log (cell, "feed_lost", "{s:s, s:s, s:I}", "feed", follow->name, "why",
-            why, "out_ms", (json_int_t) (cell->time.now_ms - follow->sent_ms));
+  feed->lost = feed->known_until_ms != 0;
+  cell_log (cell, "feed_lost", "{s:s, s:s, s:I}", "feed", feed->name, "why",
+            why, "out_ms", (json_int_t) (cell->time.now_ms - feed->sent_ms));
 }
 
 static void
-log_answer (MuxCell *cell, CellFeed *follow)
+log_answer (MuxCell *cell, CellFeed *feed)
 {
-  if (follow->lost)
-    cell_log (cell, "feed_back", "{s:s, s:I}", "feed", follow->name,
-              "behind_ms",
-              (json_int_t) (cell->time.now_ms - follow->known_until_ms));
-  follow->lost = false;
+  if (feed->lost)
+    cell_log (cell, "feed_back", "{s:s, s:I}", "feed", feed->name, "behind_ms",
+              (json_int_t) (cell->time.now_ms - feed->known_until_ms));
+  feed->lost = false;
 }
 
 /*
@@ -138,34 +137,33 @@
  * answer.
  */
 static void
-abandon_suspect_call (MuxCell *cell, CellFeed *follow)
+abandon_suspect_call (MuxCell *cell, CellFeed *feed)
 {
   int64_t now = cell->time.now_ms;
 
-  if (!follow->busy || !follow->loaded
-      || follow->sent_ms >= cell->store_changed_ms
-      || now - follow->sent_ms < CELL_REPLY_MAX_MS)
+  if (!feed->busy || !feed->loaded || feed->sent_ms >= cell->store_changed_ms
+      || now - feed->sent_ms < CELL_REPLY_MAX_MS)
     return;
-  cell_call_abandon (cell, follow->call_id);
-  follow->busy = false;
-  follow->next_ms = now;
-  log_loss (cell, follow,
+  cell_call_abandon (cell, feed->call_id);
+  feed->busy = false;
+  feed->next_ms = now;
+  log_loss (cell, feed,
             cell->store_failing_since_ms != 0 ? "store_failing" : "store_back");
 }
 
 void
-cell_feed_tick (MuxCell *cell, CellFeed *follow)
+cell_feed_tick (MuxCell *cell, CellFeed *feed)
 {
-  if (!follow->enabled)
+  if (!feed->enabled)
     return;
-  abandon_suspect_call (cell, follow);
-  if (follow->busy || cell->time.now_ms < follow->next_ms)
+  abandon_suspect_call (cell, feed);
+  if (feed->busy || cell->time.now_ms < feed->next_ms)
     return;
-  follow->next_ms = cell->time.now_ms + RETRY_MS;
-  if (follow->loaded)
-    send_follow (cell, follow);
+  feed->next_ms = cell->time.now_ms + RETRY_MS;
+  if (feed->loaded)
+    send_feed_call (cell, feed);
   else
-    send_scan (cell, follow);
+    send_scan (cell, feed);
 }
 
 /* When the store gave the answer: for one without changes that came after its
@@ -173,26 +171,26 @@
  * the call was sent. */
 static int64_t
 answered_ms (const MuxCell *cell,
-             const CellFeed *follow,
+             const CellFeed *feed,
              const MuxCellReply *reply)
 {
-  int64_t waited_ms = follow->sent_ms + follow->wait_ms;
+  int64_t waited_ms = feed->sent_ms + feed->wait_ms;
 
   return reply->row_count == 0 && cell->time.now_ms >= waited_ms
              ? waited_ms
-             : follow->sent_ms;
+             : feed->sent_ms;
 }
 
 static void
-call_failed (MuxCell *cell, CellFeed *follow, const MuxCellReply *reply)
+call_failed (MuxCell *cell, CellFeed *feed, const MuxCellReply *reply)
 {
   int64_t now = cell->time.now_ms;
 
-  follow->next_ms = follow->sent_ms + RETRY_MS;
-  if (follow->next_ms < now)
-    follow->next_ms = now;
+  feed->next_ms = feed->sent_ms + RETRY_MS;
+  if (feed->next_ms < now)
+    feed->next_ms = now;
   if (reply->status == MUX_CELL_UNKNOWN)
-    log_loss (cell, follow, "silent");
+    log_loss (cell, feed, "silent");
 }
 
 /*
@@ -200,32 +198,30 @@
  * store may have answered long after it read the table.
  */
 static void
-confirm_config (MuxCell *cell,
-                const CellFeed *follow,
-                const MuxCellReply *reply)
+confirm_config (MuxCell *cell, const CellFeed *feed, const MuxCellReply *reply)
 {
-  if (follow->table == MUX_TABLE_CONFIG && reply->row_count <= COMPLETE_ROWS_MAX
-      && !reply->more && is_at_start (follow))
-    cell_config_confirmed (cell, follow->sent_ms);
+  if (feed->table == MUX_TABLE_CONFIG && reply->row_count <= COMPLETE_ROWS_MAX
+      && !reply->more && is_at_start (feed))
+    cell_config_confirmed (cell, feed->sent_ms);
 }
 
 /* A full read has the version of its first page: what changed while the
  * others were read is delivered again, which does no harm. */
 static void
-page_read (MuxCell *cell, CellFeed *follow, const MuxCellReply *reply)
+page_read (MuxCell *cell, CellFeed *feed, const MuxCellReply *reply)
 {
-  if (is_at_start (follow))
-    follow->version = reply->version;
-  if (cell_next_page (follow->from, reply))
+  if (is_at_start (feed))
+    feed->version = reply->version;
+  if (cell_next_page (feed->from, reply))
     return;
-  if (follow->by_part && follow->part + 1 < CELL_PARTS)
+  if (feed->by_part && feed->part + 1 < CELL_PARTS)
     {
-      follow->part++;
+      feed->part++;
       return;
     }
-  follow->loaded = true;
-  if (follow->on_full_read != NULL)
-    follow->on_full_read (cell, true);
+  feed->loaded = true;
+  if (feed->on_full_read != NULL)
+    feed->on_full_read (cell, true);
 }
 
 /*
@@ -234,43 +230,42 @@
  * in full again.
  */
 static void
-follow_replied (MuxCell *cell,
-                const CellPending *pending,
-                const MuxCellReply *reply)
+feed_replied (MuxCell *cell,
+              const CellPending *pending,
+              const MuxCellReply *reply)
 {
-  CellFeed *follow = &cell->feed[pending->context];
+  CellFeed *feed = &cell->feed[pending->context];
 
-  follow->busy = false;
+  feed->busy = false;
   if (reply->status == MUX_CELL_HISTORY_GONE)
     {
-      follow->loaded = false;
-      follow->part = 0;
-      follow->from[0] = 0;
-      follow->next_ms = cell->time.now_ms;
-      cell_log (cell, "history_lost", "{s:i, s:I}", "table",
-                (int) follow->table, "after", (json_int_t) follow->version);
+      feed->loaded = false;
+      feed->part = 0;
+      feed->from[0] = 0;
+      feed->next_ms = cell->time.now_ms;
+      cell_log (cell, "history_lost", "{s:i, s:I}", "table", (int) feed->table,
+                "after", (json_int_t) feed->version);
       return;
     }
   if (reply->status != MUX_CELL_OK)
     {
-      call_failed (cell, follow, reply);
+      call_failed (cell, feed, reply);
       return;
     }
-  log_answer (cell, follow);
-  follow->known_until_ms = answered_ms (cell, follow, reply);
+  log_answer (cell, feed);
+  feed->known_until_ms = answered_ms (cell, feed, reply);
   for (uint32_t i = 0; i < reply->row_count; i++)
     {
-      follow->on_row (cell, &reply->row[i]);
+      feed->on_row (cell, &reply->row[i]);
       /* The row may have ended the term, and this feed. */
       if (pending->term != 0 && pending->term != cell->term)
         return;
     }
-  follow->next_ms
-      = cell->time.now_ms
-        + (reply->row_count > 0 && follow->loaded ? BATCH_PAUSE_MS : 0);
-  confirm_config (cell, follow, reply);
+  feed->next_ms = cell->time.now_ms
+                  + (reply->row_count > 0 && feed->loaded ? BATCH_PAUSE_MS : 0);
+  confirm_config (cell, feed, reply);
   if (reply->verb == MUX_CELL_SCAN)
-    page_read (cell, follow, reply);
-  else if (reply->version > follow->version)
-    follow->version = reply->version;
+    page_read (cell, feed, reply);
+  else if (reply->version > feed->version)
+    feed->version = reply->version;
 }
--- a/src/cell/loss.c
+++ b/src/cell/loss.c
@@ -164,12 +164,12 @@
 }
 
 bool
-cell_run_clears_task (const CellTask *task, int64_t lived_ms)
+cell_run_clears_task (const CellTask *task, int64_t ran_ms)
 {
-  if (task->loss_count == 0 || cell_run_was_short (lived_ms))
+  if (task->loss_count == 0 || cell_run_was_short (ran_ms))
     return false;
   for (uint32_t i = 0; i < task->loss_count; i++)
-    if (lived_ms < RUN_TIME_FACTOR * task->loss[i].ran_ms)
+    if (ran_ms < RUN_TIME_FACTOR * task->loss[i].ran_ms)
       return false;
   return true;
 }
--- a/src/cell/outage.c
+++ b/src/cell/outage.c
@@ -204,7 +204,7 @@
 }
 
 bool
-cell_run_was_short (int64_t lived_ms)
+cell_run_was_short (int64_t ran_ms)
 {
-  return lived_ms < SHORT_RUN_MS;
+  return ran_ms < SHORT_RUN_MS;
 }
