--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -937,7 +937,8 @@
                                const MuxApproval *approvals,
                                uint32_t count,
                                uint32_t valid_ms);
-/** cell_approvals_tick() - give up queries that were not answered in time */
+/** cell_approval_queries_tick() - give up queries that were not answered in
+ * time */
 void cell_approval_queries_tick (MuxCell *cell);
 void cell_approval_queries_free (MuxCell *cell);
 /** cell_approval_query_is_short() - whether a query about @count workers is too
