--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -50,7 +50,7 @@
  * @lease_ms: lease requested from workers; tasks of an unreachable worker are
  *   not started elsewhere for as long
  * @dead_ms: silence of the planner after which another daemon claims
- * @strength_milli: this instance's share of a processor, in thousandths; the
+ * @cpu_share_milli: this instance's share of a processor, in thousandths; the
  *   daemon with the largest becomes the planner
  * @ended_retention_s: how long, at least, the state of an ended job is kept
  * @revoke_timeout_ms: a key is rejected so long after its removal from the
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -487,7 +487,7 @@
 /* step_wait.c: what a step is blocked on, and its approval queries */
 /** cell_step_wait_begin() - the step has become ready */
 void cell_step_wait_begin (const MuxCell *cell, CellStage *stage);
-/** cell_step_blocked_on() - sets what it is blocked on from now on */
+/** cell_step_set_blocked_on() - sets what it is blocked on from now on */
 void cell_step_set_blocked_on (const MuxCell *cell,
                                CellStage *stage,
                                CellBlockedOn reason);
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -125,7 +125,7 @@
 typedef void (*CellRowHandler) (MuxCell *cell, const MuxCellRow *row);
 
 /**
- * struct CellFollow - keeps up with a stored table: reads it in full, then its
+ * struct CellFeed - keeps up with a stored table: reads it in full, then its
  *   feed of changes; embedded in MuxCell
  * @name: in the log
  * @table: the table followed
@@ -383,7 +383,8 @@
 #define CELL_DOWN_MAX 1024
 
 /**
- * struct CellDownEvent - a worker became unreachable; in the ring MuxCell.down
+ * struct CellDownEvent - a worker became unreachable; in the ring
+ *   MuxCell.down_events
  * @addr: hash of its address
  * @rack: hash of its rack's name; 0: none
  * @from_ms: it was up at this moment,
@@ -427,7 +428,7 @@
  *   unreachable
  * @in_outage: so many other workers went down at the time that the loss may
  *   not be the task's doing
- * @lived_ms: how long the run was reported for, at least
+ * @ran_ms: how long the run was reported for, at least
  * @span: when it was at the worker
  * @at_wall_ms: when it was lost
  * @worker: incarnation of the worker
@@ -1025,17 +1026,17 @@
  * @started_ms: when it started, by its own clock, since 1970; 0: not known
  * @service: hash of its pool
  * @data_centre: hash of its data centre's name
- * @slot: its index in MuxCell.worker_at; not reused within a term
+ * @slot: its index in MuxCell.worker_by_slot; not reused within a term
  * @listed: in the platform's list of workers
  * @unlisted_ms: since when it is missing there
  * @leaves_at_ms: it stays at least until then; 0: it does not leave, or not at
  *   a known time
  * @roster: set of CellRosterState: what the stored roster may say of it
- * @roster_before: the same without the outstanding commit
+ * @roster_previous: the same without the outstanding commit
  * @roster_pending: what that commit writes; 0: nothing about this worker
  * @unreachable_since_ms: 0: it is reachable
  * @down_before_ms: with @unreachable_since_ms: it went down before this
- * @marked_expiry_ms: when its lease is over, as a predecessor recorded; 0: it
+ * @stored_expiry_ms: when its lease is over, as a predecessor recorded; 0: it
  *   did not
  * @lease_over_since_ms: its lease was over by this moment; 0: it is not
  * @confirmed: it has listed its runs to this planner
@@ -1047,8 +1048,8 @@
  * @clock_at_ms: when that report arrived
  * @lease_expires_ms: furthest lease requested from it, on its clock
  * @unanswered_sent_ms: when the last call without an answer was sent; 0: none
- * @stale_until_ms: calls to its previous incarnation may still arrive until
- *   then
+ * @late_orders_until_ms: calls to its previous incarnation may still arrive
+ *   until then
  * @acked: its ends up to this number are stored
  * @acked_sent: and it has been told so of those up to this one
  * @ends_seen: its ends up to this number are known here
@@ -1059,7 +1060,7 @@
  * @avoid_until_ms: no task is placed there before this
  * @backoff_ms: how long it was avoided after a start that was refused or
  *   unanswered; 0: the last start was accepted
- * @no_fill_until_ms: no best-effort task is placed there before this
+ * @no_best_effort_until_ms: no best-effort task is placed there before this
  * @direct_until_ms: called by this daemon itself until then
  * @reroutes: counts changes of its route; selects the proxy
  * @idle_until_ms: not called before this while nothing runs there
@@ -1071,7 +1072,7 @@
  * @hold_count: stages that hold some of it
  * @reservation_count: entries of @reservation
  * @reservation: room reserved for waiting gangs
- * @is_reserved: in MuxCell.reserved
+ * @is_reserved: in MuxCell.reserved_workers
  * @proxy: daemon that makes calls to it; NULL: to be chosen
  * @proxy_until_ms: @proxy is chosen again after this
  * @bookings: list of them; owned
@@ -1366,7 +1367,7 @@
   MuxQuota unconfirmed_room; /* of workers that have not listed their runs */
   int64_t next_overdue_ms;   /* next check for lost proxied calls */
   int64_t next_loss_check_ms;
-  uint32_t down_event_count; /* events recorded in @down so far */
+  uint32_t down_event_count; /* events recorded in @down_events so far */
   CellDownEvent down_events[CELL_DOWN_MAX];
   int64_t next_wait_log_ms;
   MuxRunTimes run_times; /* learned, or received from a planner */
