--- a/src/daemon/http_connection.c
+++ b/src/daemon/http_connection.c
@@ -4,18 +4,18 @@
 #include <strings.h>
 #include <sys/socket.h>
 
-/* ulfius does not hand its callbacks the connection, and each connection has
- * a thread of its own: what belongs to it is kept by thread. */
+/* ulfius does not pass the connection to its callbacks.  Each connection has a
+ * thread of its own, so the connection is kept in a thread-local variable. */
 static _Thread_local struct MHD_Connection *this_connection;
 
 void
-mux_connection_begin_request (MuxHttpServer *door,
+mux_connection_begin_request (MuxHttpServer *server,
                               struct MHD_Connection *connection)
 {
   this_connection = connection;
-  pthread_mutex_lock (&door->lock);
-  door->requests_in_flight++;
-  pthread_mutex_unlock (&door->lock);
+  pthread_mutex_lock (&server->lock);
+  server->requests_in_flight++;
+  pthread_mutex_unlock (&server->lock);
 }
 
 void
@@ -77,12 +77,12 @@
 }
 
 void
-mux_connection_end_request (MuxHttpServer *door)
+mux_connection_end_request (MuxHttpServer *server)
 {
   this_connection = NULL;
-  pthread_mutex_lock (&door->lock);
-  door->requests_in_flight--;
-  if (door->requests_in_flight == 0)
-    pthread_cond_broadcast (&door->drained);
-  pthread_mutex_unlock (&door->lock);
+  pthread_mutex_lock (&server->lock);
+  server->requests_in_flight--;
+  if (server->requests_in_flight == 0)
+    pthread_cond_broadcast (&server->drained);
+  pthread_mutex_unlock (&server->lock);
 }
--- a/src/daemon/http_respond.c
+++ b/src/daemon/http_respond.c
@@ -7,10 +7,10 @@
 #include <string.h>
 
 #define MS_PER_S 1000
-/* How soon a caller that this daemon turned away may come back. */
+/* Retry delay for callers that are refused without the core. */
 #define REFUSED_RETRY_MS 1000
 #define HEADER_LEN 32
-/* The first HTTP status that tells of an error. */
+/* Lowest HTTP status of an error. */
 #define STATUS_ERROR 400
 
 static void
@@ -45,7 +45,7 @@
       findings != NULL ? mux_findings_to_json (findings) : json_array ());
   char *text = json != NULL ? json_dumps (json, JSON_COMPACT) : NULL;
 
-  /* Status and headers tell the outcome without the body, too. */
+  /* If out of memory, status and headers still give the outcome. */
   if (text != NULL)
     ulfius_set_string_body_response (response, (unsigned int) response->status,
                                      text);
@@ -56,38 +56,41 @@
 
 void
 mux_respond_core_response (struct _u_response *response,
-                           const MuxCoreResponse *answer)
+                           const MuxCoreResponse *core_response)
 {
   char task[MUX_ID_HEX_LEN];
-  bool refused = answer->status >= STATUS_ERROR;
-
-  response->status = (long) answer->status;
-  add_header (response, "Cuminmux-Outcome", mux_outcome_name (answer->outcome));
-  if (answer->reason != MUX_REASON_NONE)
-    add_header (response, "Cuminmux-Reason", mux_reason_name (answer->reason));
-  add_retry (response, answer->retry_after_ms);
-  if (!mux_id_is_none (answer->task))
+  bool refused = core_response->status >= STATUS_ERROR;
+
+  response->status = (long) core_response->status;
+  add_header (response, "Cuminmux-Outcome",
+              mux_outcome_name (core_response->outcome));
+  if (core_response->reason != MUX_REASON_NONE)
+    add_header (response, "Cuminmux-Reason",
+                mux_reason_name (core_response->reason));
+  add_retry (response, core_response->retry_after_ms);
+  if (!mux_id_is_none (core_response->task))
     {
-      mux_id_format (answer->task, task);
+      mux_id_format (core_response->task, task);
       add_header (response, "Cuminmux-Task", task);
     }
-  if (answer->body == NULL && refused)
+  if (core_response->body == NULL && refused)
     {
-      set_error_body (response, answer->outcome, answer->reason, NULL);
+      set_error_body (response, core_response->outcome, core_response->reason,
+                      NULL);
       return;
     }
   add_header (response, "Content-Type",
-              answer->is_json ? "application/json"
-                              : "application/octet-stream");
-  if (answer->body == NULL || answer->body->len == 0)
+              core_response->is_json ? "application/json"
+                                     : "application/octet-stream");
+  if (core_response->body == NULL || core_response->body->len == 0)
     return;
-  if (ulfius_set_binary_body_response (response,
-                                       (unsigned int) response->status,
-                                       answer->body->bytes, answer->body->len)
+  if (ulfius_set_binary_body_response (
+          response, (unsigned int) response->status, core_response->body->bytes,
+          core_response->body->len)
       == U_OK)
     return;
-  /* Memory is out: an answer without its bytes would be a cut answer.  The
-   * task ran, so the caller may ask again with its key. */
+  /* Out of memory: a response without its body would look complete.  The task
+   * ran, so the caller may retry with its key. */
   response->status = (long) mux_reason_status (MUX_REASON_UNKNOWN_FATE);
   add_header (response, "Cuminmux-Outcome",
               mux_outcome_name (MUX_OUTCOME_UNKNOWN));
@@ -96,20 +99,20 @@
 }
 
 void
-mux_respond_refusal (MuxHttpServer *door,
+mux_respond_refusal (MuxHttpServer *server,
                      struct _u_response *response,
                      MuxReason reason,
-                     bool named,
+                     bool may_have_run,
                      const MuxFindings *findings)
 {
-  /* An earlier submission of the same key may have run: only the core, with
-   * the key's row read, can say that it did not. */
+  /* An earlier attempt with the same key may have run.  Only the core can
+   * exclude that, after it has read the key's row. */
   MuxOutcome outcome = reason == MUX_REASON_UNKNOWN_FATE
-                               || (named && mux_reason_passes (reason))
+                               || (may_have_run && mux_reason_passes (reason))
                            ? MUX_OUTCOME_UNKNOWN
                            : MUX_OUTCOME_NOT_RUN;
 
-  mux_count_refused (door->options.counters, reason);
+  mux_count_refused (server->options.counters, reason);
   response->status = (long) mux_reason_status (reason);
   add_header (response, "Cuminmux-Outcome", mux_outcome_name (outcome));
   add_header (response, "Cuminmux-Reason", mux_reason_name (reason));
@@ -119,7 +122,9 @@
 }
 
 static void
-set_page (struct _u_response *response, unsigned int status, const char *text)
+set_text_body (struct _u_response *response,
+               unsigned int status,
+               const char *text)
 {
   ulfius_set_string_body_response (response, status, text);
   add_header (response, "Cuminmux-Outcome",
@@ -128,40 +133,40 @@
 }
 
 void
-mux_respond_metrics (MuxHttpServer *door, struct _u_response *response)
+mux_respond_metrics (MuxHttpServer *server, struct _u_response *response)
 {
-  size_t len = mux_counters_print (door->options.counters, NULL, 0);
-  /* Counters that grow meanwhile may need some bytes more. */
+  size_t len = mux_counters_print (server->options.counters, NULL, 0);
+  /* Counters that grow between the two calls may need more digits. */
   size_t cap = len + len / 8 + 1;
   char *text = malloc (cap);
 
   if (text == NULL)
     {
-      mux_respond_refusal (door, response, MUX_REASON_INTERNAL, false, NULL);
+      mux_respond_refusal (server, response, MUX_REASON_INTERNAL, false, NULL);
       return;
     }
-  mux_counters_print (door->options.counters, text, cap);
-  set_page (response, MHD_HTTP_OK, text);
-  /* Prometheus reads its text format by this version. */
+  mux_counters_print (server->options.counters, text, cap);
+  set_text_body (response, MHD_HTTP_OK, text);
+  /* Version of the Prometheus text format. */
   add_header (response, "Content-Type", "text/plain; version=0.0.4");
   free (text);
 }
 
 void
-mux_respond_healthz (MuxHttpServer *door, struct _u_response *response)
+mux_respond_healthz (MuxHttpServer *server, struct _u_response *response)
 {
-  (void) door;
-  set_page (response, MHD_HTTP_OK, "ok\n");
+  (void) server;
+  set_text_body (response, MHD_HTTP_OK, "ok\n");
 }
 
 void
-mux_respond_readyz (MuxHttpServer *door, struct _u_response *response)
+mux_respond_readyz (MuxHttpServer *server, struct _u_response *response)
 {
-  bool ready
-      = !door->draining && door->options.backend->ready (door->options.backend);
+  bool ready = !server->draining
+               && server->options.backend->ready (server->options.backend);
 
   if (ready)
-    set_page (response, MHD_HTTP_OK, "ready\n");
+    set_text_body (response, MHD_HTTP_OK, "ready\n");
   else
-    set_page (response, MHD_HTTP_SERVICE_UNAVAILABLE, "not ready\n");
+    set_text_body (response, MHD_HTTP_SERVICE_UNAVAILABLE, "not ready\n");
 }
--- a/src/daemon/http_serve.c
+++ b/src/daemon/http_serve.c
@@ -4,33 +4,39 @@
 
 #include <stdlib.h>
 
-/* How often a waiting caller's connection is looked at for a hang-up. */
-#define LOOK_EVERY_MS 1000
-/* Bound of a question that names none of its own. */
-#define QUESTION_MS 60000
-/* The core answers by the bound; this is for answers under way. */
-#define GRACE_MS 15000
+/* Interval at which a waiting caller's connection is checked for a close. */
+#define DISCONNECT_POLL_MS 1000
+/* Timeout of a request that has none of its own. */
+#define TIMEOUT_DEFAULT_MS 60000
+/* The core responds within the timeout; this allows for a response that is
+ * under way. */
+#define RESPONSE_GRACE_MS 15000
 
 static uint32_t
-bound_of (const MuxCoreRequest *ask)
+wait_limit_ms (const MuxCoreRequest *core_request)
 {
-  return (ask->timeout_ms > 0 ? ask->timeout_ms : QUESTION_MS) + GRACE_MS;
+  return (core_request->timeout_ms > 0 ? core_request->timeout_ms
+                                       : TIMEOUT_DEFAULT_MS)
+         + RESPONSE_GRACE_MS;
 }
 
 /*
- * Wait until the core has answered, the caller has hung up, the door is
- * closed, or the bound has passed.  The bound guards against an answer that
- * never comes, which would hold the caller and its slot for good; the caller
- * is told that the fate is unknown, which is true whatever became of it.
+ * Waits until the core has responded, the caller has closed its connection, the
+ * pending calls are closed, or @limit_ms has passed.  Without a limit, a
+ * response that never comes would hold the caller and its slot for ever.
+ * After the limit the caller gets UNKNOWN_FATE, which is correct whatever
+ * became of the work.
  */
 static MuxReason
-await_answer (MuxHttpServer *door,
-              uint64_t call,
-              uint32_t bound_ms,
-              MuxCoreResponse *answer)
+await_response (MuxHttpServer *server,
+                uint64_t call,
+                uint32_t limit_ms,
+                MuxCoreResponse *core_response)
 {
-  for (uint32_t waited = 0; waited < bound_ms; waited += LOOK_EVERY_MS)
-    switch (mux_pending_calls_wait (door->pending, call, LOOK_EVERY_MS, answer))
+  for (uint32_t waited_ms = 0; waited_ms < limit_ms;
+       waited_ms += DISCONNECT_POLL_MS)
+    switch (mux_pending_calls_wait (server->pending, call, DISCONNECT_POLL_MS,
+                                    core_response))
       {
       case MUX_WAIT_ANSWERED:
         return MUX_REASON_NONE;
@@ -39,80 +45,81 @@
       case MUX_WAIT_TIMEOUT:
         if (!mux_connection_peer_closed ())
           break;
-        door->options.backend->caller_disconnected (door->options.backend,
-                                                    call);
+        server->options.backend->caller_disconnected (server->options.backend,
+                                                      call);
         return MUX_REASON_CALLER_GONE;
       }
-  door->options.backend->caller_disconnected (door->options.backend, call);
+  server->options.backend->caller_disconnected (server->options.backend, call);
   return MUX_REASON_UNKNOWN_FATE;
 }
 
-/* Takes @ask over. */
+/* Takes ownership of @core_request. */
 static void
-ask_core (MuxHttpServer *door,
-          const MuxRoute *route,
-          MuxCoreRequest *ask,
-          struct _u_response *response)
+submit_to_core (MuxHttpServer *server,
+                const MuxRoute *route,
+                MuxCoreRequest *core_request,
+                struct _u_response *response)
 {
-  uint32_t bound_ms = bound_of (ask);
-  bool named = (ask->key[0] != 0 && !ask->key_is_new) || ask->ticket[0] != 0;
+  uint32_t limit_ms = wait_limit_ms (core_request);
+  bool may_have_run = (core_request->key[0] != 0 && !core_request->key_is_new)
+                      || core_request->ticket[0] != 0;
   MuxReason reason;
-  MuxCoreResponse answer;
+  MuxCoreResponse core_response;
   uint64_t call;
 
-  if (!mux_pending_calls_add (door->pending,
+  if (!mux_pending_calls_add (server->pending,
                               !mux_route_uses_caller_slot (route), &call))
     {
-      mux_core_request_free (ask);
-      mux_respond_refusal (door, response, MUX_REASON_CALLERS_FULL, named,
-                           NULL);
+      mux_core_request_free (core_request);
+      mux_respond_refusal (server, response, MUX_REASON_CALLERS_FULL,
+                           may_have_run, NULL);
       return;
     }
-  ask->call_id = call;
-  /* A caller that waits is silent; its connection is not closed for that.
-   * Setting the timeout again afterwards starts it anew. */
+  core_request->call_id = call;
+  /* The connection of a waiting caller is idle but must not time out.  Setting
+   * the timeout again afterwards restarts it. */
   mux_connection_set_timeout (0);
-  if (!door->options.backend->submit (door->options.backend, ask))
+  if (!server->options.backend->submit (server->options.backend, core_request))
     {
-      mux_core_request_free (ask);
+      mux_core_request_free (core_request);
       reason = MUX_REASON_RING_FULL;
     }
   else
-    reason = await_answer (door, call, bound_ms, &answer);
-  mux_pending_calls_remove (door->pending, call);
-  mux_connection_set_timeout (door->options.idle_timeout_s);
+    reason = await_response (server, call, limit_ms, &core_response);
+  mux_pending_calls_remove (server->pending, call);
+  mux_connection_set_timeout (server->options.idle_timeout_s);
   if (reason != MUX_REASON_NONE)
     {
-      mux_respond_refusal (door, response, reason, named, NULL);
+      mux_respond_refusal (server, response, reason, may_have_run, NULL);
       return;
     }
-  mux_respond_core_response (response, &answer);
-  mux_blob_unref (answer.body);
+  mux_respond_core_response (response, &core_response);
+  mux_blob_unref (core_response.body);
 }
 
 static MuxReason
-read_ask (MuxHttpServer *door,
-          const MuxRoute *route,
-          const struct _u_request *request,
-          MuxCoreRequest *ask,
-          MuxFindings *findings)
+parse_request (MuxHttpServer *server,
+               const MuxRoute *route,
+               const struct _u_request *request,
+               MuxCoreRequest *core_request,
+               MuxFindings *findings)
 {
   MuxReason reason = MUX_REASON_NONE;
 
-  /* ulfius keeps at most one byte over the limit and drops the rest. */
-  if (request->binary_body_length > door->options.body_max_bytes)
+  /* ulfius keeps at most one byte beyond the limit and drops the rest. */
+  if (request->binary_body_length > server->options.body_max_bytes)
     return MUX_REASON_BODY_TOO_LARGE;
-  ask->verb = route->verb;
-  ask->wall_ms = mux_wall_ms ();
+  core_request->verb = route->verb;
+  core_request->wall_ms = mux_wall_ms ();
   if (route->parse != NULL)
-    route->parse (request, ask, findings, &reason);
+    route->parse (request, core_request, findings, &reason);
   if (reason == MUX_REASON_NONE && findings->count > 0)
     reason = MUX_REASON_BAD_FIELD;
   return reason;
 }
 
 static bool
-names_work (const struct _u_request *request)
+may_repeat_work (const struct _u_request *request)
 {
   return (u_map_has_key_case (request->map_header, "Idempotency-Key")
           && !mux_route_is_first_attempt (request))
@@ -120,41 +127,41 @@
 }
 
 static void
-serve_route (MuxHttpServer *door,
-             const MuxRoute *route,
-             const struct _u_request *request,
-             struct _u_response *response)
+handle_route (MuxHttpServer *server,
+              const MuxRoute *route,
+              const struct _u_request *request,
+              struct _u_response *response)
 {
   MuxFindings findings = { .count = 0, .dropped = 0 };
   MuxReason reason;
-  MuxCoreRequest *ask;
+  MuxCoreRequest *core_request;
 
   if (route->handle_locally != NULL)
     {
-      route->handle_locally (door, response);
+      route->handle_locally (server, response);
       return;
     }
-  if (door->draining && mux_route_is_write (route))
+  if (server->draining && mux_route_is_write (route))
     {
-      mux_respond_refusal (door, response, MUX_REASON_STOPPING,
-                           names_work (request), NULL);
+      mux_respond_refusal (server, response, MUX_REASON_STOPPING,
+                           may_repeat_work (request), NULL);
       return;
     }
-  ask = calloc (1, sizeof *ask);
-  if (ask == NULL)
+  core_request = calloc (1, sizeof *core_request);
+  if (core_request == NULL)
     {
-      mux_respond_refusal (door, response, MUX_REASON_INTERNAL,
-                           names_work (request), NULL);
+      mux_respond_refusal (server, response, MUX_REASON_INTERNAL,
+                           may_repeat_work (request), NULL);
       return;
     }
-  reason = read_ask (door, route, request, ask, &findings);
+  reason = parse_request (server, route, request, core_request, &findings);
   if (reason == MUX_REASON_NONE)
     {
-      ask_core (door, route, ask, response);
+      submit_to_core (server, route, core_request, response);
       return;
     }
-  mux_core_request_free (ask);
-  mux_respond_refusal (door, response, reason, false, &findings);
+  mux_core_request_free (core_request);
+  mux_respond_refusal (server, response, reason, false, &findings);
 }
 
 int
@@ -168,7 +175,7 @@
     mux_respond_refusal (binding->server, response, MUX_REASON_UNKNOWN_PATH,
                          false, NULL);
   else
-    serve_route (binding->server, binding->route, request, response);
+    handle_route (binding->server, binding->route, request, response);
   if (binding->server->draining)
     u_map_put (response->map_header, "Connection", "close");
   return U_CALLBACK_COMPLETE;
--- a/src/daemon/http_server.c
+++ b/src/daemon/http_server.c
@@ -7,212 +7,221 @@
 #include <string.h>
 #include <unistd.h>
 
-/* A handler needs little; the rest of a thread's usual 8 MiB is only address
- * space, which small instances may bound. */
-#define THREAD_STACK (INT64_C (256) * 1024)
-/* ulfius wants a port although it is given a socket. */
-#define UNUSED_PORT 1
-#define OPTIONS_MAX 12
+/* Handlers need little stack.  The default of 8 MiB a thread is mostly address
+ * space, but that may be limited on small instances. */
+#define THREAD_STACK_BYTES (INT64_C (256) * 1024)
+/* ulfius requires a port number even if it is given a socket. */
+#define PLACEHOLDER_PORT 1
+#define MHD_OPTIONS_MAX 12
 
 MuxHttpServer *
 mux_http_server_new (const MuxHttpServerOptions *options, MuxError *err)
 {
-  MuxHttpServer *door = calloc (1, sizeof *door);
+  MuxHttpServer *server = calloc (1, sizeof *server);
 
-  if (door == NULL)
+  if (server == NULL)
     {
-      mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the door");
+      mux_error_set (err, MUX_ERROR_MEMORY,
+                     "out of memory for the HTTP server");
       return NULL;
     }
-  door->options = *options;
-  door->listen_fd = -1;
-  pthread_mutex_init (&door->lock, NULL);
-  mux_cond_init (&door->drained);
-  door->pending = mux_pending_calls_new (options->callers_max);
-  if (door->pending != NULL)
-    return door;
-  mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the callers");
-  mux_http_server_free (door);
+  server->options = *options;
+  server->listen_fd = -1;
+  pthread_mutex_init (&server->lock, NULL);
+  mux_cond_init (&server->drained);
+  server->pending = mux_pending_calls_new (options->callers_max);
+  if (server->pending != NULL)
+    return server;
+  mux_error_set (err, MUX_ERROR_MEMORY,
+                 "out of memory for the table of pending calls");
+  mux_http_server_free (server);
   return NULL;
 }
 
 static void *
-request_begins (void *cls, const char *uri, struct MHD_Connection *connection)
+on_request_started (void *cls,
+                    const char *uri,
+                    struct MHD_Connection *connection)
 {
   mux_connection_begin_request (cls, connection);
   return ulfius_uri_logger (NULL, uri);
 }
 
 static void
-request_ended (void *cls,
-               struct MHD_Connection *connection,
-               void **request,
-               enum MHD_RequestTerminationCode code)
+on_request_ended (void *cls,
+                  struct MHD_Connection *connection,
+                  void **request,
+                  enum MHD_RequestTerminationCode code)
 {
   mhd_request_completed (NULL, connection, request, code);
   mux_connection_end_request (cls);
 }
 
 static bool
-add_routes (MuxHttpServer *door)
+add_routes (MuxHttpServer *server)
 {
   uint32_t count;
   const MuxRoute *routes = mux_routes (&count);
 
-  door->bindings = calloc (count + 1, sizeof *door->bindings);
-  if (door->bindings == NULL)
+  server->bindings = calloc (count + 1, sizeof *server->bindings);
+  if (server->bindings == NULL)
     return false;
   for (uint32_t i = 0; i < count; i++)
     {
-      door->bindings[i] = (MuxRouteBinding){ door, &routes[i] };
-      if (ulfius_add_endpoint_by_val (&door->ulfius, routes[i].method, NULL,
+      server->bindings[i] = (MuxRouteBinding){ server, &routes[i] };
+      if (ulfius_add_endpoint_by_val (&server->ulfius, routes[i].method, NULL,
                                       routes[i].path, 0, mux_http_server_handle,
-                                      &door->bindings[i])
+                                      &server->bindings[i])
           != U_OK)
         return false;
     }
-  door->bindings[count] = (MuxRouteBinding){ door, NULL };
-  return ulfius_set_default_endpoint (&door->ulfius, mux_http_server_handle,
-                                      &door->bindings[count])
+  server->bindings[count] = (MuxRouteBinding){ server, NULL };
+  return ulfius_set_default_endpoint (&server->ulfius, mux_http_server_handle,
+                                      &server->bindings[count])
          == U_OK;
 }
 
 static bool
-make_http (MuxHttpServer *door)
+init_ulfius (MuxHttpServer *server)
 {
-  if (ulfius_init_instance (&door->ulfius, UNUSED_PORT, NULL, NULL) != U_OK)
+  if (ulfius_init_instance (&server->ulfius, PLACEHOLDER_PORT, NULL, NULL)
+      != U_OK)
     return false;
-  door->ulfius_initialized = true;
-  door->ulfius.max_post_body_size = (size_t) door->options.body_max_bytes + 1;
-  /* A body is bytes, whatever type its caller gives it. */
-  door->ulfius.allowed_post_processor = U_POST_PROCESS_NONE;
-  /* With its check on, ulfius drops a header that is not UTF-8 without a
-   * word, and a keyed request would run as one without a key. */
-  door->ulfius.check_utf8 = 0;
-  return add_routes (door);
+  server->ulfius_initialized = true;
+  server->ulfius.max_post_body_size
+      = (size_t) server->options.body_max_bytes + 1;
+  /* Bodies are kept as bytes, whatever their Content-Type. */
+  server->ulfius.allowed_post_processor = U_POST_PROCESS_NONE;
+  /* With this check ulfius silently drops a header that is not UTF-8, and a
+   * request with such a key would run as one without a key. */
+  server->ulfius.check_utf8 = 0;
+  return add_routes (server);
 }
 
-/* Callers that wait, as many again that keep a connection open between
- * requests, and operators. */
+/* Room for waiting callers and operators, and for as many idle connections that
+ * are kept open between requests. */
 static unsigned int
-connection_limit (const MuxHttpServer *door)
+connection_limit (const MuxHttpServer *server)
 {
-  return 2 * (door->options.callers_max + MUX_PENDING_CALLS_RESERVED);
+  return 2 * (server->options.callers_max + MUX_PENDING_CALLS_RESERVED);
 }
 
 static bool
-start_http (MuxHttpServer *door, int fd)
+start_ulfius (MuxHttpServer *server, int fd)
 {
   unsigned int flags = MHD_USE_THREAD_PER_CONNECTION
                        | MHD_USE_INTERNAL_POLLING_THREAD | MHD_USE_POLL
                        | MHD_USE_ITC;
-  struct MHD_OptionItem options[OPTIONS_MAX] = {
+  struct MHD_OptionItem options[MHD_OPTIONS_MAX] = {
     { MHD_OPTION_LISTEN_SOCKET, fd, NULL },
-    { MHD_OPTION_NOTIFY_COMPLETED, (intptr_t) request_ended, door },
-    { MHD_OPTION_URI_LOG_CALLBACK, (intptr_t) request_begins, door },
-    { MHD_OPTION_CONNECTION_LIMIT, (intptr_t) connection_limit (door), NULL },
-    { MHD_OPTION_CONNECTION_TIMEOUT, (intptr_t) door->options.idle_timeout_s,
+    { MHD_OPTION_NOTIFY_COMPLETED, (intptr_t) on_request_ended, server },
+    { MHD_OPTION_URI_LOG_CALLBACK, (intptr_t) on_request_started, server },
+    { MHD_OPTION_CONNECTION_LIMIT, (intptr_t) connection_limit (server), NULL },
+    { MHD_OPTION_CONNECTION_TIMEOUT, (intptr_t) server->options.idle_timeout_s,
       NULL },
-    { MHD_OPTION_THREAD_STACK_SIZE, THREAD_STACK, NULL },
+    { MHD_OPTION_THREAD_STACK_SIZE, THREAD_STACK_BYTES, NULL },
   };
   uint32_t used = 6;
 
-  if (door->options.tls_cert != NULL)
+  if (server->options.tls_cert != NULL)
     {
       flags |= MHD_USE_TLS;
       options[used++] = (struct MHD_OptionItem){
         MHD_OPTION_HTTPS_MEM_CERT, 0,
-        (void *) (uintptr_t) door->options.tls_cert
+        (void *) (uintptr_t) server->options.tls_cert
       };
       options[used++] = (struct MHD_OptionItem){
-        MHD_OPTION_HTTPS_MEM_KEY, 0, (void *) (uintptr_t) door->options.tls_key
+        MHD_OPTION_HTTPS_MEM_KEY, 0,
+        (void *) (uintptr_t) server->options.tls_key
       };
     }
   options[used] = (struct MHD_OptionItem){ MHD_OPTION_END, 0, NULL };
-  return ulfius_start_framework_with_mhd_options (&door->ulfius, flags, options)
+  return ulfius_start_framework_with_mhd_options (&server->ulfius, flags,
+                                                  options)
          == U_OK;
 }
 
 bool
-mux_http_server_listen (MuxHttpServer *door, char *bound, MuxError *err)
+mux_http_server_listen (MuxHttpServer *server, char *bound, MuxError *err)
 {
   int fd;
 
-  if (!make_http (door))
-    return mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the HTTP side");
-  fd = mux_listen_open (door->options.listen, bound, err);
+  if (!init_ulfius (server))
+    return mux_error_set (err, MUX_ERROR_MEMORY,
+                          "can't initialize the HTTP server");
+  fd = mux_listen_open (server->options.listen, bound, err);
   if (fd < 0)
     return false;
-  door->listening = start_http (door, fd);
-  if (door->listening)
+  server->listening = start_ulfius (server, fd);
+  if (server->listening)
     return true;
   close (fd);
   return mux_error_set (err, MUX_ERROR_IO, "can't serve HTTP%s on %s",
-                        door->options.tls_cert != NULL ? "S" : "",
-                        door->options.listen);
+                        server->options.tls_cert != NULL ? "S" : "",
+                        server->options.listen);
 }
 
 bool
-mux_http_server_respond (MuxHttpServer *door, const MuxCoreResponse *answer)
+mux_http_server_respond (MuxHttpServer *server, const MuxCoreResponse *response)
 {
-  return mux_pending_calls_complete (door->pending, answer);
+  return mux_pending_calls_complete (server->pending, response);
 }
 
 void
-mux_http_server_begin_drain (MuxHttpServer *door)
+mux_http_server_begin_drain (MuxHttpServer *server)
 {
-  door->draining = true;
+  server->draining = true;
 }
 
 void
-mux_http_server_stop_accepting (MuxHttpServer *door)
+mux_http_server_stop_accepting (MuxHttpServer *server)
 {
-  if (!door->listening || door->listen_fd >= 0)
+  if (!server->listening || server->listen_fd >= 0)
     return;
-  door->listen_fd = MHD_quiesce_daemon (door->ulfius.mhd_daemon);
-  if (door->listen_fd >= 0)
-    close (door->listen_fd);
+  server->listen_fd = MHD_quiesce_daemon (server->ulfius.mhd_daemon);
+  if (server->listen_fd >= 0)
+    close (server->listen_fd);
 }
 
 bool
-mux_http_server_drain (MuxHttpServer *door, uint32_t timeout_ms)
+mux_http_server_drain (MuxHttpServer *server, uint32_t timeout_ms)
 {
   struct timespec deadline = mux_deadline_after (timeout_ms);
   int rc = 0;
 
-  pthread_mutex_lock (&door->lock);
-  while (door->requests_in_flight > 0 && rc == 0)
-    rc = pthread_cond_timedwait (&door->drained, &door->lock, &deadline);
-  pthread_mutex_unlock (&door->lock);
+  pthread_mutex_lock (&server->lock);
+  while (server->requests_in_flight > 0 && rc == 0)
+    rc = pthread_cond_timedwait (&server->drained, &server->lock, &deadline);
+  pthread_mutex_unlock (&server->lock);
   return rc == 0;
 }
 
 void
-mux_http_server_fail_pending (MuxHttpServer *door)
+mux_http_server_fail_pending (MuxHttpServer *server)
 {
-  mux_pending_calls_close (door->pending);
+  mux_pending_calls_close (server->pending);
 }
 
 void
-mux_http_server_stop (MuxHttpServer *door)
+mux_http_server_stop (MuxHttpServer *server)
 {
-  if (door == NULL || !door->listening)
+  if (server == NULL || !server->listening)
     return;
-  ulfius_stop_framework (&door->ulfius);
-  door->listening = false;
+  ulfius_stop_framework (&server->ulfius);
+  server->listening = false;
 }
 
 void
-mux_http_server_free (MuxHttpServer *door)
+mux_http_server_free (MuxHttpServer *server)
 {
-  if (door == NULL)
+  if (server == NULL)
     return;
-  mux_http_server_stop (door);
-  if (door->ulfius_initialized)
-    ulfius_clean_instance (&door->ulfius);
-  mux_pending_calls_free (door->pending);
-  pthread_cond_destroy (&door->drained);
-  pthread_mutex_destroy (&door->lock);
-  free (door->bindings);
-  free (door);
+  mux_http_server_stop (server);
+  if (server->ulfius_initialized)
+    ulfius_clean_instance (&server->ulfius);
+  mux_pending_calls_free (server->pending);
+  pthread_cond_destroy (&server->drained);
+  pthread_mutex_destroy (&server->lock);
+  free (server->bindings);
+  free (server);
 }
--- a/src/daemon/http_server.h
+++ b/src/daemon/http_server.h
@@ -3,30 +3,31 @@
 
 #include "core/core.h"
 
-/* What the door needs of the rest of the daemon; any thread may call it. */
+/* The HTTP server's interface to the core.  Any thread may call it. */
 typedef struct MuxHttpBackend MuxHttpBackend;
 struct MuxHttpBackend
 {
-  /* Takes @ask over when it returns true; one mux_door_answer() follows.
-   * False: the ring to the core is full. */
-  bool (*submit) (MuxHttpBackend *backend, MuxCoreRequest *ask);
-  /* The caller of @call has hung up; best effort. */
+  /* Hands a request to the core.  Takes ownership of @request when it returns
+   * true; exactly one mux_http_server_respond() follows.
+   * Return: false when the core's request ring is full. */
+  bool (*submit) (MuxHttpBackend *backend, MuxCoreRequest *request);
+  /* The caller of @call has closed its connection; best effort. */
   void (*caller_disconnected) (MuxHttpBackend *backend, uint64_t call);
-  /* The daemon may be sent callers. */
+  /* Whether the daemon is ready to serve callers. */
   bool (*ready) (MuxHttpBackend *backend);
 };
 
 /**
- * struct MuxDoorOptions - construction of the callers' side
+ * struct MuxHttpServerOptions - construction of the callers' HTTP server
  * @backend: borrowed
  * @counters: borrowed
- * @listen: "ip:port"; port 0 lets the kernel pick
- * @callers_max: most callers waiting for an answer
- * @idle_s: a connection silent for this long is closed, unless its caller
- *   waits for an answer
- * @body_max: most bytes of a body
- * @tls_cert: PEM text; NULL: plain HTTP
- * @tls_key: PEM text
+ * @listen: "ip:port"; port 0: the kernel picks one
+ * @callers_max: bound on callers that wait for a response
+ * @idle_timeout_s: a connection idle for this long is closed, unless its
+ *   caller waits for a response
+ * @body_max_bytes: largest request body
+ * @tls_cert: certificate as PEM text; NULL: plain HTTP
+ * @tls_key: private key as PEM text
  */
 typedef struct
 {
@@ -42,32 +43,36 @@
 
 typedef struct MuxHttpServer MuxHttpServer;
 
-/** mux_door_new() - not listening yet, but answers may come
- * Return: NULL with @err set when memory is out. */
+/** mux_http_server_new() - create a server that does not listen yet
+ * mux_http_server_respond() may be called from now on.
+ * Return: NULL with @err set when out of memory. */
 MuxHttpServer *mux_http_server_new (const MuxHttpServerOptions *options,
                                     MuxError *err);
-/** mux_door_listen() - let callers in
+/** mux_http_server_listen() - start to accept connections
  * @bound: receives the "ip:port" in use, MUX_ADDR_LEN bytes
- * Return: false with @err set when the address can't be had. */
-bool mux_http_server_listen (MuxHttpServer *door, char *bound, MuxError *err);
-/** mux_door_answer() - hand an answer to its caller; any thread
- * Return: false when that caller has gone. */
-bool mux_http_server_respond (MuxHttpServer *door,
-                              const MuxCoreResponse *answer);
-/** mux_door_refuse_new() - answer new work with STOPPING from now on, and
- * close each connection after its answer, so that its caller goes elsewhere */
-void mux_http_server_begin_drain (MuxHttpServer *door);
-/** mux_door_close_port() - let no new connection in; those open go on */
-void mux_http_server_stop_accepting (MuxHttpServer *door);
-/** mux_door_drain() - wait until every request begun has been answered
+ * Return: false with @err set when the address can't be bound. */
+bool mux_http_server_listen (MuxHttpServer *server, char *bound, MuxError *err);
+/** mux_http_server_respond() - deliver a response to its caller
+ * Any thread may call it.
+ * Return: false when that caller no longer waits. */
+bool mux_http_server_respond (MuxHttpServer *server,
+                              const MuxCoreResponse *response);
+/** mux_http_server_begin_drain() - refuse new work with STOPPING
+ * Each connection is closed after its next response, so that its caller
+ * connects to another daemon. */
+void mux_http_server_begin_drain (MuxHttpServer *server);
+/** mux_http_server_stop_accepting() - close the listening socket
+ * Open connections stay open. */
+void mux_http_server_stop_accepting (MuxHttpServer *server);
+/** mux_http_server_drain() - wait until no request is in flight
  * Return: false when @timeout_ms passed first. */
-bool mux_http_server_drain (MuxHttpServer *door, uint32_t timeout_ms);
-/** mux_door_abandon() - answer all that still wait with UNKNOWN */
-void mux_http_server_fail_pending (MuxHttpServer *door);
-/** mux_door_stop_listening() - close the port and every connection; after it
- * the backend is called no more */
-void mux_http_server_stop (MuxHttpServer *door);
-/** mux_door_free() - stops listening first */
-void mux_http_server_free (MuxHttpServer *door);
+bool mux_http_server_drain (MuxHttpServer *server, uint32_t timeout_ms);
+/** mux_http_server_fail_pending() - respond UNKNOWN to all waiting callers */
+void mux_http_server_fail_pending (MuxHttpServer *server);
+/** mux_http_server_stop() - close the listening socket and all connections
+ * The backend is not called afterwards. */
+void mux_http_server_stop (MuxHttpServer *server);
+/** mux_http_server_free() - stop the server and free it */
+void mux_http_server_free (MuxHttpServer *server);
 
 #endif
--- a/src/daemon/http_server_private.h
+++ b/src/daemon/http_server_private.h
@@ -12,9 +12,9 @@
 typedef struct MuxRoute MuxRoute;
 
 /**
- * struct MuxRouteBinding - what ulfius hands to the callback of one route
- * @door: the door
- * @route: the route; NULL: no path matched
+ * struct MuxRouteBinding - context that ulfius passes to a route's callback
+ * @server: the server
+ * @route: the route; NULL: no route matched
  */
 typedef struct
 {
@@ -29,23 +29,22 @@
   struct _u_instance ulfius;
   bool ulfius_initialized;
   bool listening;
-  int listen_fd;             /* from mux_door_close_port(); -1: none */
-  MuxRouteBinding *bindings; /* one a route, then the one for no route */
+  int listen_fd;             /* from MHD_quiesce_daemon(); -1: none */
+  MuxRouteBinding *bindings; /* one for each route, then one for no match */
   atomic_bool draining;
-  pthread_mutex_t lock; /* guards unwritten */
-  pthread_cond_t drained;
-  uint32_t
-      requests_in_flight; /* requests begun whose answer is not yet written */
+  pthread_mutex_t lock;        /* guards requests_in_flight */
+  pthread_cond_t drained;      /* requests_in_flight has become 0 */
+  uint32_t requests_in_flight; /* begun, response not yet written */
 };
 
 /**
- * struct MuxRoute - a method and path, and how its ask is read
+ * struct MuxRoute - a method and path, and how its requests are parsed
  * @method: HTTP method
  * @path: in ulfius's form, ":name" for a variable
- * @verb: what is asked of the core
- * @read: fills the ask; adds what is wrong to @findings, or sets @reason to
- *   refuse for anything but a bad field
- * @serve: answers by itself instead of asking the core
+ * @verb: verb of the request to the core
+ * @parse: fills the request to the core; adds invalid fields to @findings, and
+ *   sets @reason when the request is refused for another cause
+ * @handle_locally: responds without the core; NULL: the core responds
  */
 struct MuxRoute
 {
@@ -53,57 +52,64 @@
   const char *path;
   MuxCoreVerb verb;
   void (*parse) (const struct _u_request *request,
-                 MuxCoreRequest *ask,
+                 MuxCoreRequest *core_request,
                  MuxFindings *findings,
                  MuxReason *reason);
-  void (*handle_locally) (MuxHttpServer *door, struct _u_response *response);
+  void (*handle_locally) (MuxHttpServer *server, struct _u_response *response);
 };
 
-/** mux_routes() - the table */
+/** mux_routes() - the route table
+ * @count: receives its number of entries */
 const MuxRoute *mux_routes (uint32_t *count);
-/** mux_route_first() - the caller says that its key was never sent before */
+/** mux_route_is_first_attempt() - the caller has not sent its key before
+ * True if the request has the header "Cuminmux-First: 1". */
 bool mux_route_is_first_attempt (const struct _u_request *request);
-/** mux_route_is_new_work() - refused while the daemon is stopping */
+/** mux_route_is_write() - whether the route is refused while draining */
 bool mux_route_is_write (const MuxRoute *route);
-/** mux_route_is_work() - counts against the callers' bound, not the reserve */
+/** mux_route_uses_caller_slot() - whether the slots kept for operators
+ * (MUX_PENDING_CALLS_RESERVED) are closed to the route */
 bool mux_route_uses_caller_slot (const MuxRoute *route);
 
-/** mux_door_serve() - ulfius callback of every route */
+/** mux_http_server_handle() - ulfius callback of every route */
 int mux_http_server_handle (const struct _u_request *request,
                             struct _u_response *response,
                             void *binding);
 
-/* Connection of the calling thread: each has a thread of its own. */
-/** mux_connection_request_begins() - its answer counts as not yet written */
-void mux_connection_begin_request (MuxHttpServer *door,
+/* The functions below act on the calling thread's connection: each connection
+ * has a thread of its own. */
+/** mux_connection_begin_request() - count a request as in flight */
+void mux_connection_begin_request (MuxHttpServer *server,
                                    struct MHD_Connection *connection);
-/** mux_connection_timeout() - close it after so long a silence; 0: never */
+/** mux_connection_set_timeout() - close the connection when idle for so long
+ * @seconds: 0: never */
 void mux_connection_set_timeout (uint32_t seconds);
-/** mux_connection_gone() - the caller has closed its side */
+/** mux_connection_peer_closed() - whether the caller has closed its side */
 bool mux_connection_peer_closed (void);
-/** mux_connection_repeats_header() - the request has it twice or more
- * ulfius keeps one value of each name, without a word about the others. */
+/** mux_connection_has_duplicate_header() - whether a header occurs repeatedly
+ * ulfius keeps one value of each name and silently drops the others. */
 bool mux_connection_has_duplicate_header (const char *name);
-/** mux_connection_request_ended() - its answer is written, or nobody reads it
- */
-void mux_connection_end_request (MuxHttpServer *door);
+/** mux_connection_end_request() - a request is no longer in flight
+ * Its response has been written, or its connection has been closed. */
+void mux_connection_end_request (MuxHttpServer *server);
 
-/** mux_respond_answer() - an answer of the core as HTTP */
+/** mux_respond_core_response() - write a response of the core as HTTP */
 void mux_respond_core_response (struct _u_response *response,
-                                const MuxCoreResponse *answer);
-/** mux_respond_refusal() - a refusal of the door itself; counts it
- * @named: the call carried a key or a ticket, whose work may have run already
- * @findings: may be NULL */
-void mux_respond_refusal (MuxHttpServer *door,
+                                const MuxCoreResponse *core_response);
+/** mux_respond_refusal() - refuse a request without the core, and count it
+ * @may_have_run: the request has a key or a ticket that an earlier attempt may
+ *   have used, so its work may have run already
+ * @findings: invalid fields; may be NULL */
+void mux_respond_refusal (MuxHttpServer *server,
                           struct _u_response *response,
                           MuxReason reason,
-                          bool named,
+                          bool may_have_run,
                           const MuxFindings *findings);
-/** mux_respond_metrics() - the counters */
-void mux_respond_metrics (MuxHttpServer *door, struct _u_response *response);
-/** mux_respond_healthz() - 200 while the process serves */
-void mux_respond_healthz (MuxHttpServer *door, struct _u_response *response);
-/** mux_respond_readyz() - 200, or 503 while it should get no callers */
-void mux_respond_readyz (MuxHttpServer *door, struct _u_response *response);
+/** mux_respond_metrics() - the counters in Prometheus text format */
+void mux_respond_metrics (MuxHttpServer *server, struct _u_response *response);
+/** mux_respond_healthz() - 200 while the process serves requests */
+void mux_respond_healthz (MuxHttpServer *server, struct _u_response *response);
+/** mux_respond_readyz() - 200, or 503 while no callers should be routed here
+ */
+void mux_respond_readyz (MuxHttpServer *server, struct _u_response *response);
 
 #endif
