--- a/src/daemon/pending_calls.c
+++ b/src/daemon/pending_calls.c
@@ -12,7 +12,7 @@
   pthread_cond_t changed;
   uint32_t generation;
   bool answered;
-  MuxCoreResponse answer;
+  MuxCoreResponse response;
 } Slot;
 
 struct MuxPendingCalls
@@ -29,42 +29,42 @@
 mux_pending_calls_new (uint32_t max)
 {
   uint32_t count = max + MUX_PENDING_CALLS_RESERVED;
-  MuxPendingCalls *waiters
-      = calloc (1, sizeof *waiters + count * sizeof waiters->slot[0]);
+  MuxPendingCalls *calls
+      = calloc (1, sizeof *calls + count * sizeof calls->slot[0]);
 
-  if (waiters == NULL)
+  if (calls == NULL)
     return NULL;
-  waiters->free_slot = calloc (count, sizeof *waiters->free_slot);
-  if (waiters->free_slot == NULL)
+  calls->free_slot = calloc (count, sizeof *calls->free_slot);
+  if (calls->free_slot == NULL)
     {
-      free (waiters);
+      free (calls);
       return NULL;
     }
-  pthread_mutex_init (&waiters->lock, NULL);
-  waiters->slot_count = count;
-  waiters->free_count = count;
+  pthread_mutex_init (&calls->lock, NULL);
+  calls->slot_count = count;
+  calls->free_count = count;
   for (uint32_t i = 0; i < count; i++)
     {
-      waiters->free_slot[i] = count - 1 - i;
-      pthread_mutex_init (&waiters->slot[i].lock, NULL);
-      mux_cond_init (&waiters->slot[i].changed);
+      calls->free_slot[i] = count - 1 - i;
+      pthread_mutex_init (&calls->slot[i].lock, NULL);
+      mux_cond_init (&calls->slot[i].changed);
     }
-  return waiters;
+  return calls;
 }
 
 void
-mux_pending_calls_free (MuxPendingCalls *waiters)
+mux_pending_calls_free (MuxPendingCalls *calls)
 {
-  if (waiters == NULL)
+  if (calls == NULL)
     return;
-  for (uint32_t i = 0; i < waiters->slot_count; i++)
+  for (uint32_t i = 0; i < calls->slot_count; i++)
     {
-      pthread_cond_destroy (&waiters->slot[i].changed);
-      pthread_mutex_destroy (&waiters->slot[i].lock);
+      pthread_cond_destroy (&calls->slot[i].changed);
+      pthread_mutex_destroy (&calls->slot[i].lock);
     }
-  pthread_mutex_destroy (&waiters->lock);
-  free (waiters->free_slot);
-  free (waiters);
+  pthread_mutex_destroy (&calls->lock);
+  free (calls->free_slot);
+  free (calls);
 }
 
 static uint32_t
@@ -80,21 +80,21 @@
 }
 
 bool
-mux_pending_calls_add (MuxPendingCalls *waiters, bool reserved, uint64_t *call)
+mux_pending_calls_add (MuxPendingCalls *calls, bool reserved, uint64_t *call)
 {
-  uint32_t keep = reserved ? 0 : MUX_PENDING_CALLS_RESERVED;
+  uint32_t kept = reserved ? 0 : MUX_PENDING_CALLS_RESERVED;
   uint32_t index = 0;
   bool found;
   Slot *slot;
 
-  pthread_mutex_lock (&waiters->lock);
-  found = waiters->free_count > keep;
+  pthread_mutex_lock (&calls->lock);
+  found = calls->free_count > kept;
   if (found)
-    index = waiters->free_slot[--waiters->free_count];
-  pthread_mutex_unlock (&waiters->lock);
+    index = calls->free_slot[--calls->free_count];
+  pthread_mutex_unlock (&calls->lock);
   if (!found)
     return false;
-  slot = &waiters->slot[index];
+  slot = &calls->slot[index];
   pthread_mutex_lock (&slot->lock);
   slot->generation++;
   if (slot->generation == 0)
@@ -106,66 +106,66 @@
 }
 
 MuxWaitResult
-mux_pending_calls_wait (MuxPendingCalls *waiters,
+mux_pending_calls_wait (MuxPendingCalls *calls,
                         uint64_t call,
-                        uint32_t slice_ms,
-                        MuxCoreResponse *answer)
+                        uint32_t timeout_ms,
+                        MuxCoreResponse *response)
 {
-  Slot *slot = &waiters->slot[slot_of_call (call)];
-  struct timespec deadline = mux_deadline_after (slice_ms);
-  MuxWaitResult end = MUX_WAIT_TIMEOUT;
+  Slot *slot = &calls->slot[slot_of_call (call)];
+  struct timespec deadline = mux_deadline_after (timeout_ms);
+  MuxWaitResult result = MUX_WAIT_TIMEOUT;
   int rc = 0;
 
   pthread_mutex_lock (&slot->lock);
-  while (!slot->answered && !waiters->closed && rc == 0)
+  while (!slot->answered && !calls->closed && rc == 0)
     rc = pthread_cond_timedwait (&slot->changed, &slot->lock, &deadline);
   if (slot->answered)
     {
-      *answer = slot->answer;
-      slot->answer.body = NULL;
-      end = MUX_WAIT_ANSWERED;
+      *response = slot->response;
+      slot->response.body = NULL;
+      result = MUX_WAIT_ANSWERED;
     }
-  else if (waiters->closed)
-    end = MUX_WAIT_CLOSED;
+  else if (calls->closed)
+    result = MUX_WAIT_CLOSED;
   pthread_mutex_unlock (&slot->lock);
-  return end;
+  return result;
 }
 
 void
-mux_pending_calls_remove (MuxPendingCalls *waiters, uint64_t call)
+mux_pending_calls_remove (MuxPendingCalls *calls, uint64_t call)
 {
   uint32_t index = slot_of_call (call);
-  Slot *slot = &waiters->slot[index];
+  Slot *slot = &calls->slot[index];
 
   pthread_mutex_lock (&slot->lock);
-  mux_blob_unref (slot->answer.body);
-  slot->answer.body = NULL;
-  /* From here on a late answer finds another number. */
+  mux_blob_unref (slot->response.body);
+  slot->response.body = NULL;
+  /* A late response no longer matches the call number. */
   slot->generation++;
   pthread_mutex_unlock (&slot->lock);
-  pthread_mutex_lock (&waiters->lock);
-  waiters->free_slot[waiters->free_count++] = index;
-  pthread_mutex_unlock (&waiters->lock);
+  pthread_mutex_lock (&calls->lock);
+  calls->free_slot[calls->free_count++] = index;
+  pthread_mutex_unlock (&calls->lock);
 }
 
 bool
-mux_pending_calls_complete (MuxPendingCalls *waiters,
-                            const MuxCoreResponse *answer)
+mux_pending_calls_complete (MuxPendingCalls *calls,
+                            const MuxCoreResponse *response)
 {
-  uint32_t index = slot_of_call (answer->call_id);
+  uint32_t index = slot_of_call (response->call_id);
   Slot *slot;
   bool found;
 
-  if (index >= waiters->slot_count)
+  if (index >= calls->slot_count)
     return false;
-  slot = &waiters->slot[index];
+  slot = &calls->slot[index];
   pthread_mutex_lock (&slot->lock);
-  found = slot->generation == generation_of_call (answer->call_id)
+  found = slot->generation == generation_of_call (response->call_id)
           && !slot->answered;
   if (found)
     {
-      slot->answer = *answer;
-      mux_blob_ref (answer->body);
+      slot->response = *response;
+      mux_blob_ref (response->body);
       slot->answered = true;
       pthread_cond_signal (&slot->changed);
     }
@@ -174,13 +174,13 @@
 }
 
 void
-mux_pending_calls_close (MuxPendingCalls *waiters)
+mux_pending_calls_close (MuxPendingCalls *calls)
 {
-  waiters->closed = true;
-  for (uint32_t i = 0; i < waiters->slot_count; i++)
+  calls->closed = true;
+  for (uint32_t i = 0; i < calls->slot_count; i++)
     {
-      pthread_mutex_lock (&waiters->slot[i].lock);
-      pthread_cond_signal (&waiters->slot[i].changed);
-      pthread_mutex_unlock (&waiters->slot[i].lock);
+      pthread_mutex_lock (&calls->slot[i].lock);
+      pthread_cond_signal (&calls->slot[i].changed);
+      pthread_mutex_unlock (&calls->slot[i].lock);
     }
 }
--- a/src/daemon/response_waiters.c
+++ b/src/daemon/response_waiters.c
@@ -8,104 +8,104 @@
 typedef struct
 {
   uint64_t call;
-  pthread_cond_t answered;
-  bool has_reply;
-  MuxResponse reply;
+  pthread_cond_t changed;
+  bool has_response;
+  MuxResponse response;
   UT_hash_handle hh;
-} Caller;
+} Waiter;
 
 struct MuxResponseWaiters
 {
   pthread_mutex_t lock;
   uint64_t next_call;
-  Caller *by_call;
+  Waiter *by_call;
 };
 
 MuxResponseWaiters *
 mux_response_waiters_new (uint64_t first_call)
 {
-  MuxResponseWaiters *callers = calloc (1, sizeof *callers);
+  MuxResponseWaiters *waiters = calloc (1, sizeof *waiters);
 
-  if (callers == NULL)
+  if (waiters == NULL)
     return NULL;
-  pthread_mutex_init (&callers->lock, NULL);
-  callers->next_call = first_call;
-  return callers;
+  pthread_mutex_init (&waiters->lock, NULL);
+  waiters->next_call = first_call;
+  return waiters;
 }
 
 void
-mux_response_waiters_free (MuxResponseWaiters *callers)
+mux_response_waiters_free (MuxResponseWaiters *waiters)
 {
-  if (callers == NULL)
+  if (waiters == NULL)
     return;
-  pthread_mutex_destroy (&callers->lock);
-  free (callers);
+  pthread_mutex_destroy (&waiters->lock);
+  free (waiters);
 }
 
 bool
-mux_response_waiters_add (MuxResponseWaiters *callers, uint64_t *call)
+mux_response_waiters_add (MuxResponseWaiters *waiters, uint64_t *call)
 {
-  Caller *caller = calloc (1, sizeof *caller);
+  Waiter *waiter = calloc (1, sizeof *waiter);
 
-  if (caller == NULL)
+  if (waiter == NULL)
     return false;
-  mux_cond_init (&caller->answered);
-  pthread_mutex_lock (&callers->lock);
-  caller->call = callers->next_call++;
-  HASH_ADD (hh, callers->by_call, call, sizeof caller->call, caller);
-  pthread_mutex_unlock (&callers->lock);
-  *call = caller->call;
+  mux_cond_init (&waiter->changed);
+  pthread_mutex_lock (&waiters->lock);
+  waiter->call = waiters->next_call++;
+  HASH_ADD (hh, waiters->by_call, call, sizeof waiter->call, waiter);
+  pthread_mutex_unlock (&waiters->lock);
+  *call = waiter->call;
   return true;
 }
 
-static Caller *
-find (MuxResponseWaiters *callers, uint64_t call)
+static Waiter *
+find (MuxResponseWaiters *waiters, uint64_t call)
 {
-  Caller *caller;
+  Waiter *waiter;
 
-  HASH_FIND (hh, callers->by_call, &call, sizeof call, caller);
-  return caller;
+  HASH_FIND (hh, waiters->by_call, &call, sizeof call, waiter);
+  return waiter;
 }
 
 bool
-mux_response_waiters_wait (MuxResponseWaiters *callers,
+mux_response_waiters_wait (MuxResponseWaiters *waiters,
                            uint64_t call,
                            uint32_t timeout_ms,
-                           MuxResponse *reply)
+                           MuxResponse *response)
 {
   struct timespec deadline = mux_deadline_after (timeout_ms);
-  Caller *caller;
-  bool answered;
+  Waiter *waiter;
+  bool changed;
   int rc = 0;
 
-  pthread_mutex_lock (&callers->lock);
-  caller = find (callers, call);
-  while (!caller->has_reply && rc == 0)
-    rc = pthread_cond_timedwait (&caller->answered, &callers->lock, &deadline);
-  answered = caller->has_reply;
-  if (answered)
-    *reply = caller->reply;
-  HASH_DEL (callers->by_call, caller);
-  pthread_mutex_unlock (&callers->lock);
-  pthread_cond_destroy (&caller->answered);
-  free (caller);
-  return answered;
+  pthread_mutex_lock (&waiters->lock);
+  waiter = find (waiters, call);
+  while (!waiter->has_response && rc == 0)
+    rc = pthread_cond_timedwait (&waiter->changed, &waiters->lock, &deadline);
+  changed = waiter->has_response;
+  if (changed)
+    *response = waiter->response;
+  HASH_DEL (waiters->by_call, waiter);
+  pthread_mutex_unlock (&waiters->lock);
+  pthread_cond_destroy (&waiter->changed);
+  free (waiter);
+  return changed;
 }
 
 bool
-mux_response_waiters_deliver (MuxResponseWaiters *callers,
-                              const MuxResponse *reply)
+mux_response_waiters_deliver (MuxResponseWaiters *waiters,
+                              const MuxResponse *response)
 {
-  Caller *caller;
+  Waiter *waiter;
 
-  pthread_mutex_lock (&callers->lock);
-  caller = find (callers, reply->call_id);
-  if (caller != NULL)
+  pthread_mutex_lock (&waiters->lock);
+  waiter = find (waiters, response->call_id);
+  if (waiter != NULL)
     {
-      caller->reply = *reply;
-      caller->has_reply = true;
-      pthread_cond_signal (&caller->answered);
+      waiter->response = *response;
+      waiter->has_response = true;
+      pthread_cond_signal (&waiter->changed);
     }
-  pthread_mutex_unlock (&callers->lock);
-  return caller != NULL;
+  pthread_mutex_unlock (&waiters->lock);
+  return waiter != NULL;
 }
--- a/src/daemon/response_waiters.h
+++ b/src/daemon/response_waiters.h
@@ -3,28 +3,33 @@
 
 #include "port/cell.h"
 
-/* Callers that wait for an answer to a question, found by its call number. */
+/* Threads that each wait for the response to one request, by call number. */
 typedef struct MuxResponseWaiters MuxResponseWaiters;
 
-/** mux_question_waiters_new() - numbers its calls from @first_call on
- * Other daemons answer them by their number: one that a former process of this
- * daemon gave must not come again, else a caller is told what became of
- * another's job. */
+/** mux_response_waiters_new() - create an empty set
+ * @first_call: number of the first call; the next ones count up from it
+ *
+ * Other daemons reply by call number.  A number used by a previous process of
+ * this daemon must not be used again, or a late reply to it would reach the
+ * caller of another job.
+ * Return: NULL when out of memory. */
 MuxResponseWaiters *mux_response_waiters_new (uint64_t first_call);
-/** mux_question_waiters_free() - every caller has left */
-void mux_response_waiters_free (MuxResponseWaiters *callers);
-/** mux_question_waiters_enter() - false: memory is out
- * @call: receives a number that no other question has */
-bool mux_response_waiters_add (MuxResponseWaiters *callers, uint64_t *call);
-/** mux_question_waiters_wait() - and leave
+/** mux_response_waiters_free() - no waiter may be left */
+void mux_response_waiters_free (MuxResponseWaiters *waiters);
+/** mux_response_waiters_add() - add a waiter
+ * @call: receives a call number that no other request has
+ * Return: false when out of memory. */
+bool mux_response_waiters_add (MuxResponseWaiters *waiters, uint64_t *call);
+/** mux_response_waiters_wait() - wait for the response, then remove the waiter
  * Return: false when @timeout_ms passed first. */
-bool mux_response_waiters_wait (MuxResponseWaiters *callers,
+bool mux_response_waiters_wait (MuxResponseWaiters *waiters,
                                 uint64_t call,
                                 uint32_t timeout_ms,
-                                MuxResponse *reply);
-/** mux_question_waiters_answer() - hand an answer over; any thread
- * Return: false when that caller has gone. */
-bool mux_response_waiters_deliver (MuxResponseWaiters *callers,
-                                   const MuxResponse *reply);
+                                MuxResponse *response);
+/** mux_response_waiters_deliver() - pass a response to its waiter
+ * Any thread may call it.
+ * Return: false when there is no such waiter any more. */
+bool mux_response_waiters_deliver (MuxResponseWaiters *waiters,
+                                   const MuxResponse *response);
 
 #endif
