--- a/src/daemon/core_thread.c
+++ b/src/daemon/core_thread.c
@@ -8,29 +8,29 @@
 #include <stddef.h>
 #include <stdlib.h>
 
-/* Peers' messages and callers' asks taken before replies are looked at again.
- */
-#define BATCH 64
-/* Longest sleep, whatever the core says. */
+/* Most peer messages, and most requests, handled in a row before the replies
+ * are polled again. */
+#define BATCH_MAX 64
+/* Upper bound on a sleep, whatever the core's next tick is. */
 #define SLEEP_MAX_MS 1000
 
 struct MuxCoreThread
 {
-  MuxCoreSink sink;       /* first: the core sees this alone */
-  MuxHttpBackend backend; /* the door sees this alone */
+  MuxCoreSink sink;       /* first member: the core is given its address */
+  MuxHttpBackend backend; /* the HTTP server is given its address */
   MuxCoreThreadOptions options;
   MuxCore *core;
-  MuxHttpServer *door;
+  MuxHttpServer *server;
   uint32_t worker_calls; /* outstanding */
   uint32_t table_calls;  /* outstanding */
   pthread_t thread;
   bool running;
-  bool stop_told;
+  bool stop_delivered;
   atomic_bool stop_work;
   atomic_bool quit;
   atomic_bool ready;
   pthread_mutex_t lock; /* guards stopped */
-  pthread_cond_t changed;
+  pthread_cond_t stopped_cond;
   bool stopped;
 };
 
@@ -48,11 +48,11 @@
 }
 
 static void
-sink_answer (MuxCoreSink *sink, const MuxCoreResponse *answer)
+sink_respond (MuxCoreSink *sink, const MuxCoreResponse *response)
 {
   MuxCoreThread *thread = thread_of_sink (sink);
 
-  if (!mux_http_server_respond (thread->door, answer))
+  if (!mux_http_server_respond (thread->server, response))
     mux_count (thread->options.core.counters, MUX_COUNT_EVENTS_DROPPED, 1);
 }
 
@@ -105,14 +105,14 @@
 }
 
 static bool
-backend_submit (MuxHttpBackend *backend, MuxCoreRequest *ask)
+backend_submit (MuxHttpBackend *backend, MuxCoreRequest *request)
 {
   return mux_inbox_push_request (thread_of_backend (backend)->options.inbox,
-                                 ask);
+                                 request);
 }
 
 static void
-backend_gone (MuxHttpBackend *backend, uint64_t call)
+backend_caller_disconnected (MuxHttpBackend *backend, uint64_t call)
 {
   mux_inbox_push_disconnect (thread_of_backend (backend)->options.inbox, call);
 }
@@ -130,17 +130,19 @@
 
   if (thread == NULL)
     {
-      mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the core's thread");
+      mux_error_set (err, MUX_ERROR_MEMORY,
+                     "out of memory for the core thread");
       return NULL;
     }
-  thread->sink = (MuxCoreSink){ sink_answer, sink_worker_call, sink_table_call,
+  thread->sink = (MuxCoreSink){ sink_respond, sink_worker_call, sink_table_call,
                                 sink_peer_send, sink_state_log };
   thread->backend
-      = (MuxHttpBackend){ backend_submit, backend_gone, backend_ready };
+      = (MuxHttpBackend){ backend_submit, backend_caller_disconnected,
+                          backend_ready };
   thread->options = *options;
   thread->options.core.sink = &thread->sink;
   pthread_mutex_init (&thread->lock, NULL);
-  mux_cond_init (&thread->changed);
+  mux_cond_init (&thread->stopped_cond);
   thread->core = mux_core_new (&thread->options.core, err);
   if (thread->core != NULL)
     return thread;
@@ -209,7 +211,7 @@
   MuxPeerMsg *msg;
   uint32_t n = 0;
 
-  while (n < BATCH
+  while (n < BATCH_MAX
          && (msg = mux_inbox_take_peer_msg (thread->options.inbox)) != NULL)
     {
       MuxEvent event = { MUX_EVENT_PEER, { .peer = msg } };
@@ -222,25 +224,25 @@
 }
 
 static bool
-take_asks (MuxCoreThread *thread)
+take_requests (MuxCoreThread *thread)
 {
-  MuxCoreRequest *ask;
+  MuxCoreRequest *request;
   uint32_t n = 0;
 
-  while (n < BATCH
-         && (ask = mux_inbox_take_request (thread->options.inbox)) != NULL)
+  while (n < BATCH_MAX
+         && (request = mux_inbox_take_request (thread->options.inbox)) != NULL)
     {
-      MuxEvent event = { MUX_EVENT_REQUEST, { .request = ask } };
+      MuxEvent event = { MUX_EVENT_REQUEST, { .request = request } };
 
       step (thread, &event);
-      mux_core_request_free (ask);
+      mux_core_request_free (request);
       n++;
     }
   return n > 0;
 }
 
 static bool
-take_gone (MuxCoreThread *thread)
+take_disconnects (MuxCoreThread *thread)
 {
   MuxEvent event = { MUX_EVENT_CALLER_DISCONNECTED, { .call_id = 0 } };
   bool any = false;
@@ -259,9 +261,9 @@
 {
   MuxEvent event = { .kind = MUX_EVENT_STOP };
 
-  if (!thread->stop_work || thread->stop_told)
+  if (!thread->stop_work || thread->stop_delivered)
     return;
-  thread->stop_told = true;
+  thread->stop_delivered = true;
   step (thread, &event);
 }
 
@@ -275,14 +277,15 @@
 }
 
 static void
-publish (MuxCoreThread *thread)
+publish_state (MuxCoreThread *thread)
 {
   thread->ready = mux_core_ready (thread->core);
-  if (thread->stopped || !thread->stop_told || !mux_core_stopped (thread->core))
+  if (thread->stopped || !thread->stop_delivered
+      || !mux_core_stopped (thread->core))
     return;
   pthread_mutex_lock (&thread->lock);
   thread->stopped = true;
-  pthread_cond_broadcast (&thread->changed);
+  pthread_cond_broadcast (&thread->stopped_cond);
   pthread_mutex_unlock (&thread->lock);
 }
 
@@ -300,7 +303,7 @@
 }
 
 static void *
-run (void *data)
+thread_main (void *data)
 {
   MuxCoreThread *thread = data;
 
@@ -313,12 +316,12 @@
       any |= take_table_replies (thread);
       any |= take_instances (thread);
       any |= take_peer_msgs (thread);
-      /* A hang-up is taken after the ask that it ends. */
-      any |= take_asks (thread);
-      any |= take_gone (thread);
+      /* A disconnect is taken after the request that it ends. */
+      any |= take_requests (thread);
+      any |= take_disconnects (thread);
       take_stop (thread);
       tick_if_due (thread);
-      publish (thread);
+      publish_state (thread);
       if (!any)
         sleep_until_due (thread);
     }
@@ -327,13 +330,14 @@
 
 bool
 mux_core_thread_start (MuxCoreThread *thread,
-                       MuxHttpServer *door,
+                       MuxHttpServer *server,
                        MuxError *err)
 {
-  thread->door = door;
-  thread->running = pthread_create (&thread->thread, NULL, run, thread) == 0;
+  thread->server = server;
+  thread->running
+      = pthread_create (&thread->thread, NULL, thread_main, thread) == 0;
   if (!thread->running)
-    return mux_error_set (err, MUX_ERROR_LIMIT, "no thread for the core");
+    return mux_error_set (err, MUX_ERROR_LIMIT, "can't start the core thread");
   return true;
 }
 
@@ -359,7 +363,8 @@
 
   pthread_mutex_lock (&thread->lock);
   while (!thread->stopped && rc == 0)
-    rc = pthread_cond_timedwait (&thread->changed, &thread->lock, &deadline);
+    rc = pthread_cond_timedwait (&thread->stopped_cond, &thread->lock,
+                                 &deadline);
   stopped = thread->stopped;
   pthread_mutex_unlock (&thread->lock);
   return stopped;
@@ -384,7 +389,7 @@
   mux_core_thread_join (thread);
   if (thread->core != NULL)
     mux_core_free (thread->core);
-  pthread_cond_destroy (&thread->changed);
+  pthread_cond_destroy (&thread->stopped_cond);
   pthread_mutex_destroy (&thread->lock);
   free (thread);
 }
--- a/src/daemon/inbox.c
+++ b/src/daemon/inbox.c
@@ -11,32 +11,32 @@
 
 struct MuxDaemonInbox
 {
-  MuxInbox port; /* first: adapters see this alone */
+  MuxInbox port; /* first member: adapters are given its address */
   MuxCounters *counters;
-  MuxRing *asks;
-  MuxRing *gone;
+  MuxRing *requests;
+  MuxRing *disconnects;
   MuxRing *peers;
   MuxRing *worker_replies;
   MuxRing *table_replies;
   _Atomic (MuxInstanceList *) instances;
-  int bell;
+  int wake_fd;
   atomic_uint_fast64_t pushed;
-  uint64_t marked;
-  atomic_bool asleep;
+  uint64_t pushed_seen;
+  atomic_bool waiting;
 };
 
 /*
- * The sleeper sets @asleep and then looks at @pushed; a sender adds to
- * @pushed and then looks at @asleep.  Whatever the order, one of them sees
- * the other, so no entry waits behind a sleep; and a busy core costs its
- * senders no system call here.
+ * The core thread sets @waiting and then reads @pushed; a sender increments
+ * @pushed and then reads @waiting.  In any interleaving at least one of them
+ * sees the other's write, so no wakeup is lost.  While the core thread is busy,
+ * senders make no system call here.
  */
 static void
 notify (MuxDaemonInbox *inbox)
 {
   atomic_fetch_add (&inbox->pushed, 1);
-  if (atomic_exchange (&inbox->asleep, false))
-    (void) eventfd_write (inbox->bell, 1);
+  if (atomic_exchange (&inbox->waiting, false))
+    (void) eventfd_write (inbox->wake_fd, 1);
 }
 
 static bool
@@ -89,38 +89,42 @@
   return false;
 }
 
-/* Changes after a list that was not taken yet: both, as one. */
+/* Appends changes to a list that the core has not taken yet. */
 static MuxInstanceList *
-joined_instances (const MuxInstanceList *older, const MuxInstanceList *list)
+merge_instance_changes (const MuxInstanceList *pending,
+                        const MuxInstanceList *list)
 {
-  uint32_t count = older->count + list->count;
-  MuxInstanceList *both = malloc (sizeof *both + count * sizeof both->item[0]);
+  uint32_t count = pending->count + list->count;
+  MuxInstanceList *merged
+      = malloc (sizeof *merged + count * sizeof merged->item[0]);
 
-  if (both == NULL)
+  if (merged == NULL)
     return NULL;
-  both->changes_only = older->changes_only;
-  both->count = count;
-  memcpy (both->item, older->item, older->count * sizeof older->item[0]);
-  memcpy (both->item + older->count, list->item,
+  merged->changes_only = pending->changes_only;
+  merged->count = count;
+  memcpy (merged->item, pending->item,
+          pending->count * sizeof pending->item[0]);
+  memcpy (merged->item + pending->count, list->item,
           list->count * sizeof list->item[0]);
-  return both;
+  return merged;
 }
 
-/* False: changes are lost, and the whole list has to be read. */
+/* Return: false when changes are lost, so that the complete list must be read
+ * again. */
 static bool
-put_instances (MuxInbox *port, MuxInstanceList *list)
+push_instances (MuxInbox *port, MuxInstanceList *list)
 {
   MuxDaemonInbox *inbox = (MuxDaemonInbox *) port;
-  MuxInstanceList *older = atomic_exchange (&inbox->instances, NULL);
+  MuxInstanceList *pending = atomic_exchange (&inbox->instances, NULL);
 
-  if (older != NULL && list->changes_only)
+  if (pending != NULL && list->changes_only)
     {
-      MuxInstanceList *both = joined_instances (older, list);
+      MuxInstanceList *merged = merge_instance_changes (pending, list);
 
       free (list);
-      list = both;
+      list = merged;
     }
-  free (older);
+  free (pending);
   if (list == NULL)
     return false;
   free (atomic_exchange (&inbox->instances, list));
@@ -138,17 +142,17 @@
   inbox->port.worker_reply = push_worker_reply;
   inbox->port.table_reply = push_table_reply;
   inbox->port.peer_msg = push_peer_msg;
-  inbox->port.instances = put_instances;
+  inbox->port.instances = push_instances;
   inbox->counters = options->counters;
-  inbox->bell = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC);
-  inbox->asks = mux_ring_new (options->requests);
-  inbox->gone = mux_ring_new (options->requests);
+  inbox->wake_fd = eventfd (0, EFD_NONBLOCK | EFD_CLOEXEC);
+  inbox->requests = mux_ring_new (options->requests);
+  inbox->disconnects = mux_ring_new (options->requests);
   inbox->peers = mux_ring_new (options->peers);
   inbox->worker_replies = mux_ring_new (options->worker_replies);
   inbox->table_replies = mux_ring_new (options->table_replies);
-  if (inbox->bell >= 0 && inbox->asks != NULL && inbox->gone != NULL
-      && inbox->peers != NULL && inbox->worker_replies != NULL
-      && inbox->table_replies != NULL)
+  if (inbox->wake_fd >= 0 && inbox->requests != NULL
+      && inbox->disconnects != NULL && inbox->peers != NULL
+      && inbox->worker_replies != NULL && inbox->table_replies != NULL)
     return inbox;
   mux_inbox_free (inbox);
   return NULL;
@@ -188,16 +192,17 @@
 }
 
 static void
-free_asks (MuxDaemonInbox *inbox)
+free_requests (MuxDaemonInbox *inbox)
 {
-  MuxCoreRequest *ask;
+  MuxCoreRequest *request;
 
-  while (inbox->asks != NULL && (ask = mux_inbox_take_request (inbox)) != NULL)
-    mux_core_request_free (ask);
-  while (inbox->gone != NULL && mux_inbox_take_disconnect (inbox) != 0)
+  while (inbox->requests != NULL
+         && (request = mux_inbox_take_request (inbox)) != NULL)
+    mux_core_request_free (request);
+  while (inbox->disconnects != NULL && mux_inbox_take_disconnect (inbox) != 0)
     continue;
-  mux_ring_free (inbox->asks);
-  mux_ring_free (inbox->gone);
+  mux_ring_free (inbox->requests);
+  mux_ring_free (inbox->disconnects);
 }
 
 void
@@ -208,10 +213,10 @@
   free_worker_replies (inbox);
   free_table_replies (inbox);
   free_peer_msgs (inbox);
-  free_asks (inbox);
+  free_requests (inbox);
   free (atomic_load (&inbox->instances));
-  if (inbox->bell >= 0)
-    close (inbox->bell);
+  if (inbox->wake_fd >= 0)
+    close (inbox->wake_fd);
   free (inbox);
 }
 
@@ -222,9 +227,9 @@
 }
 
 bool
-mux_inbox_push_request (MuxDaemonInbox *inbox, MuxCoreRequest *ask)
+mux_inbox_push_request (MuxDaemonInbox *inbox, MuxCoreRequest *request)
 {
-  return push (inbox, inbox->asks, ask);
+  return push (inbox, inbox->requests, request);
 }
 
 void
@@ -235,7 +240,7 @@
   if (item == NULL)
     return;
   *item = call;
-  if (!push (inbox, inbox->gone, item))
+  if (!push (inbox, inbox->disconnects, item))
     free (item);
 }
 
@@ -272,13 +277,13 @@
 MuxCoreRequest *
 mux_inbox_take_request (MuxDaemonInbox *inbox)
 {
-  return mux_ring_pop (inbox->asks);
+  return mux_ring_pop (inbox->requests);
 }
 
 uint64_t
 mux_inbox_take_disconnect (MuxDaemonInbox *inbox)
 {
-  uint64_t *item = mux_ring_pop (inbox->gone);
+  uint64_t *item = mux_ring_pop (inbox->disconnects);
   uint64_t call;
 
   if (item == NULL)
@@ -298,29 +303,29 @@
 }
 
 void
-mux_core_request_free (MuxCoreRequest *ask)
+mux_core_request_free (MuxCoreRequest *request)
 {
-  if (ask == NULL)
+  if (request == NULL)
     return;
-  mux_blob_unref (ask->body);
-  free (ask);
+  mux_blob_unref (request->body);
+  free (request);
 }
 
 void
 mux_inbox_prepare_wait (MuxDaemonInbox *inbox)
 {
-  inbox->marked = atomic_load (&inbox->pushed);
+  inbox->pushed_seen = atomic_load (&inbox->pushed);
 }
 
 void
 mux_inbox_wait (MuxDaemonInbox *inbox, int32_t timeout_ms)
 {
-  struct pollfd fd = { inbox->bell, POLLIN, 0 };
-  eventfd_t rings;
+  struct pollfd fd = { inbox->wake_fd, POLLIN, 0 };
+  eventfd_t wakeups;
 
-  atomic_store (&inbox->asleep, true);
-  if (atomic_load (&inbox->pushed) == inbox->marked)
+  atomic_store (&inbox->waiting, true);
+  if (atomic_load (&inbox->pushed) == inbox->pushed_seen)
     (void) poll (&fd, 1, timeout_ms);
-  atomic_store (&inbox->asleep, false);
-  (void) eventfd_read (inbox->bell, &rings);
+  atomic_store (&inbox->waiting, false);
+  (void) eventfd_read (inbox->wake_fd, &wakeups);
 }
--- a/src/daemon/pem.h
+++ b/src/daemon/pem.h
@@ -3,8 +3,9 @@
 
 #include "base/error.h"
 
-/** mux_pem_read() - a small file's whole text; free() it
- * Return: NULL with @err set when it can't be read or is too large. */
+/** mux_pem_read() - read a PEM file
+ * Return: its text, to be freed with free(); NULL with @err set when the file
+ * can't be read, is empty, or is larger than 64 KiB. */
 char *mux_pem_read (const char *path, MuxError *err);
 
 #endif
--- a/src/daemon/process.c
+++ b/src/daemon/process.c
@@ -5,22 +5,22 @@
 #include <pthread.h>
 
 void
-mux_block_signals (sigset_t *wanted)
+mux_block_signals (sigset_t *signals)
 {
-  sigemptyset (wanted);
-  sigaddset (wanted, SIGTERM);
-  sigaddset (wanted, SIGINT);
-  sigaddset (wanted, SIGHUP);
-  pthread_sigmask (SIG_BLOCK, wanted, NULL);
+  sigemptyset (signals);
+  sigaddset (signals, SIGTERM);
+  sigaddset (signals, SIGINT);
+  sigaddset (signals, SIGHUP);
+  pthread_sigmask (SIG_BLOCK, signals, NULL);
   signal (SIGPIPE, SIG_IGN);
 }
 
 void
-mux_wait_for_stop_signal (const sigset_t *wanted)
+mux_wait_for_stop_signal (const sigset_t *signals)
 {
   int number = 0;
 
-  while (sigwait (wanted, &number) != 0 || number == SIGHUP)
+  while (sigwait (signals, &number) != 0 || number == SIGHUP)
     if (number == SIGHUP)
       mux_log (MUX_LOG_NOTICE, "reload", "changed=nothing");
 }
--- a/src/daemon/process.h
+++ b/src/daemon/process.h
@@ -7,23 +7,23 @@
 
 #include <signal.h>
 
-/** DOC: what both kinds of daemon process set up alike */
+/** DOC: process set-up that both kinds of daemon share */
 
 /**
- * mux_block_signals() - SIGTERM, SIGINT and SIGHUP are waited for, not handled
- * @wanted: receives the set
+ * mux_block_signals() - block SIGTERM, SIGINT and SIGHUP, ignore SIGPIPE
+ * @signals: receives the set of blocked signals
  *
- * A write to a closed connection is an error of the write from now on.  Call it
- * before any thread starts.
+ * To be called before any thread starts, so that all threads inherit the mask.
+ * With SIGPIPE ignored, a write to a closed connection fails with EPIPE.
  */
-void mux_block_signals (sigset_t *wanted);
-/** mux_wait_for_stop() - until SIGTERM or SIGINT; a SIGHUP is noted alone:
- * settings are flags and environment, which don't change while a process lives
- */
-void mux_wait_for_stop_signal (const sigset_t *wanted);
+void mux_block_signals (sigset_t *signals);
+/** mux_wait_for_stop_signal() - wait for SIGTERM or SIGINT
+ * SIGHUP is only logged: settings come from flags and the environment, which
+ * can't change while the process runs. */
+void mux_wait_for_stop_signal (const sigset_t *signals);
 
-/** mux_peer_options() - what the settings say of the way to other daemons; the
- * inbox, the queue, the silence and the counters are left to fill in */
+/** mux_peer_options() - options of the peer adapter that settings determine
+ * The caller sets inbox, queue, silence_timeout_ms and counters. */
 MuxPeerZmqOptions mux_peer_options (const MuxDaemonOptions *given);
 
 #endif
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -23,14 +23,14 @@
 #define PLATFORM_QUEUE 256
 #define PEER_QUEUE 4096
 #define PEER_RING 4096
-/* A link between daemons carries a heartbeat at least every so many of their
- * intervals; one that is silent longer has lost its way. */
-#define SILENT_HEARTBEATS 4
-/* From the closing of the port until every request of a connection that was
- * let in has arrived, in round trips of callers some tens. */
+/* Silence timeout of a link between daemons, in heartbeat intervals.  A working
+ * link carries a heartbeat more often than that. */
+#define SILENCE_HEARTBEATS 4
+/* Time from the close of the listening socket until the requests of all
+ * accepted connections have arrived: some tens of a caller's round trips. */
 #define LINGER_MS 200
-/* For answers that the stop ended, to be written. */
-#define ABANDON_MS 1000
+/* Time to write the responses of the callers whose wait the stop ended. */
+#define FAIL_PENDING_MS 1000
 
 typedef struct
 {
@@ -41,7 +41,7 @@
   MuxPlatformPort *platform;
   MuxPeerPort *peer;
   MuxCoreThread *core;
-  MuxHttpServer *door;
+  MuxHttpServer *server;
   char *tls_cert;
   char *tls_key;
   char listen[MUX_ADDR_LEN];
@@ -58,8 +58,8 @@
   return size;
 }
 
-/* Calls that wait in an adapter's queues or are in flight.  A reply ring of
- * this many slots has room for the reply of each. */
+/* Calls queued in the adapter or in flight.  A reply ring with this many slots
+ * has room for the reply to each. */
 static uint32_t
 worker_calls_max (const MuxDaemonOptions *options)
 {
@@ -78,7 +78,7 @@
 {
   MuxInboxOptions options = {
     .counters = daemon->counters,
-    /* Every caller has at most one ask inside. */
+    /* Every caller has at most one request in the ring. */
     .requests = power_of_two_over (
         2 * (daemon->options->callers_max + MUX_PENDING_CALLS_RESERVED)),
     .peers = PEER_RING,
@@ -88,7 +88,8 @@
 
   daemon->inbox = mux_inbox_new (&options);
   if (daemon->inbox == NULL)
-    return mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the rings");
+    return mux_error_set (err, MUX_ERROR_MEMORY,
+                          "out of memory for the event rings");
   return true;
 }
 
@@ -135,7 +136,7 @@
   options.inbox = mux_inbox_port (daemon->inbox);
   options.queue = PEER_QUEUE;
   options.silence_timeout_ms
-      = SILENT_HEARTBEATS * daemon->options->heartbeat_ms;
+      = SILENCE_HEARTBEATS * daemon->options->heartbeat_ms;
   options.counters = daemon->counters;
   daemon->peer = mux_peer_zmq_new (&options, daemon->peer_listen, err);
   return daemon->peer != NULL;
@@ -169,20 +170,20 @@
       .queue_max = given->queue_max,
       .writes_per_s = given->writes_per_s,
       .key_keep_s = given->key_retention_s,
-      /* All daemons of a user have it, and nobody else. */
+      /* A secret that all daemons of a user share, and nobody else has. */
       .ticket_key = given->curve_secret_key,
     },
   };
 
   if (getrandom (&seed, sizeof seed, 0) != sizeof seed)
-    return mux_error_set (err, MUX_ERROR_IO, "no random seed");
+    return mux_error_set (err, MUX_ERROR_IO, "can't read a random seed");
   options.core.seed = seed;
   daemon->core = mux_core_thread_new (&options, err);
   return daemon->core != NULL;
 }
 
 static bool
-make_door (Daemon *daemon, MuxError *err)
+make_server (Daemon *daemon, MuxError *err)
 {
   const MuxDaemonOptions *given = daemon->options;
   MuxHttpServerOptions options = {
@@ -196,8 +197,8 @@
     .tls_key = daemon->tls_key,
   };
 
-  daemon->door = mux_http_server_new (&options, err);
-  return daemon->door != NULL;
+  daemon->server = mux_http_server_new (&options, err);
+  return daemon->server != NULL;
 }
 
 static bool
@@ -217,28 +218,29 @@
 {
   daemon->counters = mux_counters_new ();
   if (daemon->counters == NULL)
-    return mux_error_set (err, MUX_ERROR_MEMORY, "no memory for counters");
+    return mux_error_set (err, MUX_ERROR_MEMORY, "out of memory for counters");
   return read_tls (daemon, err) && make_inbox (daemon, err)
          && make_worker (daemon, err) && make_platform (daemon, err)
          && make_peer (daemon, err) && make_core (daemon, err)
-         && make_door (daemon, err)
-         && mux_core_thread_start (daemon->core, daemon->door, err)
-         && mux_http_server_listen (daemon->door, daemon->listen, err);
+         && make_server (daemon, err)
+         && mux_core_thread_start (daemon->core, daemon->server, err)
+         && mux_http_server_listen (daemon->server, daemon->listen, err);
 }
 
 /*
- * Callers first, so that nothing new comes; then the core, so that nothing
- * new is asked of the adapters; then the adapters, whose threads may push
- * replies until they are gone; then what is left in the rings.
+ * The HTTP server stops first, so that no request arrives; then the core
+ * thread, so that it makes no call; then the adapters, whose threads may push
+ * replies until they have ended.  The events left in the rings are freed last.
  */
 static void
 daemon_free (Daemon *daemon)
 {
-  if (daemon->door != NULL)
-    mux_http_server_fail_pending (daemon->door);
-  if (daemon->door != NULL && !mux_http_server_drain (daemon->door, ABANDON_MS))
-    mux_log (MUX_LOG_WARNING, "answers_cut", "after_ms=%d", ABANDON_MS);
-  mux_http_server_stop (daemon->door);
+  if (daemon->server != NULL)
+    mux_http_server_fail_pending (daemon->server);
+  if (daemon->server != NULL
+      && !mux_http_server_drain (daemon->server, FAIL_PENDING_MS))
+    mux_log (MUX_LOG_WARNING, "answers_cut", "after_ms=%d", FAIL_PENDING_MS);
+  mux_http_server_stop (daemon->server);
   if (daemon->core != NULL)
     mux_core_thread_join (daemon->core);
   if (daemon->peer != NULL)
@@ -248,14 +250,13 @@
   if (daemon->worker != NULL)
     daemon->worker->free (daemon->worker);
   mux_core_thread_free (daemon->core);
-  mux_http_server_free (daemon->door);
+  mux_http_server_free (daemon->server);
   mux_inbox_free (daemon->inbox);
   mux_counters_free (daemon->counters);
   free (daemon->tls_cert);
   free (daemon->tls_key);
 }
 
-/* Blocked before any thread starts, so that all threads inherit it. */
 static void
 linger (void)
 {
@@ -265,11 +266,12 @@
 }
 
 /*
- * A planned stop cuts off no answer: new work is refused, what runs is
- * finished by the core, and every request begun is answered, all in one bound.
- * A caller that was let in just before the port closes would find its
- * connection cut without a word, not knowing whether it was run; so the
- * process lingers until its request is there, too, and is refused by name.
+ * A planned stop cuts off no response: new work is refused, the core finishes
+ * what runs, and every request in flight gets its response, all within one
+ * timeout.  A caller whose connection was accepted just before the listening
+ * socket closed would see it closed without a response and could not know
+ * whether its request ran.  So the process lingers until such requests have
+ * arrived and are refused with a reason.
  */
 static void
 stop_gracefully (Daemon *daemon)
@@ -280,25 +282,25 @@
 
   mux_log (MUX_LOG_NOTICE, "stop_begun", "bound_ms=%" PRIu32,
            daemon->options->stop_timeout_ms);
-  mux_http_server_begin_drain (daemon->door);
+  mux_http_server_begin_drain (daemon->server);
   mux_core_thread_stop_work (daemon->core);
   stopped = mux_core_thread_wait_stopped (daemon->core,
                                           daemon->options->stop_timeout_ms);
   if (stopped)
     {
-      mux_http_server_stop_accepting (daemon->door);
+      mux_http_server_stop_accepting (daemon->server);
       linger ();
     }
   left_ms = end_ms - mux_boottime_ms ();
   if (stopped)
-    stopped = mux_http_server_drain (daemon->door,
+    stopped = mux_http_server_drain (daemon->server,
                                      left_ms > 0 ? (uint32_t) left_ms : 0);
   mux_log (stopped ? MUX_LOG_NOTICE : MUX_LOG_WARNING, "stop_ended", "whole=%s",
            stopped ? "yes" : "no");
 }
 
-/* Without keys anyone who reaches the peers' port is believed, and tickets are
- * signed with a secret that everybody has. */
+/* Without keys, messages of anyone who reaches the peer port are accepted, and
+ * tickets are signed with a key that everybody knows. */
 static void
 warn_without_keys (const Daemon *daemon)
 {
@@ -313,9 +315,9 @@
 {
   Daemon daemon = { .options = options };
   MuxError err = { MUX_ERROR_NONE, "" };
-  sigset_t stop;
+  sigset_t signals;
 
-  mux_block_signals (&stop);
+  mux_block_signals (&signals);
   if (!start (&daemon, &err))
     {
       mux_log (MUX_LOG_ERR, "start_failed", "error=\"%s\"", err.text);
@@ -327,7 +329,7 @@
   warn_without_keys (&daemon);
   printf ("listening %s peer %s\n", daemon.listen, daemon.peer_listen);
   fflush (stdout);
-  mux_wait_for_stop_signal (&stop);
+  mux_wait_for_stop_signal (&signals);
   stop_gracefully (&daemon);
   daemon_free (&daemon);
   return EXIT_SUCCESS;
