--- a/src/daemon/cell_run.c
+++ b/src/daemon/cell_run.c
@@ -18,13 +18,14 @@
 #define PEER_QUEUE 4096
 #define LOG_QUEUE 4096
 #define LOG_PER_KIND_S 200
-/* A link between daemons that carried nothing for so long is replaced; it
- * carries a greeting four times a second. */
+/* A link between daemons without an echo for this long is replaced.  It carries
+ * a hello four times a second. */
 #define PEER_SILENT_MS 1000
-/* From the stop's begin until the port closes: the platform notices within two
- * of its questions, a second apart, that no more callers are to be sent. */
+/* Time from the begin of a stop until the listening socket closes.  The
+ * platform polls readiness once a second and stops routing callers here within
+ * two polls. */
 #define LINGER_MS 2600
-/* Then for the answers that are still on their way. */
+/* Time after that for the responses that are still under way. */
 #define DRAIN_MS 1200
 
 typedef struct
@@ -35,7 +36,7 @@
   MuxCellThread *thread;
   MuxCellPort *platform;
   MuxPeerPort *peer;
-  MuxPlatformServer *door;
+  MuxPlatformServer *server;
   char peer_listen[MUX_ADDR_LEN];
 } CellDaemon;
 
@@ -50,14 +51,15 @@
   daemon->log = mux_event_log_new (&options);
   if (daemon->counters != NULL && daemon->log != NULL)
     return true;
-  return mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the log");
+  return mux_error_set (err, MUX_ERROR_MEMORY,
+                        "out of memory for the event log");
 }
 
 static bool
 make_thread (CellDaemon *daemon, MuxError *err)
 {
   const MuxDaemonOptions *given = daemon->options;
-  uint64_t number[2];
+  uint64_t random[2];
   MuxCellThreadOptions options = {
     .log = daemon->log,
     .queue = EVENT_QUEUE,
@@ -76,13 +78,13 @@
     },
   };
 
-  if (getrandom (number, sizeof number, 0) != sizeof number)
-    return mux_error_set (err, MUX_ERROR_IO, "no random numbers");
-  options.cell.seed = number[0];
-  /* Younger processes have higher numbers; the low bits keep two that began
-   * in the same moment apart. */
+  if (getrandom (random, sizeof random, 0) != sizeof random)
+    return mux_error_set (err, MUX_ERROR_IO, "can't read random numbers");
+  options.cell.seed = random[0];
+  /* Later processes have higher numbers.  The random low bits distinguish two
+   * processes that started in the same millisecond. */
   options.cell.incarnation
-      = ((uint64_t) mux_wall_ms () << 16 & INT64_MAX) | (number[1] & 0xffff);
+      = ((uint64_t) mux_wall_ms () << 16 & INT64_MAX) | (random[1] & 0xffff);
   daemon->thread = mux_cell_thread_new (&options, err);
   return daemon->thread != NULL;
 }
@@ -115,7 +117,7 @@
 }
 
 static bool
-make_door (CellDaemon *daemon, MuxError *err)
+make_server (CellDaemon *daemon, MuxError *err)
 {
   MuxPlatformServerOptions options = {
     .backend = mux_cell_thread_backend (daemon->thread),
@@ -126,8 +128,8 @@
     .callers_max = daemon->options->callers_max,
   };
 
-  daemon->door = mux_platform_server_new (&options, err);
-  return daemon->door != NULL;
+  daemon->server = mux_platform_server_new (&options, err);
+  return daemon->server != NULL;
 }
 
 static bool
@@ -137,15 +139,15 @@
          && make_platform (daemon, err) && make_peer (daemon, err)
          && mux_cell_thread_start (daemon->thread, daemon->platform,
                                    daemon->peer, err)
-         && make_door (daemon, err);
+         && make_server (daemon, err);
 }
 
-/* Callers first, then the core, then what it calls; what is left in the rings
- * goes last. */
+/* The HTTP server ends first, then the cell thread, then the adapters that it
+ * calls.  The events left in the rings are freed last. */
 static void
 cell_daemon_free (CellDaemon *daemon)
 {
-  mux_platform_server_free (daemon->door);
+  mux_platform_server_free (daemon->server);
   if (daemon->thread != NULL)
     mux_cell_thread_join (daemon->thread);
   if (daemon->peer != NULL)
@@ -167,13 +169,13 @@
 }
 
 static void
-leave (CellDaemon *daemon)
+stop_gracefully (CellDaemon *daemon)
 {
   mux_log (MUX_LOG_NOTICE, "stop_begun", "linger_ms=%d", LINGER_MS);
-  mux_platform_server_begin_drain (daemon->door);
+  mux_platform_server_begin_drain (daemon->server);
   mux_cell_thread_stop_work (daemon->thread);
   linger ();
-  mux_platform_server_drain (daemon->door, DRAIN_MS);
+  mux_platform_server_drain (daemon->server, DRAIN_MS);
   mux_log (MUX_LOG_NOTICE, "stop_ended", "name=%s", daemon->options->name);
 }
 
@@ -182,9 +184,9 @@
 {
   CellDaemon daemon = { .options = options };
   MuxError err = { MUX_ERROR_NONE, "" };
-  sigset_t wanted;
+  sigset_t signals;
 
-  mux_block_signals (&wanted);
+  mux_block_signals (&signals);
   if (!start (&daemon, &err))
     {
       mux_log (MUX_LOG_ERR, "start_failed", "error=\"%s\"", err.text);
@@ -193,8 +195,8 @@
     }
   mux_log (MUX_LOG_NOTICE, "started", "name=%s listen=%s peer=%s store=%s",
            options->name, options->listen, daemon.peer_listen, options->store);
-  mux_wait_for_stop_signal (&wanted);
-  leave (&daemon);
+  mux_wait_for_stop_signal (&signals);
+  stop_gracefully (&daemon);
   cell_daemon_free (&daemon);
   return EXIT_SUCCESS;
 }
--- a/src/daemon/cell_run.h
+++ b/src/daemon/cell_run.h
@@ -3,7 +3,8 @@
 
 #include "settings_table.h"
 
-/** mux_cell_run() - serve stepped jobs until SIGTERM or SIGINT, then leave
+/** mux_cell_run() - run the daemon for stepped jobs
+ * Serves until SIGTERM or SIGINT, then stops gracefully.
  * Return: exit code of the process. */
 int mux_cell_run (const MuxDaemonOptions *options);
 
--- a/src/daemon/cell_thread.c
+++ b/src/daemon/cell_thread.c
@@ -11,19 +11,19 @@
 #include <stdlib.h>
 #include <time.h>
 
-/* Events taken before what is due is looked at again. */
-#define BATCH 128
-/* Between two looks at what is due, while events come. */
-#define TICK_LEAST_MS 4
-/* The core answers within the time that the caller gave; this is for an answer
- * on its way. */
-#define ANSWER_GRACE_MS 300
-#define COME_BACK_MS 500
-#define FULL_PAUSE_NS 1000000L
+/* Most events handled in a row between two checks for a due tick. */
+#define EVENT_BATCH_MAX 128
+/* Shortest interval between ticks while events keep arriving. */
+#define TICK_INTERVAL_MIN_MS 4
+/* The cell responds within the caller's timeout; this allows for a response
+ * that is under way to the caller's thread. */
+#define RESPONSE_GRACE_MS 300
+#define RETRY_AFTER_MS 500
+#define RING_FULL_RETRY_NS 1000000L
 
 typedef enum
 {
-  EVENT_QUESTION,
+  EVENT_REQUEST,
   EVENT_REPLY,
   EVENT_PEER,
 } EventKind;
@@ -32,28 +32,28 @@
 {
   EventKind kind;
   int64_t arrived_ms;
-  MuxRequest *question;
+  MuxRequest *request;
   MuxCellReply *reply;
   MuxPeerMsg peer;
 } Event;
 
 struct MuxCellThread
 {
-  MuxCellSink sink; /* first: the core sees this alone */
+  MuxCellSink sink; /* first member: the cell is given its address */
   MuxCellBackend backend;
-  MuxPlatformInbox replies;
-  MuxInbox peers;
+  MuxPlatformInbox platform_inbox;
+  MuxInbox peer_inbox;
   MuxCellThreadOptions options;
   MuxCell *cell;
   MuxRing *ring;
-  MuxResponseWaiters *callers;
+  MuxResponseWaiters *waiters;
   MuxCellPort *platform;
   MuxPeerPort *peer;
   pthread_t thread;
-  int64_t heard_ms; /* all that arrived by then was handled */
+  int64_t handled_until_ms; /* events that arrived by then have been handled */
   bool running;
-  bool told;
-  atomic_bool leave;
+  bool stop_delivered;
+  atomic_bool stop_requested;
   atomic_bool quit;
   atomic_bool ready;
 };
@@ -61,7 +61,8 @@
 static MuxCellTime
 read_time (const MuxCellThread *thread)
 {
-  return (MuxCellTime){ mux_boottime_ms (), mux_wall_ms (), thread->heard_ms };
+  return (MuxCellTime){ mux_boottime_ms (), mux_wall_ms (),
+                        thread->handled_until_ms };
 }
 
 static Event *
@@ -85,11 +86,11 @@
 }
 
 static void
-sink_answer (MuxCellSink *sink, const MuxResponse *reply)
+sink_respond (MuxCellSink *sink, const MuxResponse *response)
 {
   MuxCellThread *thread = (MuxCellThread *) sink;
 
-  if (!mux_response_waiters_deliver (thread->callers, reply))
+  if (!mux_response_waiters_deliver (thread->waiters, response))
     mux_count (thread->options.cell.counters, MUX_COUNT_EVENTS_DROPPED, 1);
 }
 
@@ -115,15 +116,17 @@
   free (event);
 }
 
-/* Replies are never dropped: the core would wait for them for good.  Their
- * number is bounded by the calls, so that a full ring empties soon. */
+/* Replies are not dropped when the ring is full, since the cell would wait for
+ * them for ever.  The number of replies is bounded by the outstanding calls, so
+ * a full ring soon has room. */
 static void
 push_reply (MuxPlatformInbox *inbox, MuxCellReply *reply)
 {
   MuxCellThread *thread
-      = (MuxCellThread *) ((char *) inbox - offsetof (MuxCellThread, replies));
+      = (MuxCellThread *) ((char *) inbox
+                           - offsetof (MuxCellThread, platform_inbox));
   Event *event = event_new (EVENT_REPLY);
-  struct timespec pause = { .tv_nsec = FULL_PAUSE_NS };
+  struct timespec pause = { .tv_nsec = RING_FULL_RETRY_NS };
 
   if (event == NULL)
     {
@@ -148,7 +151,8 @@
 push_peer (MuxInbox *inbox, const MuxPeerMsg *msg)
 {
   MuxCellThread *thread
-      = (MuxCellThread *) ((char *) inbox - offsetof (MuxCellThread, peers));
+      = (MuxCellThread *) ((char *) inbox
+                           - offsetof (MuxCellThread, peer_inbox));
   Event *event = event_new (EVENT_PEER);
 
   if (event == NULL)
@@ -163,13 +167,13 @@
 }
 
 static bool
-push_question (MuxCellThread *thread, MuxRequest *question)
+push_request (MuxCellThread *thread, MuxRequest *request)
 {
-  Event *event = event_new (EVENT_QUESTION);
+  Event *event = event_new (EVENT_REQUEST);
 
   if (event == NULL)
     return false;
-  event->question = question;
+  event->request = request;
   if (mux_ring_push (thread->ring, event))
     return true;
   free (event);
@@ -177,32 +181,34 @@
 }
 
 static void
-backend_ask (MuxCellBackend *backend, MuxRequest *question, MuxResponse *reply)
+backend_handle (MuxCellBackend *backend,
+                MuxRequest *request,
+                MuxResponse *response)
 {
   MuxCellThread *thread
       = (MuxCellThread *) ((char *) backend
                            - offsetof (MuxCellThread, backend));
-  uint32_t wait_ms = question->timeout_ms + ANSWER_GRACE_MS;
-  bool write = question->verb != MUX_REQUEST_QUERY;
+  uint32_t wait_ms = request->timeout_ms + RESPONSE_GRACE_MS;
+  bool write = request->verb != MUX_REQUEST_QUERY;
   uint64_t call;
 
-  *reply = (MuxResponse){ .outcome = MUX_RESPONSE_REFUSED,
-                          .retry_ms = COME_BACK_MS };
-  if (!mux_response_waiters_add (thread->callers, &call))
+  *response = (MuxResponse){ .outcome = MUX_RESPONSE_REFUSED,
+                             .retry_ms = RETRY_AFTER_MS };
+  if (!mux_response_waiters_add (thread->waiters, &call))
     {
-      mux_request_free (question);
+      mux_request_free (request);
       return;
     }
-  question->call_id = call;
-  if (!push_question (thread, question))
+  request->call_id = call;
+  if (!push_request (thread, request))
     {
-      mux_request_free (question);
-      (void) mux_response_waiters_wait (thread->callers, call, 0, reply);
+      mux_request_free (request);
+      (void) mux_response_waiters_wait (thread->waiters, call, 0, response);
       return;
     }
-  if (!mux_response_waiters_wait (thread->callers, call, wait_ms, reply)
+  if (!mux_response_waiters_wait (thread->waiters, call, wait_ms, response)
       && write)
-    reply->outcome = MUX_RESPONSE_UNKNOWN;
+    response->outcome = MUX_RESPONSE_UNKNOWN;
 }
 
 static bool
@@ -222,35 +228,36 @@
 
   if (thread == NULL)
     {
-      mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the cell's thread");
+      mux_error_set (err, MUX_ERROR_MEMORY,
+                     "out of memory for the cell thread");
       return NULL;
     }
   thread->sink
-      = (MuxCellSink){ sink_call, sink_answer, sink_peer_send, sink_log };
-  thread->backend = (MuxCellBackend){ backend_ask, backend_ready };
-  thread->replies.reply = push_reply;
-  thread->peers.peer_msg = push_peer;
+      = (MuxCellSink){ sink_call, sink_respond, sink_peer_send, sink_log };
+  thread->backend = (MuxCellBackend){ backend_handle, backend_ready };
+  thread->platform_inbox.reply = push_reply;
+  thread->peer_inbox.peer_msg = push_peer;
   thread->options = *options;
   thread->options.cell.sink = &thread->sink;
   thread->ring = mux_ring_new (options->queue);
-  thread->callers = mux_response_waiters_new (options->cell.incarnation);
+  thread->waiters = mux_response_waiters_new (options->cell.incarnation);
   thread->cell = mux_cell_new (&thread->options.cell, err);
-  if (thread->ring != NULL && thread->callers != NULL && thread->cell != NULL)
+  if (thread->ring != NULL && thread->waiters != NULL && thread->cell != NULL)
     return thread;
-  mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the cell's thread");
+  mux_error_set (err, MUX_ERROR_MEMORY, "out of memory for the cell thread");
   mux_cell_thread_free (thread);
   return NULL;
 }
 
 static void
-handle (MuxCellThread *thread, Event *event)
+handle_event (MuxCellThread *thread, Event *event)
 {
   MuxCellTime time;
 
-  thread->heard_ms = event->arrived_ms;
+  thread->handled_until_ms = event->arrived_ms;
   time = read_time (thread);
-  if (event->kind == EVENT_QUESTION)
-    mux_cell_request (thread->cell, time, event->question);
+  if (event->kind == EVENT_REQUEST)
+    mux_cell_request (thread->cell, time, event->request);
   else if (event->kind == EVENT_REPLY)
     mux_cell_reply (thread->cell, time, event->reply);
   else
@@ -258,27 +265,27 @@
   event_free (event);
 }
 
-/* Events leave the ring in the order in which they came, so that whatever
- * arrived before the last one that was handled has been handled, too; with the
- * ring empty that is all. */
+/* The ring is a FIFO: once an event has been handled, so have all that arrived
+ * before it.  When the ring is empty, all that arrived before it was checked
+ * has been handled. */
 static bool
-handle_waiting (MuxCellThread *thread, int64_t wake_ms)
+handle_pending (MuxCellThread *thread, int64_t wake_ms)
 {
   int64_t wait_ms = wake_ms - mux_boottime_ms ();
   Event *event
       = mux_ring_wait (thread->ring, wait_ms > 0 ? (int32_t) wait_ms : 0);
-  int64_t looked_ms = mux_boottime_ms ();
+  int64_t checked_ms = mux_boottime_ms ();
   bool any = event != NULL;
 
   for (int i = 0; event != NULL; i++)
     {
-      handle (thread, event);
-      if (i == BATCH)
+      handle_event (thread, event);
+      if (i == EVENT_BATCH_MAX)
         return true;
-      looked_ms = mux_boottime_ms ();
+      checked_ms = mux_boottime_ms ();
       event = mux_ring_pop (thread->ring);
     }
-  thread->heard_ms = looked_ms;
+  thread->handled_until_ms = checked_ms;
   return any;
 }
 
@@ -287,22 +294,22 @@
 {
   MuxCellThread *thread = arg;
   int64_t wake_ms = mux_boottime_ms ();
-  int64_t ticked_ms = 0;
+  int64_t last_tick_ms = 0;
 
   while (!atomic_load (&thread->quit))
     {
-      bool any = handle_waiting (thread, wake_ms);
+      bool any = handle_pending (thread, wake_ms);
 
-      if (atomic_load (&thread->leave) && !thread->told)
+      if (atomic_load (&thread->stop_requested) && !thread->stop_delivered)
         {
-          thread->told = true;
+          thread->stop_delivered = true;
           mux_cell_stop (thread->cell, read_time (thread));
         }
-      if (any && ticked_ms + TICK_LEAST_MS < wake_ms)
-        wake_ms = ticked_ms + TICK_LEAST_MS;
+      if (any && last_tick_ms + TICK_INTERVAL_MIN_MS < wake_ms)
+        wake_ms = last_tick_ms + TICK_INTERVAL_MIN_MS;
       if (mux_boottime_ms () < wake_ms)
         continue;
-      ticked_ms = mux_boottime_ms ();
+      last_tick_ms = mux_boottime_ms ();
       wake_ms = mux_cell_tick (thread->cell, read_time (thread));
       atomic_store (&thread->ready, mux_cell_ready (thread->cell));
     }
@@ -327,13 +334,13 @@
   pthread_sigmask (SIG_SETMASK, &old, NULL);
   thread->running = rc == 0;
   return thread->running
-         || mux_error_set (err, MUX_ERROR_IO, "can't start the cell's thread");
+         || mux_error_set (err, MUX_ERROR_IO, "can't start the cell thread");
 }
 
 void
 mux_cell_thread_stop_work (MuxCellThread *thread)
 {
-  atomic_store (&thread->leave, true);
+  atomic_store (&thread->stop_requested, true);
   mux_ring_wake (thread->ring, 1);
 }
 
@@ -358,25 +365,25 @@
   mux_cell_free (thread->cell);
   while (thread->ring != NULL && (event = mux_ring_pop (thread->ring)) != NULL)
     {
-      mux_request_free (event->question);
+      mux_request_free (event->request);
       mux_cell_reply_free (event->reply);
       event_free (event);
     }
   mux_ring_free (thread->ring);
-  mux_response_waiters_free (thread->callers);
+  mux_response_waiters_free (thread->waiters);
   free (thread);
 }
 
 MuxPlatformInbox *
 mux_cell_thread_platform_inbox (MuxCellThread *thread)
 {
-  return &thread->replies;
+  return &thread->platform_inbox;
 }
 
 MuxInbox *
 mux_cell_thread_peer_inbox (MuxCellThread *thread)
 {
-  return &thread->peers;
+  return &thread->peer_inbox;
 }
 
 MuxCellBackend *
--- a/src/daemon/clock.c
+++ b/src/daemon/clock.c
@@ -14,9 +14,9 @@
 }
 
 /*
- * CLOCK_BOOTTIME goes on while the instance is suspended.  A clock that
- * stands still meanwhile would let a daemon wake up and believe that its
- * leases and grants, which have lapsed at the workers, still hold.
+ * CLOCK_BOOTTIME advances while the instance is suspended.  With a clock that
+ * does not, a resumed daemon would take its leases and grants to be valid
+ * although they have expired at the workers.
  */
 int64_t
 mux_boottime_ms (void)
--- a/src/daemon/clock.h
+++ b/src/daemon/clock.h
@@ -5,13 +5,14 @@
 #include <stdint.h>
 #include <time.h>
 
-/** mux_now_ms() - the daemon's clock: CLOCK_BOOTTIME */
+/** mux_boottime_ms() - CLOCK_BOOTTIME, for leases and other deadlines */
 int64_t mux_boottime_ms (void);
-/** mux_wall_ms() - time of day, for people and for incarnations */
+/** mux_wall_ms() - CLOCK_REALTIME, for logs, histories and incarnations */
 int64_t mux_wall_ms (void);
-/** mux_cond_init() - a condition whose timed waits use CLOCK_MONOTONIC */
+/** mux_cond_init() - initialize a condition that waits by CLOCK_MONOTONIC */
 void mux_cond_init (pthread_cond_t *cond);
-/** mux_deadline_after() - for pthread_cond_timedwait() on such a condition */
+/** mux_deadline_after() - deadline for pthread_cond_timedwait()
+ * The condition is one that mux_cond_init() has initialized. */
 struct timespec mux_deadline_after (uint32_t ms);
 
 #endif
--- a/src/daemon/event_log.c
+++ b/src/daemon/event_log.c
@@ -14,10 +14,10 @@
 #include <uthash.h>
 
 #define MS_PER_S 1000
-#define WAIT_MS 500
-#define WRITE_WAIT_MS 100
+#define IDLE_WAIT_MS 500
+#define WRITE_TIMEOUT_MS 100
 
-/* What one kind of line has used of its budget. */
+/* Rate limit state of one event name. */
 typedef struct
 {
   char event[32];
@@ -25,19 +25,20 @@
   uint32_t used;
   uint32_t dropped;
   UT_hash_handle hh;
-} Kind;
+} EventLimit;
 
 struct MuxEventLog
 {
   MuxEventLogOptions options;
   MuxRing *ring;
-  Kind *kinds;
+  EventLimit *limits;
   atomic_bool stop;
   pthread_t thread;
 };
 
-/* A reader that takes nothing must not hold the process up: the line is given
- * up after a while, so that the ring goes on to move and to drop. */
+/* A line is dropped if standard output does not accept it within a timeout, so
+ * that a stuck reader can't block the writer thread, and with it the ring and
+ * the end of the process. */
 static void
 write_line (const char *line, size_t len)
 {
@@ -47,7 +48,7 @@
     {
       ssize_t n;
 
-      if (poll (&out, 1, WRITE_WAIT_MS) <= 0)
+      if (poll (&out, 1, WRITE_TIMEOUT_MS) <= 0)
         return;
       n = write (STDOUT_FILENO, line, len);
       if (n < 0 && errno != EINTR && errno != EAGAIN)
@@ -68,7 +69,7 @@
 
   for (;;)
     {
-      line = mux_ring_wait (log->ring, WAIT_MS);
+      line = mux_ring_wait (log->ring, IDLE_WAIT_MS);
       if (line != NULL)
         write_line (line, strlen (line));
       else if (atomic_load (&log->stop))
@@ -108,100 +109,100 @@
 void
 mux_event_log_free (MuxEventLog *log)
 {
-  Kind *kind;
-  Kind *next;
+  EventLimit *limit;
+  EventLimit *next;
 
   if (log == NULL)
     return;
   atomic_store (&log->stop, true);
   mux_ring_wake (log->ring, 1);
   pthread_join (log->thread, NULL);
-  HASH_ITER (hh, log->kinds, kind, next)
+  HASH_ITER (hh, log->limits, limit, next)
   {
-    HASH_DEL (log->kinds, kind);
-    free (kind);
+    HASH_DEL (log->limits, limit);
+    free (limit);
   }
   mux_ring_free (log->ring);
   free (log);
 }
 
-static Kind *
-kind_of (MuxEventLog *log, const char *event)
+static EventLimit *
+limit_of (MuxEventLog *log, const char *event)
 {
-  Kind *kind;
+  EventLimit *limit;
 
-  HASH_FIND_STR (log->kinds, event, kind);
-  if (kind != NULL)
-    return kind;
-  kind = calloc (1, sizeof *kind);
-  if (kind == NULL)
+  HASH_FIND_STR (log->limits, event, limit);
+  if (limit != NULL)
+    return limit;
+  limit = calloc (1, sizeof *limit);
+  if (limit == NULL)
     return NULL;
-  strncpy (kind->event, event, sizeof kind->event - 1);
-  HASH_ADD_STR (log->kinds, event, kind);
-  return kind;
+  strncpy (limit->event, event, sizeof limit->event - 1);
+  HASH_ADD_STR (log->limits, event, limit);
+  return limit;
 }
 
 static bool
-within_budget (MuxEventLog *log, Kind *kind)
+within_limit (MuxEventLog *log, EventLimit *limit)
 {
   int64_t second = mux_boottime_ms () / MS_PER_S;
 
-  if (kind->second != second)
+  if (limit->second != second)
     {
-      kind->second = second;
-      kind->used = 0;
+      limit->second = second;
+      limit->used = 0;
     }
-  if (kind->used < log->options.rate_limit_per_s)
+  if (limit->used < log->options.rate_limit_per_s)
     {
-      kind->used++;
+      limit->used++;
       return true;
     }
-  kind->dropped++;
+  limit->dropped++;
   return false;
 }
 
 static char *
-make_line (MuxEventLog *log, Kind *kind, json_t *fields)
+make_line (MuxEventLog *log, EventLimit *limit, json_t *fields)
 {
   json_t *line
       = json_pack ("{s:I, s:s, s:s}", "wall_ms", (json_int_t) mux_wall_ms (),
-                   "instance", log->options.name, "event", kind->event);
+                   "instance", log->options.name, "event", limit->event);
   char *text;
-  char *whole = NULL;
+  char *with_newline = NULL;
 
   if (fields != NULL)
     json_object_update (line, fields);
-  if (kind->dropped > 0)
-    json_object_set_new (line, "suppressed", json_integer (kind->dropped));
+  if (limit->dropped > 0)
+    json_object_set_new (line, "suppressed", json_integer (limit->dropped));
   text = json_dumps (line, JSON_COMPACT);
   json_decref (line);
   if (text != NULL)
     {
       size_t len = strlen (text);
 
-      whole = realloc (text, len + 2);
-      if (whole == NULL)
+      with_newline = realloc (text, len + 2);
+      if (with_newline == NULL)
         free (text);
       else
-        memcpy (whole + len, "\n", 2);
+        memcpy (with_newline + len, "\n", 2);
     }
-  return whole;
+  return with_newline;
 }
 
 void
 mux_event_log (MuxEventLog *log, const char *event, json_t *fields)
 {
-  Kind *kind = kind_of (log, event);
+  EventLimit *limit = limit_of (log, event);
   char *line;
 
-  if (kind != NULL && within_budget (log, kind))
+  if (limit != NULL && within_limit (log, limit))
     {
-      line = make_line (log, kind, fields);
+      line = make_line (log, limit, fields);
       if (line != NULL && mux_ring_push (log->ring, line))
-        kind->dropped = 0;
+        limit->dropped = 0;
       else
         {
-          kind->dropped++;
+          limit->dropped++;
           free (line);
         }
     }
--- a/src/daemon/event_log.h
+++ b/src/daemon/event_log.h
@@ -7,18 +7,19 @@
 #include <stdint.h>
 
 /*
- * Structured log: a JSON line on standard output for each decision.  Whoever
- * decides never waits for the reader: lines pass a bounded ring to a thread
- * that writes them, and each kind of line has a budget a second; what is over
- * either is counted and the count is told with the next line of that kind.
+ * Structured log of decisions, one JSON object a line on standard output.  The
+ * logging thread never blocks on output: a writer thread takes the lines from
+ * a bounded ring.  Each event name has a rate limit.  Lines dropped by the
+ * limit or by a full ring are counted, and the next line of that event gives
+ * the count in its field "suppressed".
  */
 typedef struct MuxEventLog MuxEventLog;
 
 /**
  * struct MuxEventLogOptions - construction
- * @name: this instance
- * @queue: lines that may wait to be written, power of two
- * @per_kind_s: most lines of one kind in a second
+ * @name: this instance; borrowed
+ * @queue: capacity of the ring of lines, a power of two
+ * @rate_limit_per_s: most lines a second of one event name
  */
 typedef struct
 {
@@ -28,11 +29,12 @@
 } MuxEventLogOptions;
 
 MuxEventLog *mux_event_log_new (const MuxEventLogOptions *options);
-/** mux_event_log_free() - writes what waits, if the reader takes it at once */
+/** mux_event_log_free() - write the lines left in the ring, then free the log
+ * A line that standard output does not accept in time is dropped. */
 void mux_event_log_free (MuxEventLog *log);
-/** mux_event_log() - one thread alone calls it
- * @event: fixed word
- * @fields: what decided it; taken over; may be NULL */
+/** mux_event_log() - queue a line; to be called by one thread only
+ * @event: name of the event, a fixed word
+ * @fields: inputs of the decision; takes its reference; may be NULL */
 void mux_event_log (MuxEventLog *log, const char *event, json_t *fields);
 
 #endif
