--- a/src/daemon/settings_table.c
+++ b/src/daemon/settings_table.c
@@ -43,7 +43,7 @@
   APPROVALS,
   REVOKE_TIMEOUT_MS,
   QUOTA_OVERRUN,
-  STRENGTH,
+  CPU_SHARE,
   READY_LISTEN,
   METRICS_LISTEN,
   NODE_FILE,
@@ -56,61 +56,61 @@
   [NAME] = { "name", "CUMINMUX_NAME", MUX_SETTING_NAME, "", 0, 0, NULL,
     "this instance's name, unique in the cell" },
   [DATA_CENTRE] = { "data-centre", "CUMINMUX_DATA_CENTRE", MUX_SETTING_NAME,
-    "", 0, 0, NULL, "data centre that this instance stands in" },
+    "", 0, 0, NULL, "data centre of this instance" },
   [LISTEN] = { "listen", "CUMINMUX_LISTEN", MUX_SETTING_ADDRESS, "", 0, 0,
-    NULL, "address for callers' HTTP; port 0 lets the kernel pick" },
+    NULL, "address of the HTTP server for callers; port 0: the kernel picks one" },
   [PEER_LISTEN] = { "peer-listen", "CUMINMUX_PEER_LISTEN",
     MUX_SETTING_ADDRESS, "", 0, 0, NULL,
-    "address for other daemons, as they reach it; port 0 lets the kernel pick" },
+    "address for other daemons, reachable by them; port 0: the kernel picks one" },
   [PEER_ADVERTISE] = { "peer-advertise", "CUMINMUX_PEER_ADVERTISE",
     MUX_SETTING_ADDRESS, "", 0, 0, "",
-    "address that peers are told, if they reach --peer-listen by another" },
+    "address sent to peers, if it differs from --peer-listen" },
   [PLATFORM] = { "platform", "CUMINMUX_PLATFORM", MUX_SETTING_URL, "", 0, 0,
-    "", "platform's services; none: nothing can be recorded or listed" },
+    "", "URL of the platform's services; none: nothing can be stored or listed" },
   [SEEDS] = { "seeds", "CUMINMUX_SEEDS", MUX_SETTING_ADDRESSES, "", 0, 0, "",
-    "peer addresses of daemons to greet first" },
+    "peer addresses of daemons to contact first" },
   [LEASE_MS] = { "lease-ms", "CUMINMUX_LEASE_MS", MUX_SETTING_INTEGER, "ms",
-    1000, 60000, "6000", "lease asked of workers" },
+    1000, 60000, "6000", "lease requested from workers" },
   [HEARTBEAT_MS] = { "heartbeat-ms", "CUMINMUX_HEARTBEAT_MS",
     MUX_SETTING_INTEGER, "ms", 20, 10000, "300",
-    "time between heartbeats to peers" },
+    "interval between heartbeats to peers" },
   [SUSPECT_MS] = { "suspect-ms", "CUMINMUX_SUSPECT_MS", MUX_SETTING_INTEGER,
-    "ms", 40, 30000, "900", "silence after which a peer gets no new asks" },
+    "ms", 40, 30000, "900", "silence after which a peer gets no new requests" },
   [DEAD_MS] = { "dead-ms", "CUMINMUX_DEAD_MS", MUX_SETTING_INTEGER, "ms", 60,
     60000, "1500", "silence after which a peer's workers are claimed" },
   [QUEUE_MAX] = { "queue-max", "CUMINMUX_QUEUE_MAX", MUX_SETTING_INTEGER, "",
-    1, 1000000, "4096", "most requests and tasks waiting here" },
+    1, 1000000, "4096", "most requests and tasks queued at this daemon" },
   [WRITES_PER_S] = { "writes-per-s", "CUMINMUX_WRITES_PER_S",
     MUX_SETTING_INTEGER, "per s", 10, 100000, "350",
-    "writes that the table takes from all daemons together" },
+    "rate of table writes that all daemons share" },
   [KEY_KEEP_S] = { "key-keep-s", "CUMINMUX_KEY_KEEP_S", MUX_SETTING_INTEGER,
     "s", 600, 2592000, "86400",
-    "how long idempotency keys and ended jobs are remembered" },
+    "retention of idempotency keys and ended jobs" },
   [CALLERS_MAX] = { "callers-max", "CUMINMUX_CALLERS_MAX",
     MUX_SETTING_INTEGER, "", 1, 16384, "1024",
-    "most callers waiting for an answer; one thread each" },
+    "most callers waiting for a response; each uses one thread" },
   [CALLER_IDLE_S] = { "caller-idle-s", "CUMINMUX_CALLER_IDLE_S",
     MUX_SETTING_INTEGER, "s", 1, 3600, "60",
-    "a caller's connection silent for this long is closed" },
+    "a caller's connection idle for this long is closed" },
   [WORKER_THREADS] = { "worker-threads", "CUMINMUX_WORKER_THREADS",
     MUX_SETTING_INTEGER, "", 1, 4096, "96",
-    "starts and fetches in flight at once" },
+    "concurrent START and FETCH calls to workers" },
   [WORKER_CONTROL_THREADS] = { "worker-control-threads",
     "CUMINMUX_WORKER_CONTROL_THREADS", MUX_SETTING_INTEGER, "", 1, 256, "8",
-    "other worker calls, such as renewals, in flight at once" },
+    "concurrent other calls to workers, such as lease renewals" },
   [PLATFORM_THREADS] = { "platform-threads", "CUMINMUX_PLATFORM_THREADS",
-    MUX_SETTING_INTEGER, "", 1, 256, "4", "platform calls in flight at once" },
+    MUX_SETTING_INTEGER, "", 1, 256, "4", "concurrent calls to the platform" },
   [LIST_EVERY_MS] = { "list-every-ms", "CUMINMUX_LIST_EVERY_MS",
     MUX_SETTING_INTEGER, "ms", 50, 60000, "1000",
-    "time between reads of the instance list" },
+    "interval between reads of the instance list" },
   [BODY_MAX_KIB] = { "body-max-kib", "CUMINMUX_BODY_MAX_KIB",
     MUX_SETTING_INTEGER, "KiB", 1, MUX_BODY_MAX / KIB, "4096",
-    "largest body of a caller" },
+    "largest body of a caller's request" },
   [STOP_AFTER_MS] = { "stop-after-ms", "CUMINMUX_STOP_AFTER_MS",
     MUX_SETTING_INTEGER, "ms", 0, 3600000, "30000",
-    "bound of the graceful stop" },
+    "timeout of the graceful stop" },
   [CURVE_SECRET_KEY] = { NULL, "CUMINMUX_CURVE_SECRET_KEY", MUX_SETTING_TEXT,
-    "", 0, 0, "", "secret key between daemons, Z85; none: no encryption" },
+    "", 0, 0, "", "CURVE secret key shared by all daemons, Z85; none: no encryption" },
   [CURVE_PUBLIC_KEY] = { NULL, "CUMINMUX_CURVE_PUBLIC_KEY", MUX_SETTING_TEXT,
     "", 0, 0, "", "the matching public key, Z85" },
   [TLS_CERT_FILE] = { "tls-cert-file", "CUMINMUX_TLS_CERT_FILE",
@@ -119,28 +119,29 @@
   [TLS_KEY_FILE] = { "tls-key-file", "CUMINMUX_TLS_KEY_FILE",
     MUX_SETTING_TEXT, "", 0, 0, "", "PEM key for callers" },
   [STORE] = { "store", "CUMINMUX_STORE", MUX_SETTING_ADDRESS, "", 0, 0, "",
-    "transactional store; given: stepped jobs are served in its platform's "
-    "formats" },
+    "address of the transactional store; if given, stepped jobs are served in "
+    "its platform's formats" },
   [APPROVALS] = { "approvals", "CUMINMUX_APPROVALS", MUX_SETTING_ADDRESS, "",
-    0, 0, "", "policy service that approves workers; none: not asked" },
+    0, 0, "", "address of the policy service that approves workers; none: not queried" },
   [REVOKE_TIMEOUT_MS] = { "revoke-timeout-ms", "CUMINMUX_REVOKE_TIMEOUT_MS",
     MUX_SETTING_INTEGER, "ms", 100, 3600000, "",
-    "after its removal no key is taken for longer, also by a daemon that is "
-    "cut off; none: a daemon that is cut off goes on with what it knows" },
+    "longest time that a revoked key is still accepted, also by a partitioned "
+    "daemon; none: a partitioned daemon goes on with the keys it has read" },
   [QUOTA_OVERRUN] = { "quota-overrun", "CUMINMUX_QUOTA_OVERRUN",
     MUX_SETTING_TEXT, "", 0, 0, "",
     "part of a workspace's quota, such as 0.1, that a gang too large for the "
     "quota may hold beyond it; none: nothing" },
-  [STRENGTH] = { "cpu-share", "CUMINMUX_CPU_SHARE", MUX_SETTING_TEXT, "", 0, 0,
-    "1", "processors of this instance, such as 0.25; the strongest plans" },
+  [CPU_SHARE] = { "cpu-share", "CUMINMUX_CPU_SHARE", MUX_SETTING_TEXT, "", 0, 0,
+    "1", "processors of this instance, such as 0.25; a daemon with a larger share is "
+    "preferred as planner" },
   [READY_LISTEN] = { "ready-listen", "CUMINMUX_READY_LISTEN",
     MUX_SETTING_ADDRESS, "", 0, 0, "",
-    "address where the platform asks for readiness; goes with --store" },
+    "address of the readiness endpoint for the platform; required with --store" },
   [METRICS_LISTEN] = { "metrics-listen", "CUMINMUX_METRICS_LISTEN",
     MUX_SETTING_ADDRESS, "", 0, 0, "",
-    "address of the counters of stepped jobs; none: not served" },
+    "address of the metrics endpoint of stepped jobs; none: not served" },
   [NODE_FILE] = { NULL, "CUMINMUX_NODE_FILE", MUX_SETTING_TEXT, "", 0, 0, "",
-    "file of the platform's own settings; accepted and not read" },
+    "file of the platform's own settings; accepted but not read" },
   [LOG_LEVEL] = { "log-level", "CUMINMUX_LOG_LEVEL", MUX_SETTING_INTEGER, "",
     MUX_LOG_ERR, MUX_LOG_INFO, "5",
     "highest syslog severity printed: 3 errors, 4 warnings, 5 notices, 6 all" },
@@ -180,7 +181,7 @@
       = mux_settings_addresses (options->settings, SEEDS, &options->seed_count);
 }
 
-/* A number such as "0.25", in thousandths; false: it is none from 0 to @max. */
+/* Parses a number from 0 to @max, such as "0.25", in thousandths. */
 static bool
 parse_milli (const char *text, double max, uint32_t *milli)
 {
@@ -193,7 +194,7 @@
   return true;
 }
 
-/* 0: it is no share. */
+/* Return: 0 when @share is not a valid share. */
 static uint32_t
 cpu_share_milli (const char *share)
 {
@@ -220,7 +221,7 @@
   options->platform_threads = integer (options, PLATFORM_THREADS);
   options->list_interval_ms = integer (options, LIST_EVERY_MS);
   options->body_max_kib = integer (options, BODY_MAX_KIB);
-  options->cpu_share_milli = cpu_share_milli (text (options, STRENGTH));
+  options->cpu_share_milli = cpu_share_milli (text (options, CPU_SHARE));
   options->revoke_timeout_ms = integer (options, REVOKE_TIMEOUT_MS);
   options->stop_timeout_ms = integer (options, STOP_AFTER_MS);
   options->log_level = (MuxLogLevel) integer (options, LOG_LEVEL);
@@ -230,35 +231,39 @@
 check_curve_key (const char *key, uint32_t index, MuxFindings *findings)
 {
   if (*key != 0 && strlen (key) != CURVE_KEY_LEN)
-    mux_findings_add (findings, specs[index].env, "is not %d characters long",
+    mux_findings_add (findings, specs[index].env, "must be %d characters long",
                       CURVE_KEY_LEN);
 }
 
-/* What no single setting shows. */
+/* Checks that involve more than one setting, or more than its type. */
 static void
-check_together (MuxDaemonOptions *options, MuxFindings *findings)
+check_combinations (MuxDaemonOptions *options, MuxFindings *findings)
 {
   if (options->suspect_ms <= options->heartbeat_ms)
-    mux_findings_add (findings, "--suspect-ms", "must be over --heartbeat-ms");
+    mux_findings_add (findings, "--suspect-ms",
+                      "must be greater than --heartbeat-ms");
   if (options->dead_ms <= options->suspect_ms)
-    mux_findings_add (findings, "--dead-ms", "must be over --suspect-ms");
+    mux_findings_add (findings, "--dead-ms",
+                      "must be greater than --suspect-ms");
   check_curve_key (options->curve_secret_key, CURVE_SECRET_KEY, findings);
   check_curve_key (options->curve_public_key, CURVE_PUBLIC_KEY, findings);
   if ((*options->curve_secret_key == 0) != (*options->curve_public_key == 0))
     mux_findings_add (findings, specs[CURVE_SECRET_KEY].env,
-                      "goes together with CUMINMUX_CURVE_PUBLIC_KEY");
+                      "must be given together with CUMINMUX_CURVE_PUBLIC_KEY");
   if (options->cpu_share_milli == 0)
-    mux_findings_add (findings, "--cpu-share", "must be over 0 and at most %d",
-                      CPU_SHARE_MAX);
+    mux_findings_add (findings, "--cpu-share",
+                      "must be greater than 0 and at most %d", CPU_SHARE_MAX);
   if (*text (options, QUOTA_OVERRUN) != 0
       && !parse_milli (text (options, QUOTA_OVERRUN), 1,
                        &options->quota_overrun_milli))
-    mux_findings_add (findings, "--quota-overrun", "must be from 0 to 1");
+    mux_findings_add (findings, "--quota-overrun",
+                      "must be a number from 0 to 1");
   if ((*options->store == 0) != (*options->ready_listen == 0))
-    mux_findings_add (findings, "--store", "goes together with --ready-listen");
+    mux_findings_add (findings, "--store",
+                      "must be given together with --ready-listen");
   if ((*options->tls_cert_file == 0) != (*options->tls_key_file == 0))
     mux_findings_add (findings, "--tls-cert-file",
-                      "goes together with --tls-key-file");
+                      "must be given together with --tls-key-file");
 }
 
 bool
@@ -276,7 +281,7 @@
     return false;
   fill_texts (options);
   fill_integers (options);
-  check_together (options, findings);
+  check_combinations (options, findings);
   if (findings->count == before)
     return true;
   mux_daemon_options_free (options);
--- a/src/daemon/settings_table.h
+++ b/src/daemon/settings_table.h
@@ -5,43 +5,45 @@
 #include "base/settings.h"
 
 /**
- * struct MuxDaemonOptions - settings of one daemon, checked
- * @settings: owns every text below
+ * struct MuxDaemonOptions - validated settings of one daemon
+ * @settings: owns every string below
  * @name: this instance
- * @data_centre: where it stands
- * @listen: callers' HTTP address
- * @peer_listen: peers' ZeroMQ address
- * @peer_advertise: address told to peers, or "": the one listened on
- * @platform_url: platform's services; "": none
- * @seeds: peers to greet first
+ * @data_centre: data centre of this instance
+ * @listen: address of the callers' HTTP server
+ * @peer_listen: ZeroMQ address for peers
+ * @peer_advertise: address sent to peers; "": @peer_listen
+ * @platform_url: URL of the platform's services; "": none
+ * @seeds: peers to contact first
  * @seed_count: entries of @seeds
- * @lease_ms: lease asked of workers
- * @heartbeat_ms: between heartbeats to peers
- * @suspect_ms: silence after which a peer gets no new asks
+ * @lease_ms: lease requested from workers
+ * @heartbeat_ms: interval of heartbeats to peers
+ * @suspect_ms: silence after which a peer gets no new requests
  * @dead_ms: silence after which a peer's workers are claimed
- * @queue_max: most requests and tasks waiting here
- * @writes_per_s: of the table, from all daemons together
- * @callers_max: most callers waiting for an answer
- * @caller_idle_s: a caller's connection silent for this long is closed
- * @worker_threads: START and FETCH calls in flight at once
- * @worker_control_threads: other worker calls in flight at once
- * @platform_threads: platform calls in flight at once
- * @list_every_ms: between reads of the instance list
- * @body_max_kib: most KiB of a caller's body
- * @stop_after_ms: bound of the graceful stop
- * @curve_secret_key: Z85 text; "": peers' traffic is not encrypted
- * @curve_public_key: the matching public key
- * @tls_cert_file: PEM certificate of the callers' side; "": plain HTTP
- * @tls_key_file: PEM key of the callers' side
- * @store: transactional store of stepped jobs; "": they are not served
- * @approvals: policy service that approves workers; "": none
- * @revoke_timeout_ms: how long a key that was taken away may still be taken; 0:
- *   until this daemon hears of it
+ * @queue_max: bound on requests and tasks queued here
+ * @writes_per_s: rate of table writes that all daemons share
+ * @key_retention_s: how long idempotency keys and ended jobs are kept
+ * @callers_max: bound on callers that wait for a response
+ * @caller_idle_timeout_s: a caller's connection idle for this long is closed
+ * @worker_threads: concurrent START and FETCH calls to workers
+ * @worker_control_threads: concurrent other calls to workers
+ * @platform_threads: concurrent calls to the platform
+ * @list_interval_ms: interval between reads of the instance list
+ * @body_max_kib: largest body of a caller's request
+ * @stop_timeout_ms: bound on the graceful stop
+ * @curve_secret_key: CURVE secret key, Z85; "": peer traffic is not encrypted
+ * @curve_public_key: the matching public key, Z85
+ * @tls_cert_file: PEM certificate for callers; "": plain HTTP
+ * @tls_key_file: PEM private key for callers
+ * @store: address of the transactional store of stepped jobs; "": stepped jobs
+ *   are not served
+ * @approvals: address of the policy service that approves workers; "": none
+ * @revoke_timeout_ms: longest time that a revoked key is still accepted; 0:
+ *   until this daemon reads of the revocation
  * @quota_overrun_milli: thousandths of a quota that may be held beyond it
- * @strength_milli: share of a processor that this instance has
- * @ready_listen: where the platform asks for readiness
- * @metrics_listen: where the counters are served; "": nowhere
- * @log_level: highest severity number printed
+ * @cpu_share_milli: processor share of this instance, in thousandths
+ * @ready_listen: address of the readiness endpoint for the platform
+ * @metrics_listen: address where the counters are served; "": not served
+ * @log_level: highest syslog severity number that is printed
  */
 typedef struct
 {
@@ -83,13 +85,14 @@
   MuxLogLevel log_level;
 } MuxDaemonOptions;
 
-/** mux_daemon_options_read() - false with everything wrong in @findings */
+/** mux_daemon_options_read() - read and validate the settings
+ * Return: false with every invalid setting in @findings. */
 bool mux_daemon_options_read (int argc,
                               char **argv,
                               MuxDaemonOptions *options,
                               MuxFindings *findings);
 void mux_daemon_options_free (MuxDaemonOptions *options);
-/** mux_daemon_options_help() - print the table */
+/** mux_daemon_options_help() - print the table of settings */
 void mux_daemon_options_help (bool markdown);
 
 #endif
