--- a/include/adapter/curl.h
+++ b/include/adapter/curl.h
@@ -5,18 +5,21 @@
 
 #include <curl/curl.h>
 
-/* What every HTTP client of the project does alike with libcurl. */
+/* libcurl settings that all HTTP clients of the project share. */
 
-/** mux_curl_set_up() - no signals, no proxy, no redirection; the answer's
- * body, at most 64 MiB, is added to @body */
+/** mux_curl_set_common_options() - no signals, no proxy, no redirects
+ * @body: receives the response body; more than 64 MiB fail the exchange */
 void mux_curl_set_common_options (CURL *curl, MuxBytes *body);
-/** mux_curl_set_timeouts() - @connect_ms: at most, within @timeout_ms */
+/** mux_curl_set_timeouts() - set the timeouts of an exchange
+ * @connect_ms: for the connection; capped by @timeout_ms
+ * @timeout_ms: for the whole exchange */
 void mux_curl_set_timeouts (CURL *curl, long connect_ms, long timeout_ms);
 /**
- * struct MuxCurlProbes - when the kernel gives a silent connection up
- * @idle_s: without traffic, before the first probe
- * @interval_s: between probes
- * @silent_ms: bytes or probes unanswered for so long fail the connection
+ * struct MuxCurlKeepalive - when TCP fails an unresponsive connection
+ * @idle_s: time without traffic before the first keep-alive probe
+ * @interval_s: time between probes
+ * @user_timeout_ms: TCP_USER_TIMEOUT: bytes or probes unacknowledged for this
+ *   long fail the connection
  */
 typedef struct
 {
@@ -25,12 +28,15 @@
   unsigned int user_timeout_ms;
 } MuxCurlKeepalive;
 
-/** mux_curl_set_probes() - @probes must outlive @curl */
-void mux_curl_set_keepalive (CURL *curl, const MuxCurlKeepalive *probes);
-/** mux_curl_header() - of the last answer, until the next; NULL: absent */
+/** mux_curl_set_keepalive() - enable TCP keep-alive
+ * @keepalive: must outlive @curl */
+void mux_curl_set_keepalive (CURL *curl, const MuxCurlKeepalive *keepalive);
+/** mux_curl_header() - value of a header of the last response
+ * Return: valid until the next exchange; NULL: absent. */
 const char *mux_curl_header (CURL *curl, const char *name);
-/** mux_curl_says_its_end() - the last answer gave a length or came in chunks;
- * libcurl fails an exchange that ends before what either of them promises */
+/** mux_curl_response_is_framed() - whether the last response had a length
+ * True for a Content-Length or chunked encoding.  libcurl fails an exchange
+ * that ends before the length or the last chunk. */
 bool mux_curl_response_is_framed (CURL *curl);
 
 #endif
--- a/include/adapter/key_digest.h
+++ b/include/adapter/key_digest.h
@@ -6,7 +6,7 @@
 #include <stddef.h>
 
 /** mux_key_digest() - SHA-256 of a key
- * Return: false: it can't be made. */
+ * Return: false when the digest can't be computed. */
 bool mux_key_digest (const char *key, size_t len, MuxKeyDigest *digest);
 
 #endif
--- a/include/adapter/listen.h
+++ b/include/adapter/listen.h
@@ -3,10 +3,10 @@
 
 #include "base/error.h"
 
-/** mux_listen_open() - a socket that listens, not blocking
- * @listen_on: "ip:port"; port 0 lets the kernel pick
+/** mux_listen_open() - open a non-blocking listening socket
+ * @listen_on: "ip:port"; port 0: the kernel picks one
  * @bound: receives the "ip:port" in use, MUX_ADDR_LEN bytes
- * Return: -1 with @err set when the address can't be had. */
+ * Return: the descriptor; -1 with @err set when the address can't be bound. */
 int mux_listen_open (const char *listen_on, char *bound, MuxError *err);
 
 #endif
--- a/src/adapter/curl.c
+++ b/src/adapter/curl.c
@@ -4,16 +4,16 @@
 #include <netinet/tcp.h>
 #include <sys/socket.h>
 
-#define BODY_MAX ((size_t) 64 << 20)
+#define BODY_MAX_BYTES ((size_t) 64 << 20)
 
-/* A short return makes libcurl end the exchange with an error. */
+/* Returns less than it was given to make libcurl fail the exchange. */
 static size_t
 on_body (char *bytes, size_t size, size_t count, void *ctx)
 {
   MuxBytes *body = ctx;
   size_t len = size * count;
 
-  if (len > BODY_MAX - body->len || !mux_bytes_add (body, bytes, len))
+  if (len > BODY_MAX_BYTES - body->len || !mux_bytes_add (body, bytes, len))
     return 0;
   return len;
 }
@@ -22,8 +22,8 @@
 mux_curl_set_common_options (CURL *curl, MuxBytes *body)
 {
   curl_easy_setopt (curl, CURLOPT_NOSIGNAL, 1L);
-  /* Else libcurl would follow http_proxy from the environment, and a write
-   * could go through a party that repeats it. */
+  /* Otherwise libcurl would use http_proxy from the environment, and a proxy
+   * might send a write twice. */
   curl_easy_setopt (curl, CURLOPT_PROXY, "");
   curl_easy_setopt (curl, CURLOPT_FOLLOWLOCATION, 0L);
   curl_easy_setopt (curl, CURLOPT_WRITEFUNCTION, on_body);
@@ -42,26 +42,27 @@
 static int
 on_socket (void *ctx, curl_socket_t fd, curlsocktype purpose)
 {
-  const MuxCurlKeepalive *probes = ctx;
+  const MuxCurlKeepalive *keepalive = ctx;
 
   (void) purpose;
   (void) setsockopt (fd, IPPROTO_TCP, TCP_USER_TIMEOUT,
-                     &probes->user_timeout_ms, sizeof probes->user_timeout_ms);
+                     &keepalive->user_timeout_ms,
+                     sizeof keepalive->user_timeout_ms);
   return CURL_SOCKOPT_OK;
 }
 
-/* Guards against a connection that something between the two ends has lost
- * track of while an answer is waited for: no error ever shows, the call would
- * sit out its whole timeout.  The kernel's probes go unanswered then, and the
- * connection fails. */
+/* If a middlebox, such as a firewall, loses the state of a connection that
+ * waits for a response, no error occurs and the call would last until its
+ * timeout.  Then the keep-alive probes stay unanswered, and the kernel fails
+ * the connection earlier. */
 void
-mux_curl_set_keepalive (CURL *curl, const MuxCurlKeepalive *probes)
+mux_curl_set_keepalive (CURL *curl, const MuxCurlKeepalive *keepalive)
 {
   curl_easy_setopt (curl, CURLOPT_TCP_KEEPALIVE, 1L);
-  curl_easy_setopt (curl, CURLOPT_TCP_KEEPIDLE, probes->idle_s);
-  curl_easy_setopt (curl, CURLOPT_TCP_KEEPINTVL, probes->interval_s);
+  curl_easy_setopt (curl, CURLOPT_TCP_KEEPIDLE, keepalive->idle_s);
+  curl_easy_setopt (curl, CURLOPT_TCP_KEEPINTVL, keepalive->interval_s);
   curl_easy_setopt (curl, CURLOPT_SOCKOPTFUNCTION, on_socket);
-  curl_easy_setopt (curl, CURLOPT_SOCKOPTDATA, (void *) probes);
+  curl_easy_setopt (curl, CURLOPT_SOCKOPTDATA, (void *) keepalive);
 }
 
 const char *
@@ -74,8 +75,8 @@
   return header->value;
 }
 
-/* Guards against a cut answer that passes for a whole one: without a length or
- * chunks the end of the connection would count as the end of the answer. */
+/* Without a length or chunked encoding, the end of the connection counts as the
+ * end of the response, and a truncated response would pass as complete. */
 bool
 mux_curl_response_is_framed (CURL *curl)
 {
--- a/src/adapter/listen.c
+++ b/src/adapter/listen.c
@@ -20,7 +20,8 @@
 
   if (!mux_address_parse (listen_on, &addr, &len))
     {
-      mux_error_set (err, MUX_ERROR_USAGE, "%s is no address", listen_on);
+      mux_error_set (err, MUX_ERROR_USAGE, "%s is not a valid ip:port",
+                     listen_on);
       return -1;
     }
   fd = socket (addr.ss_family, SOCK_STREAM | SOCK_CLOEXEC | SOCK_NONBLOCK, 0);
