--- a/include/adapter/peer.h
+++ b/include/adapter/peer.h
@@ -9,15 +9,15 @@
 
 /**
  * struct MuxPeerZmqOptions - construction of the peer adapter
- * @inbox: where messages go
- * @listen: "ip:port" to bind; port 0 lets the kernel pick
+ * @inbox: receives messages; borrowed
+ * @listen: "ip:port" to bind; port 0: the kernel picks one
  * @name: this instance
- * @queue: messages that may wait to be sent, power of two
- * @silent_ms: a link that carried nothing for this long is replaced
- * @links_max: addresses that it speaks to at once; 0: as many as it can
+ * @queue: messages that may wait to be sent, a power of two
+ * @silence_timeout_ms: a link whose sends get no echo for this long is replaced
+ * @links_max: most links at once, one an address; 0: MUX_PEER_LINKS_MAX
  * @secret_key: CURVE secret key, Z85, 40 characters; NULL: no encryption
- * @public_key: the matching public key; one pair serves all daemons of a user
- * @counters: may be NULL
+ * @public_key: the matching public key; all daemons of a user share one pair
+ * @counters: borrowed; may be NULL
  */
 typedef struct
 {
@@ -32,19 +32,23 @@
   MuxCounters *counters;
 } MuxPeerZmqOptions;
 
-/** mux_peer_zmq_new() - ZeroMQ between daemons
+/** mux_peer_zmq_new() - create the peer adapter, which uses ZeroMQ
  * @bound: receives the "ip:port" in use, MUX_ADDR_LEN bytes
+ *
  * Its send() also returns false for an address that is no "ip:port".  Its
- * free() hands over what waits, for at most 2 s.
+ * free() sends the messages still queued, which takes at most 2 s.
  * Return: NULL with @err set when it can't listen. */
 MuxPeerPort *
 mux_peer_zmq_new (const MuxPeerZmqOptions *options, char *bound, MuxError *err);
 
-/** mux_peer_encode() - msgpack form; NULL: memory is out, or a body over
- * 4 MiB */
+/** mux_peer_encode() - encode a message as msgpack
+ * Return: NULL when out of memory or when the body is over 4 MiB. */
 MuxBlob *mux_peer_encode (const MuxPeerMsg *msg);
-/** mux_peer_decode() - false with @err when malformed, of another version, or
- * with a field out of range; on true @msg->body may hold a reference */
+/** mux_peer_decode() - decode a message
+ * @msg: filled on success; its body, if any, is a reference of the caller
+ * @err: may be NULL
+ * Return: false with @err set when the message is malformed, of another
+ * version, or has a field out of range. */
 bool
 mux_peer_decode (const void *bytes, size_t len, MuxPeerMsg *msg, MuxError *err);
 
--- a/src/adapter/peer_addr.h
+++ b/src/adapter/peer_addr.h
@@ -5,8 +5,8 @@
 #include <stdint.h>
 
 /**
- * mux_peer_addr_valid() - "a.b.c.d:port" or "[v6]:port", IP by number
- * @min_port: least port allowed; 0 for addresses that are bound
+ * mux_peer_addr_valid() - whether @addr is "a.b.c.d:port" or "[v6]:port"
+ * @min_port: smallest port allowed; 0 for addresses to bind
  */
 bool mux_peer_addr_valid (const char *addr, uint32_t min_port);
 
--- a/src/adapter/peer_curve.c
+++ b/src/adapter/peer_curve.c
@@ -6,11 +6,11 @@
 #define KEY_TEXT_LEN (MUX_CURVE_KEY_TEXT_SIZE - 1)
 #define ZAP_ENDPOINT "inproc://zeromq.zap.01"
 #define ZAP_DOMAIN "cuminmux"
-/* Questions answered in one turn, and frames that one may have. */
-#define ZAP_BATCH 64
-#define ZAP_FRAMES_MAX 16
+/* Most requests answered in a row, and most excess frames read of one. */
+#define ZAP_BATCH_MAX 64
+#define ZAP_EXCESS_FRAMES_MAX 16
 
-/* Frames of a question, RFC 27 of ZeroMQ. */
+/* Frames of a ZAP request, see ZeroMQ's RFC 27. */
 typedef enum
 {
   ZAP_VERSION,
@@ -27,7 +27,7 @@
 {
   zmq_msg_t frame[ZAP_FRAMES];
   uint32_t count;
-} ZapQuestion;
+} ZapRequest;
 
 static bool
 keys_are_pair (MuxPeerCurve *curve)
@@ -59,15 +59,16 @@
                           KEY_TEXT_LEN);
   if (!zmq_has ("curve"))
     return mux_error_set (err, MUX_ERROR_UNAVAILABLE,
-                          "this ZeroMQ was built without CURVE");
+                          "this ZeroMQ library was built without CURVE");
   memcpy (curve->secret_text, secret, MUX_CURVE_KEY_TEXT_SIZE);
   memcpy (curve->public_text, public, MUX_CURVE_KEY_TEXT_SIZE);
   if (!keys_are_pair (curve))
     return mux_error_set (err, MUX_ERROR_USAGE,
-                          "the CURVE keys are no pair of Z85 keys");
+                          "the CURVE keys are not a matching pair of Z85 keys");
   curve->zap = zmq_socket (zmq, ZMQ_REP);
   if (curve->zap == NULL || zmq_bind (curve->zap, ZAP_ENDPOINT) != 0)
-    return mux_error_set (err, MUX_ERROR_IO, "CURVE's handler: %s",
+    return mux_error_set (err, MUX_ERROR_IO,
+                          "can't open the CURVE key handler: %s",
                           zmq_strerror (zmq_errno ()));
   curve->enabled = true;
   return true;
@@ -88,8 +89,8 @@
 
   if (!curve->enabled)
     return true;
-  /* ZeroMQ lets every key in while nobody answers its question, so zap is
-   * bound before a server is and closed after it. */
+  /* ZeroMQ accepts every key while there is no ZAP handler, so the handler is
+   * bound before the server socket and closed after it. */
   return zmq_setsockopt (socket, ZMQ_CURVE_SERVER, &on, sizeof on) == 0
          && zmq_setsockopt (socket, ZMQ_CURVE_SECRETKEY, curve->secret_text,
                             MUX_CURVE_KEY_TEXT_SIZE)
@@ -116,78 +117,80 @@
 }
 
 static bool
-frame_is (const ZapQuestion *question,
-          ZapFrame which,
-          const void *bytes,
-          size_t len)
+frame_equals (const ZapRequest *request,
+              ZapFrame which,
+              const void *bytes,
+              size_t len)
 {
   zmq_msg_t *frame;
 
-  if (which >= question->count)
+  if (which >= request->count)
     return false;
-  frame = (zmq_msg_t *) &question->frame[which];
+  frame = (zmq_msg_t *) &request->frame[which];
   return zmq_msg_size (frame) == len
          && memcmp (zmq_msg_data (frame), bytes, len) == 0;
 }
 
-/* All daemons of a user hold the same pair, so the only key let in is ours. */
+/* All daemons of a user share one key pair, so only its public key is accepted.
+ */
 static bool
-question_is_ours (const MuxPeerCurve *curve, const ZapQuestion *question)
+request_is_authorized (const MuxPeerCurve *curve, const ZapRequest *request)
 {
-  return question->count == ZAP_FRAMES
-         && frame_is (question, ZAP_VERSION, "1.0", 3)
-         && frame_is (question, ZAP_DOMAIN_NAME, ZAP_DOMAIN,
-                      strlen (ZAP_DOMAIN))
-         && frame_is (question, ZAP_MECHANISM, "CURVE", 5)
-         && frame_is (question, ZAP_KEY, curve->public_key,
-                      MUX_CURVE_KEY_BYTES);
+  return request->count == ZAP_FRAMES
+         && frame_equals (request, ZAP_VERSION, "1.0", 3)
+         && frame_equals (request, ZAP_DOMAIN_NAME, ZAP_DOMAIN,
+                          strlen (ZAP_DOMAIN))
+         && frame_equals (request, ZAP_MECHANISM, "CURVE", 5)
+         && frame_equals (request, ZAP_KEY, curve->public_key,
+                          MUX_CURVE_KEY_BYTES);
 }
 
 static void
-question_free (ZapQuestion *question)
+request_free (ZapRequest *request)
 {
-  for (uint32_t i = 0; i < question->count; i++)
-    zmq_msg_close (&question->frame[i]);
+  for (uint32_t i = 0; i < request->count; i++)
+    zmq_msg_close (&request->frame[i]);
 }
 
-/* Frames beyond those known are read away, and make the question malformed. */
+/* Excess frames are read and dropped.  The request then counts as malformed, by
+ * a frame count that differs from ZAP_FRAMES. */
 static bool
-question_read (void *zap, ZapQuestion *question)
+request_receive (void *zap, ZapRequest *request)
 {
   uint32_t extra = 0;
   bool more = true;
 
-  question->count = 0;
-  while (more && extra < ZAP_FRAMES_MAX)
+  request->count = 0;
+  while (more && extra < ZAP_EXCESS_FRAMES_MAX)
     {
       zmq_msg_t frame;
 
       zmq_msg_init (&frame);
       if (zmq_msg_recv (&frame, zap, ZMQ_DONTWAIT) < 0)
         {
-          question_free (question);
+          request_free (request);
           return false;
         }
       more = zmq_msg_more (&frame) != 0;
-      if (question->count < ZAP_FRAMES)
-        question->frame[question->count++] = frame;
+      if (request->count < ZAP_FRAMES)
+        request->frame[request->count++] = frame;
       else
         {
           extra++;
           zmq_msg_close (&frame);
         }
     }
-  if (extra > 0 && question->count == ZAP_FRAMES)
-    zmq_msg_close (&question->frame[--question->count]);
+  if (extra > 0 && request->count == ZAP_FRAMES)
+    zmq_msg_close (&request->frame[--request->count]);
   return true;
 }
 
 static void
-question_answer (void *zap, const ZapQuestion *question, bool accepted)
+request_reply (void *zap, const ZapRequest *request, bool accepted)
 {
   const int more = ZMQ_SNDMORE | ZMQ_DONTWAIT;
-  zmq_msg_t *id = (zmq_msg_t *) &question->frame[ZAP_REQUEST_ID];
-  bool has_id = question->count > ZAP_REQUEST_ID;
+  zmq_msg_t *id = (zmq_msg_t *) &request->frame[ZAP_REQUEST_ID];
+  bool has_id = request->count > ZAP_REQUEST_ID;
 
   zmq_send (zap, "1.0", 3, more);
   zmq_send (zap, has_id ? zmq_msg_data (id) : "",
@@ -201,12 +204,13 @@
 void
 mux_peer_curve_serve_zap (const MuxPeerCurve *curve)
 {
-  ZapQuestion question;
+  ZapRequest request;
 
-  for (int i = 0; i < ZAP_BATCH && question_read (curve->zap, &question); i++)
+  for (int i = 0; i < ZAP_BATCH_MAX && request_receive (curve->zap, &request);
+       i++)
     {
-      question_answer (curve->zap, &question,
-                       question_is_ours (curve, &question));
-      question_free (&question);
+      request_reply (curve->zap, &request,
+                     request_is_authorized (curve, &request));
+      request_free (&request);
     }
 }
--- a/src/adapter/peer_curve.h
+++ b/src/adapter/peer_curve.h
@@ -11,11 +11,11 @@
 
 /**
  * struct MuxPeerCurve - encryption between the daemons of one user
- * @on: keys were given
+ * @enabled: keys were given
  * @secret_text: secret key, Z85
  * @public_text: public key, Z85
  * @public_key: public key, binary
- * @zap: REP socket that answers ZeroMQ's question whether a key is accepted
+ * @zap: REP socket of the ZAP handler, which ZeroMQ asks to authorize keys
  */
 typedef struct
 {
@@ -27,9 +27,11 @@
 } MuxPeerCurve;
 
 /**
- * mux_peer_curve_open() - check the keys and start to answer for them
- * @secret: Z85, or NULL for no encryption, as must @public be then
- * Return: false with @err set when the keys are no pair.
+ * mux_peer_curve_open() - check the keys and bind the ZAP handler's socket
+ * @zmq: ZeroMQ context
+ * @secret: Z85; NULL for no encryption, and so must @public be then
+ * Return: false with @err set when the keys are not a valid pair, or when
+ * ZeroMQ has no CURVE.
  */
 bool mux_peer_curve_open (MuxPeerCurve *curve,
                           void *zmq,
@@ -37,13 +39,14 @@
                           const char *public,
                           MuxError *err);
 void mux_peer_curve_close (MuxPeerCurve *curve);
-/** mux_peer_curve_server() - set a socket up before it is bound */
+/** mux_peer_curve_set_server_options() - prepare a socket before its bind */
 bool mux_peer_curve_set_server_options (const MuxPeerCurve *curve,
                                         void *socket);
-/** mux_peer_curve_client() - set a socket up before it is connected */
+/** mux_peer_curve_set_client_options() - prepare a socket before its connect
+ */
 bool mux_peer_curve_set_client_options (const MuxPeerCurve *curve,
                                         void *socket);
-/** mux_peer_curve_answer() - answer the questions that wait at @zap */
+/** mux_peer_curve_serve_zap() - answer the requests that wait at the handler */
 void mux_peer_curve_serve_zap (const MuxPeerCurve *curve);
 
 #endif
--- a/src/adapter/peer_decode.c
+++ b/src/adapter/peer_decode.c
@@ -10,21 +10,21 @@
 {
   const char *bytes;
   size_t len;
-  size_t at;
+  size_t pos;
   msgpack_zone zone;
   MuxError *err;
 } Reader;
 
 static bool
-bad (const Reader *reader, const char *what, const char *why)
+fail (const Reader *reader, const char *what, const char *why)
 {
   return mux_error_set (reader->err, MUX_ERROR_PROTOCOL, "peer message: %s %s",
                         what, why);
 }
 
-/* Arrays, maps and extensions never stand inside a message.  They are refused
- * by their first byte: the library would reserve room for as many entries as
- * their length field names before it looks for one. */
+/* Messages hold no nested array, map or extension.  These are refused by their
+ * first byte, because the library allocates memory for the number of entries
+ * that their header gives before it reads any. */
 static bool
 byte_is_flat (unsigned char byte)
 {
@@ -36,21 +36,22 @@
   return !fixed_map_or_array && !extension && !fixed_extension && !array_or_map;
 }
 
-/* One entry at a time, for the library takes an array's length on trust. */
+/* Entries are unpacked one at a time, because the library allocates for a whole
+ * array by the length in its header. */
 static bool
 read_entry (Reader *reader, const char *name, msgpack_object *entry)
 {
   msgpack_unpack_return rc;
 
   *entry = (msgpack_object){ .type = MSGPACK_OBJECT_NIL };
-  if (reader->at >= reader->len)
-    return bad (reader, name, "is missing");
-  if (!byte_is_flat ((unsigned char) reader->bytes[reader->at]))
-    return bad (reader, name, "has the wrong type");
-  rc = msgpack_unpack (reader->bytes, reader->len, &reader->at, &reader->zone,
+  if (reader->pos >= reader->len)
+    return fail (reader, name, "is missing");
+  if (!byte_is_flat ((unsigned char) reader->bytes[reader->pos]))
+    return fail (reader, name, "has the wrong type");
+  rc = msgpack_unpack (reader->bytes, reader->len, &reader->pos, &reader->zone,
                        entry);
   if (rc != MSGPACK_UNPACK_SUCCESS && rc != MSGPACK_UNPACK_EXTRA_BYTES)
-    return bad (reader, name, "is cut or malformed");
+    return fail (reader, name, "is truncated or malformed");
   return true;
 }
 
@@ -62,9 +63,9 @@
   if (!read_entry (reader, name, &entry))
     return false;
   if (entry.type != MSGPACK_OBJECT_POSITIVE_INTEGER)
-    return bad (reader, name, "has the wrong type");
+    return fail (reader, name, "has the wrong type");
   if (entry.via.u64 > max)
-    return bad (reader, name, "is out of range");
+    return fail (reader, name, "is out of range");
   *value = entry.via.u64;
   return true;
 }
@@ -93,9 +94,9 @@
       return true;
     }
   if (entry.type != MSGPACK_OBJECT_POSITIVE_INTEGER)
-    return bad (reader, name, "has the wrong type");
+    return fail (reader, name, "has the wrong type");
   if (entry.via.u64 > INT64_MAX)
-    return bad (reader, name, "is out of range");
+    return fail (reader, name, "is out of range");
   *value = (int64_t) entry.via.u64;
   return true;
 }
@@ -108,12 +109,13 @@
   if (!read_entry (reader, name, &entry))
     return false;
   if (entry.type != MSGPACK_OBJECT_BOOLEAN)
-    return bad (reader, name, "has the wrong type");
+    return fail (reader, name, "has the wrong type");
   *value = entry.via.boolean;
   return true;
 }
 
-/* Copies a string that has no NUL inside and fits @cap with its own. */
+/* Copies a string that holds no NUL and, with its terminating NUL, fits @cap.
+ */
 static bool
 read_text (Reader *reader, const char *name, char *out, size_t cap)
 {
@@ -123,12 +125,12 @@
   if (!read_entry (reader, name, &entry))
     return false;
   if (entry.type != MSGPACK_OBJECT_STR)
-    return bad (reader, name, "has the wrong type");
+    return fail (reader, name, "has the wrong type");
   len = entry.via.str.size;
   if (len >= cap)
-    return bad (reader, name, "is too long");
+    return fail (reader, name, "is too long");
   if (len > 0 && memchr (entry.via.str.ptr, 0, len) != NULL)
-    return bad (reader, name, "holds a NUL");
+    return fail (reader, name, "contains a NUL");
   if (len > 0)
     memcpy (out, entry.via.str.ptr, len);
   out[len] = 0;
@@ -143,7 +145,7 @@
   if (out[0] == 0 && field->kind == MUX_FIELD_NAME_OR_NONE)
     return true;
   if (!mux_name_valid (out))
-    return bad (reader, field->name, "is no name");
+    return fail (reader, field->name, "is not a valid name");
   return true;
 }
 
@@ -153,7 +155,7 @@
   if (!read_text (reader, field->name, out, MUX_ADDR_LEN))
     return false;
   if (!mux_peer_addr_valid (out, 1))
-    return bad (reader, field->name, "is no address");
+    return fail (reader, field->name, "is not a valid address");
   return true;
 }
 
@@ -168,9 +170,9 @@
   if (entry.type == MSGPACK_OBJECT_NIL && field->kind == MUX_FIELD_ID_OR_NONE)
     return true;
   if (entry.type != MSGPACK_OBJECT_BIN)
-    return bad (reader, field->name, "has the wrong type");
+    return fail (reader, field->name, "has the wrong type");
   if (entry.via.bin.size != MUX_PEER_ID_BYTES)
-    return bad (reader, field->name, "has the wrong length");
+    return fail (reader, field->name, "has the wrong length");
   bytes = (const unsigned char *) entry.via.bin.ptr;
   for (int i = 0; i < 8; i++)
     {
@@ -178,7 +180,7 @@
       id->lo = id->lo << 8 | bytes[8 + i];
     }
   if (mux_id_is_none (*id))
-    return bad (reader, field->name, "is no id");
+    return fail (reader, field->name, "is not a valid id");
   return true;
 }
 
@@ -212,9 +214,9 @@
   if (entry.type == MSGPACK_OBJECT_NIL)
     return true;
   if (entry.type != MSGPACK_OBJECT_BIN)
-    return bad (reader, name, "has the wrong type");
+    return fail (reader, name, "has the wrong type");
   if (entry.via.bin.size > MUX_PEER_BODY_MAX)
-    return bad (reader, name, "is too long");
+    return fail (reader, name, "is too long");
   *body = mux_blob_new (entry.via.bin.ptr, entry.via.bin.size);
   if (*body == NULL)
     return mux_error_set (reader->err, MUX_ERROR_MEMORY, "memory is out");
@@ -265,25 +267,25 @@
   return true;
 }
 
-/* The array's head: one byte up to 15 entries, three bytes beyond. */
+/* Header of the message's array: 1 byte for up to 15 entries, else 3 bytes. */
 static bool
-read_array_head (Reader *reader, uint32_t *entries)
+read_array_header (Reader *reader, uint32_t *entries)
 {
   const unsigned char *p = (const unsigned char *) reader->bytes;
 
   if (reader->len >= 1 && (p[0] & 0xf0) == 0x90)
     {
       *entries = p[0] & 0x0f;
-      reader->at = 1;
+      reader->pos = 1;
       return true;
     }
   if (reader->len >= 3 && p[0] == 0xdc)
     {
       *entries = (uint32_t) p[1] << 8 | p[2];
-      reader->at = 3;
+      reader->pos = 3;
       return true;
     }
-  return bad (reader, "head", "is no array");
+  return fail (reader, "header", "is not an array");
 }
 
 static bool
@@ -293,22 +295,22 @@
   uint32_t verb = 0;
   uint64_t version = 0;
 
-  if (!read_array_head (reader, &entries))
+  if (!read_array_header (reader, &entries))
     return false;
   if (!read_unsigned (reader, "version", UINT64_MAX, &version))
     return false;
   if (version != MUX_PEER_VERSION)
-    return bad (reader, "version", "is another");
+    return fail (reader, "version", "is not supported");
   if (!read_u32 (reader, "verb", MUX_PEER_VERB_COUNT - 1, &verb))
     return false;
   msg->verb = (MuxPeerVerb) verb;
   if (entries != mux_peer_entry_count (msg->verb))
-    return bad (reader, "head", "has the wrong length");
+    return fail (reader, "header", "has the wrong length");
   if (!read_list (reader, &mux_peer_common_fields, msg)
       || !read_list (reader, &mux_peer_verb_fields[verb], msg))
     return false;
-  if (reader->at != reader->len)
-    return bad (reader, "end", "has bytes beyond it");
+  if (reader->pos != reader->len)
+    return fail (reader, "end", "is followed by more bytes");
   return true;
 }
 
@@ -320,7 +322,7 @@
 
   memset (msg, 0, sizeof *msg);
   if (len > MUX_PEER_MSG_MAX)
-    return bad (&reader, "it", "is too long");
+    return fail (&reader, "total size", "is too large");
   if (!msgpack_zone_init (&reader.zone, 64))
     return mux_error_set (err, MUX_ERROR_MEMORY, "memory is out");
   ok = read_msg (&reader, msg);
--- a/src/adapter/peer_fields.c
+++ b/src/adapter/peer_fields.c
@@ -19,7 +19,7 @@
   { MUX_FIELD_U32, "oldest_ms", offsetof (MuxPeerMsg, oldest_ms) },
 };
 
-static const MuxPeerField grant_ask_fields[] = {
+static const MuxPeerField grant_request_fields[] = {
   { MUX_FIELD_ID, "task", offsetof (MuxPeerMsg, task) },
   { MUX_FIELD_ID_OR_NONE, "group", offsetof (MuxPeerMsg, group) },
   { MUX_FIELD_U32, "group_count", offsetof (MuxPeerMsg, group_count) },
@@ -84,7 +84,7 @@
   { MUX_FIELD_I64, "wall_ms", offsetof (MuxPeerMsg, wall_ms) },
 };
 
-static const MuxPeerField welcome_fields[] = {
+static const MuxPeerField hello_reply_fields[] = {
   { MUX_FIELD_U64, "epoch", offsetof (MuxPeerMsg, epoch) },
   { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BOOL, "table_ok", offsetof (MuxPeerMsg, table_ok) },
@@ -93,26 +93,26 @@
   { MUX_FIELD_BODY, "body", offsetof (MuxPeerMsg, body) },
 };
 
-static const MuxPeerField ask_fields[] = {
+static const MuxPeerField query_fields[] = {
   { MUX_FIELD_ADDR, "from_addr", offsetof (MuxPeerMsg, from_addr) },
   { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BODY, "body", offsetof (MuxPeerMsg, body) },
 };
 
-static const MuxPeerField job_told_fields[] = {
+static const MuxPeerField job_reply_fields[] = {
   { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BOOL, "found", offsetof (MuxPeerMsg, found) },
   { MUX_FIELD_U32, "job_state", offsetof (MuxPeerMsg, job_state) },
   { MUX_FIELD_U32, "queued", offsetof (MuxPeerMsg, queued) },
 };
 
-static const MuxPeerField approval_told_fields[] = {
+static const MuxPeerField approval_reply_fields[] = {
   { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_BOOL, "found", offsetof (MuxPeerMsg, found) },
   { MUX_FIELD_BODY, "body", offsetof (MuxPeerMsg, body) },
 };
 
-static const MuxPeerField submit_told_fields[] = {
+static const MuxPeerField submit_reply_fields[] = {
   { MUX_FIELD_U64, "call", offsetof (MuxPeerMsg, call_id) },
   { MUX_FIELD_U32, "outcome", offsetof (MuxPeerMsg, outcome) },
   { MUX_FIELD_U32, "retry_ms", offsetof (MuxPeerMsg, retry_ms) },
@@ -126,7 +126,8 @@
 
 const MuxPeerFieldList mux_peer_verb_fields[MUX_PEER_VERB_COUNT] = {
   [MUX_PEER_HEARTBEAT] = { heartbeat_fields, COUNT (heartbeat_fields) },
-  [MUX_PEER_GRANT_REQUEST] = { grant_ask_fields, COUNT (grant_ask_fields) },
+  [MUX_PEER_GRANT_REQUEST]
+  = { grant_request_fields, COUNT (grant_request_fields) },
   [MUX_PEER_GRANT] = { grant_fields, COUNT (grant_fields) },
   [MUX_PEER_GRANT_REFUSED] = { refused_fields, COUNT (refused_fields) },
   [MUX_PEER_GRANT_CANCEL] = { task_fields, COUNT (task_fields) },
@@ -140,21 +141,22 @@
   [MUX_PEER_MEMBERS] = { members_fields, COUNT (members_fields) },
   [MUX_PEER_JOB_HINT] = { task_fields, COUNT (task_fields) },
   [MUX_PEER_HELLO] = { hello_fields, COUNT (hello_fields) },
-  [MUX_PEER_HELLO_REPLY] = { welcome_fields, COUNT (welcome_fields) },
-  [MUX_PEER_JOB_QUERY] = { ask_fields, COUNT (ask_fields) },
-  [MUX_PEER_JOB_REPLY] = { job_told_fields, COUNT (job_told_fields) },
-  [MUX_PEER_APPROVAL_QUERY] = { ask_fields, COUNT (ask_fields) },
-  [MUX_PEER_PROXY_CALL] = { ask_fields, COUNT (ask_fields) },
+  [MUX_PEER_HELLO_REPLY] = { hello_reply_fields, COUNT (hello_reply_fields) },
+  [MUX_PEER_JOB_QUERY] = { query_fields, COUNT (query_fields) },
+  [MUX_PEER_JOB_REPLY] = { job_reply_fields, COUNT (job_reply_fields) },
+  [MUX_PEER_APPROVAL_QUERY] = { query_fields, COUNT (query_fields) },
+  [MUX_PEER_PROXY_CALL] = { query_fields, COUNT (query_fields) },
   [MUX_PEER_PROXY_REPLY]
-  = { approval_told_fields, COUNT (approval_told_fields) },
-  [MUX_PEER_SUBMIT_REQUEST] = { ask_fields, COUNT (ask_fields) },
-  [MUX_PEER_SUBMIT_REPLY] = { submit_told_fields, COUNT (submit_told_fields) },
+  = { approval_reply_fields, COUNT (approval_reply_fields) },
+  [MUX_PEER_SUBMIT_REQUEST] = { query_fields, COUNT (query_fields) },
+  [MUX_PEER_SUBMIT_REPLY]
+  = { submit_reply_fields, COUNT (submit_reply_fields) },
   [MUX_PEER_APPROVAL_REPLY]
-  = { approval_told_fields, COUNT (approval_told_fields) },
+  = { approval_reply_fields, COUNT (approval_reply_fields) },
 };
 
 static uint32_t
-list_entries (const MuxPeerFieldList *list)
+list_entry_count (const MuxPeerFieldList *list)
 {
   uint32_t n = list->count;
 
@@ -167,6 +169,6 @@
 uint32_t
 mux_peer_entry_count (MuxPeerVerb verb)
 {
-  return MUX_PEER_HEADER_ENTRIES + list_entries (&mux_peer_common_fields)
-         + list_entries (&mux_peer_verb_fields[verb]);
+  return MUX_PEER_HEADER_ENTRIES + list_entry_count (&mux_peer_common_fields)
+         + list_entry_count (&mux_peer_verb_fields[verb]);
 }
--- a/src/adapter/peer_fields.h
+++ b/src/adapter/peer_fields.h
@@ -6,16 +6,16 @@
 #include <stddef.h>
 #include <stdint.h>
 
-/* Version of the format; a daemon refuses every other. */
+/* Version of the message format; messages of any other version are refused. */
 #define MUX_PEER_VERSION 1
-/* Longest body of a message. */
+/* Largest body of a message, in bytes. */
 #define MUX_PEER_BODY_MAX (4U << 20)
-/* More than all other fields of a message can take. */
+/* Upper bound on the bytes of all other fields of a message. */
 #define MUX_PEER_FIELDS_MAX_BYTES 768U
 #define MUX_PEER_MSG_MAX (MUX_PEER_BODY_MAX + MUX_PEER_FIELDS_MAX_BYTES)
 
 /* A message is one flat msgpack array: the version, the verb, the fields that
- * all messages have, and those that the verb uses, in the order of its list. */
+ * all messages have, and the fields of the verb, in the order of its list. */
 
 typedef enum
 {
@@ -43,7 +43,7 @@
 
 #define MUX_PEER_SIZE_ENTRIES 4
 #define MUX_PEER_ID_BYTES 16
-/* The entries before the fields: version and verb. */
+/* Array entries before the fields: version and verb. */
 #define MUX_PEER_HEADER_ENTRIES 2
 
 typedef struct
@@ -55,7 +55,7 @@
 extern const MuxPeerFieldList mux_peer_common_fields;
 extern const MuxPeerFieldList mux_peer_verb_fields[MUX_PEER_VERB_COUNT];
 
-/** mux_peer_entries() - entries of the array that carries a @verb */
+/** mux_peer_entry_count() - array entries of a message with this @verb */
 uint32_t mux_peer_entry_count (MuxPeerVerb verb);
 
 #endif
--- a/src/adapter/peer_link.c
+++ b/src/adapter/peer_link.c
@@ -8,15 +8,15 @@
 #include <zmq.h>
 
 #define RECONNECT_MS 50
-/* ZeroMQ's own heartbeats come once in so many silent_ms: for each one it
- * searches the timers of all connections. */
-#define HEARTBEATS_APART 4
-/* A link is probed once it has waited for one of so many parts of silent_ms:
- * what it carries meanwhile needs no probe of its own. */
-#define PROBE_PARTS 2
-/* Only echoes and ZeroMQ's own commands come back. */
+/* Interval of ZeroMQ's own heartbeats, in silence timeouts.  They are rare
+ * because each one makes ZeroMQ search the timers of all connections. */
+#define HEARTBEAT_INTERVAL_FACTOR 4
+/* A link is first probed after this fraction of the silence timeout without an
+ * echo: that one probe covers all that was sent in the meantime. */
+#define PROBE_DIVISOR 2
+/* Largest frame received on a link: echoes and ZeroMQ's commands only. */
 #define FRAME_BYTES_MAX 1024
-#define HEAR_BATCH 4096
+#define ECHO_BATCH_MAX 4096
 
 static bool
 set_int (void *socket, int option, int value)
@@ -25,25 +25,26 @@
 }
 
 /* ZeroMQ's own heartbeats, off by default, end connections that died while
- * nothing was sent, on either side; they wait longer than a link that is in
- * use, whose replacement is more than a new connection. */
+ * idle, on either side.  Their timeout is longer than that of a link in use,
+ * which link_replace() handles. */
 bool
-mux_peer_socket_set_common_options (void *socket, uint32_t silent_ms)
+mux_peer_socket_set_common_options (void *socket, uint32_t silence_timeout_ms)
 {
-  int silent = (int) silent_ms;
-  int interval = HEARTBEATS_APART * silent;
+  int timeout_ms = (int) silence_timeout_ms;
+  int interval_ms = HEARTBEAT_INTERVAL_FACTOR * timeout_ms;
 
   return set_int (socket, ZMQ_LINGER, 0)
          && set_int (socket, ZMQ_SNDHWM, MUX_PEER_LINK_QUEUE)
          && set_int (socket, ZMQ_RCVHWM, MUX_PEER_LINK_QUEUE)
-         && set_int (socket, ZMQ_HEARTBEAT_IVL, interval)
-         && set_int (socket, ZMQ_HEARTBEAT_TIMEOUT, 2 * silent)
-         && set_int (socket, ZMQ_HANDSHAKE_IVL, silent);
+         && set_int (socket, ZMQ_HEARTBEAT_IVL, interval_ms)
+         && set_int (socket, ZMQ_HEARTBEAT_TIMEOUT, 2 * timeout_ms)
+         && set_int (socket, ZMQ_HANDSHAKE_IVL, timeout_ms);
 }
 
-/* ZMQ_IMMEDIATE stays off: with it the first message to an address, sent
- * before the connection stands, would always be lost.  What waits in a link
- * that never connects goes away with it after silent_ms. */
+/* ZMQ_IMMEDIATE stays off: with it, the first message to an address, sent
+ * before the connection is established, would always be lost.  Messages queued
+ * in a link that never connects are dropped with it after the silence timeout.
+ */
 static void *
 link_open (const MuxPeerLinks *links, const char *addr)
 {
@@ -83,7 +84,7 @@
 }
 
 static bool
-links_are_full (MuxPeerLinks *links)
+links_limit_reached (MuxPeerLinks *links)
 {
   bool full = HASH_COUNT (links->by_addr) >= links->links_max;
 
@@ -100,7 +101,7 @@
   MuxPeerLink *link = NULL;
 
   HASH_FIND_STR (links->by_addr, addr, link);
-  if (link != NULL || links_are_full (links))
+  if (link != NULL || links_limit_reached (links))
     return link;
   link = calloc (1, sizeof *link);
   if (link == NULL)
@@ -155,7 +156,7 @@
 }
 
 static void
-link_heard (MuxPeerLink *link, const char *frame)
+link_echoed (MuxPeerLink *link, const char *frame)
 {
   memcpy (&link->echo, frame + 1, sizeof link->echo);
   link->unechoed_since_ms = 0;
@@ -171,14 +172,14 @@
 
   if (link->socket == NULL)
     return;
-  for (int i = 0; i < HEAR_BATCH; i++)
+  for (int i = 0; i < ECHO_BATCH_MAX; i++)
     {
       int len = zmq_recv (link->socket, frame, sizeof frame, ZMQ_DONTWAIT);
 
       if (len < 0)
         return;
       if (len == sizeof frame && frame[0] == MUX_PEER_PROBE_TYPE)
-        link_heard (link, frame);
+        link_echoed (link, frame);
     }
 }
 
@@ -189,15 +190,13 @@
          && link->echo != link->probe;
 }
 
-/* Guards against a connection that goes silent for good while new ones work,
- * because something between the two ends, such as a firewall or a balancer,
- * has lost track of it.  It shows as sends that succeed, no error, and no echo
- * of a probe; ZeroMQ alone may keep such a connection, since a box in between
- * can go on acknowledging its bytes.  A probe is echoed by the peer's own
- * thread, so an echo proves the whole way there and back; without one for
- * silent_ms a new connection, which takes a new path through the box, is the
- * only cure.  What waits in the old one is dropped with it: sending it again
- * might deliver it twice. */
+/* A middlebox, such as a firewall or a load balancer, may lose the state of one
+ * connection while new connections work.  Sends on it then succeed, no error
+ * occurs, and probes get no echo.  ZeroMQ alone may keep such a connection,
+ * since the middlebox can go on acknowledging its bytes.  An echo comes from
+ * the peer's own thread and so proves that both directions work.  Without one
+ * for silence_timeout_ms the link gets a new connection.  Messages queued in
+ * the old one are dropped: sending them again might deliver them twice. */
 static void
 link_replace (MuxPeerLinks *links, MuxPeerLink *link)
 {
@@ -232,7 +231,7 @@
     link_replace (links, link);
   else if (link->socket != NULL
            && now_ms - link->unechoed_since_ms
-                  >= links->silence_timeout_ms / PROBE_PARTS)
+                  >= links->silence_timeout_ms / PROBE_DIVISOR)
     link_probe (link);
 }
 
@@ -273,7 +272,7 @@
 {
   MuxPeerLink *link = links->by_addr;
 
-  /* The table goes first; the entries stay chained. */
+  /* HASH_CLEAR frees the table only; the entries stay linked. */
   HASH_CLEAR (hh, links->by_addr);
   while (link != NULL)
     {
--- a/src/adapter/peer_link.h
+++ b/src/adapter/peer_link.h
@@ -9,32 +9,33 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Out of memory, uthash leaves the entry out instead of ending the process. */
+/* When out of memory, uthash then drops the entry instead of calling exit(). */
 #define HASH_NONFATAL_OOM 1
 #include <uthash.h>
 
-/* Addresses that one daemon speaks to at once, if no less is asked for: several
- * times the daemons of the largest cell. */
+/* Default and largest number of links: several times the daemons of the largest
+ * cell. */
 #define MUX_PEER_LINKS_MAX 2048
-/* Messages that may wait inside one connection. */
+/* High-water mark of a socket, in messages. */
 #define MUX_PEER_LINK_QUEUE 1024
-/* A link is closed when nothing was sent on it for this many silent_ms. */
+/* A link is closed when nothing was sent on it for this many times
+ * silence_timeout_ms. */
 #define MUX_PEER_IDLE_FACTOR 10
 
-/* A probe is this byte, with which no message begins, and a number; the peer
- * sends it back as it came. */
+/* A probe is this byte, with which no message begins, and a 4-byte number.  The
+ * peer returns it unchanged as the echo. */
 #define MUX_PEER_PROBE_TYPE 0
 #define MUX_PEER_PROBE_BYTES 5
 
 /**
- * struct MuxPeerLink - connection to the listener of one peer address
+ * struct MuxPeerLink - outgoing connection to one peer address
  * @addr: "ip:port"
- * @socket: DEALER
- * @used_ms: when something was last sent here
- * @waiting_since_ms: first send that no echo has followed yet; 0: none
+ * @socket: DEALER; NULL: not open
+ * @last_send_ms: time of the last send
+ * @unechoed_since_ms: time of the first send since the last echo; 0: none
  * @probe: number of the last probe sent
- * @echo: number of the last probe that came back
- * @silent: it has been replaced for silence and was not heard since
+ * @echo: number of the last echo received
+ * @unresponsive: replaced after the silence timeout, and no echo since
  */
 typedef struct
 {
@@ -50,13 +51,13 @@
 
 /**
  * struct MuxPeerLinks - the outgoing links, all used by one thread
- * @zmq: context
+ * @zmq: ZeroMQ context
  * @curve: encryption
  * @counters: may be NULL
- * @silent_ms: a link that is not heard for this long is replaced
+ * @silence_timeout_ms: a link without an echo for this long is replaced
  * @links_max: most links at once
- * @by_addr: links
- * @full: the bound was reached and has been reported
+ * @by_addr: links, by address
+ * @limit_reached: @links_max was reached and has been logged
  */
 typedef struct
 {
@@ -69,23 +70,26 @@
   bool limit_reached;
 } MuxPeerLinks;
 
-/** mux_peer_socket_common() - options of every socket that meets a peer */
-bool mux_peer_socket_set_common_options (void *socket, uint32_t silent_ms);
-/** mux_peer_links_send() - hand @blob to the link of @addr, or drop it */
+/** mux_peer_socket_set_common_options() - options of all sockets to peers */
+bool mux_peer_socket_set_common_options (void *socket,
+                                         uint32_t silence_timeout_ms);
+/** mux_peer_links_send() - send @blob on the link of @addr, or drop it
+ * Opens the link if there is none. */
 void mux_peer_links_send (MuxPeerLinks *links,
                           const char *addr,
                           const MuxBlob *blob,
                           int64_t now_ms);
-/** mux_peer_links_tick() - hear, probe, replace and close links
- * @paused_ms: time for which this thread could hear nothing, or 0 */
+/** mux_peer_links_tick() - read echoes; probe, replace and close links
+ * @paused_ms: time for which this thread did not run and so read no echo; it
+ *   does not count towards the silence timeout; 0: none */
 void
 mux_peer_links_tick (MuxPeerLinks *links, int64_t now_ms, int64_t paused_ms);
-/** mux_peer_links_probe() - ask for an echo behind everything sent so far */
+/** mux_peer_links_probe() - send a probe behind all messages sent so far */
 void mux_peer_links_probe (MuxPeerLinks *links);
-/** mux_peer_link_hear() - read the echoes that came back */
+/** mux_peer_link_receive_echoes() - read the echoes that have arrived */
 void mux_peer_link_receive_echoes (MuxPeerLink *link);
-/** mux_peer_link_awaits_echo() - its last probe has not come back yet,
- * and it is not known to be silent */
+/** mux_peer_link_awaits_echo() - whether the echo of the last probe is due
+ * False for an unresponsive link. */
 bool mux_peer_link_awaits_echo (const MuxPeerLink *link);
 void mux_peer_links_close (MuxPeerLinks *links);
 
--- a/src/adapter/peer_thread.c
+++ b/src/adapter/peer_thread.c
@@ -6,9 +6,9 @@
 #include <stdlib.h>
 #include <zmq.h>
 
-/* Messages taken from one side before the other has its turn. */
-#define BATCH 256
-/* How long the end of the thread waits for what was sent last to arrive. */
+/* Most messages sent, and most received, before the other gets its turn. */
+#define BATCH_MAX 256
+/* How long the thread, when it ends, waits for the last messages to arrive. */
 #define FLUSH_MAX_MS 2000
 
 enum
@@ -52,13 +52,13 @@
 }
 
 static void
-send_waiting (MuxPeerZmq *peer, int64_t now)
+send_queued (MuxPeerZmq *peer, int64_t now)
 {
   mux_ring_settle (peer->outgoing);
-  for (int i = 0; i < BATCH; i++)
+  for (int i = 0; i < BATCH_MAX; i++)
     if (!send_next (peer, now))
       return;
-  /* There may be more: the others get their turn first. */
+  /* The ring may hold more; receiving gets its turn first. */
   mux_ring_wake (peer->outgoing, 1);
 }
 
@@ -92,7 +92,7 @@
     (void) zmq_msg_send (probe, peer->listener, ZMQ_DONTWAIT);
 }
 
-/* Reads away the frames of a message that has too many. */
+/* Drops the remaining frames of a message that has too many. */
 static void
 skip_frames (MuxPeerZmq *peer)
 {
@@ -108,7 +108,7 @@
     }
 }
 
-/* A message is the link's identity and one payload. */
+/* A message is two frames: the identity of the sending link and the payload. */
 static void
 receive_payload (MuxPeerZmq *peer, zmq_msg_t *identity)
 {
@@ -131,23 +131,23 @@
 }
 
 static void
-receive_waiting (MuxPeerZmq *peer)
+receive_queued (MuxPeerZmq *peer)
 {
   zmq_msg_t identity;
-  bool there = true;
+  bool received = true;
 
-  for (int i = 0; i < BATCH && there; i++)
+  for (int i = 0; i < BATCH_MAX && received; i++)
     {
       zmq_msg_init (&identity);
-      there = zmq_msg_recv (&identity, peer->listener, ZMQ_DONTWAIT) >= 0;
-      if (there)
+      received = zmq_msg_recv (&identity, peer->listener, ZMQ_DONTWAIT) >= 0;
+      if (received)
         receive_payload (peer, &identity);
       zmq_msg_close (&identity);
     }
 }
 
-/* A thread that was held up for long has heard nothing meanwhile; that time
- * is not held against its links. */
+/* If this thread was delayed for long, it read no echo meanwhile; that time
+ * does not count towards the silence timeout of its links. */
 static void
 tick (MuxPeerZmq *peer, int64_t now)
 {
@@ -174,9 +174,9 @@
 serve (MuxPeerZmq *peer, const zmq_pollitem_t *items, int64_t now)
 {
   if (items[POLL_OUTGOING].revents != 0)
-    send_waiting (peer, now);
+    send_queued (peer, now);
   if (items[POLL_LISTENER].revents != 0)
-    receive_waiting (peer);
+    receive_queued (peer);
   if (peer->curve.enabled && items[POLL_ZAP].revents != 0)
     mux_peer_curve_serve_zap (&peer->curve);
 }
@@ -198,7 +198,7 @@
     }
 }
 
-/* Links whose last probe has not come back. */
+/* Adds the links whose last probe has no echo yet to @items. */
 static uint32_t
 poll_links (const MuxPeerZmq *peer, zmq_pollitem_t *items)
 {
@@ -212,9 +212,10 @@
   return n;
 }
 
-/* The last word, such as BYE, would be lost if the sockets were closed under
- * it.  An echo of a probe sent behind it proves that it arrived; a peer that
- * does not echo holds the end up for no more than FLUSH_MAX_MS. */
+/* Sends what is queued, such as a BYE, and waits until it has arrived; closing
+ * the sockets at once would drop it.  The echo of a probe sent behind the last
+ * message proves its arrival.  Peers that do not echo delay the end by no more
+ * than FLUSH_MAX_MS. */
 static void
 flush (MuxPeerZmq *peer)
 {
--- a/src/adapter/peer_thread.h
+++ b/src/adapter/peer_thread.h
@@ -8,7 +8,7 @@
 #include <pthread.h>
 #include <stdatomic.h>
 
-/* One message on its way from send() to the thread. */
+/* A message queued by send() for the thread. */
 typedef struct
 {
   char addr[MUX_ADDR_LEN];
@@ -16,20 +16,20 @@
 } MuxPeerOutgoing;
 
 /**
- * struct MuxPeerZmq - the adapter
- * @port: its table
- * @inbox: where messages go
+ * struct MuxPeerZmq - the peer adapter
+ * @port: its interface; the first member
+ * @inbox: receives messages
  * @counters: may be NULL
- * @outgoing: MuxPeerOutgoing for the thread
- * @zmq: context
- * @listener: ROUTER; used by the thread alone once that runs, as are the
- *   members below it
+ * @outgoing: ring of MuxPeerOutgoing
+ * @zmq: ZeroMQ context
+ * @listener: ROUTER; while the thread runs it alone uses this socket, @curve,
+ *   @links and the tick times
  * @curve: encryption
- * @links: towards the listeners of peers
- * @tick_ms: from one look at the links to the next
- * @next_tick_ms: when that is
- * @stopping: asks the thread to end
- * @thread: owner of all sockets
+ * @links: outgoing links to peers
+ * @tick_ms: interval between checks of the links
+ * @next_tick_ms: time of the next check
+ * @stopping: tells the thread to end
+ * @thread: uses all sockets while it runs
  */
 typedef struct
 {
@@ -48,7 +48,7 @@
 } MuxPeerZmq;
 
 void mux_peer_outgoing_free (MuxPeerOutgoing *out);
-/** mux_peer_thread_main() - serve a MuxPeerZmq until it is stopping */
+/** mux_peer_thread_main() - run a MuxPeerZmq until it is stopping */
 void *mux_peer_thread_main (void *arg);
 
 #endif
--- a/src/adapter/peer_zmq.c
+++ b/src/adapter/peer_zmq.c
@@ -10,12 +10,12 @@
 #include <string.h>
 #include <zmq.h>
 
-/* Looks at the links within silent_ms. */
-#define TICKS_PER_SILENCE 8
-/* The links, the listener and those of the context itself. */
+/* Checks of the links within one silence timeout. */
+#define TICKS_PER_TIMEOUT 8
+/* The links, the listener, the ZAP handler and ZeroMQ's internal sockets. */
 #define SOCKETS_MAX (MUX_PEER_LINKS_MAX + 16)
-/* An hour, far below what ZeroMQ holds in its int options. */
-#define SILENT_MS_MAX 3600000
+/* One hour; its multiples fit ZeroMQ's int options. */
+#define SILENCE_TIMEOUT_MAX_MS 3600000
 #define TCP_PREFIX "tcp://"
 
 static bool
@@ -38,7 +38,7 @@
   return false;
 }
 
-/* After the thread has ended, or when it never began. */
+/* Called after the thread has ended, or when it was never started. */
 static void
 peer_destroy (MuxPeerZmq *peer)
 {
@@ -105,7 +105,7 @@
   return true;
 }
 
-/* Signals are for the threads that wait for them. */
+/* All signals are blocked in the thread: others wait for them. */
 static bool
 thread_start (MuxPeerZmq *peer, MuxError *err)
 {
@@ -133,7 +133,7 @@
   peer->zmq = zmq_ctx_new ();
   if (peer->outgoing == NULL || peer->zmq == NULL
       || zmq_ctx_set (peer->zmq, ZMQ_MAX_SOCKETS, SOCKETS_MAX) != 0)
-    return mux_error_set (err, MUX_ERROR_MEMORY, "peers: memory is out");
+    return mux_error_set (err, MUX_ERROR_MEMORY, "peers: out of memory");
   peer->links.zmq = peer->zmq;
   return mux_peer_curve_open (&peer->curve, peer->zmq, options->secret_key,
                               options->public_key, err)
@@ -145,19 +145,20 @@
 options_valid (const MuxPeerZmqOptions *options, MuxError *err)
 {
   if (!mux_peer_addr_valid (options->listen, 0))
-    return mux_error_set (err, MUX_ERROR_USAGE, "peers: %s is no ip:port",
-                          options->listen);
+    return mux_error_set (err, MUX_ERROR_USAGE,
+                          "peers: %s is not a valid ip:port", options->listen);
   if (options->queue < 2 || (options->queue & (options->queue - 1)) != 0)
     return mux_error_set (err, MUX_ERROR_USAGE,
                           "peers: queue must be a power of two");
   if (options->links_max > MUX_PEER_LINKS_MAX)
     return mux_error_set (err, MUX_ERROR_USAGE,
-                          "peers: links_max must be up to %d",
+                          "peers: links_max must be at most %d",
                           MUX_PEER_LINKS_MAX);
   if (options->silence_timeout_ms == 0
-      || options->silence_timeout_ms > SILENT_MS_MAX)
+      || options->silence_timeout_ms > SILENCE_TIMEOUT_MAX_MS)
     return mux_error_set (err, MUX_ERROR_USAGE,
-                          "peers: silent_ms must be 1 to %d", SILENT_MS_MAX);
+                          "peers: silence_timeout_ms must be 1 to %d",
+                          SILENCE_TIMEOUT_MAX_MS);
   return true;
 }
 
@@ -171,7 +172,7 @@
   peer = calloc (1, sizeof *peer);
   if (peer == NULL)
     {
-      mux_error_set (err, MUX_ERROR_MEMORY, "peers: memory is out");
+      mux_error_set (err, MUX_ERROR_MEMORY, "peers: out of memory");
       return NULL;
     }
   peer->port.send = peer_send;
@@ -183,7 +184,7 @@
   peer->links.silence_timeout_ms = options->silence_timeout_ms;
   peer->links.links_max
       = options->links_max != 0 ? options->links_max : MUX_PEER_LINKS_MAX;
-  peer->tick_ms = options->silence_timeout_ms / TICKS_PER_SILENCE;
+  peer->tick_ms = options->silence_timeout_ms / TICKS_PER_TIMEOUT;
   if (peer->tick_ms == 0)
     peer->tick_ms = 1;
   if (peer_start (peer, options, bound, err))
