--- a/include/adapter/platform.h
+++ b/include/adapter/platform.h
@@ -7,14 +7,14 @@
 
 /**
  * struct MuxPlatformHttpOptions - construction of the platform adapter
- * @inbox: where replies and instance lists go
+ * @inbox: receives replies and instance lists; borrowed
  * @url: "http://ip:port" of the platform's services
- * @name: own instance name, told to the platform
- * @data_centre: own data centre, told to the platform
- * @threads: calls in flight at once
- * @queue: calls that may wait, power of two
- * @list_every_ms: how often the instance list is read
- * @counters: may be NULL
+ * @name: own instance name, sent with every request
+ * @data_centre: own data centre, sent with every request
+ * @threads: concurrent calls
+ * @queue: calls that may wait for a thread, a power of two
+ * @list_interval_ms: interval between reads of the instance list
+ * @counters: borrowed; may be NULL
  */
 typedef struct
 {
@@ -28,8 +28,8 @@
   MuxCounters *counters;
 } MuxPlatformHttpOptions;
 
-/** mux_platform_http_new() - speaks docs/PLATFORM.md's platform protocol
- * Return: NULL with @err set when threads or memory are out. */
+/** mux_platform_http_new() - adapter for docs/PLATFORM.md's platform protocol
+ * Return: NULL with @err set when out of memory or threads. */
 MuxPlatformPort *mux_platform_http_new (const MuxPlatformHttpOptions *options,
                                         MuxError *err);
 
--- a/src/adapter/platform_decode.c
+++ b/src/adapter/platform_decode.c
@@ -4,8 +4,8 @@
 #include <string.h>
 
 #define STATUS_OK 200
-#define STATUS_BAD 400
-#define STATUS_ABSENT 404
+#define STATUS_BAD_REQUEST 400
+#define STATUS_NOT_FOUND 404
 #define STATUS_CONFLICT 409
 #define STATUS_TOO_LARGE 413
 #define STATUS_UNAVAILABLE 503
@@ -32,7 +32,7 @@
   return row->value != NULL;
 }
 
-/* NULL when @object is no list of rows or memory is out. */
+/* Return: NULL when @object is not a list of rows, or when out of memory. */
 static MuxTableReply *
 read_rows (const MuxTableCall *call,
            MuxTableStatus status,
@@ -97,20 +97,20 @@
 }
 
 static MuxTableReply *
-read_packed (const MuxTableCall *call, const PlatformResponse *answer)
+read_packed (const MuxTableCall *call, const PlatformResponse *response)
 {
   MuxTableReply *reply = NULL;
   msgpack_unpacked unpacked;
   size_t at = 0;
 
   msgpack_unpacked_init (&unpacked);
-  if (answer->body->len > 0
-      && msgpack_unpack_next (&unpacked, answer->body->bytes, answer->body->len,
-                              &at)
+  if (response->body->len > 0
+      && msgpack_unpack_next (&unpacked, response->body->bytes,
+                              response->body->len, &at)
              == MSGPACK_UNPACK_SUCCESS
-      && at == answer->body->len)
+      && at == response->body->len)
     {
-      if (answer->status == STATUS_CONFLICT)
+      if (response->status == STATUS_CONFLICT)
         reply = read_rows (call, MUX_TABLE_CONFLICT, &unpacked.data);
       else if (call->verb == MUX_TABLE_TXN)
         reply = read_txn (call, &unpacked.data);
@@ -124,17 +124,17 @@
 }
 
 static MuxTableReply *
-read_object_put (const MuxTableCall *call, const PlatformResponse *answer)
+read_object_put (const MuxTableCall *call, const PlatformResponse *response)
 {
   MuxTableReply *reply = mux_table_reply_new (call, MUX_TABLE_OK, 0);
 
   if (reply != NULL)
-    reply->rev = answer->rev;
+    reply->rev = response->rev;
   return reply;
 }
 
 static MuxTableReply *
-read_object (const MuxTableCall *call, const PlatformResponse *answer)
+read_object (const MuxTableCall *call, const PlatformResponse *response)
 {
   MuxTableReply *reply = mux_table_reply_new (call, MUX_TABLE_OK, 1);
   MuxRow *row;
@@ -143,56 +143,57 @@
     return NULL;
   row = &reply->rows[0];
   memcpy (row->key, call->rows[0].key, sizeof row->key);
-  if (answer->status == STATUS_ABSENT)
+  if (response->status == STATUS_NOT_FOUND)
     return reply;
-  row->rev = answer->rev;
-  row->value = mux_blob_new (answer->body->bytes, answer->body->len);
+  row->rev = response->rev;
+  row->value = mux_blob_new (response->body->bytes, response->body->len);
   if (row->value != NULL)
     return reply;
   mux_table_reply_free (reply);
   return NULL;
 }
 
-/* NULL when the answer can't be made sense of.  An object's 200 that names no
- * revision is not the object store's. */
+/* A 200 for an object without a revision is not from the object store.
+ * Return: NULL when the response is malformed, or when out of memory. */
 static MuxTableReply *
-read_answer (const MuxTableCall *call, const PlatformResponse *answer)
+read_response (const MuxTableCall *call, const PlatformResponse *response)
 {
   bool packed = call->verb == MUX_TABLE_TXN || call->verb == MUX_TABLE_GET
                 || call->verb == MUX_TABLE_SCAN;
 
-  if (answer->status == STATUS_BAD || answer->status == STATUS_TOO_LARGE)
+  if (response->status == STATUS_BAD_REQUEST
+      || response->status == STATUS_TOO_LARGE)
     return mux_table_reply_new (call, MUX_TABLE_BAD, 0);
-  if (answer->status == STATUS_UNAVAILABLE && answer->no_effect)
+  if (response->status == STATUS_UNAVAILABLE && response->no_effect)
     return mux_table_reply_new (call, MUX_TABLE_DOWN, 0);
   if (packed
-      && (answer->status == STATUS_OK
-          || (answer->status == STATUS_CONFLICT
+      && (response->status == STATUS_OK
+          || (response->status == STATUS_CONFLICT
               && call->verb == MUX_TABLE_TXN)))
-    return read_packed (call, answer);
-  if (call->verb == MUX_TABLE_OBJECT_PUT && answer->status == STATUS_OK
-      && answer->has_rev)
-    return read_object_put (call, answer);
+    return read_packed (call, response);
+  if (call->verb == MUX_TABLE_OBJECT_PUT && response->status == STATUS_OK
+      && response->has_rev)
+    return read_object_put (call, response);
   if (call->verb == MUX_TABLE_OBJECT_GET
-      && ((answer->status == STATUS_OK && answer->has_rev)
-          || answer->status == STATUS_ABSENT))
-    return read_object (call, answer);
+      && ((response->status == STATUS_OK && response->has_rev)
+          || response->status == STATUS_NOT_FOUND))
+    return read_object (call, response);
   return NULL;
 }
 
 MuxTableReply *
 mux_platform_decode (const MuxTableCall *call,
-                     PlatformExchangeResult end,
-                     const PlatformResponse *answer)
+                     PlatformExchangeResult result,
+                     const PlatformResponse *response)
 {
   MuxTableStatus status = MUX_TABLE_DOWN;
   MuxTableReply *reply = NULL;
 
-  if (end == PLATFORM_ANSWERED)
-    reply = read_answer (call, answer);
+  if (result == PLATFORM_ANSWERED)
+    reply = read_response (call, response);
   if (reply != NULL)
     return reply;
-  if (end != PLATFORM_NOT_SENT && mux_platform_is_write (call))
+  if (result != PLATFORM_NOT_SENT && mux_platform_is_write (call))
     status = MUX_TABLE_UNKNOWN;
   return mux_table_reply_new (call, status, 0);
 }
--- a/src/adapter/platform_encode.c
+++ b/src/adapter/platform_encode.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* What a transaction does with a row, as a number on the wire. */
+/* What a transaction does with a row; the numbers are part of the protocol. */
 typedef enum
 {
   ACTION_CHECK,
@@ -39,43 +39,44 @@
 pack_txn_row (msgpack_packer *out, const MuxRow *row)
 {
   Action action = row_action (row);
-  int bad = msgpack_pack_array (out, TXN_ROW_FIELDS);
+  int failed = msgpack_pack_array (out, TXN_ROW_FIELDS);
 
-  bad |= pack_key (out, row->key);
+  failed |= pack_key (out, row->key);
   if (row->rev == MUX_REV_ANY)
-    bad |= msgpack_pack_nil (out);
+    failed |= msgpack_pack_nil (out);
   else
-    bad |= msgpack_pack_uint64 (out, row->rev);
-  bad |= msgpack_pack_uint8 (out, (uint8_t) action);
+    failed |= msgpack_pack_uint64 (out, row->rev);
+  failed |= msgpack_pack_uint8 (out, (uint8_t) action);
   if (action == ACTION_PUT)
-    bad |= msgpack_pack_bin_with_body (out, row->value->bytes, row->value->len);
+    failed
+        |= msgpack_pack_bin_with_body (out, row->value->bytes, row->value->len);
   else
-    bad |= msgpack_pack_nil (out);
-  return bad;
+    failed |= msgpack_pack_nil (out);
+  return failed;
 }
 
 static int
 pack_scan (msgpack_packer *out, const MuxTableCall *call)
 {
-  int bad = msgpack_pack_array (out, SCAN_FIELDS);
+  int failed = msgpack_pack_array (out, SCAN_FIELDS);
 
-  bad |= pack_key (out, call->rows[0].key);
-  bad |= pack_key (out, call->row_count > 1 ? call->rows[1].key : "");
-  bad |= msgpack_pack_uint32 (out, call->limit);
-  return bad;
+  failed |= pack_key (out, call->rows[0].key);
+  failed |= pack_key (out, call->row_count > 1 ? call->rows[1].key : "");
+  failed |= msgpack_pack_uint32 (out, call->limit);
+  return failed;
 }
 
 static int
 pack_rows (msgpack_packer *out, const MuxTableCall *call)
 {
-  int bad = msgpack_pack_array (out, call->row_count);
+  int failed = msgpack_pack_array (out, call->row_count);
 
   for (uint32_t i = 0; i < call->row_count; i++)
     if (call->verb == MUX_TABLE_TXN)
-      bad |= pack_txn_row (out, &call->rows[i]);
+      failed |= pack_txn_row (out, &call->rows[i]);
     else
-      bad |= pack_key (out, call->rows[i].key);
-  return bad;
+      failed |= pack_key (out, call->rows[i].key);
+  return failed;
 }
 
 static bool
@@ -85,20 +86,20 @@
              PlatformRequest *request)
 {
   msgpack_packer out;
-  int bad;
+  int failed;
 
   mux_bytes_clear (storage, PLATFORM_BUFFER_KEEP_MAX_BYTES);
   msgpack_packer_init (&out, storage, pack_write);
-  bad = call->verb == MUX_TABLE_SCAN ? pack_scan (&out, call)
-                                     : pack_rows (&out, call);
+  failed = call->verb == MUX_TABLE_SCAN ? pack_scan (&out, call)
+                                        : pack_rows (&out, call);
   request->method = "POST";
   snprintf (request->path, sizeof request->path, "%s", path);
   request->body = storage->bytes;
   request->body_len = storage->len;
-  return bad == 0;
+  return failed == 0;
 }
 
-/* Names may hold '/', which a path would split at: the query takes them. */
+/* The name is a query parameter since it may contain '/'. */
 static bool
 encode_object (const MuxTableCall *call, PlatformRequest *request)
 {
--- a/src/adapter/platform_exchange.c
+++ b/src/adapter/platform_exchange.c
@@ -8,16 +8,16 @@
 #include <string.h>
 
 #define CONNECT_TIMEOUT_MS 1000L
-/* A connection idle for longer is not used again: something on the way may
- * have forgotten it. */
-#define IDLE_MAX_S 30
+/* A connection idle for longer is not reused: a middlebox may have dropped its
+ * state. */
+#define CONNECTION_IDLE_MAX_S 30
 #define HEADER_LEN 128
 
-/* Guards against libcurl's own retry: when a reused connection ends without a
- * byte of answer, libcurl sends the request again on a new one, and a write
- * whose answer was lost would be applied twice.  It calls this before every
- * sending, so the second one is stopped here.  It also tells whether anything
- * was sent at all. */
+/* libcurl retries by itself: when a reused connection ends without a byte of
+ * response, it sends the request again on a new connection, and a write whose
+ * response was lost would be applied twice.  libcurl calls this function before
+ * it sends a request; the second time it aborts the exchange.  The count also
+ * shows whether anything was sent. */
 static int
 on_send (void *data, char *to_ip, char *from_ip, int to_port, int from_port)
 {
@@ -47,11 +47,11 @@
 bool
 mux_platform_client_init (PlatformClient *client,
                           const MuxPlatformHttpOptions *options,
-                          PlatformTimeouts *silence)
+                          PlatformTimeouts *timeouts)
 {
   memset (client, 0, sizeof *client);
   client->url = options->url;
-  client->timeouts = silence;
+  client->timeouts = timeouts;
   client->curl = curl_easy_init ();
   if (client->curl == NULL
       || !add_header (client, "Cuminmux-Instance", options->name)
@@ -76,7 +76,7 @@
 }
 
 static bool
-set_up (PlatformClient *client, const PlatformRequest *request)
+set_options (PlatformClient *client, const PlatformRequest *request)
 {
   bool with_body = request->method[0] == 'P';
   CURL *curl = client->curl;
@@ -99,19 +99,19 @@
   mux_curl_set_common_options (curl, &client->body);
   mux_curl_set_timeouts (curl, CONNECT_TIMEOUT_MS, (long) request->timeout_ms);
   curl_easy_setopt (curl, CURLOPT_MAXCONNECTS, 1L);
-  curl_easy_setopt (curl, CURLOPT_MAXAGE_CONN, (long) IDLE_MAX_S);
+  curl_easy_setopt (curl, CURLOPT_MAXAGE_CONN, (long) CONNECTION_IDLE_MAX_S);
   curl_easy_setopt (curl, CURLOPT_PREREQFUNCTION, on_send);
   curl_easy_setopt (curl, CURLOPT_PREREQDATA, client);
   return curl_easy_setopt (curl, CURLOPT_URL, url) == CURLE_OK;
 }
 
-/* Guards against connections that went silent for good: what lies between has
- * lost track of them, and each call on one waits out its timeout.  Such a
- * loss strikes all connections at once, so after any thread's timeout every
- * thread opens a new one; as it keeps one alone, its silent one is closed by
- * that, which libcurl would take again as the oldest. */
+/* When a middlebox loses the state of a connection, each call on it lasts until
+ * its timeout.  Such a loss affects all connections at once, so after a timeout
+ * in any thread every thread opens a new connection.  A client keeps only one
+ * connection, so the new one evicts the unresponsive one, which libcurl would
+ * otherwise reuse as the oldest. */
 static void
-avoid_silent_connection (PlatformClient *client)
+avoid_dead_connection (PlatformClient *client)
 {
   uint_fast32_t timeouts = atomic_load (&client->timeouts->count);
 
@@ -121,35 +121,35 @@
 }
 
 static void
-read_headers (CURL *curl, PlatformResponse *answer)
+read_headers (CURL *curl, PlatformResponse *response)
 {
   const char *effect = mux_curl_header (curl, "Cuminmux-Effect");
 
-  answer->no_effect = effect != NULL && strcmp (effect, "none") == 0;
-  answer->has_rev = mux_unsigned_parse (
-      mux_curl_header (curl, "Cuminmux-Revision"), UINT64_MAX, &answer->rev);
+  response->no_effect = effect != NULL && strcmp (effect, "none") == 0;
+  response->has_rev = mux_unsigned_parse (
+      mux_curl_header (curl, "Cuminmux-Revision"), UINT64_MAX, &response->rev);
 }
 
 PlatformExchangeResult
 mux_platform_exchange (PlatformClient *client,
                        const PlatformRequest *request,
-                       PlatformResponse *answer)
+                       PlatformResponse *response)
 {
   CURLcode code;
 
-  memset (answer, 0, sizeof *answer);
+  memset (response, 0, sizeof *response);
   mux_bytes_clear (&client->body, PLATFORM_BUFFER_KEEP_MAX_BYTES);
   client->send_count = 0;
-  if (!set_up (client, request))
+  if (!set_options (client, request))
     return PLATFORM_NOT_SENT;
-  avoid_silent_connection (client);
+  avoid_dead_connection (client);
   code = curl_easy_perform (client->curl);
   if (code == CURLE_OPERATION_TIMEDOUT && client->send_count > 0)
     atomic_fetch_add (&client->timeouts->count, 1);
   if (code != CURLE_OK || !mux_curl_response_is_framed (client->curl))
     return client->send_count > 0 ? PLATFORM_NO_ANSWER : PLATFORM_NOT_SENT;
-  curl_easy_getinfo (client->curl, CURLINFO_RESPONSE_CODE, &answer->status);
-  read_headers (client->curl, answer);
-  answer->body = &client->body;
+  curl_easy_getinfo (client->curl, CURLINFO_RESPONSE_CODE, &response->status);
+  read_headers (client->curl, response);
+  response->body = &client->body;
   return PLATFORM_ANSWERED;
 }
--- a/src/adapter/platform_http.c
+++ b/src/adapter/platform_http.c
@@ -6,12 +6,12 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A call on its way through the ring. */
+/* A call in the ring or in a thread. */
 typedef struct
 {
   MuxTableCall *call;
   int64_t deadline_ms;
-} Job;
+} QueuedCall;
 
 typedef struct Adapter Adapter;
 
@@ -21,7 +21,7 @@
   PlatformClient client;
   MuxBytes storage;
   pthread_t thread;
-} Caller;
+} CallThread;
 
 struct Adapter
 {
@@ -31,10 +31,10 @@
   char *url;
   MuxRing *ring;
   atomic_bool stopping;
-  PlatformTimeouts silence;
+  PlatformTimeouts timeouts;
   PlatformLister lister;
   uint32_t started;
-  Caller callers[];
+  CallThread threads[];
 };
 
 static void
@@ -57,58 +57,60 @@
 }
 
 static void
-finish (Adapter *adapter, Job *job, MuxTableReply *reply)
+finish (Adapter *adapter, QueuedCall *queued, MuxTableReply *reply)
 {
   if (reply != NULL)
     (void) adapter->inbox->table_reply (adapter->inbox, reply);
-  mux_table_call_free (job->call);
-  free (job);
+  mux_table_call_free (queued->call);
+  free (queued);
 }
 
-/* Certainly not sent. */
+/* Replies DOWN to a call that was certainly not sent. */
 static void
-finish_down (Adapter *adapter, Job *job)
+finish_not_sent (Adapter *adapter, QueuedCall *queued)
 {
-  finish (adapter, job, mux_table_reply_new (job->call, MUX_TABLE_DOWN, 0));
+  finish (adapter, queued,
+          mux_table_reply_new (queued->call, MUX_TABLE_DOWN, 0));
 }
 
 static void
-run_job (Caller *caller, Job *job)
+run_call (CallThread *call_thread, QueuedCall *queued)
 {
-  Adapter *adapter = caller->adapter;
+  Adapter *adapter = call_thread->adapter;
   int64_t now = mux_monotonic_ms ();
-  PlatformResponse answer = { 0 };
+  PlatformResponse response = { 0 };
   PlatformRequest request;
-  PlatformExchangeResult end;
+  PlatformExchangeResult result;
 
-  if (now >= job->deadline_ms
-      || !mux_platform_encode (job->call, &caller->storage, &request))
+  if (now >= queued->deadline_ms
+      || !mux_platform_encode (queued->call, &call_thread->storage, &request))
     {
-      finish_down (adapter, job);
+      finish_not_sent (adapter, queued);
       return;
     }
-  request.timeout_ms = (uint32_t) (job->deadline_ms - now);
-  count_call (adapter->counters, job->call);
-  end = mux_platform_exchange (&caller->client, &request, &answer);
-  finish (adapter, job, mux_platform_decode (job->call, end, &answer));
+  request.timeout_ms = (uint32_t) (queued->deadline_ms - now);
+  count_call (adapter->counters, queued->call);
+  result = mux_platform_exchange (&call_thread->client, &request, &response);
+  finish (adapter, queued,
+          mux_platform_decode (queued->call, result, &response));
 }
 
 static void *
-caller_run (void *data)
+call_thread_main (void *data)
 {
-  Caller *caller = data;
-  Adapter *adapter = caller->adapter;
-  Job *job;
+  CallThread *call_thread = data;
+  Adapter *adapter = call_thread->adapter;
+  QueuedCall *queued;
 
   while (!atomic_load (&adapter->stopping))
     {
-      job = mux_ring_wait (adapter->ring, -1);
-      if (job == NULL)
+      queued = mux_ring_wait (adapter->ring, -1);
+      if (queued == NULL)
         continue;
       if (atomic_load (&adapter->stopping))
-        finish_down (adapter, job);
+        finish_not_sent (adapter, queued);
       else
-        run_job (caller, job);
+        run_call (call_thread, queued);
     }
   return NULL;
 }
@@ -117,40 +119,41 @@
 adapter_call (MuxPlatformPort *port, MuxTableCall *call)
 {
   Adapter *adapter = (Adapter *) port;
-  Job *job = malloc (sizeof *job);
+  QueuedCall *queued = malloc (sizeof *queued);
 
-  if (job != NULL)
+  if (queued != NULL)
     {
-      job->call = call;
-      job->deadline_ms = mux_monotonic_ms () + call->timeout_ms;
-      if (mux_ring_push (adapter->ring, job))
+      queued->call = call;
+      queued->deadline_ms = mux_monotonic_ms () + call->timeout_ms;
+      if (mux_ring_push (adapter->ring, queued))
         return true;
     }
-  free (job);
+  free (queued);
   mux_table_call_free (call);
   return false;
 }
 
-/* Calls in flight run to their answer or timeout; those still queued were
- * certainly not sent and are answered so. */
+/* Calls in flight run until their response or timeout.  Calls still queued were
+ * certainly not sent and get the reply DOWN. */
 static void
 adapter_free (MuxPlatformPort *port)
 {
   Adapter *adapter = (Adapter *) port;
-  Job *job;
+  QueuedCall *queued;
 
   atomic_store (&adapter->stopping, true);
   if (adapter->ring != NULL)
     mux_ring_wake (adapter->ring, adapter->started);
   for (uint32_t i = 0; i < adapter->started; i++)
     {
-      pthread_join (adapter->callers[i].thread, NULL);
-      mux_platform_client_deinit (&adapter->callers[i].client);
-      mux_bytes_deinit (&adapter->callers[i].storage);
+      pthread_join (adapter->threads[i].thread, NULL);
+      mux_platform_client_deinit (&adapter->threads[i].client);
+      mux_bytes_deinit (&adapter->threads[i].storage);
     }
   mux_platform_lister_stop (&adapter->lister);
-  while (adapter->ring != NULL && (job = mux_ring_pop (adapter->ring)) != NULL)
-    finish_down (adapter, job);
+  while (adapter->ring != NULL
+         && (queued = mux_ring_pop (adapter->ring)) != NULL)
+    finish_not_sent (adapter, queued);
   mux_ring_free (adapter->ring);
   free (adapter->url);
   free (adapter);
@@ -158,16 +161,18 @@
 }
 
 static bool
-start_caller (Adapter *adapter, const MuxPlatformHttpOptions *options)
+start_call_thread (Adapter *adapter, const MuxPlatformHttpOptions *options)
 {
-  Caller *caller = &adapter->callers[adapter->started];
+  CallThread *call_thread = &adapter->threads[adapter->started];
 
-  caller->adapter = adapter;
-  if (!mux_platform_client_init (&caller->client, options, &adapter->silence))
+  call_thread->adapter = adapter;
+  if (!mux_platform_client_init (&call_thread->client, options,
+                                 &adapter->timeouts))
     return false;
-  if (pthread_create (&caller->thread, NULL, caller_run, caller) != 0)
+  if (pthread_create (&call_thread->thread, NULL, call_thread_main, call_thread)
+      != 0)
     {
-      mux_platform_client_deinit (&caller->client);
+      mux_platform_client_deinit (&call_thread->client);
       return false;
     }
   adapter->started++;
@@ -185,9 +190,9 @@
     return false;
   own.url = adapter->url;
   while (adapter->started < options->threads)
-    if (!start_caller (adapter, &own))
+    if (!start_call_thread (adapter, &own))
       return false;
-  return mux_platform_lister_start (&adapter->lister, &own, &adapter->silence);
+  return mux_platform_lister_start (&adapter->lister, &own, &adapter->timeouts);
 }
 
 MuxPlatformPort *
@@ -197,15 +202,15 @@
 
   if (curl_global_init (CURL_GLOBAL_DEFAULT) != CURLE_OK)
     {
-      mux_error_set (err, MUX_ERROR_MEMORY, "can't start the HTTP client");
+      mux_error_set (err, MUX_ERROR_MEMORY, "can't initialize libcurl");
       return NULL;
     }
   adapter = calloc (1, sizeof *adapter
-                           + options->threads * sizeof adapter->callers[0]);
+                           + options->threads * sizeof adapter->threads[0]);
   if (adapter == NULL)
     {
       curl_global_cleanup ();
-      mux_error_set (err, MUX_ERROR_MEMORY, "out of memory");
+      mux_error_set (err, MUX_ERROR_MEMORY, "platform adapter: out of memory");
       return NULL;
     }
   adapter->port.call = adapter_call;
@@ -217,6 +222,6 @@
     return &adapter->port;
   adapter_free (&adapter->port);
   mux_error_set (err, MUX_ERROR_MEMORY,
-                 "out of memory or threads for the platform adapter");
+                 "platform adapter: out of memory or threads");
   return NULL;
 }
--- a/src/adapter/platform_list.c
+++ b/src/adapter/platform_list.c
@@ -10,9 +10,9 @@
 #include <unistd.h>
 
 #define LIST_TIMEOUT_MS 2000
-#define LIST_MAX 100000
-/* Readings of changes between two of the whole list. */
-#define CHANGES_MAX 1800
+#define INSTANCES_MAX 100000
+/* Most reads of changes between two reads of the complete list. */
+#define DELTAS_MAX 1800
 
 static const char *const state_names[] = { "live", "leaving", "gone" };
 static const char *const role_names[] = { "entry", "worker" };
@@ -33,14 +33,14 @@
 static bool
 read_choice (const json_t *json,
              const char *name,
-             const char *const *names,
+             const char *const *contains_name,
              size_t count,
              uint32_t *choice)
 {
   const char *text = json_string_value (json_object_get (json, name));
 
   for (uint32_t i = 0; text != NULL && i < count; i++)
-    if (strcmp (text, names[i]) == 0)
+    if (strcmp (text, contains_name[i]) == 0)
       {
         *choice = i;
         return true;
@@ -68,10 +68,10 @@
 }
 
 /*
- * Failure: an instance's name with a line end in it becomes a header of its
- * own in every call to that worker.  Such a name can't be spoken of to anybody
- * and was never known here, so leaving it out loses nothing, while refusing
- * the list would lose everybody else's news for one of them.
+ * An instance with an invalid name is skipped: a name that contains a line end
+ * would inject a header into every call to that worker.  Skipping it loses
+ * nothing, since such an instance can't be addressed and was never known here.
+ * Refusing the list would lose the changes of all other instances.
  */
 static MuxInstanceList *
 read_instances (const json_t *items)
@@ -79,7 +79,7 @@
   size_t count = json_array_size (items);
   MuxInstanceList *list;
 
-  if (!json_is_array (items) || count > LIST_MAX)
+  if (!json_is_array (items) || count > INSTANCES_MAX)
     return NULL;
   list = calloc (1, sizeof *list + count * sizeof list->item[0]);
   if (list == NULL)
@@ -120,7 +120,7 @@
 }
 
 static bool
-names (const MuxInstanceList *list, const char *name)
+contains_name (const MuxInstanceList *list, const char *name)
 {
   for (uint32_t i = 0; i < list->count; i++)
     if (strcmp (list->item[i].name, name) == 0)
@@ -129,7 +129,7 @@
 }
 
 static MuxInstanceList *
-entries_of (const MuxInstanceList *list)
+entry_instances_of (const MuxInstanceList *list)
 {
   MuxInstanceList *entries = new_list (list->count);
 
@@ -140,12 +140,15 @@
 }
 
 /*
- * Failure: a data centre is cut off until its daemons are no members here any
- * more; nothing of theirs changes in the list, so nobody would greet them when
- * the cut has healed.  Entry instances are few: each list handed on has all.
+ * Adds the entry instances that @changes does not name.  When a data centre is
+ * partitioned for so long that its daemons are removed from the members, their
+ * list entries do not change, so a list of changes alone would not lead to
+ * contact with them after the partition heals.  Entry instances are few, so
+ * every list passed on holds all of them.
  */
 static MuxInstanceList *
-with_entries (const MuxInstanceList *changes, const MuxInstanceList *entries)
+add_entry_instances (const MuxInstanceList *changes,
+                     const MuxInstanceList *entries)
 {
   MuxInstanceList *list = new_list (changes->count + entries->count);
 
@@ -155,40 +158,41 @@
   list->count = changes->count;
   memcpy (list->item, changes->item, changes->count * sizeof list->item[0]);
   for (uint32_t i = 0; i < entries->count; i++)
-    if (!names (changes, entries->item[i].name))
+    if (!contains_name (changes, entries->item[i].name))
       list->item[list->count++] = entries->item[i];
   return list;
 }
 
-/* Takes @list over; false: the next reading has to be whole. */
+/* Takes ownership of @list.
+ * Return: false when the next read must get the complete list. */
 static bool
-hand_on (PlatformLister *lister, MuxInstanceList *list)
+pass_on (PlatformLister *lister, MuxInstanceList *list)
 {
   if (list->changes_only)
     {
       MuxInstanceList *changes = list;
 
-      list = with_entries (changes, lister->entry_instances);
+      list = add_entry_instances (changes, lister->entry_instances);
       free (changes);
     }
   if (list == NULL)
     return false;
   free (lister->entry_instances);
-  lister->entry_instances = entries_of (list);
+  lister->entry_instances = entry_instances_of (list);
   return lister->inbox->instances (lister->inbox, list)
          && lister->entry_instances != NULL;
 }
 
 /*
- * Failure: a daemon misses a change, as memory was out or the platform lost
- * count of it: a worker that left stays in its books for ever.  The whole list
- * is read from time to time; that it is not read each time spares the bytes
- * of thousands of instances every second.
+ * A change may be missed, when out of memory or by a fault of the platform; a
+ * worker that left would then be listed for ever.  So the complete list is read
+ * from time to time.  It is not read each time, to save the bytes of thousands
+ * of instances every second.
  */
 static bool
-wants_changes (const PlatformLister *lister)
+reads_changes (const PlatformLister *lister)
 {
-  return lister->rev != 0 && lister->deltas_since_full < CHANGES_MAX;
+  return lister->rev != 0 && lister->deltas_since_full < DELTAS_MAX;
 }
 
 static void
@@ -197,29 +201,30 @@
   PlatformRequest request = { .method = "GET",
                               .path = "/v1/instances",
                               .timeout_ms = LIST_TIMEOUT_MS };
-  PlatformResponse answer;
+  PlatformResponse response;
   MuxInstanceList *list;
   uint64_t rev;
 
-  if (wants_changes (lister))
+  if (reads_changes (lister))
     snprintf (request.path, sizeof request.path, "/v1/instances?after=%" PRIu64,
               lister->rev);
-  if (mux_platform_exchange (&lister->client, &request, &answer)
+  if (mux_platform_exchange (&lister->client, &request, &response)
           != PLATFORM_ANSWERED
-      || answer.status != 200 || answer.body->len == 0)
+      || response.status != 200 || response.body->len == 0)
     return;
-  list = mux_platform_decode_list (answer.body->bytes, answer.body->len, &rev);
+  list = mux_platform_decode_list (response.body->bytes, response.body->len,
+                                   &rev);
   if (list == NULL)
     return;
-  /* Changes that were not asked for follow on nothing known here. */
-  if (list->changes_only && !wants_changes (lister))
+  /* Changes that were not requested have no known base. */
+  if (list->changes_only && !reads_changes (lister))
     {
       free (list);
       return;
     }
   lister->deltas_since_full
       = list->changes_only ? lister->deltas_since_full + 1 : 0;
-  lister->rev = hand_on (lister, list) ? rev : 0;
+  lister->rev = pass_on (lister, list) ? rev : 0;
 }
 
 static void *
@@ -237,14 +242,14 @@
 bool
 mux_platform_lister_start (PlatformLister *lister,
                            const MuxPlatformHttpOptions *options,
-                           PlatformTimeouts *silence)
+                           PlatformTimeouts *timeouts)
 {
   lister->inbox = options->inbox;
   lister->interval_ms = options->list_interval_ms;
   lister->stop_fd = eventfd (0, EFD_CLOEXEC);
   if (lister->stop_fd < 0)
     return false;
-  if (!mux_platform_client_init (&lister->client, options, silence))
+  if (!mux_platform_client_init (&lister->client, options, timeouts))
     return false;
   lister->running
       = pthread_create (&lister->thread, NULL, lister_run, lister) == 0;
--- a/src/adapter/platform_private.h
+++ b/src/adapter/platform_private.h
@@ -9,23 +9,23 @@
 #include <stdatomic.h>
 #include <stddef.h>
 
-/* A buffer that grew beyond this is not kept for the next exchange. */
+/* A buffer that grew beyond this is freed before the next exchange. */
 #define PLATFORM_BUFFER_KEEP_MAX_BYTES ((size_t) 1024 * 1024)
 
 /**
- * enum PlatformEnd - how far an HTTP exchange came
+ * enum PlatformExchangeResult - how far an HTTP exchange got
  */
 typedef enum
 {
-  PLATFORM_NOT_SENT,  /* no byte of the request left */
-  PLATFORM_NO_ANSWER, /* it may have arrived; no whole answer came */
+  PLATFORM_NOT_SENT,  /* certainly nothing of the request was sent */
+  PLATFORM_NO_ANSWER, /* perhaps received; no complete response came */
   PLATFORM_ANSWERED,
 } PlatformExchangeResult;
 
 /**
  * struct PlatformRequest - an HTTP request to the platform
  * @method: "GET", "POST", "PUT" or "DELETE"
- * @path: with its query
+ * @path: path and query
  * @body: sent with POST and PUT; may be NULL when @body_len is 0
  * @timeout_ms: for the whole exchange
  */
@@ -39,10 +39,10 @@
 } PlatformRequest;
 
 /**
- * struct PlatformAnswer - what came back
+ * struct PlatformResponse - an HTTP response of the platform
  * @status: HTTP status
- * @no_effect: the platform itself says that the call had no effect
- * @has_rev: the answer names an object's revision
+ * @no_effect: the platform states that the call had no effect
+ * @has_rev: the response gives an object's revision
  * @rev: that revision
  * @body: overwritten by the next exchange on the same client
  */
@@ -55,7 +55,7 @@
   MuxBytes *body;
 } PlatformResponse;
 
-/* Counts silent connections; shared by all clients of an adapter. */
+/* Number of exchanges that timed out; shared by all clients of an adapter. */
 typedef struct
 {
   atomic_uint_fast32_t count;
@@ -63,6 +63,13 @@
 
 /**
  * struct PlatformClient - one thread's connection to the platform
+ * @curl: handle; keeps one connection
+ * @headers: sent with every request
+ * @url: "http://ip:port" of the platform; borrowed
+ * @timeouts: shared by all clients of the adapter
+ * @timeouts_seen: value of @timeouts at the last exchange
+ * @send_count: times that libcurl began to send the current request
+ * @body: body of the last response
  */
 typedef struct
 {
@@ -77,39 +84,52 @@
 
 bool mux_platform_client_init (PlatformClient *client,
                                const MuxPlatformHttpOptions *options,
-                               PlatformTimeouts *silence);
+                               PlatformTimeouts *timeouts);
 void mux_platform_client_deinit (PlatformClient *client);
 PlatformExchangeResult mux_platform_exchange (PlatformClient *client,
                                               const PlatformRequest *request,
-                                              PlatformResponse *answer);
-/** mux_platform_encode() - the request of @call
- * @storage: holds what the request's body points to, unless it is an object
- * Return: false when memory is out or a name is too long. */
+                                              PlatformResponse *response);
+/** mux_platform_encode() - encode @call as an HTTP request
+ * @storage: buffer for the request's body, unless that is an object's content
+ * Return: false when out of memory. */
 bool mux_platform_encode (const MuxTableCall *call,
                           MuxBytes *storage,
                           PlatformRequest *request);
-/** mux_platform_is_write() - whether losing the answer leaves doubt */
+/** mux_platform_is_write() - whether @call changes stored data
+ * Without a response it is unknown if a write has taken effect. */
 bool mux_platform_is_write (const MuxTableCall *call);
-/** mux_platform_decode() - the reply that an exchange ended with */
+/** mux_platform_decode() - the reply for an exchange and its response
+ * Return: NULL when out of memory. */
 MuxTableReply *mux_platform_decode (const MuxTableCall *call,
-                                    PlatformExchangeResult end,
-                                    const PlatformResponse *answer);
-/** mux_platform_decode_list() - NULL when it is no instance list
- * @rev: what the next reading may ask for changes after; 0: nothing */
+                                    PlatformExchangeResult result,
+                                    const PlatformResponse *response);
+/** mux_platform_decode_list() - decode the instance list
+ * @rev: receives the revision after which the next read may request changes; 0:
+ *   none
+ * Return: NULL when it is no instance list or when out of memory. */
 MuxInstanceList *
 mux_platform_decode_list (const char *bytes, size_t len, uint64_t *rev);
 
 /**
  * struct PlatformLister - the thread that reads the instance list
+ * @inbox: receives the lists
+ * @client: its connection
+ * @interval_ms: time between reads
+ * @rev: revision that has been read; 0: the next read gets the complete list
+ * @deltas_since_full: reads of changes since the last complete list
+ * @entry_instances: entry instances as last read; NULL: none yet
+ * @stop_fd: eventfd that ends the thread; -1: not open
+ * @running: the thread was started
+ * @thread: the thread
  */
 typedef struct
 {
   MuxInbox *inbox;
   PlatformClient client;
   uint32_t interval_ms;
-  uint64_t rev; /* read up to here; 0: the next reading is whole */
-  uint32_t deltas_since_full;       /* readings since the last whole one */
-  MuxInstanceList *entry_instances; /* entry instances; NULL: none read yet */
+  uint64_t rev;
+  uint32_t deltas_since_full;
+  MuxInstanceList *entry_instances;
   int stop_fd;
   bool running;
   pthread_t thread;
@@ -117,8 +137,9 @@
 
 bool mux_platform_lister_start (PlatformLister *lister,
                                 const MuxPlatformHttpOptions *options,
-                                PlatformTimeouts *silence);
-/** mux_platform_lister_stop() - also after a start that failed */
+                                PlatformTimeouts *timeouts);
+/** mux_platform_lister_stop() - end the thread and free what it holds
+ * May be called after a start that failed. */
 void mux_platform_lister_stop (PlatformLister *lister);
 
 #endif
