--- a/include/adapter/worker.h
+++ b/include/adapter/worker.h
@@ -7,12 +7,13 @@
 
 /**
  * struct MuxWorkerHttpOptions - construction of the worker adapter
- * @inbox: where replies go
- * @threads: calls that may be in flight at once for START and FETCH
- * @control_threads: the same for all other verbs, so that renewals are never
- *   behind long starts
- * @queue: calls that may wait, power of two
- * @counters: may be NULL
+ * @inbox: receives replies; borrowed
+ * @threads: concurrent START and FETCH calls
+ * @control_threads: concurrent calls of all other verbs, which have threads of
+ *   their own so that renewals never queue behind long starts
+ * @queue: calls that may wait for a thread, in each of the two pools, a power
+ *   of two
+ * @counters: borrowed; may be NULL
  */
 typedef struct
 {
@@ -23,8 +24,8 @@
   MuxCounters *counters;
 } MuxWorkerHttpOptions;
 
-/** mux_worker_http_new() - speaks docs/PLATFORM.md's worker protocol
- * Return: NULL with @err set when threads or memory are out. */
+/** mux_worker_http_new() - adapter for docs/PLATFORM.md's worker protocol
+ * Return: NULL with @err set when out of memory or threads. */
 MuxWorkerPort *mux_worker_http_new (const MuxWorkerHttpOptions *options,
                                     MuxError *err);
 
--- a/src/adapter/worker_http.c
+++ b/src/adapter/worker_http.c
@@ -11,31 +11,32 @@
 #include <stdlib.h>
 
 #define STACK_BYTES ((size_t) 256 * 1024)
-#define IDLE_LOOK_MS 1000
-/* What the way there and back may take of a call's timeout. */
-#define TRAVEL_MS 250
+#define STOP_POLL_MS 1000
+/* Part of a call's timeout that is reserved for the network round trip. */
+#define ROUND_TRIP_MS 250
 #define URL_LEN (MUX_ADDR_LEN + 32)
 
 /**
- * struct Job - a call on its way
+ * struct QueuedCall - a call in the ring or in a thread
  * @call: copy; holds a reference of the body
- * @failure: made beforehand, so that a reply can always be given
- * @deadline_ms: end of its timeout, which waiting in the ring counts towards
+ * @failure: allocated in advance, so that a reply can always be sent
+ * @deadline_ms: end of its timeout, which includes the wait in the ring
  */
 typedef struct
 {
   MuxWorkerCall call;
   MuxWorkerReply *failure;
   int64_t deadline_ms;
-} Job;
+} QueuedCall;
 
 typedef struct WorkerHttp WorkerHttp;
 
 /**
  * struct Pool - threads that serve one ring
  * @owner: the adapter
- * @ring: of Job
- * @count: used entries of @threads
+ * @ring: of QueuedCall
+ * @count: threads running
+ * @threads: the threads
  */
 typedef struct
 {
@@ -51,35 +52,35 @@
   MuxInbox *inbox;
   MuxCounters *counters;
   atomic_bool stop;
-  Pool tasks;   /* START and FETCH, which may wait long */
+  Pool tasks;   /* START and FETCH, which may last long */
   Pool control; /* all others */
 };
 
-static Job *
-job_new (const MuxWorkerCall *call)
+static QueuedCall *
+queued_call_new (const MuxWorkerCall *call)
 {
-  Job *job = malloc (sizeof *job);
+  QueuedCall *queued = malloc (sizeof *queued);
 
-  if (job == NULL)
+  if (queued == NULL)
     return NULL;
-  job->failure = mux_worker_reply_new (call, MUX_WORKER_NOT_SENT, 0);
-  if (job->failure == NULL)
+  queued->failure = mux_worker_reply_new (call, MUX_WORKER_NOT_SENT, 0);
+  if (queued->failure == NULL)
     {
-      free (job);
+      free (queued);
       return NULL;
     }
-  job->call = *call;
-  mux_blob_ref (job->call.body);
-  job->deadline_ms = mux_monotonic_ms () + call->timeout_ms;
-  return job;
+  queued->call = *call;
+  mux_blob_ref (queued->call.body);
+  queued->deadline_ms = mux_monotonic_ms () + call->timeout_ms;
+  return queued;
 }
 
 static void
-job_free (Job *job)
+queued_call_free (QueuedCall *queued)
 {
-  mux_worker_reply_free (job->failure);
-  mux_blob_unref (job->call.body);
-  free (job);
+  mux_worker_reply_free (queued->failure);
+  mux_blob_unref (queued->call.body);
+  free (queued);
 }
 
 static void
@@ -90,34 +91,34 @@
 }
 
 static void
-finish (WorkerHttp *http, Job *job, MuxWorkerReply *reply)
+finish (WorkerHttp *http, QueuedCall *queued, MuxWorkerReply *reply)
 {
   if (reply == NULL)
     {
-      reply = job->failure;
-      job->failure = NULL;
+      reply = queued->failure;
+      queued->failure = NULL;
     }
   deliver (http, reply);
-  job_free (job);
+  queued_call_free (queued);
 }
 
-/* The worker answers early enough for its answer to be back in time. */
+/* Shortens the wait at the worker so that its response arrives in time. */
 static uint32_t
-wait_within (uint32_t wait_ms, uint32_t left_ms)
+limit_wait_ms (uint32_t wait_ms, uint32_t left_ms)
 {
-  uint32_t most_ms
-      = left_ms > 2 * TRAVEL_MS ? left_ms - TRAVEL_MS : left_ms / 2;
+  uint32_t max_ms
+      = left_ms > 2 * ROUND_TRIP_MS ? left_ms - ROUND_TRIP_MS : left_ms / 2;
 
-  return wait_ms < most_ms ? wait_ms : most_ms;
+  return wait_ms < max_ms ? wait_ms : max_ms;
 }
 
 static MuxWorkerReply *
 exchange (WorkerHttp *http,
           MuxWorkerClient *client,
-          const Job *job,
+          const QueuedCall *queued,
           uint32_t left_ms)
 {
-  const MuxWorkerCall *call = &job->call;
+  const MuxWorkerCall *call = &queued->call;
   MuxWorkerHeaders headers;
   char url[URL_LEN];
   MuxWorkerRequest request = { url, headers.line, call->body, left_ms };
@@ -126,17 +127,17 @@
     request.body = NULL;
   snprintf (url, sizeof url, "http://%s%s", call->addr,
             mux_worker_verb_path (call->verb));
-  mux_worker_write_headers (call, wait_within (call->wait_ms, left_ms),
+  mux_worker_write_headers (call, limit_wait_ms (call->wait_ms, left_ms),
                             &headers);
   if (http->counters != NULL)
     mux_count (http->counters, MUX_COUNT_WORKER_CALLS, 1);
   switch (mux_worker_client_post (client, &request))
     {
     case MUX_EXCHANGE_COMPLETE:
-      job->failure->status = MUX_WORKER_NO_ANSWER;
+      queued->failure->status = MUX_WORKER_NO_ANSWER;
       return mux_worker_read_reply (call, client);
     case MUX_EXCHANGE_NO_ANSWER:
-      job->failure->status = MUX_WORKER_NO_ANSWER;
+      queued->failure->status = MUX_WORKER_NO_ANSWER;
       return NULL;
     case MUX_EXCHANGE_NOT_SENT:
       return NULL;
@@ -144,11 +145,11 @@
   return NULL;
 }
 
-/* Guards against a name that a resolver would have to be asked for, or text
- * that a URL splits differently: the call would hold its thread, or go to
- * another machine than the list means. */
+/* Only numeric addresses are called.  A host name would block the thread in the
+ * resolver, and other text could be parsed differently as part of a URL, so
+ * that the call would reach a machine that was not listed. */
 static bool
-is_by_number (const char *addr)
+is_numeric_address (const char *addr)
 {
   struct sockaddr_storage parsed;
   socklen_t len;
@@ -157,18 +158,18 @@
 }
 
 static void
-serve (WorkerHttp *http, MuxWorkerClient *client, Job *job)
+serve (WorkerHttp *http, MuxWorkerClient *client, QueuedCall *queued)
 {
-  int64_t left_ms = job->deadline_ms - mux_monotonic_ms ();
+  int64_t left_ms = queued->deadline_ms - mux_monotonic_ms ();
   MuxWorkerReply *reply = NULL;
 
-  if (left_ms > 0 && client != NULL && is_by_number (job->call.addr))
-    reply = exchange (http, client, job, (uint32_t) left_ms);
-  finish (http, job, reply);
+  if (left_ms > 0 && client != NULL && is_numeric_address (queued->call.addr))
+    reply = exchange (http, client, queued, (uint32_t) left_ms);
+  finish (http, queued, reply);
 }
 
 static void *
-run (void *ctx)
+pool_thread_main (void *ctx)
 {
   Pool *pool = ctx;
   WorkerHttp *http = pool->owner;
@@ -176,29 +177,29 @@
 
   while (!atomic_load (&http->stop))
     {
-      Job *job = mux_ring_wait (pool->ring, IDLE_LOOK_MS);
+      QueuedCall *queued = mux_ring_wait (pool->ring, STOP_POLL_MS);
 
-      if (job != NULL)
-        serve (http, client, job);
+      if (queued != NULL)
+        serve (http, client, queued);
     }
   mux_worker_client_free (client);
   return NULL;
 }
 
 static bool
-call (MuxWorkerPort *port, const MuxWorkerCall *wanted)
+port_call (MuxWorkerPort *port, const MuxWorkerCall *call)
 {
   WorkerHttp *http = (WorkerHttp *) port;
   bool long_wait
-      = wanted->verb == MUX_WORKER_START || wanted->verb == MUX_WORKER_FETCH;
+      = call->verb == MUX_WORKER_START || call->verb == MUX_WORKER_FETCH;
   Pool *pool = long_wait ? &http->tasks : &http->control;
-  Job *job = job_new (wanted);
+  QueuedCall *queued = queued_call_new (call);
 
-  if (job == NULL)
+  if (queued == NULL)
     return false;
-  if (mux_ring_push (pool->ring, job))
+  if (mux_ring_push (pool->ring, queued))
     return true;
-  job_free (job);
+  queued_call_free (queued);
   return false;
 }
 
@@ -216,38 +217,41 @@
   pool->ring = mux_ring_new (queue);
   pool->threads = calloc (threads, sizeof *pool->threads);
   if (pool->ring == NULL || pool->threads == NULL)
-    return mux_error_set (err, MUX_ERROR_MEMORY, "worker adapter: no memory");
+    return mux_error_set (err, MUX_ERROR_MEMORY,
+                          "worker adapter: out of memory");
   pthread_attr_init (&attr);
   pthread_attr_setstacksize (&attr, STACK_BYTES);
   while (failed == 0 && pool->count < threads)
     {
-      failed = pthread_create (&pool->threads[pool->count], &attr, run, pool);
+      failed = pthread_create (&pool->threads[pool->count], &attr,
+                               pool_thread_main, pool);
       pool->count += failed == 0;
     }
   pthread_attr_destroy (&attr);
   if (failed != 0)
-    return mux_error_set (err, MUX_ERROR_LIMIT, "worker adapter: no thread");
+    return mux_error_set (err, MUX_ERROR_LIMIT,
+                          "worker adapter: can't start a thread");
   return true;
 }
 
-/* Calls that no thread took any more were certainly not sent. */
+/* Calls that no thread has taken were certainly not sent. */
 static void
 pool_stop (Pool *pool)
 {
-  Job *job;
+  QueuedCall *queued;
 
   if (pool->ring != NULL)
     mux_ring_wake (pool->ring, pool->count);
   for (uint32_t i = 0; i < pool->count; i++)
     pthread_join (pool->threads[i], NULL);
-  while (pool->ring != NULL && (job = mux_ring_pop (pool->ring)) != NULL)
-    finish (pool->owner, job, NULL);
+  while (pool->ring != NULL && (queued = mux_ring_pop (pool->ring)) != NULL)
+    finish (pool->owner, queued, NULL);
   mux_ring_free (pool->ring);
   free (pool->threads);
 }
 
 static void
-free_port (MuxWorkerPort *port)
+port_free (MuxWorkerPort *port)
 {
   WorkerHttp *http = (WorkerHttp *) port;
 
@@ -273,18 +277,18 @@
 
   if (http == NULL)
     {
-      mux_error_set (err, MUX_ERROR_MEMORY, "worker adapter: no memory");
+      mux_error_set (err, MUX_ERROR_MEMORY, "worker adapter: out of memory");
       return NULL;
     }
   pthread_once (&once, init_curl);
-  http->port.call = call;
-  http->port.free = free_port;
+  http->port.call = port_call;
+  http->port.free = port_free;
   http->inbox = options->inbox;
   http->counters = options->counters;
   if (pool_start (&http->tasks, http, options->threads, options->queue, err)
       && pool_start (&http->control, http, options->control_threads,
                      options->queue, err))
     return &http->port;
-  free_port (&http->port);
+  port_free (&http->port);
   return NULL;
 }
--- a/src/adapter/worker_http_client.c
+++ b/src/adapter/worker_http_client.c
@@ -6,10 +6,10 @@
 #include <string.h>
 
 #define CONNECT_TIMEOUT_MS 1000L
-/* A buffer that grew beyond this is given back after its call. */
-#define BODY_KEEP ((size_t) 64 << 10)
+/* A buffer that grew beyond this is freed before the next call. */
+#define BODY_KEEP_MAX_BYTES ((size_t) 64 << 10)
 
-static const MuxCurlKeepalive probes
+static const MuxCurlKeepalive keepalive
     = { .idle_s = 2, .interval_s = 1, .user_timeout_ms = 5000 };
 
 struct MuxWorkerClient
@@ -35,9 +35,9 @@
   return atomic_load_explicit (client->stop, memory_order_relaxed);
 }
 
-/* Every call opens its connection and closes it: an idle connection that has
- * gone silent can then not swallow a call, and curl's own repeat of a request
- * on a dead kept connection, which would blur "not sent", never happens. */
+/* Every call opens a connection and closes it.  So no call is lost on an idle
+ * connection that no longer works, and libcurl's own retry on a dead reused
+ * connection, after which "not sent" would be uncertain, never happens. */
 static void
 set_options (MuxWorkerClient *client)
 {
@@ -47,7 +47,7 @@
   curl_easy_setopt (curl, CURLOPT_HTTP_VERSION, (long) CURL_HTTP_VERSION_1_1);
   curl_easy_setopt (curl, CURLOPT_FRESH_CONNECT, 1L);
   curl_easy_setopt (curl, CURLOPT_FORBID_REUSE, 1L);
-  mux_curl_set_keepalive (curl, &probes);
+  mux_curl_set_keepalive (curl, &keepalive);
   curl_easy_setopt (curl, CURLOPT_XFERINFOFUNCTION, on_progress);
   curl_easy_setopt (curl, CURLOPT_XFERINFODATA, client);
   curl_easy_setopt (curl, CURLOPT_NOPROGRESS, 0L);
@@ -81,10 +81,10 @@
   free (client);
 }
 
-/* Guards against a cut answer that passes for a whole one: without a declared
- * length the end of the connection would count as the end of the answer. */
+/* Without a declared length, the end of the connection counts as the end of the
+ * response, and a truncated response would pass as complete. */
 static bool
-is_whole (const MuxWorkerClient *client)
+is_complete (const MuxWorkerClient *client)
 {
   curl_off_t declared = -1;
 
@@ -111,7 +111,7 @@
   const MuxBlob *body = request->body;
   CURLcode code;
 
-  mux_bytes_clear (&client->body, BODY_KEEP);
+  mux_bytes_clear (&client->body, BODY_KEEP_MAX_BYTES);
   curl_easy_setopt (curl, CURLOPT_POSTFIELDS, body != NULL ? body->bytes : "");
   curl_easy_setopt (curl, CURLOPT_POSTFIELDSIZE_LARGE,
                     (curl_off_t) (body != NULL ? body->len : 0));
@@ -121,7 +121,8 @@
     return MUX_EXCHANGE_NOT_SENT;
   code = curl_easy_perform (curl);
   if (code == CURLE_OK)
-    return is_whole (client) ? MUX_EXCHANGE_COMPLETE : MUX_EXCHANGE_NO_ANSWER;
+    return is_complete (client) ? MUX_EXCHANGE_COMPLETE
+                                : MUX_EXCHANGE_NO_ANSWER;
   return was_connected (client) ? MUX_EXCHANGE_NO_ANSWER
                                 : MUX_EXCHANGE_NOT_SENT;
 }
--- a/src/adapter/worker_http_client.h
+++ b/src/adapter/worker_http_client.h
@@ -9,19 +9,19 @@
 #include <stdint.h>
 
 /**
- * enum MuxWorkerOutcome - what is certain after an exchange
+ * enum MuxExchangeResult - how far an HTTP exchange got
  */
 typedef enum
 {
-  MUX_EXCHANGE_COMPLETE,  /* a whole answer came */
-  MUX_EXCHANGE_NOT_SENT,  /* no connection came about: nothing was sent */
-  MUX_EXCHANGE_NO_ANSWER, /* sent, perhaps in part; no whole answer came */
+  MUX_EXCHANGE_COMPLETE,  /* a complete response was received */
+  MUX_EXCHANGE_NOT_SENT,  /* no connection: certainly nothing was sent */
+  MUX_EXCHANGE_NO_ANSWER, /* perhaps sent; no complete response came */
 } MuxExchangeResult;
 
 /**
- * struct MuxWorkerRequest - one POST
- * @url: with the IP by number
- * @headers: "Name: value" lines, borrowed
+ * struct MuxWorkerRequest - one POST request
+ * @url: with a numeric IP address
+ * @headers: "Name: value" lines; borrowed
  * @body: borrowed; may be NULL
  * @timeout_ms: for the whole exchange
  */
@@ -33,22 +33,25 @@
   uint32_t timeout_ms;
 } MuxWorkerRequest;
 
-/* One thread's client. */
+/* HTTP client of one thread. */
 typedef struct MuxWorkerClient MuxWorkerClient;
 
 /**
- * mux_worker_client_new() - a handle that every call opens a connection with
- * @stop: exchanges in flight are abandoned within about a second of it
- * Return: NULL: memory is out.
+ * mux_worker_client_new() - create a client that opens a connection a call
+ * @stop: when it becomes true, exchanges in flight are aborted within about a
+ *   second; borrowed
+ * Return: NULL when out of memory.
  */
 MuxWorkerClient *mux_worker_client_new (const atomic_bool *stop);
 void mux_worker_client_free (MuxWorkerClient *client);
 MuxExchangeResult mux_worker_client_post (MuxWorkerClient *client,
                                           const MuxWorkerRequest *request);
-/** mux_worker_client_header() - of the last answer; NULL: absent */
+/** mux_worker_client_header() - header of the last response; NULL: absent */
 const char *mux_worker_client_header (MuxWorkerClient *client,
                                       const char *name);
-/** mux_worker_client_body() - of the last answer, valid until the next post */
+/** mux_worker_client_body() - body of the last response
+ * @len: receives its length
+ * Return: valid until the next post. */
 const char *mux_worker_client_body (const MuxWorkerClient *client, size_t *len);
 
 #endif
--- a/src/adapter/worker_http_wire.c
+++ b/src/adapter/worker_http_wire.c
@@ -13,8 +13,8 @@
   MuxWorkerStatus status;
 } StatusWord;
 
-/* wrong_worker: the address belongs to another worker by now, so the one that
- * was meant has not seen the request. */
+/* wrong_worker: the address belongs to another worker now, so the intended one
+ * has not received the request. */
 static const StatusWord status_words[] = {
   { "ok", MUX_WORKER_OK },
   { "old_epoch", MUX_WORKER_OLD_EPOCH },
@@ -28,7 +28,7 @@
 };
 
 static void __attribute__ ((format (printf, 2, 3)))
-add (MuxWorkerHeaders *headers, const char *format, ...)
+add_header (MuxWorkerHeaders *headers, const char *format, ...)
 {
   uint32_t i = headers->count++;
   va_list args;
@@ -47,14 +47,15 @@
 {
   const MuxSize *size = &call->size;
 
-  add (headers, "Cuminmux-Class: %s", call->class_name);
-  add (headers, "Cuminmux-Home: %s", call->home);
-  add (headers, "Cuminmux-Kind: %s", mux_kind_name (call->kind));
-  add (headers, "Cuminmux-Size: %" PRIu32 ",%" PRIu32 ",%" PRIu32 ",%" PRIu32,
-       size->cpu_milli, size->mem_mib, size->accels, size->slots);
-  add (headers, "Cuminmux-Run-Ms: %" PRIu32, call->run_ms);
+  add_header (headers, "Cuminmux-Class: %s", call->class_name);
+  add_header (headers, "Cuminmux-Home: %s", call->home);
+  add_header (headers, "Cuminmux-Kind: %s", mux_kind_name (call->kind));
+  add_header (headers,
+              "Cuminmux-Size: %" PRIu32 ",%" PRIu32 ",%" PRIu32 ",%" PRIu32,
+              size->cpu_milli, size->mem_mib, size->accels, size->slots);
+  add_header (headers, "Cuminmux-Run-Ms: %" PRIu32, call->run_ms);
   if (call->not_after_ms != 0)
-    add (headers, "Cuminmux-Not-After: %" PRId64, call->not_after_ms);
+    add_header (headers, "Cuminmux-Not-After: %" PRId64, call->not_after_ms);
 }
 
 void
@@ -65,22 +66,22 @@
   char id[MUX_ID_HEX_LEN];
 
   headers->count = 0;
-  add (headers, "Expect:");
-  add (headers, "Content-Type: application/octet-stream");
-  add (headers, "Cuminmux-Worker: %s", call->worker);
-  add (headers, "Cuminmux-Owner: %s", call->owner);
-  add (headers, "Cuminmux-Epoch: %" PRIu64, call->epoch);
-  add (headers, "Cuminmux-Incarnation: %" PRIu64, call->incarnation);
+  add_header (headers, "Expect:");
+  add_header (headers, "Content-Type: application/octet-stream");
+  add_header (headers, "Cuminmux-Worker: %s", call->worker);
+  add_header (headers, "Cuminmux-Owner: %s", call->owner);
+  add_header (headers, "Cuminmux-Epoch: %" PRIu64, call->epoch);
+  add_header (headers, "Cuminmux-Incarnation: %" PRIu64, call->incarnation);
   if (call->lease_ms != 0)
-    add (headers, "Cuminmux-Lease-Ms: %" PRIu32, call->lease_ms);
+    add_header (headers, "Cuminmux-Lease-Ms: %" PRIu32, call->lease_ms);
   if (call->verb == MUX_WORKER_RENEW)
-    add (headers, "Cuminmux-Cursor: %" PRIu64, call->cursor);
+    add_header (headers, "Cuminmux-Cursor: %" PRIu64, call->cursor);
   if (wait_ms != 0)
-    add (headers, "Cuminmux-Wait-Ms: %" PRIu32, wait_ms);
+    add_header (headers, "Cuminmux-Wait-Ms: %" PRIu32, wait_ms);
   if (!mux_id_is_none (call->task))
     {
       mux_id_format (call->task, id);
-      add (headers, "Cuminmux-Task: %s", id);
+      add_header (headers, "Cuminmux-Task: %s", id);
     }
   if (call->verb == MUX_WORKER_START)
     add_start (headers, call);
@@ -127,11 +128,10 @@
   return mux_unsigned_parse (mux_worker_client_header (client, name), max, out);
 }
 
-/* Guards against an answer of somebody else, such as another worker that has
- * taken the address over: only one that names the worker and the task that
- * were meant counts. */
+/* Only a response that names the intended worker and task counts: another
+ * worker may have taken over the address. */
 static bool
-is_own (const MuxWorkerCall *call, MuxWorkerClient *client)
+is_from_intended_worker (const MuxWorkerCall *call, MuxWorkerClient *client)
 {
   const char *worker = mux_worker_client_header (client, "Cuminmux-Worker");
   const char *task = mux_worker_client_header (client, "Cuminmux-Task");
@@ -208,7 +208,7 @@
     return NULL;
   if (status == MUX_WORKER_BAD || status == MUX_WORKER_NOT_SENT)
     return mux_worker_reply_new (call, status, 0);
-  if (!is_own (call, client))
+  if (!is_from_intended_worker (call, client))
     return NULL;
   reply = read_content (call, status, client);
   if (reply == NULL)
