--- a/src/adapter/peer_link.h
+++ b/src/adapter/peer_link.h
@@ -88,8 +88,8 @@
 void mux_peer_links_probe (MuxPeerLinks *links);
 /** mux_peer_link_receive_echoes() - read the echoes that have arrived */
 void mux_peer_link_receive_echoes (MuxPeerLink *link);
-/** mux_peer_link_awaits_echo() - whether the echo of the last probe is due
- * False for an unresponsive link. */
+/** mux_peer_link_awaits_echo() - whether the last probe has no echo yet
+ * Always false for an unresponsive link. */
 bool mux_peer_link_awaits_echo (const MuxPeerLink *link);
 void mux_peer_links_close (MuxPeerLinks *links);
 
--- a/src/daemon/http_respond.c
+++ b/src/daemon/http_respond.c
@@ -59,7 +59,7 @@
                            const MuxCoreResponse *core_response)
 {
   char task[MUX_ID_HEX_LEN];
-  bool refused = core_response->status >= STATUS_ERROR;
+  bool is_error = core_response->status >= STATUS_ERROR;
 
   response->status = (long) core_response->status;
   add_header (response, "Cuminmux-Outcome",
@@ -73,7 +73,7 @@
       mux_id_format (core_response->task, task);
       add_header (response, "Cuminmux-Task", task);
     }
-  if (core_response->body == NULL && refused)
+  if (core_response->body == NULL && is_error)
     {
       set_error_body (response, core_response->outcome, core_response->reason,
                       NULL);
--- a/src/daemon/inbox.h
+++ b/src/daemon/inbox.h
@@ -59,7 +59,10 @@
 /** mux_inbox_take_disconnect() - call of a caller that no longer waits
  * Return: 0: empty. */
 uint64_t mux_inbox_take_disconnect (MuxDaemonInbox *inbox);
+/** mux_peer_msg_free() - free a message and drop the reference of its body */
 void mux_peer_msg_free (MuxPeerMsg *msg);
+/** mux_core_request_free() - free a request and drop the reference of its body
+ */
 void mux_core_request_free (MuxCoreRequest *request);
 /** mux_inbox_prepare_wait() - to be called before the rings are polled */
 void mux_inbox_prepare_wait (MuxDaemonInbox *inbox);
--- a/src/daemon/response_waiters.c
+++ b/src/daemon/response_waiters.c
@@ -75,21 +75,21 @@
 {
   struct timespec deadline = mux_deadline_after (timeout_ms);
   Waiter *waiter;
-  bool changed;
+  bool delivered;
   int rc = 0;
 
   pthread_mutex_lock (&waiters->lock);
   waiter = find (waiters, call);
   while (!waiter->has_response && rc == 0)
     rc = pthread_cond_timedwait (&waiter->changed, &waiters->lock, &deadline);
-  changed = waiter->has_response;
-  if (changed)
+  delivered = waiter->has_response;
+  if (delivered)
     *response = waiter->response;
   HASH_DEL (waiters->by_call, waiter);
   pthread_mutex_unlock (&waiters->lock);
   pthread_cond_destroy (&waiter->changed);
   free (waiter);
-  return changed;
+  return delivered;
 }
 
 bool
