--- a/test/support/fake_backend.h
+++ b/test/support/fake_backend.h
@@ -8,27 +8,27 @@
 #define FAKE_ASKS_MAX 64
 
 /**
- * enum FakeMode - what the fake does with an ask
+ * enum FakeMode - what the fake does with a request
  */
 typedef enum
 {
-  FAKE_ANSWER, /* answers at once with @answer */
-  FAKE_HOLD,   /* keeps it until the test answers */
+  FAKE_ANSWER, /* responds at once with @answer */
+  FAKE_HOLD,   /* keeps it until the test responds */
   FAKE_FULL,   /* refuses: the ring is full */
 } FakeMode;
 
 /**
- * struct FakeBackend - stands in for the core behind the door
+ * struct FakeBackend - replaces the core behind the HTTP server
  * @backend: first member
- * @door: listening; where answers go
+ * @door: the server, listening; receives the responses
  * @addr: where it listens
- * @counters: the door's
+ * @counters: the server's
  * @mode: see enum FakeMode
- * @answer: for FAKE_ANSWER, but for its call
- * @is_ready: told to the door
- * @asks: as they came, bodies referenced
+ * @answer: response for FAKE_ANSWER, but for its call
+ * @is_ready: readiness that the server reads
+ * @asks: requests in order of arrival, bodies referenced
  * @ask_count: entries of @asks
- * @gone_call: the last hang-up; 0: none
+ * @gone_call: call of the last disconnect; 0: none
  */
 typedef struct
 {
@@ -46,11 +46,12 @@
   pthread_cond_t changed;
 } FakeBackend;
 
-/** fake_backend_open() - a door of @options on a port that the kernel picks */
+/** fake_backend_open() - a server with @options on a port the kernel picks */
 void fake_backend_open (FakeBackend *fake, MuxHttpServerOptions options);
-/** fake_backend_wait_asks() - until so many asks have come */
+/** fake_backend_wait_asks() - wait until so many requests have arrived */
 void fake_backend_wait_asks (FakeBackend *fake, uint32_t count);
-/** fake_backend_wait_gone() - until a hang-up came; its call */
+/** fake_backend_wait_gone() - wait for a disconnect
+ * Return: its call. */
 uint64_t fake_backend_wait_gone (FakeBackend *fake);
 void fake_backend_close (FakeBackend *fake);
 
--- a/test/support/peer_end.h
+++ b/test/support/peer_end.h
@@ -4,7 +4,7 @@
 #include "adapter/peer.h"
 #include "support/peer_inbox.h"
 
-/* Silence that no test reaches, and one that tests of silence wait for. */
+/* A silence timeout that no test reaches, and one that some tests wait for. */
 #define SILENT_LONG_MS 20000
 #define SILENT_SHORT_MS 200
 /* Pause between two sends of a peer that goes on sending. */
--- a/test/support/platform_fixture.h
+++ b/test/support/platform_fixture.h
@@ -11,7 +11,7 @@
 #define SHORT_MS 150
 /* The same, and long enough for the call to be sent on a busy machine. */
 #define HANG_MS 1000
-/* Calls that may wait: one less than the slots of their ring. */
+/* Calls that may be queued: one less than the slots of their ring. */
 #define QUEUE 32
 #define DATA_CENTRE "nizwa-hall"
 
@@ -20,7 +20,7 @@
  */
 typedef struct
 {
-  MuxInbox inbox; /* first: the adapter hands it back */
+  MuxInbox inbox; /* first member: the adapter passes its address back */
   MuxRing *replies;
   MuxRing *lists;
   StandinPlatform *platform;
@@ -52,11 +52,12 @@
 MuxTableCall *platform_get_new (const char *key);
 /** platform_next_reply() - waits for it; never NULL */
 MuxTableReply *platform_next_reply (PlatformFixture *fixture);
-/** platform_ask() - hands @call over and waits for its reply */
+/** platform_ask() - send @call and wait for its reply */
 MuxTableReply *platform_ask (PlatformFixture *fixture, MuxTableCall *call);
 MuxTableStatus platform_ask_status (PlatformFixture *fixture,
                                     MuxTableCall *call);
-/** platform_expect_put() - put a row; the test fails unless told @status */
+/** platform_expect_put() - put a row; the test fails if its status is not
+ * @status */
 void platform_expect_put (PlatformFixture *fixture,
                           const char *key,
                           uint64_t rev,
--- a/test/unit/test_door.c
+++ b/test/unit/test_door.c
@@ -5,9 +5,8 @@
 
 #define TASK_ID "00000000000000010000000000000002"
 
-/* A hotel desk sends a form or a photograph and gets the task's bytes back.
- * Any byte changed, dropped or parsed on the way spoils the booking; bytes of
- * value 0 and form types are where HTTP libraries do so. */
+/* Request and response bodies pass unchanged, also with bytes of value 0 and
+ * with form content types, which HTTP libraries tend to cut or to parse. */
 static void
 test_bytes_pass_unchanged (void **state)
 {
@@ -45,8 +44,8 @@
   raw_reply_free (&reply);
 }
 
-/* Two desks wait; the second one's answer is ready first.  Each must read
- * its own, or a guest gets the seat of another. */
+/* Two callers wait, and the second one's response is ready first.  Each must
+ * get its own. */
 static void
 test_answers_out_of_order (void **state)
 {
@@ -70,9 +69,8 @@
   close (second);
 }
 
-/* In a flood, callers take every place.  The next one must hear at once that
- * it was not run and when to come back, and the operator must still get in
- * to see why. */
+/* Under overload callers hold every slot.  The next one must get "not run" and
+ * a retry delay at once, and an operator must still have access. */
 static void
 test_callers_full (void **state)
 {
@@ -137,9 +135,9 @@
   raw_reply_free (&reply);
 }
 
-/* The instance is replaced while a guest's seat is being confirmed.  New
- * callers are sent elsewhere, the confirmation under way is still written
- * whole, and only then may the process end. */
+/* The daemon stops while a request runs.  New requests are refused, the
+ * response under way is still written completely, and only then may the process
+ * end. */
 static void
 test_stop_cuts_nothing_off (void **state)
 {
@@ -166,8 +164,8 @@
   close (fd);
 }
 
-/* The bound of the stop passes with a request still out: its caller must not
- * be told that it was not run. */
+/* The stop's timeout passes while a request is in flight: its caller must not
+ * get "not run". */
 static void
 test_abandoned_is_unknown (void **state)
 {
@@ -186,10 +184,10 @@
   close (fd);
 }
 
-/* A booking takes longer than the time after which silent connections are
- * closed.  Its caller is silent because it waits; closing its connection, or
- * its answer when it comes, would cut the confirmation off.  A connection
- * that nobody waits on is closed meanwhile, or dead ones pile up. */
+/* A request takes longer than the idle timeout of connections.  Its caller's
+ * connection is idle because it waits; if it were closed, then or when the
+ * response comes, the response would be lost.  A connection without a waiting
+ * caller must be closed, or dead ones accumulate. */
 static void
 test_waiting_is_not_silence (void **state)
 {
@@ -211,8 +209,8 @@
   close (waiting);
 }
 
-/* A householder hangs up.  The core hears of it, and an answer that comes all
- * the same reaches nobody, above all not the next caller. */
+/* A caller closes its connection.  The core gets the event, and a response that
+ * still comes must not reach the next caller. */
 static void
 test_caller_hangs_up (void **state)
 {
--- a/test/unit/test_door_input.c
+++ b/test/unit/test_door_input.c
@@ -73,10 +73,10 @@
   { "PATCH /v1/status HTTP/1.1", MUX_REASON_UNKNOWN_PATH },
 };
 
-/* A caller's mistake must come back as such.  Taken for something else, a
- * malformed key would let a voucher be redeemed as if it had none; and of two
- * keys, one by the desk and one by a gateway before it, one would be picked in
- * silence, so that the desk's repeat under its own key redeems it again. */
+/* Invalid input must be refused as such.  If a malformed key were dropped, the
+ * work would run as if it had none.  Of two keys, one set by the caller and one
+ * by a gateway, one would be picked silently, so that the caller's retry with
+ * its own key runs the work again. */
 static void
 test_bad_input_is_refused_and_counted (void **state)
 {
--- a/test/unit/test_event_log.c
+++ b/test/unit/test_event_log.c
@@ -79,9 +79,8 @@
 }
 
 /*
- * Whoever reads the log stops reading.  The pipe fills, and a daemon that
- * waited for it would stand still with all its callers: lines are dropped
- * instead, and whoever decides goes on at once.
+ * The reader of the log stops reading and the pipe fills.  The thread that logs
+ * must not block; lines are dropped instead.
  */
 static void
 test_blocked_reader_holds_nobody (void **state)
--- a/test/unit/test_golden_door.c
+++ b/test/unit/test_golden_door.c
@@ -18,10 +18,10 @@
   ":9}}"
 
 /*
- * A real door, over TCP, before the real core of the first daemon of a cell
- * on the fake clock.  The door's threads hand asks over by a pipe; the clock
- * moves only while an answer is awaited or the test says so, so that a core's
- * answers do not depend on how fast the machine is.
+ * A real HTTP server, over TCP, in front of the real core of a cell's first
+ * daemon on the fake clock.  The server's threads pass requests on by a pipe.
+ * The clock advances only while a response is awaited or when the test says so,
+ * so that the core's responses do not depend on the machine's speed.
  */
 typedef struct
 {
@@ -127,7 +127,7 @@
   return 0;
 }
 
-/* Plays the core's part until the ask that came has its answer. */
+/* Steps the core until the request that arrived has its response. */
 static void
 answer_ask (Session *session)
 {
@@ -156,7 +156,7 @@
     }
 }
 
-/* One call of a caller: its lines without those that every call has. */
+/* One request of a caller: its lines without those that every request has. */
 static char *
 call (Session *session, const char *lines, const char *body)
 {
@@ -230,9 +230,10 @@
   scenario_run (session->s, 200);
 }
 
-/* An operator sets up a product and a class, a desk books, books again with
- * the same key and gets the same answer, a batch is submitted and cancelled,
- * and the class is changed, looked up in the history and put back. */
+/* An operator configures a product and a class; a caller sends a request and
+ * repeats it with the same key, which gives the same response; a job is
+ * submitted and cancelled; the class is changed, listed in the history and
+ * reverted. */
 static void
 test_first_day (void **state)
 {
@@ -297,8 +298,8 @@
   assert_true (told);
 }
 
-/* Callers and operators send what can't be carried out.  Each is told which
- * place is wrong, with a reason of its own, and the next caller is served. */
+/* Callers and operators send invalid requests.  Each response names the invalid
+ * field with a reason, and the next request is served. */
 static void
 test_bad_input (void **state)
 {
@@ -351,9 +352,9 @@
   assert_golden (session, "door_bad_input");
 }
 
-/* An operator asks for a job that is not known and gets a status without a
- * body, where each error has one that says what is wrong.  The core refuses a
- * question with the outcome "info", for which the door makes no body. */
+/* A query about an unknown job must get an error body, as every error does.
+ * The core refuses it with the outcome "info", for which the HTTP server could
+ * fail to make one. */
 static void
 test_unknown_job_is_told_why (void **state)
 {
@@ -361,9 +362,9 @@
           MUX_REASON_UNKNOWN_JOB);
 }
 
-/* An operator cancels a job and the answer shows it as not cancelled, so that
- * the operator cancels again or raises an alarm.  The cancellation stands in
- * the table by then; the home answers before it has taken it over. */
+/* The response to a cancellation must show the job as cancelled.  The
+ * cancellation is in the table by then, but the home might respond before it
+ * has read it back. */
 static void
 test_cancel_shows_in_its_answer (void **state)
 {
--- a/test/unit/test_inbox.c
+++ b/test/unit/test_inbox.c
@@ -48,9 +48,9 @@
   return mux_worker_reply_new (&call, MUX_WORKER_OK, 0);
 }
 
-/* Callers and a loud peer flood a daemon while a worker sends the answer of a
- * booking.  Their surplus is refused and counted at once; the answer finds
- * its room, or the booking's fate would be lost. */
+/* Callers and a peer overload a daemon while a worker replies.  What exceeds
+ * their rings is refused and counted; the worker's reply must find room, or the
+ * fate of its task would be lost. */
 static void
 test_flood_leaves_room_for_replies (void **state)
 {
@@ -94,9 +94,9 @@
   assert_null (mux_inbox_take_instances (bench->inbox));
 }
 
-/* The platform's list is read as changes.  The core is busy for longer than
- * one reading takes; were the later changes put in the place of the earlier,
- * a worker that left in between would get work for as long as it is listed. */
+/* The instance list is read as changes, and the core is busy for longer than
+ * the interval between reads.  If later changes replaced earlier ones, a worker
+ * that left in between would get work until the next complete list. */
 static void
 test_changes_of_instances_add_up (void **state)
 {
@@ -120,9 +120,9 @@
   free (list);
 }
 
-/* An entry that comes between the last look and the sleep must not wait for
- * the sleep's end: a caller would see a whole second of delay now and then.
- * The sleeps here have no end, so the test hangs if one begins. */
+/* An event pushed between the last poll and the wait must end the wait at once,
+ * or a caller would now and then be delayed by up to a second.  The waits here
+ * have no timeout, so the test hangs if a wakeup is lost. */
 static void
 test_no_sleep_past_an_entry (void **state)
 {
--- a/test/unit/test_peer_codec.c
+++ b/test/unit/test_peer_codec.c
@@ -147,7 +147,7 @@
     }
 }
 
-/* What was let through must be a message that survives another round. */
+/* A message that was accepted must survive another encode and decode. */
 static void
 check_accepted (MuxPeerMsg *got)
 {
@@ -231,7 +231,7 @@
 static void
 test_unknown_verb_and_version_refused (void **state)
 {
-  /* The head of a message of 5 entries is 1 byte; version and verb follow. */
+  /* The header of a message of 5 entries is 1 byte; version and verb follow. */
   enum
   {
     VERSION_AT = 1,
@@ -256,10 +256,9 @@
 static void
 test_lengths_are_not_trusted (void **state)
 {
-  /* Story: a sender that is broken or hostile names a length of 4 GiB, or
-   * nests arrays.  A decoder that reserves what a length names, or descends
-   * as deep as the input does, takes the daemon down with one short message.
-   */
+  /* A faulty or hostile sender may give a length of 4 GiB or nest arrays.  A
+   * decoder that allocates by such a length, or recurses as deep as the input,
+   * would let one short message crash the daemon. */
   static const unsigned char heads[][6] = {
     { 0xdd, 0xff, 0xff, 0xff, 0xff, 0x01 }, /* array of 2^32 - 1 entries */
     { 0x95, 0xdd, 0xff, 0xff, 0xff, 0xff }, /* one inside a message */
@@ -281,9 +280,9 @@
     }
 }
 
-/* Story: MEMBERS of a large cell were never sent, since only CONFIG_ROWS got
- * room for a body beyond the fixed fields, and daemons stayed unknown to each
- * other.  Every verb whose sample has a body must carry the longest one. */
+/* Every verb whose sample has a body must be able to carry the largest one.  If
+ * the encoder had room for a large body in CONFIG_ROWS only, the MEMBERS of a
+ * large cell would not be sent and daemons would stay unknown to each other. */
 static void
 check_body_bounds (MuxPeerVerb verb)
 {
--- a/test/unit/test_peer_curve.c
+++ b/test/unit/test_peer_curve.c
@@ -6,8 +6,8 @@
 static void
 test_other_keys_get_nothing_through (void **state)
 {
-  /* Story: a daemon of another user, or one without encryption, is pointed at
-   * our listener.  It tries for as long as it likes while ours get through. */
+  /* Messages of a daemon of another user, or of one without encryption, are not
+   * accepted, and its attempts do not keep our own from arriving. */
   KeyPair ours = key_pair ();
   KeyPair theirs = key_pair ();
   Peer a = peer_new (SILENT_LONG_MS, &ours);
@@ -25,7 +25,7 @@
       send_hint (&plain, b.addr, "plain", n);
       send_hint (&a, b.addr, "a", n);
       assert_true (peer_inbox_wait (b.inbox, "a", n++, PEER_WAIT_MS));
-      /* Nobody writes here: the pace of the senders. */
+      /* No message arrives: this paces the senders. */
       (void) peer_inbox_wait (a.inbox, "nobody", 0, SEND_EVERY_MS);
     }
   assert_true (n < SENDS_MAX);
@@ -62,9 +62,9 @@
 static void
 test_stranger_that_knows_the_public_key (void **state)
 {
-  /* Story: the public key, which is no secret, is all that a client needs to
-   * open CURVE's handshake with a pair of its own.  Unless the listener checks
-   * the client's key too, anybody who saw that key is let in. */
+  /* The public key, which is not secret, is enough for a client to open CURVE's
+   * handshake with a key pair of its own.  Unless the listener checks the
+   * client's key, too, anybody who knows the public key has access. */
   KeyPair ours = key_pair ();
   Peer b = peer_new (SILENT_LONG_MS, &ours);
   MuxPeerMsg msg = hint ("stranger", 1);
--- a/test/unit/test_peer_zmq.c
+++ b/test/unit/test_peer_zmq.c
@@ -72,9 +72,9 @@
 static void
 test_peer_restarts (void **state)
 {
-  /* Story: a daemon is replaced and its successor answers at the same
-   * address.  The sender's connection breaks, and what it sends must reach
-   * the successor without the sender being told. */
+  /* A daemon is replaced by another one at the same address.  The sender's
+   * connection breaks, and its further messages must reach the new daemon
+   * without an action of the sender. */
   Peer a = peer_new (SILENT_LONG_MS, NULL);
   Peer first = peer_new (SILENT_LONG_MS, NULL);
   Peer second;
@@ -96,9 +96,9 @@
 static void
 test_silent_link_is_replaced (void **state)
 {
-  /* Story: messages to one peer stop arriving for good, though no connection
-   * is reported broken and a new one to the same peer works.  A box between
-   * the two has lost track of the connection and drops what comes on it. */
+  /* Messages to one peer stop arriving for good, although no connection error
+   * is reported and a new connection to the same peer works: a middlebox has
+   * lost the state of the connection and drops its packets. */
   Peer a = peer_new (SILENT_SHORT_MS, NULL);
   Peer b = peer_new (SILENT_SHORT_MS, NULL);
   char addr[MUX_ADDR_LEN];
@@ -136,9 +136,9 @@
 static void
 test_link_without_echo_is_replaced (void **state)
 {
-  /* Story: a connection looks alive, for something on its way still answers
-   * ZeroMQ's heartbeats, yet no echo comes back from the peer itself.  Only
-   * the link's own silence tells. */
+  /* A connection looks alive, because a middlebox still answers ZeroMQ's
+   * heartbeats, but no echo comes from the peer itself.  Only the link's own
+   * silence timeout detects this. */
   Peer a = peer_new (SILENT_SHORT_MS, NULL);
   void *zmq = zmq_ctx_new ();
   void *router = zmq_socket (zmq, ZMQ_ROUTER);
@@ -214,7 +214,8 @@
 #define DAEMONS 600
 #define HOSTS 250
 
-/* Guards against daemons of a large cell that never hear from the planner. */
+/* With too few links, some daemons of a large cell would never get a message of
+ * the planner. */
 static void
 test_all_daemons_of_a_large_cell_are_reached (void **state)
 {
@@ -252,9 +253,9 @@
 static void
 test_last_word_arrives (void **state)
 {
-  /* Story: a daemon says BYE and stops at once.  If its sockets were closed
-   * under the message, its peers would go on counting on it until its
-   * heartbeats were missed. */
+  /* A daemon sends BYE and stops at once.  If its sockets were closed before
+   * the message is sent, its peers would use it until its heartbeats time out.
+   */
   Peer a = peer_new (SILENT_LONG_MS, NULL);
   Peer b = peer_new (SILENT_LONG_MS, NULL);
   MuxPeerMsg bye;
@@ -285,8 +286,8 @@
   peer_inbox_close_gate (b.inbox);
   send_hint (&a, b.addr, "a", 1);
   assert_true (peer_inbox_wait_at_gate (b.inbox));
-  /* The thread of b is held at the gate: nothing leaves its ring, of which
-   * one slot stays free. */
+  /* The thread of b is blocked at the gate: nothing leaves its ring, of which
+   * one slot always stays free. */
   for (uint64_t i = 1; i < QUEUE; i++)
     send_hint (&b, a.addr, "b", i);
   assert_false (b.port->send (b.port, a.addr, &msg));
--- a/test/unit/test_platform_adapter.c
+++ b/test/unit/test_platform_adapter.c
@@ -163,7 +163,7 @@
   assert_int_equal (platform_ask_status (fixture, call), MUX_TABLE_BAD);
 }
 
-/* Lists come again and again, also when nothing has changed. */
+/* Lists keep coming, also when nothing has changed. */
 static MuxTableStatus
 decode_status (MuxTableCall *call,
                long http_status,
@@ -185,9 +185,9 @@
   return status;
 }
 
-/* A write is reported as not written, is done again, and stands twice.  A
- * balancer between has answered 503 or 502 in the platform's place after it
- * had passed the request on; only the platform itself can say "no effect". */
+/* A write that took effect must not be reported as not written, or it is done
+ * twice.  A load balancer may respond 502 or 503 after it has passed the
+ * request on; only the platform itself can state "no effect". */
 static void
 test_errors_from_between_leave_doubt (void **state)
 {
@@ -295,7 +295,7 @@
   register_instance (fixture, "w1", MUX_ROLE_WORKER, MUX_INSTANCE_LIVE);
   register_instance (fixture, "w2", MUX_ROLE_WORKER, MUX_INSTANCE_LIVE);
   register_instance (fixture, "e1", MUX_ROLE_ENTRY, MUX_INSTANCE_LIVE);
-  /* Nothing changes: the entry instance alone is told again. */
+  /* Nothing changes: the list holds the entry instance only. */
   list = next_list (fixture, true, 1);
   assert_string_equal (list->item[0].name, "e1");
   free (list);
@@ -307,8 +307,8 @@
   free (list);
 }
 
-/* One entry that can't be read spoils the list: an instance missing from it
- * would look as if it had never been. */
+/* A list with one malformed entry is refused: an instance missing from it would
+ * look as if it did not exist. */
 static void
 test_list_is_whole_or_nothing (void **state)
 {
@@ -333,9 +333,9 @@
   assert_null (mux_platform_decode_list ("{}", 2, &rev));
 }
 
-/* A worker registers as "w 1\r\nCuminmux-Epoch: 9".  Put into a header of each
- * call to it, or into a log line, its name would pass for lines of ours; and
- * no daemon can name it to another.  It is left out; the others are served. */
+/* A worker registers as "w 1\r\nCuminmux-Epoch: 9".  In a request header or a
+ * log line its name would inject a line, and no daemon can send it to another.
+ * It is skipped; the other instances are kept. */
 static void
 test_instance_without_usable_name_is_left_out (void **state)
 {
--- a/test/unit/test_question_waiters.c
+++ b/test/unit/test_question_waiters.c
@@ -58,8 +58,9 @@
 }
 
 /*
- * An answer comes after its caller has given up.  It must find nobody, rather
- * than the next caller, who would take another job's answer for its own.
+ * A response comes after its caller's wait has timed out.  It must be dropped
+ * and not reach the next caller, who would take it for the response about its
+ * own job.
  */
 static void
 test_late_answer_finds_nobody (void **state)
@@ -81,9 +82,9 @@
 }
 
 /*
- * The planner answers a job that a daemon handed it just before it was killed.
- * If the next process numbered its callers anew, one of them would be told
- * that its job is accepted, and it would never run.
+ * The planner replies to a job that a daemon relayed just before it was killed.
+ * If the daemon's next process used the same call numbers, one of its callers
+ * would get "accepted" for a job that was not stored and never runs.
  */
 static void
 test_next_process_gives_no_number_again (void **state)
--- a/test/unit/test_tls.c
+++ b/test/unit/test_tls.c
@@ -77,7 +77,7 @@
   close (fd);
 }
 
-/* A door whose certificate is for @ip. */
+/* An HTTP server whose certificate is for @ip. */
 static int
 setup_for (void **state, const char *ip)
 {
@@ -179,9 +179,9 @@
   mux_blob_unref (bench->fake.answer.body);
 }
 
-/* Someone on the way answers in the daemon's place, with a certificate of his
- * own.  He must not get the voucher's key, and the operator hears that nothing
- * was sent, and why. */
+/* An attacker on the path responds in the daemon's place, with its own
+ * certificate.  It must not get the request's key, and the caller is told that
+ * nothing was sent, and why. */
 static void
 test_other_certificate_is_refused (void **state)
 {
@@ -218,7 +218,7 @@
   assert_int_equal (bench->fake.ask_count, 0);
 }
 
-/* A daemon without keys warns unless its peers' port is within its instance. */
+/* A daemon without keys warns, unless its peer port is bound to loopback. */
 static void
 test_loopback_addresses (void **state)
 {
--- a/test/unit/test_worker_adapter.c
+++ b/test/unit/test_worker_adapter.c
@@ -229,8 +229,8 @@
   mux_worker_reply_free (reply);
 }
 
-/* The worker's process is gone: its port refuses.  Nothing was sent, so the
- * task may be started elsewhere at once. */
+/* The worker's process has ended and its port refuses connections.  Nothing was
+ * sent, so the task may be started elsewhere at once. */
 static void
 test_refused_connect_is_not_sent (void **state)
 {
@@ -245,9 +245,9 @@
   close (fd);
 }
 
-/* A worker is listed by host name, or with a path behind its port.  Asking a
- * resolver holds a thread for seconds, and what it says may be another machine:
- * work goes to addresses by number alone. */
+/* A worker is listed by host name, or with a path after its port.  A resolver
+ * may block a thread for seconds and may return another machine, so only
+ * numeric addresses are called. */
 static void
 test_address_that_is_no_number_is_not_sent (void **state)
 {
@@ -263,8 +263,9 @@
   assert_int_equal (status_of (f, claim), MUX_WORKER_OK);
 }
 
-/* A start takes effect and its answer is lost.  The home may not say "not
- * run": asked to forget the tasks, the worker says which ran and which runs.
+/* A start takes effect and its response is lost.  The home must not respond
+ * "not run": the worker's reply to FORGET says which tasks ran and which still
+ * run.
  */
 static void
 test_lost_answer_is_settled (void **state)
@@ -281,8 +282,8 @@
   assert_int_equal (state_of (f, MUX_WORKER_FORGET, 2), MUX_TASK_DONE);
 }
 
-/* A start is lost on its way, its home settles with a tombstone and tells the
- * caller "not run"; then the start arrives after all and must be refused. */
+/* A start is delayed, its home resolves it by a tombstone and responds "not
+ * run"; when the start then arrives, it must be refused. */
 static void
 test_tombstone_refuses_start (void **state)
 {
@@ -334,8 +335,8 @@
   assert_int_equal (state_of (f, MUX_WORKER_FETCH, 1), MUX_TASK_RUNNING);
 }
 
-/* The same start reaches the worker twice, the second with another body.  One
- * execution only: both get the first's answer. */
+/* The same start reaches the worker twice, the second time with another body.
+ * It runs once, and both get the first one's result. */
 static void
 test_repeated_start (void **state)
 {
@@ -380,9 +381,8 @@
     }
 }
 
-/* A worker has left and another has its address by now.  The start for the
- * first must not run at the second, and was certainly not sent to the first.
- */
+/* A worker has left and another one has taken over its address.  The start for
+ * the first must not run at the second, and counts as certainly not sent. */
 static void
 test_taken_over_address (void **state)
 {
@@ -395,8 +395,8 @@
   assert_int_equal (state_of (f, MUX_WORKER_FETCH, 1), MUX_TASK_ABSENT);
 }
 
-/* The worker takes the call in and hangs.  Its kernel accepts the bytes, so
- * whether the task was started is unknown. */
+/* The worker hangs after its kernel has accepted the request, so it is unknown
+ * whether the task was started. */
 static void
 test_hanging_worker_is_no_answer (void **state)
 {
@@ -410,8 +410,8 @@
   close (fd);
 }
 
-/* The worker is paused with a start in its hands and wakes after the start's
- * last moment, when its home has long told the caller "not run". */
+/* The worker is suspended while it handles a start and resumes after the
+ * start's deadline, when its home has already responded "not run". */
 static void
 test_start_in_a_pause_is_late (void **state)
 {
@@ -444,8 +444,8 @@
   assert_int_equal (state_of (f, MUX_WORKER_FORGET, 1), MUX_TASK_FORGOTTEN);
 }
 
-/* The connection breaks in the middle of an answer, or in one that does not
- * say its length.  Passed on, the desk would get half a confirmation. */
+/* The connection breaks in the middle of a response, or in one without a
+ * declared length.  The truncated body must not be passed on as complete. */
 static void
 test_cut_answer_is_no_answer (void **state)
 {
@@ -473,8 +473,8 @@
     }
 }
 
-/* The daemon stops while calls are on their way and in the ring.  Each call
- * that was taken gets its one reply: those sent are unknown, the rest not. */
+/* The daemon stops while calls are in flight and in the ring.  Each accepted
+ * call gets exactly one reply: NO_ANSWER if it was sent, NOT_SENT if not. */
 static void
 test_free_replies_to_all (void **state)
 {
