--- a/src/daemon/cell_run.c
+++ b/src/daemon/cell_run.c
@@ -17,10 +17,10 @@
 #define EVENT_QUEUE 16384
 #define PEER_QUEUE 4096
 #define LOG_QUEUE 4096
-#define LOG_PER_KIND_S 200
+#define LOG_RATE_LIMIT_PER_S 200
 /* A link between daemons without an echo for this long is replaced.  It carries
  * a hello four times a second. */
-#define PEER_SILENT_MS 1000
+#define PEER_SILENCE_TIMEOUT_MS 1000
 /* Time from the begin of a stop until the listening socket closes.  The
  * platform polls readiness once a second and stops routing callers here within
  * two polls. */
@@ -45,7 +45,7 @@
 {
   MuxEventLogOptions options = { .name = daemon->options->name,
                                  .queue = LOG_QUEUE,
-                                 .rate_limit_per_s = LOG_PER_KIND_S };
+                                 .rate_limit_per_s = LOG_RATE_LIMIT_PER_S };
 
   daemon->counters = mux_counters_new ();
   daemon->log = mux_event_log_new (&options);
@@ -110,7 +110,7 @@
 
   options.inbox = mux_cell_thread_peer_inbox (daemon->thread);
   options.queue = PEER_QUEUE;
-  options.silence_timeout_ms = PEER_SILENT_MS;
+  options.silence_timeout_ms = PEER_SILENCE_TIMEOUT_MS;
   options.counters = daemon->counters;
   daemon->peer = mux_peer_zmq_new (&options, daemon->peer_listen, err);
   return daemon->peer != NULL;
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -25,7 +25,7 @@
 #define PEER_RING 4096
 /* Silence timeout of a link between daemons, in heartbeat intervals.  A working
  * link carries a heartbeat more often than that. */
-#define SILENCE_HEARTBEATS 4
+#define SILENCE_TIMEOUT_HEARTBEATS 4
 /* Time from the close of the listening socket until the requests of all
  * accepted connections have arrived: some tens of a caller's round trips. */
 #define LINGER_MS 200
@@ -136,7 +136,7 @@
   options.inbox = mux_inbox_port (daemon->inbox);
   options.queue = PEER_QUEUE;
   options.silence_timeout_ms
-      = SILENCE_HEARTBEATS * daemon->options->heartbeat_ms;
+      = SILENCE_TIMEOUT_HEARTBEATS * daemon->options->heartbeat_ms;
   options.counters = daemon->counters;
   daemon->peer = mux_peer_zmq_new (&options, daemon->peer_listen, err);
   return daemon->peer != NULL;
