--- a/src/adapter/peer_decode.c
+++ b/src/adapter/peer_decode.c
@@ -285,7 +285,7 @@
       reader->pos = 3;
       return true;
     }
-  return fail (reader, "header", "is not an array");
+  return fail (reader, "head", "is not an array");
 }
 
 static bool
@@ -305,7 +305,7 @@
     return false;
   msg->verb = (MuxPeerVerb) verb;
   if (entries != mux_peer_entry_count (msg->verb))
-    return fail (reader, "header", "has the wrong length");
+    return fail (reader, "head", "has the wrong length");
   if (!read_list (reader, &mux_peer_common_fields, msg)
       || !read_list (reader, &mux_peer_verb_fields[verb], msg))
     return false;
@@ -322,7 +322,7 @@
 
   memset (msg, 0, sizeof *msg);
   if (len > MUX_PEER_MSG_MAX)
-    return fail (&reader, "total size", "is too large");
+    return fail (&reader, "it", "is too long");
   if (!msgpack_zone_init (&reader.zone, 64))
     return mux_error_set (err, MUX_ERROR_MEMORY, "memory is out");
   ok = read_msg (&reader, msg);
