--- a/include/core/core.h
+++ b/include/core/core.h
@@ -8,70 +8,72 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* Most bytes of a request's or job's body. */
+/* Maximum body size of a request or job, in bytes. */
 #define MUX_BODY_MAX (4u << 20)
-/* Bytes of a ticket's text with its closing NUL. */
+/* Buffer size for a ticket's text, including the terminating NUL. */
 #define MUX_TICKET_LEN 512
-/* Most tasks of one job: their parts and the job's own two rows fit one
- * transaction. */
+/* Maximum tasks per job: the rows of its parts and the two rows of the job
+ * itself must fit one transaction. */
 #define MUX_JOB_TASKS_MAX 4032
 
 /**
- * enum MuxAskVerb - what a caller or operator asks of this daemon
+ * enum MuxAskVerb - operation requested by a caller or operator
  */
 typedef enum
 {
-  MUX_CORE_RUN_TASK,       /* run one task and give its answer */
-  MUX_CORE_ISSUE_TICKET,   /* room for one task that must not run twice */
-  MUX_CORE_JOB_SUBMIT,     /* record a job */
-  MUX_CORE_JOB_GET,        /* show one job */
-  MUX_CORE_JOB_WAIT,       /* the same once it has ended */
-  MUX_CORE_JOB_CANCEL,     /* end it */
-  MUX_CORE_JOB_LIST,       /* open jobs, a page */
-  MUX_CORE_CONFIG_PUT,     /* change a class, product or the cell */
-  MUX_CORE_CONFIG_REMOVE,  /* remove a class or product */
-  MUX_CORE_CONFIG_GET,     /* show one */
-  MUX_CORE_CONFIG_LIST,    /* show all of a sort */
-  MUX_CORE_CONFIG_HISTORY, /* changes after a revision */
-  MUX_CORE_CONFIG_REVERT,  /* put an object back to an older revision */
-  MUX_CORE_STATUS,         /* members, revisions, own state */
-  MUX_CORE_WORKERS,        /* workers known here */
-  MUX_CORE_DRAIN,          /* no new work on a worker */
-  MUX_CORE_RISK,           /* targets at risk */
+  MUX_CORE_RUN_TASK,     /* run one task and return its result */
+  MUX_CORE_ISSUE_TICKET, /* book room for one task that must run at most once */
+  MUX_CORE_JOB_SUBMIT,   /* store a job */
+  MUX_CORE_JOB_GET,      /* show one job */
+  MUX_CORE_JOB_WAIT,     /* show one job once it has ended */
+  MUX_CORE_JOB_CANCEL,   /* cancel one job */
+  MUX_CORE_JOB_LIST,     /* list one page of open jobs */
+  MUX_CORE_CONFIG_PUT,   /* create or change an object */
+  MUX_CORE_CONFIG_REMOVE,  /* remove an object */
+  MUX_CORE_CONFIG_GET,     /* show one object */
+  MUX_CORE_CONFIG_LIST,    /* list all objects of a sort */
+  MUX_CORE_CONFIG_HISTORY, /* list changes after a revision */
+  MUX_CORE_CONFIG_REVERT,  /* restore an object's value at an older revision */
+  MUX_CORE_STATUS,         /* show members, revisions and own state */
+  MUX_CORE_WORKERS,        /* list workers known here */
+  MUX_CORE_DRAIN,          /* start or stop draining a worker */
+  MUX_CORE_RISK,           /* show forecasts against targets by class */
 } MuxCoreVerb;
 
 /**
- * enum MuxConfigSort - sorts of configured objects
+ * enum MuxConfigSort - kinds of configured objects
  */
 typedef enum
 {
   MUX_CONFIG_CLASS,
   MUX_CONFIG_PRODUCT,
   MUX_CONFIG_CELL,
-  MUX_CONFIG_DRAIN, /* a worker that gets no new work, kept as configuration */
+  MUX_CONFIG_DRAIN, /* a worker that is being drained */
   MUX_CONFIG_SORT_COUNT
 } MuxConfigSort;
 
 /**
- * struct MuxAsk - one question from the door
- * @call: the door's handle; exactly one answer will carry it
- * @verb: what is asked
- * @name: class of a request or job; object of a CONFIG_*; worker of a DRAIN
+ * struct MuxCoreRequest - one request from the HTTP server
+ * @call_id: chosen by the HTTP server; exactly one response carries it
+ * @verb: requested operation
+ * @name: class of a task or job; object of a CONFIG_*; worker of a DRAIN
  * @key: idempotency key, "" for none
- * @first: REQUEST with a key: the caller has not sent that key before
- * @ticket: REQUEST: where a ticket was given, else ""
- * @id: job of a JOB_*
- * @sort: of a CONFIG_*
- * @give_up_ms: REQUEST, JOB_WAIT: time left for the caller
- * @task_count: JOB_SUBMIT
- * @expect_set: CONFIG_PUT, _REMOVE: @expect is a condition
- * @expect: object revision that the operator saw; 0: does not exist
- * @revision: CONFIG_HISTORY: after this; CONFIG_REVERT: back to this
- * @change: CONFIG_*: id of the change, chosen by the client, for repeats
- * @who: operator's name for the history
- * @wall_ms: time of day when it was asked, for the history
- * @flag: DRAIN: on or off
- * @body: bytes of a request or job, JSON of a CONFIG_PUT; holds a reference
+ * @key_is_new: RUN_TASK with a key: the caller has not sent the key before
+ * @ticket: RUN_TASK: the ticket presented, "" for none
+ * @id: JOB_*: id of the job
+ * @sort: CONFIG_*: sort of the object
+ * @timeout_ms: RUN_TASK, JOB_WAIT: how long the caller still waits
+ * @task_count: JOB_SUBMIT: number of tasks
+ * @has_expected: CONFIG_PUT, _REMOVE: fail unless the object's revision is
+ *   @expected_revision
+ * @expected_revision: revision that the operator saw; 0: no such object
+ * @revision: CONFIG_HISTORY: list changes after it; CONFIG_REVERT: restore
+ *   the value at it
+ * @change_id: CONFIG_*: chosen by the client; makes retries idempotent
+ * @author: operator's name for the history
+ * @wall_ms: time of day of the request, for the history
+ * @drain: DRAIN: true starts it, false stops it
+ * @body: input of a task or job, JSON of a CONFIG_PUT; holds a reference
  */
 typedef struct
 {
@@ -96,28 +98,28 @@
 } MuxCoreRequest;
 
 /**
- * enum MuxOutcome - what an answer says of the work
+ * enum MuxOutcome - what became of the requested work
  */
 typedef enum
 {
-  MUX_OUTCOME_DONE,    /* ran; the body is its whole answer */
-  MUX_OUTCOME_NOT_RUN, /* this submission caused no execution, nor will it */
-  MUX_OUTCOME_UNKNOWN, /* can't be told now; ask again with the same key */
+  MUX_OUTCOME_DONE,    /* ran; the body is its result */
+  MUX_OUTCOME_NOT_RUN, /* never ran and never will for this submission */
+  MUX_OUTCOME_UNKNOWN, /* not known now; retry with the same key */
   MUX_OUTCOME_FAILED,  /* ran and failed */
-  MUX_OUTCOME_INFO,    /* answer to a question, no work meant */
+  MUX_OUTCOME_INFO,    /* reply to a query; no work involved */
 } MuxOutcome;
 
 const char *mux_outcome_name (MuxOutcome outcome);
 
 /**
- * struct MuxAnswer - the one answer to a MuxAsk
- * @call: of the ask
+ * struct MuxCoreResponse - the one response to a MuxCoreRequest
+ * @call_id: of the request
  * @outcome: what became of the work
- * @reason: why, when it is not DONE or INFO
+ * @reason: cause of an outcome other than DONE and INFO
  * @status: HTTP status
- * @retry_after_ms: when to come back; 0: no advice
- * @task: the task or job meant, or none
- * @json: the body is JSON of ours, not a task's bytes
+ * @retry_after_ms: delay before the caller should retry; 0: no advice
+ * @task: id of the task or job, or none
+ * @is_json: the body is JSON made by the core, not a task's result
  * @body: content or NULL; the sink takes its own reference
  */
 typedef struct
@@ -132,15 +134,16 @@
   MuxBlob *body;
 } MuxCoreResponse;
 
-/* Where the core's actions go.  All pointers are borrowed for the call. */
+/* Receives the core's actions. All pointers are borrowed for the call. */
 typedef struct MuxCoreSink MuxCoreSink;
 struct MuxCoreSink
 {
-  void (*respond) (MuxCoreSink *sink, const MuxCoreResponse *answer);
-  /* The next two return false when the adapter's ring is full. */
+  void (*respond) (MuxCoreSink *sink, const MuxCoreResponse *response);
+  /* worker_call, table_call and peer_send return false when the ring of their
+   * adapter is full. */
   bool (*worker_call) (MuxCoreSink *sink, const MuxWorkerCall *call);
   bool (*table_call) (MuxCoreSink *sink,
-                      MuxTableCall *call); /* takes it over */
+                      MuxTableCall *call); /* takes ownership */
   bool (*peer_send) (MuxCoreSink *sink,
                      const char *addr,
                      const MuxPeerMsg *msg);
@@ -151,22 +154,22 @@
 };
 
 /**
- * enum MuxEventKind - what the core is told
+ * enum MuxEventKind - kinds of events that the core handles
  */
 typedef enum
 {
   MUX_EVENT_TICK,
   MUX_EVENT_REQUEST,
-  MUX_EVENT_CALLER_DISCONNECTED, /* @u.call hung up */
+  MUX_EVENT_CALLER_DISCONNECTED, /* caller of @u.call_id disconnected */
   MUX_EVENT_WORKER_REPLY,
   MUX_EVENT_TABLE_REPLY,
   MUX_EVENT_PEER,
   MUX_EVENT_INSTANCES,
-  MUX_EVENT_STOP, /* begin a graceful stop */
+  MUX_EVENT_STOP, /* start a graceful shutdown */
 } MuxEventKind;
 
 /**
- * struct MuxEvent - one event; everything in it is borrowed for the call
+ * struct MuxEvent - one event; all pointers are borrowed for the call
  */
 typedef struct
 {
@@ -183,25 +186,26 @@
 } MuxEvent;
 
 /**
- * struct MuxCoreOptions - construction of the core
- * @sink: where actions go
- * @counters: where counts go
- * @name: this instance
- * @data_centre: where it stands
- * @peer_addr: its own peer address, told to peers
- * @incarnation: start of this process, larger than in any earlier life
+ * struct MuxCoreOptions - parameters of mux_core_new()
+ * @sink: receives the core's actions
+ * @counters: receives counts
+ * @name: name of this instance
+ * @data_centre: data centre of this instance
+ * @peer_addr: own address for peers
+ * @incarnation: start time of this process; larger than that of any previous
+ *   incarnation
  * @seed: for jitter and ids; the same seed and events give the same actions
- * @seeds: peer addresses to greet first
+ * @seeds: peer addresses to contact first
  * @seed_count: entries of @seeds
- * @lease_ms: lease asked of workers
- * @heartbeat_ms: between heartbeats to peers
- * @suspect_ms: silence after which a peer gets no new asks
+ * @lease_ms: shortest lease requested from workers
+ * @heartbeat_ms: interval of heartbeats to peers
+ * @suspect_ms: silence after which a peer gets no new grant requests
  * @dead_ms: silence after which a peer's workers are claimed
  * @queue_max: most requests and tasks waiting here
- * @writes_per_s: writes that the table takes from all daemons together; each
- *   keeps to its part by the number of daemons that it knows to live
- * @key_keep_s: how long keys and ended jobs are remembered
- * @ticket_key: secret that tickets are signed with; NULL or "": none
+ * @writes_per_s: write rate that the store allows all daemons together; each
+ *   takes an equal share, by the number of daemons that it knows to be alive
+ * @key_keep_s: how long keys and ended jobs are retained
+ * @ticket_key: secret that signs tickets; NULL or "": none
  */
 typedef struct
 {
@@ -226,19 +230,24 @@
 
 typedef struct MuxCore MuxCore;
 
-/** mux_core_new() - NULL with @err set: memory is out or an option is bad */
+/**
+ * mux_core_new() - create a core
+ *
+ * Return: NULL with @err set when memory is exhausted or an option is invalid.
+ */
 MuxCore *mux_core_new (const MuxCoreOptions *options, MuxError *err);
 void mux_core_free (MuxCore *core);
 /**
- * mux_core_step() - handle one event, emitting its actions
- * @now_ms: the daemon's clock; never less than in the step before
+ * mux_core_step() - handle one event and emit its actions
+ * @now_ms: clock of the daemon; must not decrease
  */
 void mux_core_step (MuxCore *core, const MuxEvent *event, int64_t now_ms);
-/** mux_core_wake_ms() - when the next TICK is due, on the same clock */
+/** mux_core_wake_ms() - time of the next TICK, on the same clock */
 int64_t mux_core_wake_ms (const MuxCore *core);
-/** mux_core_ready() - it may be sent callers: configured and not stopping */
+/** mux_core_ready() - true when callers may be routed here: the configuration
+ * is loaded and no shutdown has begun */
 bool mux_core_ready (const MuxCore *core);
-/** mux_core_stopped() - a graceful stop has finished */
+/** mux_core_stopped() - true when a graceful shutdown has finished */
 bool mux_core_stopped (const MuxCore *core);
 
 #endif
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -17,15 +17,16 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Waiting and booked tasks that the scheduler's tables are first sized for. */
+/* Number of waiting and booked tasks that the scheduler's tables are initially
+ * sized for. */
 #define TASKS_HINT 1024
-/* While stopping, how often to look whether all is done. */
-#define STOP_LOOK_MS 20
+/* Interval of checks for the end of a graceful shutdown. */
+#define STOP_CHECK_INTERVAL_MS 20
 
 uint64_t
 core_random (MuxCore *core)
 {
-  /* splitmix64: any seed, zero too, gives a full-period sequence. */
+  /* splitmix64: every seed, including zero, gives a full-period sequence. */
   uint64_t z = core->rng += 0x9e3779b97f4a7c15u;
 
   z = (z ^ (z >> 30)) * 0xbf58476d1ce4e5b9u;
@@ -42,9 +43,9 @@
 MuxId
 core_new_task_id (MuxCore *core)
 {
-  MuxId life = { mux_hash_name (core->name, 0), core->opt.incarnation };
+  MuxId incarnation = { mux_hash_name (core->name, 0), core->opt.incarnation };
 
-  return mux_id_of_part (life, ++core->next_task);
+  return mux_id_of_part (incarnation, ++core->next_task);
 }
 
 void
@@ -60,7 +61,7 @@
 }
 
 static void
-count_answer (MuxCore *core, MuxOutcome outcome, MuxReason reason)
+count_response (MuxCore *core, MuxOutcome outcome, MuxReason reason)
 {
   switch (outcome)
     {
@@ -83,15 +84,15 @@
 
 void
 core_respond (MuxCore *core,
-              uint64_t call,
+              uint64_t call_id,
               MuxOutcome outcome,
               MuxReason reason,
               uint32_t retry_ms,
               MuxId task,
               MuxBlob *body)
 {
-  MuxCoreResponse answer = {
-    .call_id = call,
+  MuxCoreResponse response = {
+    .call_id = call_id,
     .outcome = outcome,
     .reason = reason,
     .status = mux_reason_status (reason),
@@ -100,34 +101,37 @@
     .body = body,
   };
 
-  count_answer (core, outcome, reason);
-  core->sink->respond (core->sink, &answer);
+  count_response (core, outcome, reason);
+  core->sink->respond (core->sink, &response);
 }
 
 void
-core_respond_json (MuxCore *core, uint64_t call, uint32_t status, json_t *json)
+core_respond_json (MuxCore *core,
+                   uint64_t call_id,
+                   uint32_t status,
+                   json_t *json)
 {
   char *text = json == NULL ? NULL : json_dumps (json, JSON_COMPACT);
-  MuxCoreResponse answer
-      = { .call_id = call, .status = status, .is_json = true };
+  MuxCoreResponse response
+      = { .call_id = call_id, .status = status, .is_json = true };
 
   json_decref (json);
-  answer.outcome = MUX_OUTCOME_INFO;
-  answer.body = text == NULL ? NULL : mux_blob_new (text, strlen (text));
+  response.outcome = MUX_OUTCOME_INFO;
+  response.body = text == NULL ? NULL : mux_blob_new (text, strlen (text));
   free (text);
-  if (answer.body == NULL)
+  if (response.body == NULL)
     {
-      core_respond (core, call, MUX_OUTCOME_INFO, MUX_REASON_INTERNAL, 0,
+      core_respond (core, call_id, MUX_OUTCOME_INFO, MUX_REASON_INTERNAL, 0,
                     (MuxId){ 0, 0 }, NULL);
       return;
     }
-  core->sink->respond (core->sink, &answer);
-  mux_blob_unref (answer.body);
+  core->sink->respond (core->sink, &response);
+  mux_blob_unref (response.body);
 }
 
 void
 core_respond_findings (MuxCore *core,
-                       uint64_t call,
+                       uint64_t call_id,
                        const MuxFindings *findings)
 {
   json_t *json = json_pack ("{s:s, s:s, s:s, s:o}", "outcome", "not_run",
@@ -135,8 +139,8 @@
                             "text", mux_reason_help (MUX_REASON_BAD_FIELD),
                             "findings", mux_findings_to_json (findings));
   char *text = json == NULL ? NULL : json_dumps (json, JSON_COMPACT);
-  MuxCoreResponse answer = {
-    .call_id = call,
+  MuxCoreResponse response = {
+    .call_id = call_id,
     .outcome = MUX_OUTCOME_NOT_RUN,
     .reason = MUX_REASON_BAD_FIELD,
     .status = mux_reason_status (MUX_REASON_BAD_FIELD),
@@ -144,25 +148,26 @@
   };
 
   json_decref (json);
-  answer.body = text == NULL ? NULL : mux_blob_new (text, strlen (text));
+  response.body = text == NULL ? NULL : mux_blob_new (text, strlen (text));
   free (text);
-  count_answer (core, answer.outcome, answer.reason);
-  core->sink->respond (core->sink, &answer);
-  mux_blob_unref (answer.body);
+  count_response (core, response.outcome, response.reason);
+  core->sink->respond (core->sink, &response);
+  mux_blob_unref (response.body);
 }
 
 static bool
-options_good (const MuxCoreOptions *options, MuxError *err)
+check_options (const MuxCoreOptions *options, MuxError *err)
 {
   if (!mux_name_valid (options->name) || !mux_name_valid (options->data_centre))
     return mux_error_set (err, MUX_ERROR_USAGE,
-                          "instance or data centre has no valid name");
+                          "invalid name of instance or data centre");
   if (options->lease_ms == 0 || options->heartbeat_ms == 0
       || options->suspect_ms <= options->heartbeat_ms
       || options->dead_ms <= options->suspect_ms || options->queue_max == 0
       || options->writes_per_s == 0)
-    return mux_error_set (err, MUX_ERROR_USAGE,
-                          "need heartbeat < suspect < dead and limits over 0");
+    return mux_error_set (
+        err, MUX_ERROR_USAGE,
+        "heartbeat < suspect < dead required, limits must be positive");
   return true;
 }
 
@@ -174,12 +179,12 @@
                             .queue_max = options->queue_max,
                             .tasks_hint = TASKS_HINT };
 
-  if (!options_good (options, err))
+  if (!check_options (options, err))
     return NULL;
   core = calloc (1, sizeof *core);
   if (core == NULL)
     {
-      mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the core");
+      mux_error_set (err, MUX_ERROR_MEMORY, "out of memory for the core");
       return NULL;
     }
   core->opt = *options;
@@ -201,7 +206,7 @@
       || core->config == NULL || core->jobs == NULL || core->sweep == NULL)
     {
       mux_core_free (core);
-      mux_error_set (err, MUX_ERROR_MEMORY, "no memory for the core");
+      mux_error_set (err, MUX_ERROR_MEMORY, "out of memory for the core");
       return NULL;
     }
   return core;
@@ -229,27 +234,27 @@
 }
 
 static void
-on_ask (MuxCore *core, const MuxCoreRequest *ask)
+on_request (MuxCore *core, const MuxCoreRequest *request)
 {
-  if (ask->wall_ms > core->wall_ms)
-    core->wall_ms = ask->wall_ms;
-  switch (ask->verb)
+  if (request->wall_ms > core->wall_ms)
+    core->wall_ms = request->wall_ms;
+  switch (request->verb)
     {
     case MUX_CORE_RUN_TASK:
-      if (ask->ticket[0] != 0)
-        ticket_redeem (core, ask);
+      if (request->ticket[0] != 0)
+        ticket_redeem (core, request);
       else
-        tasks_request (core, ask);
+        tasks_request (core, request);
       break;
     case MUX_CORE_ISSUE_TICKET:
-      ticket_issue (core, ask);
+      ticket_issue (core, request);
       break;
     case MUX_CORE_JOB_SUBMIT:
     case MUX_CORE_JOB_GET:
     case MUX_CORE_JOB_WAIT:
     case MUX_CORE_JOB_CANCEL:
     case MUX_CORE_JOB_LIST:
-      jobs_request (core, ask);
+      jobs_request (core, request);
       break;
     case MUX_CORE_CONFIG_PUT:
     case MUX_CORE_CONFIG_REMOVE:
@@ -258,24 +263,24 @@
     case MUX_CORE_CONFIG_HISTORY:
     case MUX_CORE_CONFIG_REVERT:
     case MUX_CORE_DRAIN:
-      config_request (core, ask);
+      config_request (core, request);
       break;
     case MUX_CORE_STATUS:
-      show_status (core, ask->call_id);
+      show_status (core, request->call_id);
       break;
     case MUX_CORE_WORKERS:
-      show_workers (core, ask->call_id);
+      show_workers (core, request->call_id);
       break;
     case MUX_CORE_RISK:
-      show_risk (core, ask->call_id);
+      show_risk (core, request->call_id);
       break;
     }
 }
 
 /*
- * Failure: an address was taken over by another daemon, or a message of a
- * peer's former life arrives late.  Its words were meant for, or come from,
- * somebody else: a late GRANT_END would free room that is in use.
+ * True for a message to a daemon that had this address before, and for a late
+ * message of a peer's previous incarnation. A late GRANT_END, for example,
+ * would free room that is in use.
  */
 static bool
 misdirected (MuxCore *core, const MuxPeerMsg *msg)
@@ -340,7 +345,7 @@
     case MUX_PEER_SUBMIT_REPLY:
     case MUX_PEER_PROXY_CALL:
     case MUX_PEER_PROXY_REPLY:
-      /* Of daemons that serve stepped jobs; none of them is a member here. */
+      /* Sent by daemons that serve stepped jobs, which are not members here. */
       mux_count (core->counters, MUX_COUNT_EVENTS_DROPPED, 1);
       break;
     case MUX_PEER_VERB_COUNT:
@@ -372,7 +377,7 @@
 }
 
 static void
-look_stopped (MuxCore *core)
+check_stopped (MuxCore *core)
 {
   if (!core->stopping || core->stopped)
     return;
@@ -400,7 +405,7 @@
     case MUX_EVENT_TICK:
       break;
     case MUX_EVENT_REQUEST:
-      on_ask (core, event->u.request);
+      on_request (core, event->u.request);
       break;
     case MUX_EVENT_CALLER_DISCONNECTED:
       jobs_caller_disconnected (core, event->u.call_id);
@@ -428,12 +433,13 @@
   workers_tick (core);
   owner_recheck (core);
   config_tick (core);
-  /* Placements first: what they want recorded goes out in the same step. */
+  /* Before the ticks that write rows: intents of new placements are written in
+   * the same step. */
   owner_process_placements (core);
   jobs_tick (core);
   sweep_tick (core);
   commit_tick (core);
-  look_stopped (core);
+  check_stopped (core);
 }
 
 static int64_t
@@ -455,7 +461,7 @@
   at = earlier (at, sweep_wake_ms (core));
   at = earlier (at, mux_sched_wake_ms (core->sched));
   if (core->stopping)
-    at = earlier (at, core->now_ms + STOP_LOOK_MS);
+    at = earlier (at, core->now_ms + STOP_CHECK_INTERVAL_MS);
   return at;
 }
 
--- a/src/core/core_private.h
+++ b/src/core/core_private.h
@@ -6,17 +6,26 @@
 
 #include <uthash.h>
 
-/* How long a grant may be used, on the worker's clock. */
+/* Validity of a grant, on the worker's clock. */
 #define GRANT_TTL_MS 3000
-/* What a home waits before it asks for a grant again, if nothing was heard. */
+/* Interval at which a home repeats an unanswered grant request. */
 #define GRANT_REQUEST_REPEAT_MS 1000
-/* Time limit of calls that a worker answers at once. */
+/* Timeout of worker calls that do not wait for a task. */
 #define WORKER_TIMEOUT_MS INT64_C (1000)
-/* Time limit of a table call. */
+/* Timeout of a table call. */
 #define TABLE_TIMEOUT_MS 2000
-/* Least time between two tries of the same thing. */
+/* Shortest delay between two attempts at the same operation. */
 #define RETRY_MS INT64_C (100)
 
+/*
+ * Terms: the home of a task is the daemon that accepted it and drives it
+ * towards the caller and the worker. The owner of a worker is the daemon that
+ * holds the claim on it, under an epoch that fences previous owners, and books
+ * its room. A home requests room from owners; a grant is the room that an
+ * owner has booked for one start. The intent of a keyed task is the row that
+ * names where it is about to start.
+ */
+
 typedef struct PendingCall PendingCall;
 typedef struct Member Member;
 typedef struct Worker Worker;
@@ -29,7 +38,7 @@
 typedef struct RetryBudget RetryBudget;
 typedef struct Sweep Sweep;
 
-/* The core: every part keeps its own state behind its pointer. */
+/* State of the core. Each module keeps its own state behind its pointer. */
 struct MuxCore
 {
   MuxCoreOptions opt;
@@ -44,16 +53,15 @@
   uint64_t next_call_id;
   uint64_t next_task;
   uint64_t next_grant;
-  int64_t started_ms; /* first event; 0: none yet */
+  int64_t started_ms; /* time of the first event; 0: none yet */
   int64_t last_step_ms;
-  int64_t wall_ms; /* time of day, first told by an ask; 0: not yet */
+  int64_t wall_ms; /* time of day, from requests; 0: not known */
   int64_t next_heartbeat_ms;
   int64_t next_remote_heartbeat_ms;
   int64_t next_worker_check_ms;
   int64_t next_overdue_check_ms;
-  int64_t
-      next_fit_check_ms; /* of asks that may fit nowhere any more; 0: not due */
-  int64_t next_repeat_check_ms; /* next look for asks that are not repeated */
+  int64_t next_fit_check_ms; /* whether waiting grants still fit; 0: none due */
+  int64_t next_repeat_check_ms; /* whether homes repeat waiting requests */
   bool stopping;
   bool stopped;
   bool processing_placements;
@@ -73,30 +81,33 @@
   Sweep *sweep;
 };
 
-/** core_random() - next number of the seeded generator */
+/** core_random() - return the next number of the seeded generator */
 uint64_t core_random (MuxCore *core);
-/** core_jitter() - @base_ms plus up to as much again */
+/** core_jitter() - return a random time from @base_ms to twice @base_ms */
 int64_t core_jitter (MuxCore *core, int64_t base_ms);
-/** core_mint() - a task id never given before */
+/** core_new_task_id() - return a task id that has not been used before */
 MuxId core_new_task_id (MuxCore *core);
-/** core_log() - a change of state, for people */
+/** core_log() - log a change of state for operators */
 void
 core_log (MuxCore *core, int level, const char *event, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
-/** core_answer() - the one answer to a call */
+/** core_respond() - send the one response to a request */
 void core_respond (MuxCore *core,
-                   uint64_t call,
+                   uint64_t call_id,
                    MuxOutcome outcome,
                    MuxReason reason,
                    uint32_t retry_ms,
                    MuxId task,
                    MuxBlob *body);
-/** core_answer_json() - INFO answer; takes @json over; NULL: memory is out */
-void
-core_respond_json (MuxCore *core, uint64_t call, uint32_t status, json_t *json);
-/** core_answer_findings() - BAD_FIELD with everything that is wrong */
+/** core_respond_json() - send an INFO response; takes ownership of @json,
+ * where NULL stands for exhausted memory */
+void core_respond_json (MuxCore *core,
+                        uint64_t call_id,
+                        uint32_t status,
+                        json_t *json);
+/** core_respond_findings() - send BAD_FIELD with the list of findings */
 void core_respond_findings (MuxCore *core,
-                            uint64_t call,
+                            uint64_t call_id,
                             const MuxFindings *findings);
 
 #endif
