--- a/src/core/owner.c
+++ b/src/core/owner.c
@@ -19,14 +19,14 @@
 }
 
 static Grant *
-grant_new (MuxCore *core, const MuxPeerMsg *ask)
+grant_new (MuxCore *core, const MuxPeerMsg *request)
 {
   Grant *grant = calloc (1, sizeof *grant);
 
   if (grant == NULL)
     return NULL;
-  grant->task = ask->task;
-  grant->request = *ask;
+  grant->task = request->task;
+  grant->request = *request;
   grant->request.body = NULL;
   HASH_ADD (hh, core->grants, task, sizeof grant->task, grant);
   return grant;
@@ -58,7 +58,7 @@
 }
 
 static void
-tell_home (MuxCore *core, const char *home, MuxPeerMsg *msg)
+send_to_home (MuxCore *core, const char *home, MuxPeerMsg *msg)
 {
   Member *member;
 
@@ -76,16 +76,16 @@
 
 static void
 refuse (MuxCore *core,
-        const MuxPeerMsg *ask,
+        const MuxPeerMsg *request,
         MuxReason reason,
         uint32_t retry_ms)
 {
   MuxPeerMsg msg = { .verb = MUX_PEER_GRANT_REFUSED,
-                     .task = ask->task,
+                     .task = request->task,
                      .reason = reason,
                      .retry_ms = retry_ms };
 
-  tell_home (core, ask->from, &msg);
+  send_to_home (core, request->from, &msg);
 }
 
 static void
@@ -104,11 +104,11 @@
   grant->send_count++;
   if (strcmp (grant->request.from, core->name) != 0)
     mux_count (core->counters, MUX_COUNT_GRANTS_REMOTE, 1);
-  tell_home (core, grant->request.from, &msg);
+  send_to_home (core, grant->request.from, &msg);
 }
 
 static void
-void_ask (MuxCore *core, Grant *grant)
+drop_grant (MuxCore *core, Grant *grant)
 {
   if (grant->placed)
     mux_sched_ended (core->sched, grant->task, MUX_END_NO_START, 0,
@@ -119,71 +119,73 @@
 }
 
 static void
-ask_again (MuxCore *core, Grant *grant, const MuxPeerMsg *ask)
+repeat_request (MuxCore *core, Grant *grant, const MuxPeerMsg *request)
 {
-  if (strcmp (grant->request.from, ask->from) != 0 || grant->started)
+  if (strcmp (grant->request.from, request->from) != 0 || grant->started)
     {
-      refuse (core, ask, MUX_REASON_KEY_IN_USE, RETRY_MS);
+      refuse (core, request, MUX_REASON_KEY_IN_USE, RETRY_MS);
       return;
     }
-  grant->request.from_incarnation = ask->from_incarnation;
+  grant->request.from_incarnation = request->from_incarnation;
   grant->checks_since_request = 0;
   if (grant->placed)
     send_grant (core, grant);
 }
 
 void
-owner_request (MuxCore *core, const MuxPeerMsg *ask)
+owner_request (MuxCore *core, const MuxPeerMsg *request)
 {
-  Grant *grant = grant_find (core, ask->task);
-  MuxTaskRequest task = { .task = ask->task,
-                          .group = ask->group,
-                          .group_count = ask->group_count,
-                          .class_name = ask->class_name,
-                          .start_by_ms = core->now_ms + ask->start_within_ms,
-                          .expires_ms = core->now_ms + ask->give_up_ms,
-                          .avoid = MUX_NO_WORKER };
+  Grant *grant = grant_find (core, request->task);
+  MuxTaskRequest task
+      = { .task = request->task,
+          .group = request->group,
+          .group_count = request->group_count,
+          .class_name = request->class_name,
+          .start_by_ms = core->now_ms + request->start_within_ms,
+          .expires_ms = core->now_ms + request->give_up_ms,
+          .avoid = MUX_NO_WORKER };
   MuxAdmitResult verdict;
 
-  /* The cancel of an ask in another group was lost: that gang is void. */
+  /* A request for another gang replaces this one, whose cancel was lost. */
   if (grant != NULL && !grant->placed
-      && !mux_id_equal (grant->request.group, ask->group)
-      && strcmp (grant->request.from, ask->from) == 0)
+      && !mux_id_equal (grant->request.group, request->group)
+      && strcmp (grant->request.from, request->from) == 0)
     {
-      void_ask (core, grant);
+      drop_grant (core, grant);
       grant = NULL;
     }
   if (grant != NULL)
     {
-      ask_again (core, grant, ask);
+      repeat_request (core, grant, request);
       return;
     }
   if (core->stopping)
     {
-      refuse (core, ask, MUX_REASON_STOPPING, 0);
+      refuse (core, request, MUX_REASON_STOPPING, 0);
       return;
     }
   verdict = mux_sched_submit (core->sched, &task, core->now_ms);
   if (verdict.reason != MUX_REASON_NONE)
     {
-      refuse (core, ask, verdict.reason, verdict.retry_ms);
+      refuse (core, request, verdict.reason, verdict.retry_ms);
       return;
     }
-  if (grant_new (core, ask) == NULL)
+  if (grant_new (core, request) == NULL)
     {
-      mux_sched_cancel (core->sched, ask->task);
-      refuse (core, ask, MUX_REASON_INTERNAL, RETRY_MS);
+      mux_sched_cancel (core->sched, request->task);
+      refuse (core, request, MUX_REASON_INTERNAL, RETRY_MS);
     }
 }
 
 /*
- * Failure: the same key is asked for through two daemons.  The one that is
- * refused gives up, and its word, taken for the other's, would free room that
- * the other's start is about to fill: the worker is given more than it holds.
- * The same comes from a word of the home's former life that arrives late.
+ * True if @msg comes from the home, and its incarnation, that requested the
+ * grant. When one key is requested through two daemons, the refused one sends
+ * a cancel; applied to the other's request, it would free room that the
+ * other's start is about to use and overbook the worker. So would a late
+ * message of the home's previous incarnation.
  */
 static bool
-is_asker (const Grant *grant, const MuxPeerMsg *msg)
+is_requester (const Grant *grant, const MuxPeerMsg *msg)
 {
   return strcmp (grant->request.from, msg->from) == 0
          && (grant->request.from_incarnation == msg->from_incarnation
@@ -191,18 +193,18 @@
 }
 
 /*
- * Failure: a cancel crosses the grant, and the home, asking for the same task
- * once more, takes that grant for the answer: it starts where nothing is
- * booked any more.  What is placed therefore stays booked: its home answers a
- * grant that it does not want with GRANT_END, or the booking runs out.
+ * A cancel does not free a booking. It may cross the grant, and a home that
+ * has requested the same task again would take that grant as the reply and
+ * start the task where nothing is booked. A home sends GRANT_END for a grant
+ * that it does not want; otherwise the booking expires.
  */
 void
 owner_cancel (MuxCore *core, const MuxPeerMsg *msg)
 {
   Grant *grant = grant_find (core, msg->task);
 
-  if (grant != NULL && !grant->placed && is_asker (grant, msg))
-    void_ask (core, grant);
+  if (grant != NULL && !grant->placed && is_requester (grant, msg))
+    drop_grant (core, grant);
 }
 
 static MuxTaskEnd
@@ -231,19 +233,19 @@
   Grant *grant = grant_find (core, msg->task);
 
   /*
-   * Failure: a home's word comes late, when its grant has run out and the same
-   * attempt was granted to another.  Freed by it, that one's room would be
-   * given away while its start runs.  The last moment tells grants apart, also
-   * a ticket's, which is ended by whoever it was brought to.
+   * A late GRANT_END may belong to a grant that has expired, while the same
+   * attempt was granted to another home; it must not free that one's room.
+   * not_after_ms identifies the grant, also that of a ticket, which is ended
+   * by the daemon that the ticket was presented to.
    */
   if (grant == NULL || !grant->placed
       || grant->not_after_ms != msg->not_after_ms)
     return;
   /*
-   * Failure: a grant was told twice; its home started the task with the first
-   * and let go of it (its job went to another), then gives the second back as
-   * nobody's.  The room would be filled beside the task that runs.  So what
-   * was told twice is freed by the worker's list, or when it has run out.
+   * A home may start the task under the first copy of a grant that was sent
+   * twice, drop the task as its job moved to another home, and return the
+   * second copy as unknown. The room is in use then. So a grant that was sent
+   * more than once is freed by the worker's list or by its expiry only.
    */
   if (msg->state == MUX_TASK_ABSENT && grant->send_count > 1)
     return;
@@ -254,7 +256,7 @@
 }
 
 static void
-place (MuxCore *core, const MuxPlacement *placement)
+apply_placement (MuxCore *core, const MuxPlacement *placement)
 {
   Grant *grant = grant_find (core, placement->task);
 
@@ -267,10 +269,10 @@
     }
   if (placement->worker == MUX_NO_WORKER)
     {
-      MuxPeerMsg ask = grant->request;
+      MuxPeerMsg request = grant->request;
 
       grant_free (core, grant);
-      refuse (core, &ask, placement->reason, placement->retry_ms);
+      refuse (core, &request, placement->reason, placement->retry_ms);
       return;
     }
   grant_bind (grant, core->by_index[placement->worker], false);
@@ -289,15 +291,15 @@
     return;
   core->processing_placements = true;
   while (mux_sched_next (core->sched, core->now_ms, &placement))
-    place (core, &placement);
+    apply_placement (core, &placement);
   core->processing_placements = false;
 }
 
 static void
-see_running (MuxCore *core, Worker *worker, const MuxTaskReport *report)
+report_running (MuxCore *core, Worker *worker, const MuxTaskReport *report)
 {
   Grant *grant = grant_find (core, report->task);
-  MuxPeerMsg ask = { .task = report->task };
+  MuxPeerMsg request = { .task = report->task };
 
   if (grant != NULL && grant->worker == worker)
     {
@@ -309,13 +311,13 @@
       mux_sched_report_usage (core->sched, report->task, report->used);
       return;
     }
-  /* Waiting for a second place while it runs here: this is a late start of
-   * an earlier attempt's twin; what runs is booked first. */
+  /* The task waits for room although it runs here already, through a late
+   * start. The running one is booked in place of the request. */
   if (grant != NULL)
-    void_ask (core, grant);
-  mux_name_copy (ask.from, report->home);
-  mux_name_copy (ask.class_name, report->class_name);
-  grant = grant_new (core, &ask);
+    drop_grant (core, grant);
+  mux_name_copy (request.from, report->home);
+  mux_name_copy (request.class_name, report->class_name);
+  grant = grant_new (core, &request);
   if (grant == NULL)
     return;
   grant->size = report->size;
@@ -325,7 +327,7 @@
 }
 
 static void
-see_ended (MuxCore *core, Worker *worker, const MuxTaskReport *report)
+report_ended (MuxCore *core, Worker *worker, const MuxTaskReport *report)
 {
   Grant *grant = grant_find (core, report->task);
   MuxPeerMsg msg = { .verb = MUX_PEER_TASK_ENDED,
@@ -341,13 +343,13 @@
   mux_name_copy (home, grant->request.from);
   mux_name_copy (msg.worker, worker->name);
   grant_free (core, grant);
-  tell_home (core, home, &msg);
+  send_to_home (core, home, &msg);
 }
 
 /*
- * Failure: a grant's message, or its start, was lost, and nobody will ever
- * say that the room is free.  Once a list was taken after the start's last
- * moment, both on the worker's clock, a start not on it can't come any more.
+ * Frees bookings whose grant or start was lost, which nobody reports as ended.
+ * A task that is not on a list taken after its latest start, both on the
+ * worker's clock, can't be started any more.
  */
 static void
 free_unused (MuxCore *core, Worker *worker, int64_t listed_ms)
@@ -374,15 +376,15 @@
       const MuxTaskReport *report = &reply->reports[i];
 
       if (report->state == MUX_TASK_RUNNING)
-        see_running (core, worker, report);
+        report_running (core, worker, report);
       else
-        see_ended (core, worker, report);
+        report_ended (core, worker, report);
     }
   free_unused (core, worker, reply->worker_clock_ms);
 }
 
 void
-owner_worker_lost (MuxCore *core, Worker *worker, bool life_over)
+owner_worker_lost (MuxCore *core, Worker *worker, bool incarnation_over)
 {
   while (worker->grants != NULL)
     {
@@ -391,13 +393,13 @@
                          .task = grant->task,
                          .state = MUX_TASK_ABSENT };
       char home[MUX_NAME_LEN];
-      bool tell = life_over && grant->started;
+      bool report = incarnation_over && grant->started;
 
       mux_name_copy (home, grant->request.from);
       mux_name_copy (msg.worker, worker->name);
       grant_free (core, grant);
-      if (tell)
-        tell_home (core, home, &msg);
+      if (report)
+        send_to_home (core, home, &msg);
     }
 }
 
@@ -405,18 +407,18 @@
 owner_refuse (MuxCore *core, MuxId task, MuxReason reason)
 {
   Grant *grant = grant_find (core, task);
-  MuxPeerMsg ask;
+  MuxPeerMsg request;
 
   if (grant == NULL || grant->placed)
     return;
-  ask = grant->request;
+  request = grant->request;
   mux_sched_cancel (core->sched, task);
   grant_free (core, grant);
-  refuse (core, &ask, reason, 0);
+  refuse (core, &request, reason, 0);
 }
 
 static Grant *
-first_waiting (const MuxCore *core)
+first_unplaced (const MuxCore *core)
 {
   Grant *grant = core->grants;
 
@@ -425,21 +427,21 @@
   return grant;
 }
 
-/* A refusal to a home in this daemon may void other asks at once, such as a
- * gang's, so the search begins anew after each. */
+/* A refusal to a home in this daemon may drop other requests at once, such as
+ * those of its gang, so the search restarts after each. */
 void
 owner_refuse_all (MuxCore *core, MuxReason reason)
 {
   Grant *grant;
 
-  while ((grant = first_waiting (core)) != NULL)
+  while ((grant = first_unplaced (core)) != NULL)
     owner_refuse (core, grant->task, reason);
 }
 
 /*
- * Failure: a home dies, or comes back as a new life, with asks waiting here.
- * Members of its gangs would wait for others that never ask, and what is
- * placed for the rest stands unused until it runs out.
+ * Without this, requests of a home that died or restarted would keep waiting:
+ * tasks of its gangs for others that are never requested, and the room granted
+ * to the rest would stay unused until it expires.
  */
 void
 owner_home_lost (MuxCore *core, const char *home, uint64_t incarnation)
@@ -449,7 +451,7 @@
   HASH_ITER (hh, core->grants, grant, next)
   if (!grant->placed && strcmp (grant->request.from, home) == 0
       && grant->request.from_incarnation <= incarnation)
-    void_ask (core, grant);
+    drop_grant (core, grant);
 }
 
 void
--- a/src/core/owner_recheck.c
+++ b/src/core/owner_recheck.c
@@ -4,24 +4,25 @@
 
 #include <stdlib.h>
 
-/* After a worker was lost, so that a claim or answer that is on its way can
- * bring it back first. */
-#define RECHECK_MS 1000
-/* Between looks for asks that are not repeated, and how many of them in a row
- * make an ask void: looks, not time, so that this daemon's own pause, in which
- * no repeat could come, counts as one. */
-#define UNHEARD_MS 5000
+/* Delay after the loss of a worker, in which a claim or reply in flight may
+ * bring it back. */
+#define RECHECK_DELAY_MS 1000
+/* Interval of checks for requests that are no longer repeated, and the number
+ * of checks without a repeat after which a request is refused. Checks are
+ * counted rather than time, so that a pause of this daemon, in which no repeat
+ * could arrive, counts as one. */
+#define REPEAT_CHECK_INTERVAL_MS 5000
 #define CHECKS_SINCE_REQUEST_MAX 4
 
 void
 owner_schedule_recheck (MuxCore *core)
 {
   if (core->next_fit_check_ms == 0)
-    core->next_fit_check_ms = core->now_ms + RECHECK_MS;
+    core->next_fit_check_ms = core->now_ms + RECHECK_DELAY_MS;
 }
 
-/* How many of @size the workers could hold if they were empty, up to @enough.
- */
+/* Returns how many tasks of @size the usable workers could hold if they were
+ * empty, at most @enough. */
 static uint32_t
 could_hold (const MuxCore *core, MuxSize size, uint32_t enough)
 {
@@ -42,7 +43,7 @@
 }
 
 static bool
-hopeless (const MuxCore *core, const Grant *grant)
+never_fits (const MuxCore *core, const Grant *grant)
 {
   const MuxClassSpec *spec = config_class (core, grant->request.class_name);
   uint32_t count
@@ -57,7 +58,7 @@
 }
 
 static bool
-unheard (const MuxCore *core, const Grant *grant)
+not_repeated (const MuxCore *core, const Grant *grant)
 {
   (void) core;
   return !grant->placed
@@ -65,9 +66,9 @@
 }
 
 static void
-send_back_all (MuxCore *core,
-               bool (*chosen) (const MuxCore *core, const Grant *grant),
-               MuxReason reason)
+refuse_matching (MuxCore *core,
+                 bool (*chosen) (const MuxCore *core, const Grant *grant),
+                 MuxReason reason)
 {
   uint32_t count = 0;
   Grant *grant, *next;
@@ -78,42 +79,42 @@
   HASH_ITER (hh, core->grants, grant, next)
   if (chosen (core, grant))
     ids[count++] = grant->task;
-  /* A refusal may end other asks of a home in this daemon. */
+  /* By id, as a refusal may drop other requests of a home in this daemon. */
   for (uint32_t i = 0; i < count; i++)
     owner_refuse (core, ids[i], reason);
   free (ids);
 }
 
 /*
- * Failure: a home gives up an ask and its word is lost.  A task that is alone
- * is placed some day and its grant runs out; a member of a gang whose others
- * are gone waits here for as long as its ask says, up to an hour, and to all
- * homes this daemon seems to have a queue.  A home that still wants it repeats
- * its ask every second or two, so what is not repeated is sent back.
+ * Refuses requests whose cancel was lost. A home repeats a request every
+ * second or two while it still wants it. A single task would be placed some
+ * time and its grant expire; but a task of a gang whose others are gone would
+ * wait until the request expires, up to an hour, and this daemon would report
+ * a queue to all homes.
  */
 static void
-drop_unheard (MuxCore *core)
+refuse_not_repeated (MuxCore *core)
 {
   if (core->now_ms < core->next_repeat_check_ms)
     return;
-  core->next_repeat_check_ms = core->now_ms + UNHEARD_MS;
+  core->next_repeat_check_ms = core->now_ms + REPEAT_CHECK_INTERVAL_MS;
   for (Grant *grant = core->grants; grant != NULL; grant = grant->hh.next)
     grant->checks_since_request++;
-  send_back_all (core, unheard, MUX_REASON_PEER_SILENT);
+  refuse_matching (core, not_repeated, MUX_REASON_PEER_SILENT);
 }
 
 /*
- * Failure: an owner loses its workers to another one, or they fall silent,
- * while asks wait with it.  To their homes it still lives and repeats cost it
- * nothing, so a job would wait there until its ask expires while others have
- * room.  What the workers that are left can't hold is sent back.
+ * An owner may lose its workers, to another one or as unreachable, while
+ * requests wait with it. Homes still see it as live, so a job would wait here
+ * until its request expires while other owners have room. Requests that the
+ * remaining workers can't hold are refused.
  */
 void
 owner_recheck (MuxCore *core)
 {
-  drop_unheard (core);
+  refuse_not_repeated (core);
   if (core->next_fit_check_ms == 0 || core->now_ms < core->next_fit_check_ms)
     return;
   core->next_fit_check_ms = 0;
-  send_back_all (core, hopeless, MUX_REASON_NO_WORKERS);
+  refuse_matching (core, never_fits, MUX_REASON_NO_WORKERS);
 }
