--- a/src/core/lease.h
+++ b/src/core/lease.h
@@ -3,13 +3,14 @@
 
 #include "worker.h"
 
-/* How long the leases of workers are, and how often they are renewed: a
- * daemon that holds many workers asks for longer leases, so that its renewals
- * stay within its share of control traffic. */
+/* Duration and renewal interval of worker leases. A daemon that holds many
+ * workers requests longer leases, so that its rate of renewals stays within
+ * its share of the control traffic. */
 
-/** lease_ask_ms() - lease to ask of a worker now */
+/** lease_request_ms() - return the lease to request from a worker now */
 uint32_t lease_request_ms (const MuxCore *core);
-/** lease_renew_ms() - from an answer of @worker to its next renewal */
+/** lease_renew_after_ms() - return the delay from a reply of @worker to its
+ * next renewal */
 int64_t lease_renew_after_ms (MuxCore *core, const Worker *worker);
 
 #endif
--- a/src/core/worker.c
+++ b/src/core/worker.c
@@ -10,8 +10,8 @@
 #include <string.h>
 #include <utlist.h>
 
-/* How often claims and renewals are looked at. */
-#define WORKERS_LOOK_MS 50
+/* Interval of checks for due claims and renewals. */
+#define WORKERS_CHECK_INTERVAL_MS 50
 
 Worker *
 worker_find (MuxCore *core, const char *name)
@@ -37,7 +37,7 @@
 }
 
 static bool
-usable (MuxCore *core, const Worker *worker)
+is_usable (MuxCore *core, const Worker *worker)
 {
   return worker->claim == CLAIM_HELD
          && worker->listed_state == MUX_INSTANCE_LIVE && !worker->leaving
@@ -49,12 +49,12 @@
 void
 worker_update_usable (MuxCore *core, Worker *worker)
 {
-  bool was = worker->usable;
+  bool was_usable = worker->usable;
 
-  worker->usable = worker->index != MUX_NO_WORKER && usable (core, worker);
+  worker->usable = worker->index != MUX_NO_WORKER && is_usable (core, worker);
   if (worker->index != MUX_NO_WORKER)
     mux_sched_worker_set_usable (core->sched, worker->index, worker->usable);
-  if (was && !worker->usable)
+  if (was_usable && !worker->usable)
     owner_schedule_recheck (core);
 }
 
@@ -79,27 +79,27 @@
 }
 
 static void
-listed (MuxCore *core, const MuxInstance *it)
+update_listed (MuxCore *core, const MuxInstance *instance)
 {
-  Worker *worker = worker_find (core, it->name);
+  Worker *worker = worker_find (core, instance->name);
 
   if (worker == NULL)
     {
       worker = calloc (1, sizeof *worker);
       if (worker == NULL)
         return;
-      mux_name_copy (worker->name, it->name);
+      mux_name_copy (worker->name, instance->name);
       worker->index = MUX_NO_WORKER;
       HASH_ADD_STR (core->workers, name, worker);
     }
-  snprintf (worker->addr, sizeof worker->addr, "%s", it->addr);
-  mux_name_copy (worker->rack, it->rack);
-  mux_name_copy (worker->data_centre, it->data_centre);
-  worker->local = strcmp (it->data_centre, core->data_centre) == 0;
-  if (worker->listed_state == it->state)
+  snprintf (worker->addr, sizeof worker->addr, "%s", instance->addr);
+  mux_name_copy (worker->rack, instance->rack);
+  mux_name_copy (worker->data_centre, instance->data_centre);
+  worker->local = strcmp (instance->data_centre, core->data_centre) == 0;
+  if (worker->listed_state == instance->state)
     return;
-  worker->listed_state = it->state;
-  if (it->state == MUX_INSTANCE_GONE && worker->claim == CLAIM_HELD)
+  worker->listed_state = instance->state;
+  if (instance->state == MUX_INSTANCE_GONE && worker->claim == CLAIM_HELD)
     {
       core_log (core, 4, "worker_gone", "worker=%s", worker->name);
       worker_claim_ended (core, worker, true);
@@ -112,7 +112,7 @@
 {
   for (uint32_t i = 0; i < list->count; i++)
     if (list->item[i].role == MUX_ROLE_WORKER)
-      listed (core, &list->item[i]);
+      update_listed (core, &list->item[i]);
 }
 
 void
@@ -124,7 +124,8 @@
   {
     if (!worker->local || worker->claim != CLAIM_NONE)
       continue;
-    /* Who held it has died or stops: no duel, so no wait. */
+    /* The previous owner has died or stops, so there is no contention to back
+     * off from. */
     if (members_ranked_first (core, worker->name, true))
       worker->next_call_ms = core->now_ms;
   }
@@ -132,9 +133,9 @@
 }
 
 /*
- * Failure: a daemon that has just started has heard nobody yet and would
- * claim every worker of its data centre from owners that live.  It waits as
- * long as it takes to call a silent peer dead before it claims.
+ * A daemon that has just started has not received any heartbeat and would
+ * claim all workers of its data centre from live owners. It claims none for
+ * dead_ms, the silence after which a peer counts as dead.
  */
 static bool
 may_claim (const MuxCore *core)
@@ -143,7 +144,7 @@
 }
 
 static void
-tend (MuxCore *core, Worker *worker)
+drive_claim (MuxCore *core, Worker *worker)
 {
   bool first = members_ranked_first (core, worker->name, true);
 
@@ -172,10 +173,10 @@
 {
   if (core->now_ms < core->next_worker_check_ms)
     return;
-  core->next_worker_check_ms = core->now_ms + WORKERS_LOOK_MS;
+  core->next_worker_check_ms = core->now_ms + WORKERS_CHECK_INTERVAL_MS;
   for (Worker *w = core->workers; w != NULL; w = w->hh.next)
     if (w->local)
-      tend (core, w);
+      drive_claim (core, w);
 }
 
 int64_t
--- a/src/core/worker.h
+++ b/src/core/worker.h
@@ -3,43 +3,48 @@
 
 #include "core_private.h"
 
+/* Workers and the claims on them. Each worker has one owner at a time: the
+ * member of its data centre with the highest rank for its name claims it under
+ * an epoch, renews its lease and books its room. */
+
 /**
- * enum ClaimState - this daemon's right to a worker
+ * enum ClaimState - state of this daemon's claim on a worker
  */
 typedef enum
 {
   CLAIM_NONE,
-  CLAIM_REQUESTED, /* a claim is on its way */
+  CLAIM_REQUESTED, /* a claim call is in flight */
   CLAIM_HELD,
-  CLAIM_RELEASING, /* a release is on its way */
+  CLAIM_RELEASING, /* a release call is in flight */
 } ClaimState;
 
-/* A worker on the list; only those of this data centre are claimed. */
+/* A worker on the platform's list. Only those of this data centre are claimed
+ * by this daemon. */
 struct Worker
 {
   char name[MUX_NAME_LEN];
   char addr[MUX_ADDR_LEN];
   char rack[MUX_NAME_LEN];
   char data_centre[MUX_NAME_LEN];
-  bool local; /* of this data centre */
+  bool local; /* in this data centre */
   MuxInstanceState listed_state;
   ClaimState claim;
-  uint32_t index;           /* in the scheduler while held, or MUX_NO_WORKER */
-  uint64_t epoch;           /* ours while held, else the highest known */
-  char owner[MUX_NAME_LEN]; /* who held it when last told */
+  uint32_t index; /* in the scheduler while held, else MUX_NO_WORKER */
+  uint64_t epoch; /* of our claim while held, else the highest known */
+  char owner[MUX_NAME_LEN]; /* as last reported by the worker */
   uint64_t incarnation;
-  int64_t clock_offset_ms; /* its clock less ours, never too large */
-  uint64_t cursor;
+  int64_t clock_offset_ms; /* its clock minus ours, a lower bound */
+  uint64_t cursor;         /* of the changes of its tasks */
   MuxSize capacity;
-  bool leaving; /* by its own word */
-  bool usable;  /* gets new work */
+  bool leaving; /* reported by the worker itself */
+  bool usable;  /* may get new work */
   bool renewing;
-  uint32_t lease_ms;         /* last asked for */
-  int64_t next_call_ms;      /* next claim or renewal */
-  int64_t last_contact_ms;   /* last answer */
-  uint32_t unanswered_calls; /* calls in a row without an answer */
+  uint32_t lease_ms;         /* last requested */
+  int64_t next_call_ms;      /* next claim or renewal call */
+  int64_t last_contact_ms;   /* last reply */
+  uint32_t unanswered_calls; /* consecutive */
   Grant *grants;             /* booked on it */
-  uint32_t unstarted_grants; /* of which not yet seen started */
+  uint32_t unstarted_grants; /* of @grants, not yet reported by the worker */
   UT_hash_handle hh;
 };
 
@@ -47,25 +52,29 @@
 void workers_tick (MuxCore *core);
 int64_t workers_wake_ms (const MuxCore *core);
 void workers_free (MuxCore *core);
-/** workers_reconsider() - members changed: claim or give up */
+/** workers_members_changed() - claim at once the workers that this daemon is
+ * now responsible for, and update which ones are usable */
 void workers_members_changed (MuxCore *core);
-/** workers_handover() - a peer gave up its claim for us */
+/** workers_handover() - claim a worker that a peer released to this daemon */
 void workers_handover (MuxCore *core, const MuxPeerMsg *msg);
-/** workers_usable() - drains or breakers changed */
+/** workers_update_usable() - re-evaluate which workers may get new work */
 void workers_update_usable (MuxCore *core);
-/** workers_largest() - most of each resource on any worker held */
+/** workers_largest() - return the maximum of each resource over the workers
+ * held */
 MuxSize workers_largest (const MuxCore *core);
-/** workers_held() - claims held or being given up */
+/** workers_held() - return the number of claims held or being released */
 uint32_t workers_held (const MuxCore *core);
 
 Worker *worker_find (MuxCore *core, const char *name);
-/** worker_gone() - the platform listed this worker's life as over */
+/** worker_gone() - true if the platform lists the worker's incarnation as
+ * gone */
 bool worker_gone (MuxCore *core, const char *name);
-/** worker_left() - it said by itself that it is leaving */
+/** worker_set_leaving() - record the worker's own report that it is leaving */
 void worker_set_leaving (MuxCore *core, const char *name);
-/** worker_clock_ms() - a moment that the worker's clock has surely reached */
+/** worker_clock_ms() - return a lower bound of the worker's clock */
 int64_t worker_clock_ms (const MuxCore *core, const Worker *worker);
-/** worker_fenced() - a higher epoch or another incarnation was met */
+/** worker_fenced() - give up the claim after the worker reported a higher
+ * epoch or another incarnation */
 void worker_fenced (MuxCore *core, Worker *worker, MuxReason reason);
 
 #endif
--- a/src/core/worker_claim.c
+++ b/src/core/worker_claim.c
@@ -10,9 +10,9 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Claims: won, renewed, lost and given up. */
+/* Claims on workers: acquired, renewed, lost and released. */
 
-/* A fenced owner ranked below the other waits this many leases. */
+/* Leases that a fenced owner with the lower rank waits. */
 #define YIELD_LEASES 4
 
 static bool
@@ -35,9 +35,9 @@
 }
 
 void
-worker_claim_ended (MuxCore *core, Worker *worker, bool life_over)
+worker_claim_ended (MuxCore *core, Worker *worker, bool incarnation_over)
 {
-  owner_worker_lost (core, worker, life_over);
+  owner_worker_lost (core, worker, incarnation_over);
   if (worker->index != MUX_NO_WORKER)
     {
       mux_sched_worker_remove (core->sched, worker->index);
@@ -51,7 +51,7 @@
 }
 
 static bool
-take_hold (MuxCore *core, Worker *worker, const MuxWorkerReply *reply)
+claim_won (MuxCore *core, Worker *worker, const MuxWorkerReply *reply)
 {
   worker->capacity = reply->capacity;
   worker->index = mux_sched_worker_add (core->sched, worker->name, worker->rack,
@@ -72,16 +72,15 @@
 }
 
 static void
-heard (MuxCore *core, Worker *worker, const MuxWorkerReply *reply)
+reply_received (MuxCore *core, Worker *worker, const MuxWorkerReply *reply)
 {
   worker->last_contact_ms = core->now_ms;
   worker->unanswered_calls = 0;
   worker->leaving = reply->leaving;
   worker->cursor = reply->cursor;
   worker->incarnation = reply->incarnation;
-  /* Its clock had read worker_now_ms before the answer reached us, so the
-   * difference is never too large: a last moment computed from it is never
-   * later than meant. */
+  /* The worker read its clock before the reply arrived here, so the offset is
+   * a lower bound: a latest start computed from it is never too late. */
   worker->clock_offset_ms = reply->worker_clock_ms - core->now_ms;
   if (!mux_size_fits (reply->capacity, worker->capacity)
       || !mux_size_fits (worker->capacity, reply->capacity))
@@ -93,7 +92,7 @@
 }
 
 static void
-unheard (MuxCore *core, Worker *worker)
+reply_missing (MuxCore *core, Worker *worker)
 {
   worker->unanswered_calls++;
   if (worker->unanswered_calls == UNANSWERED_CALLS_MAX)
@@ -103,13 +102,13 @@
 }
 
 /*
- * Failure: two daemons each see the other as dead and fence each other off
- * the same worker for ever, so that neither gets a start through.  The one
- * ranked below for this worker waits long before it claims again, the other
- * shortly, so one of them holds it.
+ * Returns the back-off before the worker is claimed again. Two daemons that
+ * each see the other as dead would otherwise fence each other for ever, and
+ * neither could start a task. The one with the lower rank for this worker
+ * waits longer, so the other keeps the claim.
  */
 static int64_t
-duel_wait_ms (MuxCore *core, const Worker *worker)
+contention_backoff_ms (MuxCore *core, const Worker *worker)
 {
   int64_t wait_ms = core->opt.lease_ms;
 
@@ -132,7 +131,7 @@
             mux_reason_name (reason), worker->owner);
   worker_claim_ended (core, worker, restarted);
   worker->next_call_ms
-      = core->now_ms + (restarted ? 0 : duel_wait_ms (core, worker));
+      = core->now_ms + (restarted ? 0 : contention_backoff_ms (core, worker));
 }
 
 static void
@@ -155,30 +154,31 @@
 
       worker->epoch = reply->epoch;
       mux_count_retry (core->counters, MUX_REASON_FENCED_EPOCH);
-      worker->next_call_ms = first_try
-                                 ? core->now_ms
-                                 : core->now_ms + duel_wait_ms (core, worker);
+      worker->next_call_ms
+          = first_try ? core->now_ms
+                      : core->now_ms + contention_backoff_ms (core, worker);
       return;
     }
   if (reply->status != MUX_WORKER_OK)
     {
-      /* It may have taken effect: the next try must go above it. */
+      /* The claim may have taken effect: the next one needs a higher epoch. */
       if (reply->status == MUX_WORKER_NO_ANSWER)
         worker->epoch++;
-      unheard (core, worker);
+      reply_missing (core, worker);
       worker->next_call_ms = core->now_ms + core_jitter (core, RETRY_MS * 5);
       return;
     }
   worker->epoch = reply->epoch;
   mux_name_copy (worker->owner, core->name);
-  heard (core, worker, reply);
+  reply_received (core, worker, reply);
   worker->next_call_ms = core->now_ms + lease_renew_after_ms (core, worker);
-  if (!take_hold (core, worker, reply))
+  if (!claim_won (core, worker, reply))
     return;
   owner_worker_report (core, worker, reply);
   worker_update_usable (core, worker);
-  /* Homes ask who had room when last heard: after a takeover that would be
-   * the dead one for as long as a far heartbeat takes. */
+  /* Homes choose an owner by the room in its last heartbeat. After a takeover
+   * that is the dead one until the next heartbeat, which is late in other data
+   * centres. */
   members_announce_room (core);
 }
 
@@ -220,13 +220,13 @@
   if (worker == NULL)
     return;
   worker->renewing = false;
-  /* The answer to a renewal under a claim that ended meanwhile. */
+  /* The claim that was renewed has ended meanwhile. */
   if (worker->claim != CLAIM_HELD || worker->epoch != aux)
     return;
   switch (reply->status)
     {
     case MUX_WORKER_OK:
-      heard (core, worker, reply);
+      reply_received (core, worker, reply);
       owner_worker_report (core, worker, reply);
       worker_update_usable (core, worker);
       worker->next_call_ms = core->now_ms + lease_renew_after_ms (core, worker);
@@ -240,7 +240,7 @@
       worker_fenced (core, worker, MUX_REASON_FENCED_INCARNATION);
       break;
     default:
-      unheard (core, worker);
+      reply_missing (core, worker);
       worker->next_call_ms = core->now_ms + core_jitter (core, RETRY_MS * 2);
       break;
     }
@@ -259,7 +259,7 @@
       = call_worker (core, &call, renew_done, (MuxId){ 0, 0 }, worker->epoch);
 }
 
-/* The one to take @worker next, if any. */
+/* Returns the member that should claim @worker next; NULL: none. */
 static Member *
 successor (MuxCore *core, const Worker *worker)
 {
@@ -300,12 +300,12 @@
 }
 
 /*
- * Failure: a worker falls silent with a granted start on its way.  No list
- * tells that the start never came, and its owner, asked to stop, would wait
- * for one for ever.  Past its last moment the worker refuses the start anyway.
+ * True if a granted start may still arrive. Judged by not_after_ms, past which
+ * the worker refuses the start: an unreachable worker sends no list that shows
+ * that a start never came, and an owner that stops would wait for it for ever.
  */
 static bool
-start_on_way (const MuxCore *core, const Worker *worker)
+start_outstanding (const MuxCore *core, const Worker *worker)
 {
   const Grant *grant;
 
@@ -318,14 +318,14 @@
   return false;
 }
 
-/* Only once no granted start is on its way: it would be fenced. */
+/* A start that arrives after the release would be fenced. */
 void
 worker_release (MuxCore *core, Worker *worker)
 {
   MuxWorkerCall call;
 
   worker_update_usable (core, worker);
-  if (worker->unstarted_grants > 0 && start_on_way (core, worker))
+  if (worker->unstarted_grants > 0 && start_outstanding (core, worker))
     return;
   call_init (core, worker, MUX_WORKER_RELEASE, &call);
   if (call_worker (core, &call, release_done, (MuxId){ 0, 0 }, 0))
