--- a/src/core/member.c
+++ b/src/core/member.c
@@ -10,32 +10,32 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Heartbeats to other data centres are this many times rarer at least, and
- * silence from there is borne as much longer.  With more members there they
- * are rarer by as many, so that a daemon sends a bounded number of heartbeats
- * a second however large the cell is. */
-#define FAR_FACTOR_MIN 5
-/* Between a change of room that others should know of and telling them. */
-#define NEWS_MS 20
-/* A dead member is kept so long for operators to see, then dropped. */
-#define DEAD_KEPT_MS 600000
-/* Most addresses named in one message. */
-#define MEMBERS_TOLD 64
-/* Most members known, against a flood of made-up names. */
+/* Smallest factor by which heartbeats to other data centres are less frequent,
+ * and by which the limits on their silence are longer. The factor grows with
+ * the number of members there, so that a daemon sends a bounded number of
+ * heartbeats a second in a cell of any size. */
+#define REMOTE_FACTOR_MIN 5
+/* Delay of a heartbeat that announces a change of room. */
+#define ANNOUNCE_DELAY_MS 20
+/* How long dead members remain visible to operators. */
+#define DEAD_RETENTION_MS 600000
+/* Maximum addresses in one message. */
+#define ADDRESSES_MAX 64
+/* Maximum members, a limit against floods of forged names. */
 #define MEMBERS_MAX 256
 
-/* Both ends of a link reckon it from their own members, which differ while
- * the cell grows or shrinks: three and five heartbeats are missing before a
- * member counts as suspect and dead, so a few members more or less do not
- * matter. */
+/* Both ends of a link compute the factor from their own member lists, which
+ * differ while the cell grows or shrinks. A small difference does no harm: a
+ * member counts as suspect after three missing heartbeats and as dead after
+ * five. */
 static int64_t
-far_factor (const MuxCore *core)
+remote_factor (const MuxCore *core)
 {
-  uint32_t far = 0;
+  uint32_t remote = 0;
 
   for (const Member *m = core->members; m != NULL; m = m->hh.next)
-    far += !m->local && m->state != MEMBER_DEAD;
-  return far > FAR_FACTOR_MIN ? far : FAR_FACTOR_MIN;
+    remote += !m->local && m->state != MEMBER_DEAD;
+  return remote > REMOTE_FACTOR_MIN ? remote : REMOTE_FACTOR_MIN;
 }
 
 Member *
@@ -119,7 +119,7 @@
 }
 
 static void
-greet (MuxCore *core, const char *addr)
+contact (MuxCore *core, const char *addr)
 {
   MuxPeerMsg msg;
 
@@ -130,7 +130,7 @@
 }
 
 static void
-send_heartbeats (MuxCore *core, bool far_too)
+send_heartbeats (MuxCore *core, bool include_remote)
 {
   MuxPeerMsg msg;
   Member *member, *next;
@@ -138,22 +138,24 @@
   fill_heartbeat (core, &msg);
   HASH_ITER (hh, core->members, member, next)
   {
-    /* The dead are greeted too: it is how a healed cut is found. */
-    if (member->local ? member->state != MEMBER_DEAD || far_too : far_too)
+    /* Dead members are contacted too, to detect the end of a network
+     * partition. */
+    if (member->local ? member->state != MEMBER_DEAD || include_remote
+                      : include_remote)
       member_send (core, member, &msg);
   }
-  if (!far_too)
+  if (!include_remote)
     return;
   for (uint32_t i = 0; i < core->opt.seed_count; i++)
-    greet (core, core->opt.seeds[i]);
+    contact (core, core->opt.seeds[i]);
 }
 
-/* A newcomer need know one daemon only: that one names the others to it, and
- * each of them answers its greeting. */
+/* Sends the addresses of the live members to a new one, which needs to know
+ * one daemon only: it contacts the others and they reply. */
 static void
-tell_members (MuxCore *core, const Member *to)
+send_addresses (MuxCore *core, const Member *to)
 {
-  char text[MEMBERS_TOLD * MUX_ADDR_LEN];
+  char text[ADDRESSES_MAX * MUX_ADDR_LEN];
   MuxPeerMsg msg = { .verb = MUX_PEER_MEMBERS };
   size_t len = 0;
 
@@ -171,7 +173,7 @@
 void
 members_addresses_received (MuxCore *core, const MuxPeerMsg *msg)
 {
-  char text[MEMBERS_TOLD * MUX_ADDR_LEN];
+  char text[ADDRESSES_MAX * MUX_ADDR_LEN];
   char *rest = text;
   const char *addr;
 
@@ -181,7 +183,7 @@
   text[msg->body->len] = 0;
   while ((addr = strsep (&rest, " ")) != NULL)
     if (addr[0] != 0 && strlen (addr) < MUX_ADDR_LEN)
-      greet (core, addr);
+      contact (core, addr);
 }
 
 bool
@@ -247,7 +249,7 @@
 members_heartbeat (MuxCore *core, const MuxPeerMsg *msg)
 {
   Member *member = member_find (core, msg->from);
-  bool new_life;
+  bool restarted;
 
   if (strcmp (msg->from, core->name) == 0)
     return;
@@ -255,16 +257,16 @@
     member = member_new (core, msg);
   if (member == NULL)
     return;
-  /* A message of a former life that arrives late must not bring it back. */
+  /* Ignore a late message of a previous incarnation. */
   if (msg->from_incarnation < member->incarnation)
     return;
-  new_life
+  restarted
       = msg->from_incarnation > member->incarnation && member->incarnation != 0;
-  if (new_life && member->state != MEMBER_DEAD)
+  if (restarted && member->state != MEMBER_DEAD)
     tasks_owner_lost (core, member->name);
   if (member->incarnation == 0)
     jobs_member_new (core);
-  if (new_life)
+  if (restarted)
     {
       owner_home_lost (core, member->name, member->incarnation);
       jobs_member_dead (core, member->name);
@@ -285,14 +287,15 @@
 
       member->stopping = msg->stopping;
       member_changed (core, member, MEMBER_LIVE);
-      /* Answer at once, so that a newcomer need not wait for our next one. */
+      /* Reply at once, so that a new member need not wait for the next
+       * heartbeat. */
       if (was_dead)
         {
-          MuxPeerMsg hello;
+          MuxPeerMsg heartbeat;
 
-          fill_heartbeat (core, &hello);
-          member_send (core, member, &hello);
-          tell_members (core, member);
+          fill_heartbeat (core, &heartbeat);
+          member_send (core, member, &heartbeat);
+          send_addresses (core, member);
         }
     }
   member->revision = msg->revision;
@@ -318,22 +321,23 @@
 {
   for (uint32_t i = 0; i < list->count; i++)
     {
-      const MuxInstance *it = &list->item[i];
-
-      /* Late either way: "live" only makes it worth a greeting, and whether
-       * it lives is then told by its own heartbeats. */
-      if (it->role == MUX_ROLE_ENTRY && it->state != MUX_INSTANCE_GONE
-          && member_find (core, it->name) == NULL
-          && strcmp (it->name, core->name) != 0)
-        greet (core, it->addr);
+      const MuxInstance *instance = &list->item[i];
+
+      /* The list may be outdated, so an entry only causes a first contact;
+       * liveness is judged by the daemon's own heartbeats. */
+      if (instance->role == MUX_ROLE_ENTRY
+          && instance->state != MUX_INSTANCE_GONE
+          && member_find (core, instance->name) == NULL
+          && strcmp (instance->name, core->name) != 0)
+        contact (core, instance->addr);
     }
 }
 
 static void
-look_silent (MuxCore *core, Member *member, int64_t far)
+check_silence (MuxCore *core, Member *member, int64_t limit_factor)
 {
   int64_t silent_ms = core->now_ms - member->last_contact_ms;
-  int64_t factor = member->local ? 1 : far;
+  int64_t factor = member->local ? 1 : limit_factor;
 
   if (member->state == MEMBER_LIVE
       && silent_ms >= core->opt.suspect_ms * factor)
@@ -343,8 +347,8 @@
     member_changed (core, member, MEMBER_DEAD);
 }
 
-/* Quotas are for the cell; each owner grants its part of them, by the part of
- * the living owners' processors that it holds. */
+/* Quotas apply to the cell. Each owner grants a share of them, in proportion
+ * to its share of the CPUs that all live owners hold. */
 static void
 update_share (MuxCore *core)
 {
@@ -359,10 +363,10 @@
 }
 
 /*
- * Failure: this process was frozen or starved, then wakes.  To it all peers
- * have been silent for as long, so it would call them dead and claim all
- * their workers.  The silence was ours: a gap without steps is no evidence,
- * so it is taken out of every member's silence.
+ * After this process was suspended or starved of CPU, all peers seem to have
+ * been silent for as long, and it would declare them dead and claim all their
+ * workers. A gap without steps says nothing about peers, so it is subtracted
+ * from the silence of each.
  */
 void
 members_after_pause (MuxCore *core, int64_t gap_ms)
@@ -380,24 +384,24 @@
 void
 members_tick (MuxCore *core)
 {
-  bool far_too = core->now_ms >= core->next_remote_heartbeat_ms;
-  int64_t far;
+  bool include_remote = core->now_ms >= core->next_remote_heartbeat_ms;
+  int64_t factor;
   Member *member, *next;
 
   if (core->now_ms < core->next_heartbeat_ms)
     return;
-  far = far_factor (core);
-  send_heartbeats (core, far_too);
+  factor = remote_factor (core);
+  send_heartbeats (core, include_remote);
   update_share (core);
   core->next_heartbeat_ms = core->now_ms + core->opt.heartbeat_ms;
-  if (far_too)
+  if (include_remote)
     core->next_remote_heartbeat_ms
-        = core->now_ms + (int64_t) core->opt.heartbeat_ms * far;
+        = core->now_ms + (int64_t) core->opt.heartbeat_ms * factor;
   HASH_ITER (hh, core->members, member, next)
   {
-    look_silent (core, member, far);
+    check_silence (core, member, factor);
     if (member->state == MEMBER_DEAD
-        && core->now_ms - member->last_contact_ms > DEAD_KEPT_MS)
+        && core->now_ms - member->last_contact_ms > DEAD_RETENTION_MS)
       {
         HASH_DEL (core->members, member);
         free (member);
@@ -405,11 +409,12 @@
   }
 }
 
-/* Several claims are won in the same moment: one heartbeat tells of all. */
+/* Delayed, so that one heartbeat announces several claims that are won at the
+ * same time. */
 void
 members_announce_room (MuxCore *core)
 {
-  int64_t at_ms = core->now_ms + NEWS_MS;
+  int64_t at_ms = core->now_ms + ANNOUNCE_DELAY_MS;
 
   if (at_ms < core->next_heartbeat_ms)
     core->next_heartbeat_ms = at_ms;
@@ -437,7 +442,7 @@
 }
 
 bool
-members_ranked_first (MuxCore *core, const char *subject, bool near)
+members_ranked_first (MuxCore *core, const char *subject, bool local)
 {
   uint64_t mine = members_rank (core->name, subject);
 
@@ -447,7 +452,7 @@
     {
       uint64_t rank;
 
-      if (m->state == MEMBER_DEAD || m->stopping || (near && !m->local))
+      if (m->state == MEMBER_DEAD || m->stopping || (local && !m->local))
         continue;
       rank = members_rank (m->name, subject);
       if (rank > mine || (rank == mine && strcmp (m->name, core->name) > 0))
