--- a/src/core/config.c
+++ b/src/core/config.c
@@ -28,17 +28,17 @@
 }
 
 void
-config_request (MuxCore *core, const MuxCoreRequest *ask)
+config_request (MuxCore *core, const MuxCoreRequest *request)
 {
-  switch (ask->verb)
+  switch (request->verb)
     {
     case MUX_CORE_CONFIG_GET:
     case MUX_CORE_CONFIG_LIST:
     case MUX_CORE_CONFIG_HISTORY:
-      config_show (core, ask);
+      config_show (core, request);
       return;
     default:
-      config_change_request (core, ask);
+      config_change_request (core, request);
     }
 }
 
--- a/src/core/config_change.c
+++ b/src/core/config_change.c
@@ -87,8 +87,8 @@
          || (change->state == CHANGE_PAUSED && core->now_ms >= change->wake_ms);
 }
 
-/* Changes of one daemon are made one after another: two at once would only
- * beat each other to the head. */
+/* A daemon makes its changes one after another: concurrent ones would only
+ * conflict on the head row. */
 void
 config_changes_run (MuxCore *core)
 {
@@ -158,41 +158,43 @@
 }
 
 static void
-take_value (const MuxCoreRequest *ask, ConfigChange *change)
+set_value (const MuxCoreRequest *request, ConfigChange *change)
 {
-  if (ask->verb == MUX_CORE_CONFIG_PUT && ask->body != NULL)
-    change->value = json_loadb (ask->body->bytes, ask->body->len,
+  if (request->verb == MUX_CORE_CONFIG_PUT && request->body != NULL)
+    change->value = json_loadb (request->body->bytes, request->body->len,
                                 JSON_REJECT_DUPLICATES, NULL);
-  else if (ask->verb == MUX_CORE_DRAIN && ask->drain)
+  else if (request->verb == MUX_CORE_DRAIN && request->drain)
     change->value = json_object ();
 }
 
 static ConfigChange *
-change_new (MuxCore *core, const MuxCoreRequest *ask)
+change_new (MuxCore *core, const MuxCoreRequest *request)
 {
   ConfigChange *change = calloc (1, sizeof *change);
 
   if (change == NULL)
     return NULL;
   change->serial = ++core->config->serial;
-  change->call_id = ask->call_id;
-  change->sort = ask->verb == MUX_CORE_DRAIN ? MUX_CONFIG_DRAIN : ask->sort;
-  mux_name_copy (change->name, ask->name);
-  mux_name_copy (change->author, ask->author);
-  change->has_expected = ask->has_expected;
-  change->expected_revision = ask->expected_revision;
-  change->change_id = mux_id_is_none (ask->change_id) ? core_new_task_id (core)
-                                                      : ask->change_id;
-  change->wall_ms = ask->wall_ms;
-  change->revert = ask->verb == MUX_CORE_CONFIG_REVERT;
-  change->revert_to = ask->revision;
+  change->call_id = request->call_id;
+  change->sort
+      = request->verb == MUX_CORE_DRAIN ? MUX_CONFIG_DRAIN : request->sort;
+  mux_name_copy (change->name, request->name);
+  mux_name_copy (change->author, request->author);
+  change->has_expected = request->has_expected;
+  change->expected_revision = request->expected_revision;
+  change->change_id = mux_id_is_none (request->change_id)
+                          ? core_new_task_id (core)
+                          : request->change_id;
+  change->wall_ms = request->wall_ms;
+  change->revert = request->verb == MUX_CORE_CONFIG_REVERT;
+  change->revert_to = request->revision;
   change->expires_ms = core->now_ms + CONFIG_CHANGE_LIMIT_MS;
-  take_value (ask, change);
+  set_value (request, change);
   return change;
 }
 
 static MuxReason
-ask_reason (const MuxCore *core, const MuxCoreRequest *ask)
+refusal_reason (const MuxCore *core, const MuxCoreRequest *request)
 {
   if (core->stopping)
     return MUX_REASON_STOPPING;
@@ -200,22 +202,22 @@
     return MUX_REASON_STORE_DOWN;
   if (core->config->change_count >= CONFIG_CHANGES_MAX)
     return MUX_REASON_QUEUE_FULL;
-  if (ask->verb == MUX_CORE_CONFIG_PUT && ask->body == NULL)
+  if (request->verb == MUX_CORE_CONFIG_PUT && request->body == NULL)
     return MUX_REASON_BAD_JSON;
   return MUX_REASON_NONE;
 }
 
 static void
-check_names (const MuxCoreRequest *ask, MuxFindings *findings)
+check_names (const MuxCoreRequest *request, MuxFindings *findings)
 {
-  if (!mux_name_valid (ask->name))
+  if (!mux_name_valid (request->name))
     mux_findings_add (findings, "name", "must be 1 to 47 of a-z A-Z 0-9 . _ -");
-  else if (ask->verb != MUX_CORE_DRAIN && ask->sort == MUX_CONFIG_CELL
-           && strcmp (ask->name, CONFIG_CELL_NAME) != 0)
+  else if (request->verb != MUX_CORE_DRAIN && request->sort == MUX_CONFIG_CELL
+           && strcmp (request->name, CONFIG_CELL_NAME) != 0)
     mux_findings_add (findings, "name", "must be \"%s\"", CONFIG_CELL_NAME);
-  if (ask->verb == MUX_CORE_CONFIG_PUT && ask->sort == MUX_CONFIG_DRAIN)
-    mux_findings_add (findings, "sort", "a worker is drained by its own call");
-  for (const char *at = ask->author; *at != 0; at++)
+  if (request->verb == MUX_CORE_CONFIG_PUT && request->sort == MUX_CONFIG_DRAIN)
+    mux_findings_add (findings, "sort", "use the drain call of the worker");
+  for (const char *at = request->author; *at != 0; at++)
     if (*at < ' ' || *at > '~')
       {
         mux_findings_add (findings, "who", "must be printable ASCII");
@@ -224,32 +226,32 @@
 }
 
 void
-config_change_request (MuxCore *core, const MuxCoreRequest *ask)
+config_change_request (MuxCore *core, const MuxCoreRequest *request)
 {
-  MuxReason reason = ask_reason (core, ask);
+  MuxReason reason = refusal_reason (core, request);
   MuxFindings findings = { 0 };
   ConfigChange *change;
 
-  check_names (ask, &findings);
+  check_names (request, &findings);
   if (reason != MUX_REASON_NONE)
     {
-      config_respond_refused (core, ask->call_id, reason, CONFIG_POLL_MS);
+      config_respond_refused (core, request->call_id, reason, CONFIG_POLL_MS);
       return;
     }
   if (findings.count > 0)
     {
-      core_respond_findings (core, ask->call_id, &findings);
+      core_respond_findings (core, request->call_id, &findings);
       return;
     }
-  change = change_new (core, ask);
+  change = change_new (core, request);
   if (change == NULL)
     {
-      config_respond_refused (core, ask->call_id, MUX_REASON_INTERNAL, 0);
+      config_respond_refused (core, request->call_id, MUX_REASON_INTERNAL, 0);
       return;
     }
   DL_APPEND (core->config->changes, change);
   core->config->change_count++;
-  if (ask->verb == MUX_CORE_CONFIG_PUT && change->value == NULL)
+  if (request->verb == MUX_CORE_CONFIG_PUT && change->value == NULL)
     change_refuse (core, change, MUX_REASON_BAD_JSON);
   config_changes_run (core);
 }
--- a/src/core/config_change.h
+++ b/src/core/config_change.h
@@ -4,16 +4,16 @@
 #include "config_private.h"
 
 /**
- * enum ChangeState - life of an operator's change
+ * enum ChangeState - state of an operator's change
  */
 typedef enum
 {
-  CHANGE_QUEUED,  /* an earlier change is being made */
-  CHANGE_PAUSED,  /* until wake_ms, then it is checked again */
-  CHANGE_CHECK,   /* its change row and the head are being read */
-  CHANGE_SYNC,    /* the log is being read up to the head */
-  CHANGE_LOOK_UP, /* a revert: an older change is being read */
-  CHANGE_WRITE,   /* the transaction is on its way */
+  CHANGE_QUEUED,  /* waits for earlier changes */
+  CHANGE_PAUSED,  /* waits until wake_ms, then is checked again */
+  CHANGE_CHECK,   /* reads its change row and the head */
+  CHANGE_SYNC,    /* waits for the log to be read up to the head */
+  CHANGE_LOOK_UP, /* of a revert: reads an older log row */
+  CHANGE_WRITE,   /* its transaction is in flight */
 } ChangeState;
 
 struct ConfigChange
@@ -29,14 +29,14 @@
   MuxId change_id;
   char author[MUX_NAME_LEN];
   int64_t wall_ms;
-  bool revert; /* the value is still to be found in the log */
+  bool revert; /* the value has yet to be read from the log */
   uint64_t revert_to;
   uint64_t cursor;           /* LOOK_UP: revision being read */
-  uint32_t revisions_read;   /* LOOK_UP: revisions read */
-  uint64_t checked_revision; /* in force when the check was sent */
-  uint64_t head_rev;         /* of the head row in the last check */
+  uint32_t revisions_read;   /* in LOOK_UP */
+  uint64_t checked_revision; /* in force when CHECK began */
+  uint64_t head_rev;         /* row version of the head, as read by CHECK */
   json_t *row;               /* WRITE: the log row */
-  bool write_unknown;        /* an earlier write may take effect yet */
+  bool write_unknown;        /* an earlier write may still take effect */
   uint32_t retries;
   int64_t wake_ms;
   int64_t expires_ms;
@@ -44,19 +44,22 @@
   ConfigChange *next;
 };
 
-/* config_change.c: the queue of changes, and how they end.  Each of the next
- * frees the change, but for _pause() and, of an unsure one, _store_down(). */
+/* config_change.c: the queue of changes. All of these except change_find()
+ * and change_pause() free the change; change_store_down() keeps one whose
+ * earlier write may still take effect. */
 ConfigChange *change_find (MuxCore *core, MuxId subject, ChangeState state);
 void change_finish (MuxCore *core, ConfigChange *change);
 void change_refuse (MuxCore *core, ConfigChange *change, MuxReason reason);
-/** change_give_up() - time is up, or this daemon ends: say what is known */
+/** change_expire() - respond to a change that has expired or that a shutdown
+ * cuts off */
 void change_expire (MuxCore *core, ConfigChange *change, MuxReason reason);
 void change_accepted (MuxCore *core, ConfigChange *change, uint64_t revision);
 void change_pause (MuxCore *core, ConfigChange *change, MuxReason reason);
-/** change_store_down() - refused, but for one that may take effect yet */
+/** change_store_down() - refuse the change; pause one whose earlier write may
+ * still take effect */
 void change_store_down (MuxCore *core, ConfigChange *change);
 
-/* config_write.c: check, decide and write one change. */
+/* config_write.c: checks, decides and writes one change. */
 void change_check (MuxCore *core, ConfigChange *change);
 
 #endif
--- a/src/core/config_check.c
+++ b/src/core/config_check.c
@@ -41,7 +41,8 @@
     mux_findings_add (findings, "name", "the cell can't be removed");
 }
 
-/* The value as it will be kept, with every field; NULL: findings or memory. */
+/* Returns the value with every field, as it will be stored; NULL: there are
+ * findings, or memory is exhausted. */
 static json_t *
 full_value (const Config *config,
             MuxConfigSort sort,
--- a/src/core/config_follow.c
+++ b/src/core/config_follow.c
@@ -120,10 +120,10 @@
   return true;
 }
 
-/* The head names a revision that the log does not give, or memory is out:
- * what is in force stays, and the next poll tries again. */
+/* The log lacks a revision that the head names, or memory is exhausted. The
+ * configuration in force stays, and the next poll tries again. */
 static void
-follow_stuck (MuxCore *core)
+follow_log_gap (MuxCore *core)
 {
   Config *config = core->config;
 
@@ -159,7 +159,7 @@
   else if (config->revision > before)
     follow_log (core);
   else
-    follow_stuck (core);
+    follow_log_gap (core);
 }
 
 static void
@@ -193,7 +193,7 @@
   json_decref (state);
 }
 
-/* A snapshot that can't be read is only a saving lost: the log has it all. */
+/* A snapshot that can't be read is skipped: the log is complete without it. */
 static void
 snapshot_read (MuxCore *core,
                MuxId subject,
--- a/src/core/config_object.c
+++ b/src/core/config_object.c
@@ -1,5 +1,5 @@
-/* An object that can't be added for want of memory is left out and the row is
- * applied again later, where uthash would else end the process. */
+/* Keeps uthash from ending the process when memory is exhausted. The object is
+ * left out then, and its row is applied again later. */
 #define HASH_NONFATAL_OOM 1
 
 #include "config_private.h"
@@ -112,14 +112,14 @@
 }
 
 static void
-log_bad (MuxCore *core, const char *key, uint64_t revision)
+log_invalid (MuxCore *core, const char *key, uint64_t revision)
 {
   core_log (core, MUX_LOG_ERR, "config_bad", "object=%s revision=%" PRIu64, key,
             revision);
 }
 
 static bool
-class_in_force (MuxCore *core, ConfigObject *object)
+apply_class (MuxCore *core, ConfigObject *object)
 {
   MuxFindings findings = { 0 };
   MuxClassSpec spec = { 0 };
@@ -132,7 +132,7 @@
     }
   if (!mux_class_from_json (object->value, object->key, &spec, &findings))
     {
-      log_bad (core, object->key, object->revision);
+      log_invalid (core, object->key, object->revision);
       return true;
     }
   mux_name_copy (spec.name, object->name);
@@ -141,7 +141,7 @@
 }
 
 static bool
-product_in_force (MuxCore *core, const ConfigObject *object)
+apply_product (MuxCore *core, const ConfigObject *object)
 {
   MuxFindings findings = { 0 };
   MuxProductSpec spec = { 0 };
@@ -154,12 +154,12 @@
   mux_name_copy (spec.name, object->name);
   if (mux_product_from_json (object->value, object->key, &spec, &findings))
     return mux_sched_product_set (core->sched, &spec);
-  log_bad (core, object->key, object->revision);
+  log_invalid (core, object->key, object->revision);
   return true;
 }
 
 static void
-cell_in_force (MuxCore *core, const ConfigObject *object)
+apply_cell (MuxCore *core, const ConfigObject *object)
 {
   MuxFindings findings = { 0 };
   MuxCellSpec spec = { 0 };
@@ -170,19 +170,19 @@
 }
 
 static void
-object_in_force (MuxCore *core, ConfigObject *object)
+apply_object (MuxCore *core, ConfigObject *object)
 {
-  bool taken = true;
+  bool applied = true;
 
   if (object->sort == MUX_CONFIG_CLASS)
-    taken = class_in_force (core, object);
+    applied = apply_class (core, object);
   else if (object->sort == MUX_CONFIG_PRODUCT)
-    taken = product_in_force (core, object);
+    applied = apply_product (core, object);
   else if (object->sort == MUX_CONFIG_CELL)
-    cell_in_force (core, object);
+    apply_cell (core, object);
   else
     workers_update_usable (core);
-  mark_unapplied (core->config, object, !taken);
+  mark_unapplied (core->config, object, !applied);
 }
 
 void
@@ -193,7 +193,7 @@
   HASH_ITER (hh, core->config->objects, object, next)
   {
     if (object->unapplied)
-      object_in_force (core, object);
+      apply_object (core, object);
   }
 }
 
@@ -218,8 +218,9 @@
     HASH_SORT (config->objects, by_key);
 }
 
-/* Removed objects are remembered so that peers can be told of them; the
- * oldest are forgotten, and who asks from before is sent everything. */
+/* Removed objects are remembered so that their removal can be sent to peers.
+ * The oldest are forgotten; a peer whose revision is older than they are has
+ * to request all objects. */
 static void
 forget_removed (Config *config)
 {
@@ -254,12 +255,13 @@
   json_decref (object->value);
   object->value = json_incref (value);
   object->revision = revision;
-  object_in_force (core, object);
+  apply_object (core, object);
 }
 
-/* @row is a log row or an object of a snapshot.  False: memory is out. */
+/* @row is a log row or an object of a snapshot. Returns false when memory is
+ * exhausted. */
 static bool
-row_in_force (MuxCore *core, const json_t *row)
+apply_row (MuxCore *core, const json_t *row)
 {
   const char *name = json_string_value (json_object_get (row, "name"));
   const char *sort_text = json_string_value (json_object_get (row, "sort"));
@@ -271,7 +273,7 @@
   if (name == NULL || !mux_name_valid (name)
       || !config_sort_parse (sort_text, &sort))
     {
-      log_bad (core, "?", revision);
+      log_invalid (core, "?", revision);
       return true;
     }
   object = object_get_or_add (core->config, sort, name);
@@ -291,15 +293,15 @@
 
   if (revision <= config->revision)
     return true;
-  if (revision != config->revision + 1 || !row_in_force (core, row))
+  if (revision != config->revision + 1 || !apply_row (core, row))
     return false;
   config->revision = revision;
   forget_removed (config);
   return true;
 }
 
-/* Whatever the state that was just taken does not hold has been removed so
- * long ago that its sender has forgotten it; so do we. */
+/* Removes objects that the state just applied does not hold. They were removed
+ * so long ago that its sender no longer remembers them. */
 static void
 remove_missing (MuxCore *core)
 {
@@ -319,7 +321,7 @@
 bool
 config_apply_state (MuxCore *core,
                     const json_t *objects,
-                    bool whole,
+                    bool complete,
                     uint64_t floor,
                     uint64_t revision)
 {
@@ -330,10 +332,10 @@
   config->generation++;
   json_array_foreach ((json_t *) objects, i, row)
   {
-    if (!row_in_force (core, row))
+    if (!apply_row (core, row))
       return false;
   }
-  if (whole)
+  if (complete)
     remove_missing (core);
   if (floor > config->floor)
     config->floor = floor;
--- a/src/core/config_peer.c
+++ b/src/core/config_peer.c
@@ -2,11 +2,10 @@
 
 #include <string.h>
 
-/* A page holds the objects whose last change lies after a revision, in the
- * order of their changes.  An object that changes while pages are on their
- * way moves behind the cursor and comes again, so that all pages up to the
- * last one amount to the sender's state at that moment, whichever its
- * changes.  Only that whole is ever put in force. */
+/* A page holds the objects that were last changed after a given revision, in
+ * the order of their changes. An object that changes during a transfer moves
+ * behind the cursor and is sent again, so that all pages together amount to
+ * the sender's state at the last one. They are applied only together. */
 
 static void
 transfer_end (Config *config)
@@ -16,7 +15,7 @@
 }
 
 static void
-transfer_ask (MuxCore *core, const Member *member)
+transfer_request (MuxCore *core, const Member *member)
 {
   MuxPeerMsg msg = { .verb = MUX_PEER_CONFIG_REQUEST };
 
@@ -44,11 +43,11 @@
       transfer->has_base = true;
       transfer->base = after;
     }
-  transfer_ask (core, member);
+  transfer_request (core, member);
 }
 
-/* A living peer with more than is in force here, else, before anything is
- * known here, any living one. */
+/* Returns a random live peer with a higher revision than is in force here; if
+ * there is none and nothing has been loaded here, any live peer. */
 static const Member *
 random_peer (MuxCore *core)
 {
@@ -86,27 +85,27 @@
 {
   Config *config = core->config;
   MuxPeerMsg msg = { .verb = MUX_PEER_CONFIG_HINT };
-  const Member *hinter = member_find (core, config->hint_sender);
+  const Member *sender = member_find (core, config->hint_sender);
 
   msg.revision = config->revision;
   config->hint_sender[0] = 0;
   if (all)
     members_send_all (core, &msg);
-  else if (hinter != NULL)
-    member_send (core, hinter, &msg);
+  else if (sender != NULL)
+    member_send (core, sender, &msg);
 }
 
 void
 config_peer_revision (MuxCore *core, Member *member, uint64_t revision)
 {
   Config *config = core->config;
-  bool news = revision > config->known_revision;
+  bool higher = revision > config->known_revision;
 
-  if (news)
+  if (higher)
     config->known_revision = revision;
   if (config->loaded && revision <= config->revision)
     return;
-  if (news && !config->store_down)
+  if (higher && !config->store_down)
     config_follow (core);
   if ((!config->loaded || config->store_down)
       && core->now_ms >= config->next_peer_request_ms)
@@ -140,22 +139,22 @@
 }
 
 static void
-send_page (MuxCore *core, const MuxPeerMsg *ask)
+send_page (MuxCore *core, const MuxPeerMsg *request)
 {
   Config *config = core->config;
-  const Member *member = member_find (core, ask->from);
+  const Member *member = member_find (core, request->from);
   MuxPeerMsg msg = { .verb = MUX_PEER_CONFIG_ROWS };
   json_t *objects;
   bool more;
 
   if (member == NULL || !config->loaded)
     return;
-  objects = page_objects (config, ask->revision, &more);
+  objects = page_objects (config, request->revision, &more);
   if (objects == NULL)
     return;
   msg.revision = config->revision;
   msg.body = config_json_blob (json_pack (
-      "{s:I, s:I, s:I, s:b, s:o}", "after", (json_int_t) ask->revision,
+      "{s:I, s:I, s:I, s:b, s:o}", "after", (json_int_t) request->revision,
       "through", (json_int_t) config->revision, "floor",
       (json_int_t) config->floor, "more", (int) more, "objects", objects));
   if (msg.body != NULL)
@@ -186,7 +185,7 @@
 }
 
 static void
-take_page (MuxCore *core, const Member *member, const json_t *page)
+append_page (MuxCore *core, const Member *member, const json_t *page)
 {
   ConfigTransfer *transfer = &core->config->transfer;
   json_t *objects = json_object_get (page, "objects");
@@ -210,7 +209,7 @@
     }
   last = json_array_get (objects, json_array_size (objects) - 1);
   transfer->cursor = json_number (last, "revision");
-  transfer_ask (core, member);
+  transfer_request (core, member);
 }
 
 static void
@@ -224,9 +223,9 @@
       || strcmp (transfer->peer, msg->from) != 0)
     return;
   page = json_loadb (msg->body->bytes, msg->body->len, 0, NULL);
-  /* A page that was asked for before: its successor is awaited. */
+  /* Skip a page that has arrived before: the next one is expected. */
   if (page != NULL && json_number (page, "after") == transfer->cursor)
-    take_page (core, member, page);
+    append_page (core, member, page);
   json_decref (page);
 }
 
--- a/src/core/config_snapshot.c
+++ b/src/core/config_snapshot.c
@@ -5,9 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A snapshot saves a new daemon the reading of the whole log.  Nothing
- * depends on it: when any step fails, the next one is tried 256 revisions
- * later. */
+/* A snapshot spares a new daemon from reading the whole log. Nothing depends
+ * on it: if a step fails, the next snapshot is written 256 revisions later. */
 
 MuxBlob *
 config_json_blob (json_t *json)
@@ -23,7 +22,7 @@
 }
 
 static json_t *
-whole_state (const Config *config)
+state_json (const Config *config)
 {
   json_t *objects = json_array ();
   const ConfigObject *object;
@@ -141,7 +140,7 @@
 
   if (config->snapshot_revision != 0)
     return;
-  blob = config_json_blob (whole_state (config));
+  blob = config_json_blob (state_json (config));
   if (blob == NULL)
     return;
   call = mux_table_call_new (MUX_TABLE_OBJECT_PUT, 1);
--- a/src/core/config_write.c
+++ b/src/core/config_write.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Rows of a change's transaction. */
+/* Rows of the transaction that writes a change. */
 enum
 {
   WRITE_HEAD,
@@ -13,7 +13,7 @@
   WRITE_ROWS
 };
 
-/* Rows of a change's check. */
+/* Rows that the check of a change reads. */
 enum
 {
   CHECK_CHANGE,
@@ -49,7 +49,7 @@
 }
 
 static void
-commit_in_force (MuxCore *core, const ConfigChange *change, uint64_t revision)
+apply_committed (MuxCore *core, const ConfigChange *change, uint64_t revision)
 {
   Config *config = core->config;
 
@@ -80,17 +80,17 @@
   switch (reply->status)
     {
     case MUX_TABLE_OK:
-      commit_in_force (core, change, revision);
+      apply_committed (core, change, revision);
       change_accepted (core, change, revision);
       break;
     case MUX_TABLE_CONFLICT:
       change_pause (core, change, MUX_REASON_FENCED_ROW);
       break;
     case MUX_TABLE_UNKNOWN:
-      /* It may even land after the next check has found nothing.  A repeat
-       * has the same change row and the same head as conditions, and a
-       * refusal is given only once the head is past both, so it can neither
-       * apply twice nor after it was refused. */
+      /* The write may take effect even after the next check has not found it.
+       * A retry has the same change row and the same head as conditions, and
+       * the change is refused only once the head is past both, so it can
+       * neither apply twice nor after the refusal. */
       change->write_unknown = true;
       change_pause (core, change, MUX_REASON_WRITE_UNKNOWN);
       break;
@@ -165,18 +165,18 @@
 }
 
 static void
-answer_findings (MuxCore *core,
-                 ConfigChange *change,
-                 const MuxFindings *findings)
+refuse_with_findings (MuxCore *core,
+                      ConfigChange *change,
+                      const MuxFindings *findings)
 {
   core_respond_findings (core, change->call_id, findings);
   change_finish (core, change);
 }
 
-/* A removed object that has been forgotten breaks the chain of its changes:
- * what it was before can't be told from here. */
+/* The chain of the object's changes is broken where the object was removed and
+ * forgotten, so its older value can't be found. */
 static void
-look_up_too_far (MuxCore *core, ConfigChange *change)
+look_up_failed (MuxCore *core, ConfigChange *change)
 {
   MuxFindings findings = { 0 };
 
@@ -184,11 +184,11 @@
                     "revision %" PRIu64 " of %s can't be found from its "
                     "changes; set the value shown by the history",
                     change->revert_to, change->name);
-  answer_findings (core, change, &findings);
+  refuse_with_findings (core, change, &findings);
 }
 
 static void
-looked_up (ConfigChange *change, const json_t *value)
+look_up_found (ConfigChange *change, const json_t *value)
 {
   json_decref (change->value);
   change->value
@@ -196,7 +196,8 @@
   change->revert = false;
 }
 
-/* One step back; false: the chain is broken. */
+/* Follows the chain of changes one step back. Returns false where it is
+ * broken. */
 static bool
 look_up_step (ConfigChange *change, const json_t *row)
 {
@@ -207,11 +208,11 @@
       || ++change->revisions_read > CONFIG_REVERT_REVISIONS_MAX)
     return false;
   if (change->cursor <= change->revert_to)
-    looked_up (change, json_object_get (row, "value"));
+    look_up_found (change, json_object_get (row, "value"));
   else if (prior == 0 && change->revert_to <= json_number (row, "floor"))
     return false;
   else if (prior == 0)
-    looked_up (change, NULL);
+    look_up_found (change, NULL);
   change->cursor = prior;
   return true;
 }
@@ -235,13 +236,14 @@
       row = config_row_json (&reply->rows[0]);
       change->state = CHANGE_PAUSED;
       if (!look_up_step (change, row))
-        look_up_too_far (core, change);
+        look_up_failed (core, change);
       json_decref (row);
     }
   config_changes_run (core);
 }
 
-/* Each log row names the change of its object before it: walk back. */
+/* Reads the log row at the cursor. Each row names the previous change of its
+ * object. */
 static void
 change_look_up (MuxCore *core, ConfigChange *change)
 {
@@ -253,25 +255,26 @@
 }
 
 static bool
-change_beaten (const ConfigChange *change, const ConfigObject *object)
+change_conflicts (const ConfigChange *change, const ConfigObject *object)
 {
   return change->has_expected
          && change->expected_revision != config_object_revision (object);
 }
 
-/* What a revert to a revision not reached, or of an object of which nothing
- * is remembered, comes to. */
+/* Starts or continues the search of the log for a revert. Refuses a revert to
+ * a revision not reached yet, and one of an object of which nothing is
+ * remembered. */
 static void
-change_look_up_from (MuxCore *core,
-                     ConfigChange *change,
-                     const ConfigObject *object)
+change_look_up_begin (MuxCore *core,
+                      ConfigChange *change,
+                      const ConfigObject *object)
 {
   const Config *config = core->config;
 
   if (change->revert_to > config->revision
       || (object == NULL && change->revert_to <= config->floor))
     {
-      look_up_too_far (core, change);
+      look_up_failed (core, change);
       return;
     }
   if (change->cursor == 0 && object != NULL)
@@ -294,12 +297,12 @@
                      &findings))
     change_pause (core, change, MUX_REASON_INTERNAL);
   else if (findings.count > 0)
-    answer_findings (core, change, &findings);
+    refuse_with_findings (core, change, &findings);
   else
     change_write (core, change);
 }
 
-/* The state in force is that of the head: decide on the change. */
+/* Decides on the change, with the revision of the head in force. */
 static void
 change_decide (MuxCore *core, ConfigChange *change)
 {
@@ -307,13 +310,13 @@
       = config_object (core->config, change->sort, change->name);
   bool exists = config_object_revision (object) != 0;
 
-  if (change_beaten (change, object))
+  if (change_conflicts (change, object))
     {
       config_respond_conflict (core, change->call_id, object);
       change_finish (core, change);
     }
   else if (change->revert)
-    change_look_up_from (core, change, object);
+    change_look_up_begin (core, change, object);
   else if (change->sort == MUX_CONFIG_DRAIN
            && exists == (change->value != NULL))
     change_accepted (core, change,
@@ -350,9 +353,9 @@
       change->state = CHANGE_SYNC;
       config_follow (core);
     }
-  /* The two rows are not read at one moment, and the state may have moved
-   * since.  Only when it is the same from before the check until now does
-   * the missing change row say that no earlier write of it has landed. */
+  /* The two rows are not read atomically, and the revision in force may have
+   * changed since. Only if it was the same from before the check until now
+   * does the absent change row show that no earlier write took effect. */
   else if (head != change->checked_revision || config->revision != head)
     change_pause (core, change, MUX_REASON_FENCED_ROW);
   else
