--- a/src/core/call.c
+++ b/src/core/call.c
@@ -2,11 +2,11 @@
 
 #include <stdlib.h>
 
-/* An adapter replies within a call's own time limit.  So much later its reply
- * is lost: its ring was full, or memory was out. */
-#define OVERDUE_MS 5000
-/* Between looks for overdue calls. */
-#define LOOK_MS 1000
+/* An adapter replies within a call's timeout. This long after it the reply is
+ * considered lost, as a ring was full or memory was exhausted. */
+#define REPLY_LOST_AFTER_MS 5000
+/* Interval of checks for overdue calls. */
+#define OVERDUE_CHECK_INTERVAL_MS 1000
 
 struct PendingCall
 {
@@ -15,7 +15,7 @@
   TableCallback table_done;
   MuxId subject;
   uint64_t aux;
-  int64_t overdue_ms; /* no reply can come any more */
+  int64_t overdue_ms; /* the reply is considered lost */
   int verb;
   char worker[MUX_NAME_LEN];
   UT_hash_handle hh;
@@ -55,7 +55,7 @@
     return false;
   pending->worker_done = done;
   pending->verb = call->verb;
-  pending->overdue_ms = core->now_ms + call->timeout_ms + OVERDUE_MS;
+  pending->overdue_ms = core->now_ms + call->timeout_ms + REPLY_LOST_AFTER_MS;
   mux_name_copy (pending->worker, call->worker);
   call->call_id = pending->call_id;
   mux_name_copy (call->owner, core->name);
@@ -85,7 +85,7 @@
   if (call->timeout_ms == 0)
     call->timeout_ms = TABLE_TIMEOUT_MS;
   pending->verb = call->verb;
-  pending->overdue_ms = core->now_ms + call->timeout_ms + OVERDUE_MS;
+  pending->overdue_ms = core->now_ms + call->timeout_ms + REPLY_LOST_AFTER_MS;
   if (core->sink->table_call (core->sink, call))
     return true;
   mux_count_retry (core->counters, MUX_REASON_RING_FULL);
@@ -132,7 +132,7 @@
 }
 
 static void
-make_up (MuxCore *core, const PendingCall *lost)
+complete_lost (MuxCore *core, const PendingCall *lost)
 {
   MuxWorkerReply worker = { .call_id = lost->call_id,
                             .verb = (MuxWorkerVerb) lost->verb,
@@ -149,10 +149,10 @@
 }
 
 /*
- * Failure: a reply was dropped on its way to the core.  Whatever waits for it
- * waits for ever: a worker is never renewed again, no group of intents is
- * written any more.  A call that is overdue is therefore answered here, with
- * "may have taken effect"; should its reply come after all, it finds nothing.
+ * A reply may be dropped on its way to the core. Its receiver would wait for
+ * ever: a worker would not be renewed again, and no further group of intents
+ * written. An overdue call is therefore completed here as one that may have
+ * taken effect; a reply that arrives afterwards is dropped.
  */
 void
 calls_tick (MuxCore *core)
@@ -161,7 +161,7 @@
 
   if (core->now_ms < core->next_overdue_check_ms)
     return;
-  core->next_overdue_check_ms = core->now_ms + LOOK_MS;
+  core->next_overdue_check_ms = core->now_ms + OVERDUE_CHECK_INTERVAL_MS;
   HASH_ITER (hh, core->pending_calls, pending, next)
   {
     PendingCall lost = *pending;
@@ -169,8 +169,9 @@
     if (core->now_ms < lost.overdue_ms)
       continue;
     mux_count_retry (core->counters, MUX_REASON_RING_FULL);
-    make_up (core, &lost);
-    /* Handling it may have ended any other call: begin anew next time. */
+    complete_lost (core, &lost);
+    /* The callback may have ended any other call, so restart the search with
+     * the next tick. */
     core->next_overdue_check_ms = core->now_ms;
     return;
   }
--- a/src/core/call.h
+++ b/src/core/call.h
@@ -3,8 +3,8 @@
 
 #include "core_private.h"
 
-/* Calls in flight.  The subject is an id, not a pointer: by the time of the
- * reply the thing may be gone, and a late reply must find nothing. */
+/* Calls in flight. The subject is an id, not a pointer: the object may have
+ * been freed when the reply arrives, and a late reply must not find it. */
 typedef void (*WorkerCallback) (MuxCore *core,
                                 MuxId subject,
                                 uint64_t aux,
@@ -14,13 +14,16 @@
                                uint64_t aux,
                                const MuxTableReply *reply);
 
-/** call_worker() - false: nothing was sent and @done will not be called */
+/** call_worker() - start a call; @done is called once with its reply
+ *
+ * Return: false: nothing was sent and @done will not be called.
+ */
 bool call_worker (MuxCore *core,
                   MuxWorkerCall *call,
                   WorkerCallback done,
                   MuxId subject,
                   uint64_t aux);
-/** call_table() - takes @call over; false as for call_worker() */
+/** call_table() - as call_worker(); takes ownership of @call */
 bool call_table (MuxCore *core,
                  MuxTableCall *call,
                  TableCallback done,
@@ -28,7 +31,7 @@
                  uint64_t aux);
 void call_worker_reply (MuxCore *core, const MuxWorkerReply *reply);
 void call_table_reply (MuxCore *core, const MuxTableReply *reply);
-/** calls_tick() - answer calls whose reply was lost */
+/** calls_tick() - complete calls whose reply was lost */
 void calls_tick (MuxCore *core);
 void calls_free (MuxCore *core);
 
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -8,33 +8,33 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Rows of one transaction. */
+/* Maximum rows of one transaction. */
 #define GROUP_MAX 64
-/* After the table did not answer, keyed work is refused at once for so long,
- * in place of each request finding out for itself. */
-#define DOWN_MS 1000
+/* How long keyed tasks are refused at once after a failed call to the store,
+ * instead of each waiting for its own call to fail. */
+#define STORE_DOWN_MS 1000
 
 /*
- * What a row is wanted for.  Failure: a task is given up with its write in
- * flight, the same key comes again, and that write's answer is taken for the
- * new task's: it starts where no row says so, and the next submission finds
- * nothing there and runs the work a second time.  So an answer counts for the
- * want that it answers alone.
+ * A read or write of a task's row. Its reply counts only while the task still
+ * awaits this row_call. A task may be given up with its write in flight and its
+ * key submitted again; if the new task took that reply for its own, it would
+ * start where no row says so, and the next submission would not find it and
+ * would run the task a second time.
  */
 typedef struct
 {
   MuxId key;
-  uint64_t want;
+  uint64_t row_call;
 } Entry;
 
-/* Tasks whose rows are to be written, or read, in order of arrival. */
+/* Rows to be written, or read, in order of arrival. */
 typedef struct
 {
   Entry *entry;
   uint32_t head;
   uint32_t count;
   uint32_t cap;
-  Entry group[GROUP_MAX]; /* in flight */
+  Entry group[GROUP_MAX]; /* rows of the call in flight */
   uint32_t group_count;
   bool in_flight;
 } Queue;
@@ -43,7 +43,7 @@
 {
   Queue put;
   Queue read;
-  uint64_t wants;
+  uint64_t last_row_call;
   int64_t next_put_ms;
   int64_t down_until_ms;
 };
@@ -120,20 +120,21 @@
   json_t *json;
   json_int_t attempt, grant, incarnation, home_incarnation, not_after_ms, at_ms;
   const char *worker, *addr, *home;
-  bool good;
+  bool valid;
 
   if (blob == NULL)
     return false;
   json = json_loadb (blob->bytes, blob->len, 0, NULL);
-  good = json != NULL
-         && json_unpack (json, "{s:I, s:I, s:s, s:s, s:I, s:s, s:I, s:I, s:I}",
-                         "attempt", &attempt, "grant", &grant, "worker",
-                         &worker, "addr", &addr, "incarnation", &incarnation,
-                         "home", &home, "home_incarnation", &home_incarnation,
-                         "not_after_ms", &not_after_ms, "at_ms", &at_ms)
-                == 0
-         && attempt > 0 && attempt < UINT32_MAX && strlen (addr) < MUX_ADDR_LEN;
-  if (good)
+  valid = json != NULL
+          && json_unpack (json, "{s:I, s:I, s:s, s:s, s:I, s:s, s:I, s:I, s:I}",
+                          "attempt", &attempt, "grant", &grant, "worker",
+                          &worker, "addr", &addr, "incarnation", &incarnation,
+                          "home", &home, "home_incarnation", &home_incarnation,
+                          "not_after_ms", &not_after_ms, "at_ms", &at_ms)
+                 == 0
+          && attempt > 0 && attempt < UINT32_MAX
+          && strlen (addr) < MUX_ADDR_LEN;
+  if (valid)
     {
       *intent = (Intent){ .attempt = (uint32_t) attempt,
                           .grant_number = (uint64_t) grant,
@@ -141,12 +142,12 @@
                           .home_incarnation = (uint64_t) home_incarnation,
                           .not_after_ms = not_after_ms,
                           .at_ms = at_ms };
-      good = mux_name_copy (intent->worker, worker)
-             && mux_name_copy (intent->home, home);
+      valid = mux_name_copy (intent->worker, worker)
+              && mux_name_copy (intent->home, home);
       snprintf (intent->addr, sizeof intent->addr, "%s", addr);
     }
   json_decref (json);
-  return good;
+  return valid;
 }
 
 static void
@@ -159,22 +160,22 @@
 }
 
 static Entry
-want (MuxCore *core, Task *task)
+new_entry (MuxCore *core, Task *task)
 {
-  task->awaited_row_call = ++core->commit->wants;
+  task->awaited_row_call = ++core->commit->last_row_call;
   return (Entry){ task->key, task->awaited_row_call };
 }
 
-/* The task that still wants what @entry stands for. */
+/* Returns the task if it still waits for the result of @entry, else NULL. */
 static Task *
-wanting (MuxCore *core, Entry entry, TaskState wanted)
+waiting_task (MuxCore *core, Entry entry, TaskState state)
 {
   Task *task = task_find (core, entry.key);
 
-  if (task == NULL || task->awaited_row_call != entry.want)
+  if (task == NULL || task->awaited_row_call != entry.row_call)
     return NULL;
-  if (task->state == wanted
-      || (wanted == TASK_READING && task->state == TASK_REFUSING))
+  if (task->state == state
+      || (state == TASK_READING && task->state == TASK_REFUSING))
     return task;
   return NULL;
 }
@@ -182,17 +183,17 @@
 bool
 commit_put (MuxCore *core, Task *task)
 {
-  return queue_push (&core->commit->put, want (core, task));
+  return queue_push (&core->commit->put, new_entry (core, task));
 }
 
 static void
-tell (MuxCore *core,
-      Entry entry,
-      TaskState wanted,
-      TaskEventKind kind,
-      uint64_t rev)
+notify_task (MuxCore *core,
+             Entry entry,
+             TaskState state,
+             TaskEventKind kind,
+             uint64_t rev)
 {
-  Task *task = wanting (core, entry, wanted);
+  Task *task = waiting_task (core, entry, state);
   TaskEvent event = { .kind = kind, .rev = rev };
 
   if (task != NULL)
@@ -202,18 +203,18 @@
 void
 commit_read (MuxCore *core, Task *task)
 {
-  Entry entry = want (core, task);
+  Entry entry = new_entry (core, task);
 
   if (!queue_push (&core->commit->read, entry))
-    tell (core, entry, TASK_READING, TASK_EV_STORE_DOWN, 0);
+    notify_task (core, entry, TASK_READING, TASK_EV_STORE_DOWN, 0);
 }
 
 static void
-note_down (MuxCore *core)
+set_store_down (MuxCore *core)
 {
   if (core->now_ms >= core->commit->down_until_ms)
     core_log (core, 4, "store_down", "daemon=%s", core->name);
-  core->commit->down_until_ms = core->now_ms + DOWN_MS;
+  core->commit->down_until_ms = core->now_ms + STORE_DOWN_MS;
 }
 
 bool
@@ -223,11 +224,11 @@
 }
 
 static void
-tell_group (MuxCore *core,
-            Queue *queue,
-            TaskState wanted,
-            TaskEventKind kind,
-            uint64_t rev)
+notify_group (MuxCore *core,
+              Queue *queue,
+              TaskState state,
+              TaskEventKind kind,
+              uint64_t rev)
 {
   Entry group[GROUP_MAX];
   uint32_t count = queue->group_count;
@@ -236,7 +237,7 @@
   queue->group_count = 0;
   queue->in_flight = false;
   for (uint32_t i = 0; i < count; i++)
-    tell (core, group[i], wanted, kind, rev);
+    notify_task (core, group[i], state, kind, rev);
 }
 
 static const MuxRow *
@@ -252,9 +253,9 @@
 }
 
 static void
-tell_row (MuxCore *core, Entry entry, TaskState wanted, const MuxRow *row)
+notify_row (MuxCore *core, Entry entry, TaskState state, const MuxRow *row)
 {
-  Task *task = wanting (core, entry, wanted);
+  Task *task = waiting_task (core, entry, state);
   Intent intent;
   TaskEvent event
       = { .kind = TASK_EV_ROW_FOUND, .intent = &intent, .rev = row->rev };
@@ -268,8 +269,8 @@
   task_event (core, task, &event);
 }
 
-/* One row's condition failed, so nothing of the group was written: those
- * rows' tasks learn what stands, the others go into the next group. */
+/* A row's condition failed, so no row of the group was written. The tasks of
+ * the rows in conflict get the stored rows; the others join the next group. */
 static void
 split_group (MuxCore *core, const MuxTableReply *reply)
 {
@@ -285,9 +286,9 @@
       const MuxRow *row = row_of (reply, group[i].key);
 
       if (row != NULL)
-        tell_row (core, group[i], TASK_RECORDING, row);
+        notify_row (core, group[i], TASK_RECORDING, row);
       else if (!queue_push (put, group[i]))
-        tell (core, group[i], TASK_RECORDING, TASK_EV_STORE_DOWN, 0);
+        notify_task (core, group[i], TASK_RECORDING, TASK_EV_STORE_DOWN, 0);
     }
 }
 
@@ -305,18 +306,18 @@
     {
     case MUX_TABLE_OK:
       core->commit->down_until_ms = 0;
-      tell_group (core, put, TASK_RECORDING, TASK_EV_ROW_WRITTEN, reply->rev);
+      notify_group (core, put, TASK_RECORDING, TASK_EV_ROW_WRITTEN, reply->rev);
       break;
     case MUX_TABLE_CONFLICT:
       split_group (core, reply);
       break;
     case MUX_TABLE_UNKNOWN:
-      tell_group (core, put, TASK_RECORDING, TASK_EV_ROW_UNKNOWN, 0);
+      notify_group (core, put, TASK_RECORDING, TASK_EV_ROW_UNKNOWN, 0);
       break;
     case MUX_TABLE_DOWN:
     case MUX_TABLE_BAD:
-      note_down (core);
-      tell_group (core, put, TASK_RECORDING, TASK_EV_STORE_DOWN, 0);
+      set_store_down (core);
+      notify_group (core, put, TASK_RECORDING, TASK_EV_STORE_DOWN, 0);
       break;
     }
 }
@@ -335,8 +336,8 @@
   (void) aux;
   if (reply->status != MUX_TABLE_OK)
     {
-      note_down (core);
-      tell_group (core, read, TASK_READING, TASK_EV_STORE_DOWN, 0);
+      set_store_down (core);
+      notify_group (core, read, TASK_READING, TASK_EV_STORE_DOWN, 0);
       return;
     }
   memcpy (group, read->group, count * sizeof group[0]);
@@ -347,21 +348,22 @@
       const MuxRow *row = row_of (reply, group[i].key);
 
       if (row != NULL)
-        tell_row (core, group[i], TASK_READING, row);
+        notify_row (core, group[i], TASK_READING, row);
       else
-        tell (core, group[i], TASK_READING, TASK_EV_ROW_ABSENT, 0);
+        notify_task (core, group[i], TASK_READING, TASK_EV_ROW_ABSENT, 0);
     }
 }
 
-/* Takes up to GROUP_MAX tasks still in @wanted off the queue. */
+/* Moves up to GROUP_MAX entries whose task is still in @state from the
+ * queue to its group. Returns their number. */
 static uint32_t
-take_group (MuxCore *core, Queue *queue, TaskState wanted)
+take_group (MuxCore *core, Queue *queue, TaskState state)
 {
   Entry entry;
 
   queue->group_count = 0;
   while (queue->group_count < GROUP_MAX && queue_pop (queue, &entry))
-    if (wanting (core, entry, wanted) != NULL)
+    if (waiting_task (core, entry, state) != NULL)
       queue->group[queue->group_count++] = entry;
   return queue->group_count;
 }
@@ -400,7 +402,7 @@
   core->commit->next_put_ms = core->now_ms + commit_write_interval_ms (core);
   put->in_flight = true;
   if (call == NULL || !call_table (core, call, put_done, (MuxId){ 0, 0 }, 0))
-    tell_group (core, put, TASK_RECORDING, TASK_EV_STORE_DOWN, 0);
+    notify_group (core, put, TASK_RECORDING, TASK_EV_STORE_DOWN, 0);
 }
 
 static void
@@ -417,7 +419,7 @@
     row_key (read->group[i].key, call->rows[i].key);
   read->in_flight = true;
   if (call == NULL || !call_table (core, call, read_done, (MuxId){ 0, 0 }, 0))
-    tell_group (core, read, TASK_READING, TASK_EV_STORE_DOWN, 0);
+    notify_group (core, read, TASK_READING, TASK_EV_STORE_DOWN, 0);
 }
 
 int64_t
--- a/src/core/commit.h
+++ b/src/core/commit.h
@@ -3,24 +3,29 @@
 
 #include "task.h"
 
-/* Intents of keyed tasks, written in groups: one transaction in flight, at
- * most this daemon's part of writes_per_s, each of many rows. */
+/* Group commit of the intents of keyed tasks: one transaction of many rows is
+ * in flight at a time, at a rate of at most this daemon's share of
+ * writes_per_s. */
 Commit *commit_new (void);
 void commit_free (Commit *commit);
-/** commit_put() - write @task's intent on condition of its row_rev; ends in
- * one of the task's ROW_* or STORE_DOWN events.  False: memory is out. */
+/** commit_put() - write @task's intent if its row still has row_rev
+ *
+ * Ends in one of the task's ROW_* or STORE_DOWN events.
+ *
+ * Return: false: memory is exhausted.
+ */
 bool commit_put (MuxCore *core, Task *task);
-/** commit_read() - read @task's row; ends as above */
+/** commit_read() - read @task's row; ends in the same events */
 void commit_read (MuxCore *core, Task *task);
-/** commit_pace_ms() - between two writes, so that all living daemons together
- * stay within what the table takes */
+/** commit_write_interval_ms() - return the interval between writes that keeps
+ * all live daemons together within writes_per_s */
 int64_t commit_write_interval_ms (const MuxCore *core);
 void commit_tick (MuxCore *core);
 int64_t commit_wake_ms (const MuxCore *core);
-/** commit_store_down() - the table answered nothing lately */
+/** commit_store_down() - true if the store failed to answer a moment ago */
 bool commit_store_down (const MuxCore *core);
 
-/** intent_to_blob() - JSON of a row; NULL: memory is out */
+/** intent_to_blob() - encode as the JSON of a row; NULL: memory is exhausted */
 MuxBlob *intent_to_blob (const Intent *intent);
 bool intent_from_blob (const MuxBlob *blob, Intent *intent);
 
--- a/src/core/retry_budget.c
+++ b/src/core/retry_budget.c
@@ -2,21 +2,22 @@
 
 #include <stdlib.h>
 
-/* A retry costs 1000; what comes earns a tenth of one. */
+/* A new task adds a tenth of the cost of a retry. */
 #define RETRY_COST INT64_C (1000)
-#define EARN INT64_C (100)
-/* Retries that a quiet class has at hand. */
-#define FULL (50 * RETRY_COST)
+#define CREDIT_PER_TASK INT64_C (100)
+/* Limit of a budget, which allows 50 retries in a row; also its initial
+ * value. */
+#define BUDGET_MAX (50 * RETRY_COST)
 
 struct RetryBudget
 {
   char class_name[MUX_NAME_LEN];
-  int64_t left;
+  int64_t balance;
   UT_hash_handle hh;
 };
 
 static RetryBudget *
-find (MuxCore *core, const char *class_name)
+get_budget (MuxCore *core, const char *class_name)
 {
   RetryBudget *budget;
 
@@ -27,7 +28,7 @@
   if (budget == NULL)
     return NULL;
   mux_name_copy (budget->class_name, class_name);
-  budget->left = FULL;
+  budget->balance = BUDGET_MAX;
   HASH_ADD_STR (core->retry_budgets, class_name, budget);
   return budget;
 }
@@ -35,20 +36,20 @@
 void
 retry_budget_credit (MuxCore *core, const char *class_name)
 {
-  RetryBudget *budget = find (core, class_name);
+  RetryBudget *budget = get_budget (core, class_name);
 
-  if (budget != NULL && budget->left < FULL)
-    budget->left += EARN;
+  if (budget != NULL && budget->balance < BUDGET_MAX)
+    budget->balance += CREDIT_PER_TASK;
 }
 
 bool
 retry_budget_spend (MuxCore *core, const char *class_name)
 {
-  RetryBudget *budget = find (core, class_name);
+  RetryBudget *budget = get_budget (core, class_name);
 
-  if (budget == NULL || budget->left < RETRY_COST)
+  if (budget == NULL || budget->balance < RETRY_COST)
     return false;
-  budget->left -= RETRY_COST;
+  budget->balance -= RETRY_COST;
   return true;
 }
 
--- a/src/core/retry_budget.h
+++ b/src/core/retry_budget.h
@@ -3,12 +3,12 @@
 
 #include "core_private.h"
 
-/* Retry budgets by class: retries may be a bounded share of what came, so
- * that a failing cell is not buried under its own retries. */
+/* Retry budgets by class. Retries are limited to a share of the incoming
+ * tasks, so that they don't overload a failing cell. */
 
-/** budget_earn() - a request or task of the class came */
+/** retry_budget_credit() - add the share of one new task of the class */
 void retry_budget_credit (MuxCore *core, const char *class_name);
-/** budget_take() - false: the class's budget is spent */
+/** retry_budget_spend() - take one retry; false: the budget is exhausted */
 bool retry_budget_spend (MuxCore *core, const char *class_name);
 void retry_budgets_free (MuxCore *core);
 
--- a/src/core/show.c
+++ b/src/core/show.c
@@ -8,7 +8,7 @@
 
 #include <stdlib.h>
 
-/* Most classes in one answer about targets. */
+/* Maximum classes in one response. */
 #define RISKS_MAX 1024
 
 static const char *
@@ -34,10 +34,10 @@
 }
 
 void
-show_status (MuxCore *core, uint64_t call)
+show_status (MuxCore *core, uint64_t call_id)
 {
   json_t *members = json_array ();
-  json_t *late = json_array ();
+  json_t *unconfirmed = json_array ();
   uint64_t revision = config_revision (core);
   MuxSchedStats stats = mux_sched_stats (core->sched, core->now_ms);
 
@@ -45,10 +45,10 @@
     {
       json_array_append_new (members, member_json (core, m));
       if (m->revision < revision || m->state == MEMBER_DEAD)
-        json_array_append_new (late, json_string (m->name));
+        json_array_append_new (unconfirmed, json_string (m->name));
     }
   core_respond_json (
-      core, call, 200,
+      core, call_id, 200,
       json_pack ("{s:s, s:s, s:I, s:b, s:b, s:b, s:I, s:I, s:I, s:I, s:o, "
                  "s:o, s:o, s:o}",
                  "instance", core->name, "data_centre", core->data_centre,
@@ -60,7 +60,7 @@
                  "tasks", (json_int_t) HASH_COUNT (core->tasks), "free",
                  mux_size_to_json (stats.free), "total",
                  mux_size_to_json (stats.total), "members", members,
-                 "not_confirmed", late));
+                 "not_confirmed", unconfirmed));
 }
 
 static const char *
@@ -95,14 +95,14 @@
 }
 
 void
-show_workers (MuxCore *core, uint64_t call)
+show_workers (MuxCore *core, uint64_t call_id)
 {
   json_t *workers = json_array ();
 
   for (const Worker *w = core->workers; w != NULL; w = w->hh.next)
     json_array_append_new (workers, worker_json (core, w));
   core_respond_json (
-      core, call, 200,
+      core, call_id, 200,
       json_pack ("{s:s, s:o}", "instance", core->name, "workers", workers));
 }
 
@@ -119,7 +119,7 @@
 }
 
 void
-show_risk (MuxCore *core, uint64_t call)
+show_risk (MuxCore *core, uint64_t call_id)
 {
   MuxRisk *risks = calloc (RISKS_MAX, sizeof *risks);
   json_t *classes = json_array ();
@@ -135,6 +135,6 @@
     }
   free (risks);
   core_respond_json (
-      core, call, 200,
+      core, call_id, 200,
       json_pack ("{s:s, s:o}", "instance", core->name, "classes", classes));
 }
--- a/src/core/show.h
+++ b/src/core/show.h
@@ -3,9 +3,9 @@
 
 #include "core_private.h"
 
-/* Answers to operators' questions about this daemon's view. */
-void show_status (MuxCore *core, uint64_t call);
-void show_workers (MuxCore *core, uint64_t call);
-void show_risk (MuxCore *core, uint64_t call);
+/* Responses to operators' queries: the cell as this daemon sees it. */
+void show_status (MuxCore *core, uint64_t call_id);
+void show_workers (MuxCore *core, uint64_t call_id);
+void show_risk (MuxCore *core, uint64_t call_id);
 
 #endif
--- a/src/core/ticket.c
+++ b/src/core/ticket.c
@@ -8,9 +8,9 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Fields of a ticket's text, the code not counted. */
-#define FIELDS 9
-#define VERSION "1"
+/* Fields of a ticket's text without its message authentication code. */
+#define FIELD_COUNT 9
+#define TICKET_VERSION "1"
 
 bool
 ticket_write (const MuxCore *core,
@@ -22,11 +22,11 @@
   int len;
 
   mux_id_format (ticket->key, key);
-  len = snprintf (out, MUX_TICKET_LEN,
-                  VERSION ";%s;%s;%s;%s;%s;%" PRIu64 ";%" PRIu64 ";%" PRId64,
-                  key, ticket->class_name, ticket->owner, ticket->worker,
-                  ticket->addr, ticket->incarnation, ticket->epoch,
-                  ticket->not_after_ms);
+  len = snprintf (
+      out, MUX_TICKET_LEN,
+      TICKET_VERSION ";%s;%s;%s;%s;%s;%" PRIu64 ";%" PRIu64 ";%" PRId64, key,
+      ticket->class_name, ticket->owner, ticket->worker, ticket->addr,
+      ticket->incarnation, ticket->epoch, ticket->not_after_ms);
   if (len < 0 || len + MUX_MAC_HEX_LEN + 1 > MUX_TICKET_LEN
       || !mux_mac (core->opt.ticket_key, out, code))
     return false;
@@ -35,7 +35,7 @@
 }
 
 static bool
-code_good (const MuxCore *core, char *text)
+verify_code (const MuxCore *core, char *text)
 {
   char *last = strrchr (text, ';');
   char code[MUX_MAC_HEX_LEN];
@@ -48,7 +48,7 @@
 }
 
 static bool
-take_name (const char *field, char out[MUX_NAME_LEN])
+parse_name (const char *field, char out[MUX_NAME_LEN])
 {
   return mux_name_valid (field) && mux_name_copy (out, field);
 }
@@ -58,22 +58,23 @@
 {
   char buf[MUX_TICKET_LEN];
   char *rest = buf;
-  char *field[FIELDS];
+  char *field[FIELD_COUNT];
   uint32_t count = 0;
 
   *ticket = (Ticket){ 0 };
   if (strlen (text) >= sizeof buf)
     return false;
   memcpy (buf, text, strlen (text) + 1);
-  if (!code_good (core, buf))
+  if (!verify_code (core, buf))
     return false;
-  while (rest != NULL && count < FIELDS)
+  while (rest != NULL && count < FIELD_COUNT)
     field[count++] = strsep (&rest, ";");
-  if (rest != NULL || count != FIELDS || strcmp (field[0], VERSION) != 0
+  if (rest != NULL || count != FIELD_COUNT
+      || strcmp (field[0], TICKET_VERSION) != 0
       || !mux_id_parse (field[1], &ticket->key)
-      || !take_name (field[2], ticket->class_name)
-      || !take_name (field[3], ticket->owner)
-      || !take_name (field[4], ticket->worker)
+      || !parse_name (field[2], ticket->class_name)
+      || !parse_name (field[3], ticket->owner)
+      || !parse_name (field[4], ticket->worker)
       || strlen (field[5]) >= MUX_ADDR_LEN)
     return false;
   snprintf (ticket->addr, sizeof ticket->addr, "%s", field[5]);
@@ -83,27 +84,27 @@
 }
 
 static void
-refuse (MuxCore *core, const MuxCoreRequest *ask, MuxReason reason)
+refuse (MuxCore *core, const MuxCoreRequest *request, MuxReason reason)
 {
-  core_respond (core, ask->call_id, MUX_OUTCOME_NOT_RUN, reason, 0,
+  core_respond (core, request->call_id, MUX_OUTCOME_NOT_RUN, reason, 0,
                 (MuxId){ 0, 0 }, NULL);
 }
 
 void
-ticket_issue (MuxCore *core, const MuxCoreRequest *ask)
+ticket_issue (MuxCore *core, const MuxCoreRequest *request)
 {
-  const MuxClassSpec *spec = config_class (core, ask->name);
+  const MuxClassSpec *spec = config_class (core, request->name);
   TaskOptions options = { .spec = spec,
                           .key = core_new_task_id (core),
-                          .call_id = ask->call_id,
-                          .expires_ms = core->now_ms + ask->timeout_ms,
+                          .call_id = request->call_id,
+                          .expires_ms = core->now_ms + request->timeout_ms,
                           .attempt = 1,
                           .for_ticket = true };
 
-  if (task_request_refused (core, ask, spec))
+  if (task_request_refused (core, request, spec))
     return;
   if (!task_begin (core, &options))
-    refuse (core, ask, MUX_REASON_INTERNAL);
+    refuse (core, request, MUX_REASON_INTERNAL);
 }
 
 void
@@ -135,27 +136,27 @@
 }
 
 void
-ticket_redeem (MuxCore *core, const MuxCoreRequest *ask)
+ticket_redeem (MuxCore *core, const MuxCoreRequest *request)
 {
-  const MuxClassSpec *spec = config_class (core, ask->name);
+  const MuxClassSpec *spec = config_class (core, request->name);
   Ticket ticket;
   Task *task;
 
   mux_count (core->counters, MUX_COUNT_REQUESTS, 1);
-  if (task_request_refused (core, ask, spec))
+  if (task_request_refused (core, request, spec))
     return;
-  if (!ticket_read (core, ask->ticket, &ticket)
-      || strcmp (ticket.class_name, ask->name) != 0)
+  if (!ticket_read (core, request->ticket, &ticket)
+      || strcmp (ticket.class_name, request->name) != 0)
     {
-      refuse (core, ask, MUX_REASON_BAD_TICKET);
+      refuse (core, request, MUX_REASON_BAD_TICKET);
       return;
     }
   task = task_find (core, ticket.key);
   if (task != NULL)
     {
-      task_join (core, task, ask);
+      task_join (core, task, request);
       return;
     }
-  if (!task_begin_ticket (core, ask, spec, &ticket))
-    refuse (core, ask, MUX_REASON_INTERNAL);
+  if (!task_begin_ticket (core, request, spec, &ticket))
+    refuse (core, request, MUX_REASON_INTERNAL);
 }
