--- a/src/core/call.h
+++ b/src/core/call.h
@@ -14,7 +14,8 @@
                                uint64_t aux,
                                const MuxTableReply *reply);
 
-/** call_worker() - start a call; @done is called once with its reply
+/** call_worker() - start a call; @done is called once with @subject, @aux and
+ * the reply
  *
  * Return: false: nothing was sent and @done will not be called.
  */
@@ -29,7 +30,10 @@
                  TableCallback done,
                  MuxId subject,
                  uint64_t aux);
+/** call_worker_reply() - pass a reply to the callback of its call, if the call
+ * is still pending */
 void call_worker_reply (MuxCore *core, const MuxWorkerReply *reply);
+/** call_table_reply() - as call_worker_reply() */
 void call_table_reply (MuxCore *core, const MuxTableReply *reply);
 /** calls_tick() - complete calls whose reply was lost */
 void calls_tick (MuxCore *core);
--- a/src/core/config_change.h
+++ b/src/core/config_change.h
@@ -47,6 +47,7 @@
 /* config_change.c: the queue of changes. All of these except change_find()
  * and change_pause() free the change; change_store_down() keeps one whose
  * earlier write may still take effect. */
+/** change_find() - find a change by serial; NULL: none in @state */
 ConfigChange *change_find (MuxCore *core, MuxId subject, ChangeState state);
 void change_finish (MuxCore *core, ConfigChange *change);
 void change_refuse (MuxCore *core, ConfigChange *change, MuxReason reason);
@@ -54,12 +55,14 @@
  * cuts off */
 void change_expire (MuxCore *core, ConfigChange *change, MuxReason reason);
 void change_accepted (MuxCore *core, ConfigChange *change, uint64_t revision);
+/** change_pause() - check the change again later; retries are delayed */
 void change_pause (MuxCore *core, ConfigChange *change, MuxReason reason);
 /** change_store_down() - refuse the change; pause one whose earlier write may
  * still take effect */
 void change_store_down (MuxCore *core, ConfigChange *change);
 
 /* config_write.c: checks, decides and writes one change. */
+/** change_check() - begin with reading the change row and the head */
 void change_check (MuxCore *core, ConfigChange *change);
 
 #endif
--- a/src/core/config_private.h
+++ b/src/core/config_private.h
@@ -145,11 +145,16 @@
                          uint64_t revision);
 /** config_object_json() - encode as in snapshots and pages */
 json_t *config_object_json (const ConfigObject *object);
+/** config_objects_retry() - pass objects to the scheduler that could not be
+ * passed for lack of memory */
 void config_objects_retry (MuxCore *core);
+/** config_objects_sort() - sort by revision or else by key */
 void config_objects_sort (Config *config, bool by_revision);
 void config_objects_free (Config *config);
 
 /* config_follow.c: reads the log from the store. */
+/** config_follow() - read the head, then a snapshot or the log as needed; if a
+ * read is in progress, repeat it afterwards */
 void config_follow (MuxCore *core);
 void config_log_key (char key[MUX_ROW_KEY_LEN], uint64_t revision);
 /** config_row_json() - parse a row's value; NULL: absent or not JSON */
@@ -157,6 +162,7 @@
 /** config_row_revision() - get a row's "revision", 0 for an absent row; false:
  * the row is malformed */
 bool config_row_revision (const MuxRow *row, uint64_t *revision);
+/** config_set_store_down() - record and log whether the store can be read */
 void config_set_store_down (MuxCore *core, bool down);
 /** config_revision_changed() - send a hint of the higher revision now in force:
  * to all members if it was committed here, else to the sender of a hint */
@@ -167,14 +173,22 @@
 uint64_t json_number (const json_t *json, const char *key);
 
 /* config_peer.c: exchange with other daemons. */
+/** config_request_rows() - start a transfer from @member; NULL: from a random
+ * live peer */
 void config_request_rows (MuxCore *core, Member *member);
+/** config_send_hint() - announce the revision in force to all members or to
+ * hint_sender */
 void config_send_hint (MuxCore *core, bool all);
 
 /* config_snapshot.c: writes snapshots of the configuration. */
+/** config_snapshot_write() - start to write a snapshot of the state in force,
+ * unless one is being written */
 void config_snapshot_write (MuxCore *core);
 
 /* config_change.c: the queue of operators' changes. */
+/** config_change_request() - validate a request and queue its change */
 void config_change_request (MuxCore *core, const MuxCoreRequest *request);
+/** config_changes_run() - expire changes and continue with the first one */
 void config_changes_run (MuxCore *core);
 int64_t config_changes_wake_ms (const MuxCore *core);
 /** config_changes_store_down() - refuse changes that were certainly not
--- a/src/core/member.h
+++ b/src/core/member.h
@@ -36,18 +36,21 @@
   UT_hash_handle hh;
 };
 
+/** members_heartbeat() - update a member, which may be new or restarted */
 void members_heartbeat (MuxCore *core, const MuxPeerMsg *msg);
 /** members_addresses_received() - contact daemons that a peer lists */
 void members_addresses_received (MuxCore *core, const MuxPeerMsg *msg);
 /** members_could_hold() - true if some owner has a worker that could hold
  * @size when empty, or if no worker's size is known yet */
 bool members_could_hold (MuxCore *core, MuxSize size);
+/** members_stopping() - a peer has announced that it stops */
 void members_stopping (MuxCore *core, const MuxPeerMsg *msg);
 /** members_update_list() - contact daemons on the platform's instance list */
 void members_update_list (MuxCore *core, const MuxInstanceList *list);
 /** members_after_pause() - discount a pause of this process, of @gap_ms, from
  * the silence of all members */
 void members_after_pause (MuxCore *core, int64_t gap_ms);
+/** members_tick() - send heartbeats that are due and check for silence */
 void members_tick (MuxCore *core);
 /** members_announce_room() - send heartbeats soon, to other data centres too,
  * as the room here has changed */
--- a/src/core/worker.h
+++ b/src/core/worker.h
@@ -48,7 +48,9 @@
   UT_hash_handle hh;
 };
 
+/** workers_update_list() - apply the platform's list of instances */
 void workers_update_list (MuxCore *core, const MuxInstanceList *list);
+/** workers_tick() - send claims, renewals and releases that are due */
 void workers_tick (MuxCore *core);
 int64_t workers_wake_ms (const MuxCore *core);
 void workers_free (MuxCore *core);
