--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -213,7 +213,7 @@
 set_store_down (MuxCore *core)
 {
   if (core->now_ms >= core->commit->down_until_ms)
-    core_log (core, 4, "store_down", "daemon=%s", core->name);
+    core_log (core, MUX_LOG_WARNING, "store_down", "daemon=%s", core->name);
   core->commit->down_until_ms = core->now_ms + STORE_DOWN_MS;
 }
 
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -369,8 +369,8 @@
   if (core->stopping)
     return;
   core->stopping = true;
-  core_log (core, 5, "stopping", "held=%u waiting=%u", workers_held (core),
-            tasks_waiting_count (core));
+  core_log (core, MUX_LOG_NOTICE, "stopping", "held=%u waiting=%u",
+            workers_held (core), tasks_waiting_count (core));
   owner_refuse_all (core, MUX_REASON_STOPPING);
   members_announce_stop (core);
   workers_members_changed (core);
@@ -385,7 +385,8 @@
       || config_pending_changes (core) > 0 || !jobs_all_recorded (core))
     return;
   core->stopped = true;
-  core_log (core, 5, "stopped", "tasks=%u", HASH_COUNT (core->tasks));
+  core_log (core, MUX_LOG_NOTICE, "stopped", "tasks=%u",
+            HASH_COUNT (core->tasks));
 }
 
 void
--- a/src/core/core_private.h
+++ b/src/core/core_private.h
@@ -1,6 +1,7 @@
 #ifndef CORE_CORE_PRIVATE_H
 #define CORE_CORE_PRIVATE_H
 
+#include "base/log.h"
 #include "core/core.h"
 #include "policy/sched.h"
 
@@ -87,7 +88,8 @@
 int64_t core_jitter (MuxCore *core, int64_t base_ms);
 /** core_new_task_id() - return a task id that has not been used before */
 MuxId core_new_task_id (MuxCore *core);
-/** core_log() - log a change of state for operators */
+/** core_log() - log a change of state for operators
+ * @level: MUX_LOG_* */
 void
 core_log (MuxCore *core, int level, const char *event, const char *format, ...)
     __attribute__ ((format (printf, 4, 5)));
--- a/src/core/member.c
+++ b/src/core/member.c
@@ -215,9 +215,10 @@
       = { "member_live", "member_suspect", "member_dead" };
 
   member->state = state;
-  core_log (core, state == MEMBER_DEAD ? 4 : 5, event[state],
-            "member=%s data_centre=%s incarnation=%llu", member->name,
-            member->data_centre, (unsigned long long) member->incarnation);
+  core_log (core, state == MEMBER_DEAD ? MUX_LOG_WARNING : MUX_LOG_NOTICE,
+            event[state], "member=%s data_centre=%s incarnation=%llu",
+            member->name, member->data_centre,
+            (unsigned long long) member->incarnation);
   if (state == MEMBER_SUSPECT)
     return;
   if (state == MEMBER_DEAD)
@@ -311,7 +312,7 @@
       || member->stopping)
     return;
   member->stopping = true;
-  core_log (core, 5, "member_stopping", "member=%s", member->name);
+  core_log (core, MUX_LOG_NOTICE, "member_stopping", "member=%s", member->name);
   jobs_member_dead (core, member->name);
   workers_members_changed (core);
 }
@@ -375,7 +376,8 @@
 
   if (gap_ms < (int64_t) core->opt.suspect_ms)
     return;
-  core_log (core, 4, "was_paused", "gap_ms=%lld", (long long) gap_ms);
+  core_log (core, MUX_LOG_WARNING, "was_paused", "gap_ms=%lld",
+            (long long) gap_ms);
   HASH_ITER (hh, core->members, member, next)
   if (member->state != MEMBER_DEAD)
     member->last_contact_ms += gap_ms;
--- a/src/core/worker.c
+++ b/src/core/worker.c
@@ -101,7 +101,8 @@
   worker->listed_state = instance->state;
   if (instance->state == MUX_INSTANCE_GONE && worker->claim == CLAIM_HELD)
     {
-      core_log (core, 4, "worker_gone", "worker=%s", worker->name);
+      core_log (core, MUX_LOG_WARNING, "worker_gone", "worker=%s",
+                worker->name);
       worker_claim_ended (core, worker, true);
     }
   worker_update_usable (core, worker);
--- a/src/core/worker_claim.c
+++ b/src/core/worker_claim.c
@@ -66,8 +66,9 @@
     }
   worker->claim = CLAIM_HELD;
   mux_count (core->counters, MUX_COUNT_CLAIMS, 1);
-  core_log (core, 5, "claim_won", "worker=%s epoch=%llu tasks=%u", worker->name,
-            (unsigned long long) worker->epoch, reply->report_count);
+  core_log (core, MUX_LOG_NOTICE, "claim_won", "worker=%s epoch=%llu tasks=%u",
+            worker->name, (unsigned long long) worker->epoch,
+            reply->report_count);
   return true;
 }
 
@@ -96,7 +97,8 @@
 {
   worker->unanswered_calls++;
   if (worker->unanswered_calls == UNANSWERED_CALLS_MAX)
-    core_log (core, 4, "worker_silent", "worker=%s", worker->name);
+    core_log (core, MUX_LOG_WARNING, "worker_silent", "worker=%s",
+              worker->name);
   mux_count_retry (core->counters, MUX_REASON_WORKER_SILENT);
   worker_update_usable (core, worker);
 }
@@ -127,8 +129,8 @@
   if (worker->claim == CLAIM_NONE)
     return;
   mux_count_retry (core->counters, reason);
-  core_log (core, 4, "claim_lost", "worker=%s reason=%s owner=%s", worker->name,
-            mux_reason_name (reason), worker->owner);
+  core_log (core, MUX_LOG_WARNING, "claim_lost", "worker=%s reason=%s owner=%s",
+            worker->name, mux_reason_name (reason), worker->owner);
   worker_claim_ended (core, worker, restarted);
   worker->next_call_ms
       = core->now_ms + (restarted ? 0 : contention_backoff_ms (core, worker));
@@ -290,7 +292,7 @@
     return;
   worker_claim_ended (core, worker, false);
   worker->next_call_ms = core->now_ms + core->opt.lease_ms;
-  core_log (core, 5, "claim_given", "worker=%s", worker->name);
+  core_log (core, MUX_LOG_NOTICE, "claim_given", "worker=%s", worker->name);
   member = successor (core, worker);
   if (member == NULL)
     return;
