--- a/src/core/task.c
+++ b/src/core/task.c
@@ -10,7 +10,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A task whose callers have all been answered "unknown" is minded so long. */
+/* How long a task is still handled after its callers were answered "unknown".
+ */
 #define LINGER_MS 600000
 
 Task *
@@ -30,25 +31,28 @@
 }
 
 bool
-task_add_waiter (MuxCore *core, Task *task, uint64_t call, int64_t give_up_ms)
+task_add_waiter (MuxCore *core,
+                 Task *task,
+                 uint64_t call_id,
+                 int64_t expires_ms)
 {
   Waiter *waiter = calloc (1, sizeof *waiter);
 
-  if (waiter == NULL || !timers_add (core->timers, give_up_ms, task->key))
+  if (waiter == NULL || !timers_add (core->timers, expires_ms, task->key))
     {
       free (waiter);
       return false;
     }
   /*
-   * Failure: a caller told "unknown" asks again; the task has lingered without
-   * callers, with a time limit of its own, and the new caller, who has a
-   * shorter one, would be held until that.  The first caller's limit is the
-   * task's, and only another caller's can make it later.
+   * A caller that was answered "unknown" may come back while the task still
+   * lingers with a limit of its own.  If that limit stayed, a caller with a
+   * shorter one would be kept waiting until it.  So the first caller sets the
+   * limit, and further ones can only make it later.
    */
-  if (task->waiters == NULL || give_up_ms > task->expires_ms)
-    task->expires_ms = give_up_ms;
-  waiter->call_id = call;
-  waiter->expires_ms = give_up_ms;
+  if (task->waiters == NULL || expires_ms > task->expires_ms)
+    task->expires_ms = expires_ms;
+  waiter->call_id = call_id;
+  waiter->expires_ms = expires_ms;
   waiter->next = task->waiters;
   task->waiters = waiter;
   return true;
@@ -175,8 +179,8 @@
 }
 
 /*
- * Failure: work without a key may have run, its caller is told to come back,
- * does so, and it runs a second time.
+ * A caller with work that can't be recognised when it is sent again must not be
+ * advised to retry: it may have run, and the retry would run it a second time.
  */
 uint32_t
 task_unknown_retry_ms (const Task *task)
@@ -216,7 +220,7 @@
 {
   MuxId named = task->id;
 
-  /* All submissions of a key share its attempts' ids: another one may run
+  /* All submissions of a key share the ids of its attempts: another one may run
    * the attempt that this one did not. */
   if (task->keyed && outcome == MUX_OUTCOME_NOT_RUN)
     named = (MuxId){ 0, 0 };
@@ -241,8 +245,8 @@
   task_free (core, task);
 }
 
-/* A caller whose time is over while others still wait for the same task: it
- * may still run for them, so this one can't be told "not run". */
+/* Answers callers whose time limit has passed while others still wait for the
+ * task: it may yet run for those, so the answer can't be "not run". */
 static void
 expire_waiters (MuxCore *core, Task *task)
 {
@@ -291,8 +295,8 @@
 
   HASH_ITER (hh, core->tasks, task, next)
   {
-    /* Its worker may have gone with the daemon that would have told of it,
-     * and that need not be the one that granted it. */
+    /* The worker may have failed together with the daemon that would report the
+     * task's end, and that need not be the one that granted it. */
     if (task->has_job && task->state == TASK_RUNNING)
       task_poll_soon (core, task);
     if ((task->state != TASK_REQUESTING && task->state != TASK_HOLDING)
@@ -320,8 +324,8 @@
 
   HASH_ITER (hh, core->tasks, task, next)
   {
-    /* Every ask gets its answer, also when the daemon ends before it can be
-     * told. */
+    /* Every request is answered, also when the daemon exits before the result
+     * is known. */
     while (task->waiters != NULL)
       {
         Waiter *waiter = task->waiters;
--- a/src/core/task.h
+++ b/src/core/task.h
@@ -4,21 +4,42 @@
 #include "core_private.h"
 
 /**
- * enum TaskState - life of a task at its home
+ * enum TaskState - state of a task at its home daemon
+ *
+ * task_steps.c holds the transitions.
+ *
+ * @TASK_WAITING: no room is requested; ends with the timer, or, for a task of a
+ *   gang, when the gang requests its room
+ * @TASK_REQUESTING: room is requested from an owner; ends with a grant or a
+ *   refusal, until then the timer repeats the request
+ * @TASK_HOLDING: granted; other tasks of its gang are not granted yet
+ * @TASK_RECORDING: granted; its placement is being written to its own row or
+ *   its job's; it starts once that is written
+ * @TASK_READING: its row is being read, to learn whether its write took effect
+ *   or which attempt is on record
+ * @TASK_REFUSING: about to be answered "not run"; the key's row is read first,
+ *   as an earlier submission may have run
+ * @TASK_STARTED: the start was sent; its reply is awaited
+ * @TASK_RUNNING: known to run; its end is awaited
+ * @TASK_RESOLVING: the outcome of the start is unknown; the worker is to set a
+ *   tombstone, which fails if the task was started
+ * @TASK_FOLLOWING: the attempt on record, possibly another daemon's, is polled
+ *   at its worker
+ * @TASK_STOPPING: cancelled; the stop is repeated until the end is confirmed
  */
 typedef enum
 {
-  TASK_WAITING,    /* a pause before the next ask */
-  TASK_REQUESTING, /* an owner was asked for room */
-  TASK_HOLDING,    /* granted; the rest of its gang is not yet */
-  TASK_RECORDING,  /* granted; its intent is being written */
-  TASK_READING,    /* the write's answer was lost; its row is being read */
-  TASK_REFUSING,   /* about to be told "not run"; its row is being read */
-  TASK_STARTED,    /* the start is on its way or being carried out */
-  TASK_RUNNING,    /* known to run; its end is awaited */
-  TASK_RESOLVING,  /* the start's fate is unknown; the worker is being asked */
-  TASK_FOLLOWING,  /* another home's attempt is being watched */
-  TASK_STOPPING,   /* a stop is on its way */
+  TASK_WAITING,
+  TASK_REQUESTING,
+  TASK_HOLDING,
+  TASK_RECORDING,
+  TASK_READING,
+  TASK_REFUSING,
+  TASK_STARTED,
+  TASK_RUNNING,
+  TASK_RESOLVING,
+  TASK_FOLLOWING,
+  TASK_STOPPING,
   TASK_STATE_COUNT
 } TaskState;
 
@@ -29,27 +50,27 @@
 {
   TASK_EV_TIMER,
   TASK_EV_GRANTED,
-  TASK_EV_REFUSED, /* the owner won't, or is lost */
+  TASK_EV_REFUSED, /* refused by the owner, or the owner is lost */
   TASK_EV_ROW_WRITTEN,
-  TASK_EV_ROW_FOUND, /* a row stands already */
+  TASK_EV_ROW_FOUND, /* the row exists */
   TASK_EV_ROW_ABSENT,
-  TASK_EV_ROW_UNKNOWN, /* the write's answer was lost */
+  TASK_EV_ROW_UNKNOWN, /* the outcome of the write is unknown */
   TASK_EV_STORE_DOWN,
-  TASK_EV_ENDED, /* ran: done, failed or stopped */
+  TASK_EV_ENDED, /* it ran and is done, failed or stopped */
   TASK_EV_RUNNING,
-  TASK_EV_ABSENT,            /* the worker has not seen it, and made no mark */
-  TASK_EV_NOT_STARTED,       /* this start certainly had no effect */
-  TASK_EV_TOMBSTONED,        /* a tombstone stands: it will never start there */
-  TASK_EV_WORKER_STATE_LOST, /* the worker restarted since and forgot */
-  TASK_EV_NO_REPLY,          /* no answer from the worker */
-  TASK_EV_EXPIRED,           /* the caller's time is over */
+  TASK_EV_ABSENT,      /* unknown to the worker, and no tombstone is set */
+  TASK_EV_NOT_STARTED, /* this start certainly had no effect */
+  TASK_EV_TOMBSTONED,  /* a tombstone keeps it from starting there */
+  TASK_EV_WORKER_STATE_LOST, /* it restarted, is gone, or forgot */
+  TASK_EV_NO_REPLY,
+  TASK_EV_EXPIRED, /* the callers' time limit has passed */
   TASK_EV_CANCEL,
   TASK_EVENT_COUNT
 } TaskEventKind;
 
-/* What a row or a grant says of where an attempt runs.  @grant counts the
- * grants that this life of the home was given, so that no two are taken for
- * one another. */
+/* Where an attempt is placed, as its row or its grant says.  @grant_number
+ * numbers the grants that this incarnation of the home received, so that no two
+ * are taken for one another. */
 typedef struct
 {
   uint32_t attempt;
@@ -59,11 +80,11 @@
   uint64_t incarnation;
   char home[MUX_NAME_LEN];
   uint64_t home_incarnation;
-  int64_t not_after_ms; /* last moment of its start, worker's clock */
-  int64_t at_ms;        /* time of day, for dropping old rows */
+  int64_t not_after_ms; /* latest start, on the worker's clock */
+  int64_t at_ms;        /* time of day of the grant; old rows are swept by it */
 } Intent;
 
-/* An event with what came with it; everything is borrowed. */
+/* An event and its data; all pointers are borrowed. */
 typedef struct
 {
   TaskEventKind kind;
@@ -71,25 +92,25 @@
   const MuxWorkerReply *reply; /* ENDED */
   const Intent *intent;        /* ROW_FOUND */
   uint64_t rev;                /* ROW_WRITTEN, ROW_FOUND */
-  MuxReason reason;            /* REFUSED, NOT_STARTED, LOST */
+  MuxReason reason;            /* why, if the kind does not say it */
   uint32_t retry_ms;           /* REFUSED */
 } TaskEvent;
 
-/* A caller that waits for a task. */
+/* A caller that waits for a task's result. */
 typedef struct Waiter Waiter;
 struct Waiter
 {
   uint64_t call_id;
   int64_t expires_ms;
-  bool refused; /* among those that are about to be told "not run" */
+  bool refused; /* will be answered "not run" once the row is read */
   Waiter *next;
 };
 
-/* A task at its home, found by @key, which stays over its attempts. */
+/* A task at its home, found by @key, which all its attempts share. */
 struct Task
 {
   MuxId key;
-  MuxId id; /* of this attempt */
+  MuxId id; /* of the current attempt */
   uint32_t attempt;
   TaskState state;
   char class_name[MUX_NAME_LEN];
@@ -97,58 +118,58 @@
   MuxSize size;
   uint32_t run_ms;
   bool idempotent;
-  bool key_is_new; /* every submission so far was said to be the key's first */
+  bool key_is_new; /* all callers so far said so */
   bool keyed;      /* has a row once/<key> */
-  bool ticketed;   /* it may start under its ticket's grant alone */
-  bool for_ticket; /* its room is for a ticket, not for a start from here */
-  bool has_job;    /* its row is the job's */
+  bool ticketed;   /* it may start only under its ticket's grant */
+  bool for_ticket; /* its room is for a new ticket; it does not start here */
+  bool has_job;    /* part of a job, whose rows record its placement */
   MuxId job;
   uint32_t job_index;
-  bool in_gang; /* not placed yet, and only with its whole gang */
+  bool in_gang; /* not placed yet, and placed only with its whole gang */
   MuxId group;
   uint32_t group_count;
   Waiter *waiters;
   int64_t start_by_ms;
   int64_t expires_ms; /* INT64_MAX: never */
-  int64_t timer_ms;
+  int64_t timer_ms;   /* time of its only valid TIMER event */
   MuxBlob *body;
-  char owner[MUX_NAME_LEN]; /* asked, or who granted */
+  char owner[MUX_NAME_LEN]; /* requested from, or granted by */
   Intent placement;         /* where it is granted, started or followed */
   uint64_t epoch;
   uint64_t row_rev;
-  uint64_t awaited_row_call; /* which write or read of its row is awaited */
+  uint64_t awaited_row_call; /* write or read of its row, by number */
   bool granted;              /* room is booked for it at @owner */
-  bool fetch_in_flight;      /* a fetch is on its way */
-  bool absent_once;          /* FOLLOWING: seen absent once */
-  bool cancelled;            /* to be stopped as soon as it is found */
-  bool may_have_run;   /* an attempt may have run: "not run" can't be said */
-  uint32_t poll_count; /* at this attempt, while it runs */
-  uint32_t call_count; /* made of workers for it */
-  uint32_t running_at_call;  /* @calls when it was seen running; 0: not yet */
-  uint32_t unanswered_calls; /* calls in a row without an answer */
-  uint32_t owners_tried;     /* owners asked for this attempt */
+  bool fetch_in_flight;
+  bool absent_once;    /* FOLLOWING: the worker reported it absent once */
+  bool cancelled;      /* to be stopped as soon as it is found running */
+  bool may_have_run;   /* so "not run" can no longer be answered */
+  uint32_t poll_count; /* polls of the running attempt, for their back-off */
+  uint32_t call_count; /* worker calls made for it */
+  uint32_t running_at_call;  /* @call_count when found running, or 0 */
+  uint32_t unanswered_calls; /* consecutive calls without a reply */
+  uint32_t owners_tried;     /* owners requested by the current attempt */
   uint32_t retries;
   MuxReason last_reason;
   uint32_t last_retry_ms;
-  char refused_by[4][MUX_NAME_LEN]; /* owners that refused this attempt */
+  char refused_by[4][MUX_NAME_LEN]; /* owners, for the current attempt */
   UT_hash_handle hh;
-  UT_hash_handle by_id; /* in tasks_by_id, under the present attempt's id */
+  UT_hash_handle by_id; /* in tasks_by_id, under the current attempt's id */
 };
 
 /**
  * struct TaskOptions - construction of a task
- * @key: stays over attempts
+ * @key: identity of the work, shared by all attempts
  * @spec: its class
  * @keyed: needs a row once/<key>
  * @body: input; a reference is taken
- * @call: first waiter, or 0
- * @give_up_ms: on the core's clock
+ * @call_id: call of the first caller, or 0
+ * @expires_ms: when its callers stop waiting, on the core's clock
  * @job: job it is part of, or none
- * @job_index: its number there
- * @attempt: first attempt to make
- * @in_gang: the job's gang asks for it
- * @minting: the room is for a ticket
- * @first: the caller says that the key has not been sent before
+ * @job_index: its number in that job
+ * @attempt: number of the first attempt
+ * @in_gang: its gang requests room for it
+ * @for_ticket: the room is for a ticket
+ * @key_is_new: the caller says that the key has not been sent before
  */
 typedef struct
 {
@@ -167,39 +188,43 @@
 } TaskOptions;
 
 /**
- * task_begin() - a new task: asks for room, unless its gang will for it
+ * task_begin() - creates a task and requests room, unless its gang does
  *
- * Return: false: memory is out and there is no task.  With true it may have
+ * Return: false: out of memory, there is no task.  With true the task may have
  * ended already.
  */
 bool task_begin (MuxCore *core, const TaskOptions *options);
-/** task_resume() - a task that a row places on a worker: find out there;
- * false as above */
+/** task_resume() - creates a task that a row places at @at, and fetches its
+ * state from that worker; returns as task_begin() */
 bool task_resume (MuxCore *core, const TaskOptions *options, const Intent *at);
 Task *task_find (MuxCore *core, MuxId key);
-/** task_event() - run the state table; the task may be gone after it */
+/** task_event() - runs the step that the table has for @event; it may free the
+ * task */
 void task_event (MuxCore *core, Task *task, const TaskEvent *event);
-/** task_ask_owner() - ask @owner for a place as one of @count of @group */
+/** task_request_owner() - requests room from @owner for one of the @count tasks
+ * of the gang @group */
 void task_request_owner (MuxCore *core,
                          Task *task,
                          const char *owner,
                          MuxId group,
                          uint32_t count);
-/** task_gang_wait() - give back what it holds or asks for, and wait */
+/** task_gang_release() - releases its room or cancels the request, and waits
+ * for the gang's next round */
 void task_gang_release (MuxCore *core, Task *task);
-/** task_record() - its gang is held: have its placement written */
+/** task_record_placement() - its whole gang is granted: has the placement
+ * written */
 void task_record_placement (MuxCore *core, Task *task);
-/** task_drop() - forget it without a word (its job went to another home) */
+/** task_drop() - frees it without a response: its job has another home now */
 void task_drop (MuxCore *core, Task *task);
-/** tasks_timer() - a timer of @subject fired */
+/** tasks_timer() - handles a timer of the task with the key @subject */
 void tasks_timer (MuxCore *core, int64_t at_ms, MuxId subject);
-/** tasks_owner_lost() - asks at this owner go elsewhere */
+/** tasks_owner_lost() - requests pending at this owner go to others */
 void tasks_owner_lost (MuxCore *core, const char *owner);
-/** tasks_peer() - GRANT, GRANT_REFUSED, TASK_ENDED */
+/** tasks_peer_message() - handles GRANT, GRANT_REFUSED and TASK_ENDED */
 void tasks_peer_message (MuxCore *core, const MuxPeerMsg *msg);
-/** tasks_request() - a caller's request */
-void tasks_request (MuxCore *core, const MuxCoreRequest *ask);
-/** tasks_waiting() - tasks whose caller still waits */
+/** tasks_request() - handles a caller's request to run one task */
+void tasks_request (MuxCore *core, const MuxCoreRequest *request);
+/** tasks_waiting_count() - number of tasks that a caller waits for */
 uint32_t tasks_waiting_count (const MuxCore *core);
 void tasks_free (MuxCore *core);
 
--- a/src/core/task_steps.c
+++ b/src/core/task_steps.c
@@ -2,9 +2,9 @@
 
 typedef void (*TaskStep) (MuxCore *core, Task *task, const TaskEvent *event);
 
-/* Every event in every state; an empty place is an event that comes too late
- * to matter there, and is counted.  docs/design/task-life.md has the same
- * table with the reasons. */
+/* The step for each event in each state.  An event without a step arrived too
+ * late to matter in that state; it is counted and ignored.
+ * docs/design/task-life.md has the same table with the reasons. */
 static const TaskStep steps[TASK_STATE_COUNT][TASK_EVENT_COUNT] = {
   [TASK_WAITING] = {
     [TASK_EV_TIMER] = step_request_room,
