--- a/src/core/task_call.c
+++ b/src/core/task_call.c
@@ -5,18 +5,19 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Longest that a start or fetch holds its connection for the end. */
+/* Longest that a start or a fetch waits on its connection for the task's end.
+ */
 #define WAIT_MAX_MS 60000
-/* A worker knows ids and tombstones for at least so long after the last moment
- * of their start; docs/platform/worker.md. */
+/* Workers remember ids and tombstones for at least this long after the latest
+ * start; docs/platform/worker.md. */
 #define WORKER_MEMORY_MS 300000
-/* A start is looked after on a second connection once it has taken so many
- * times its declared run time, and this long besides. */
-#define PROBE_RUNS 2
-#define PROBE_MS 1000
+/* A started task is polled on a second connection after this multiple of its
+ * declared run time plus POLL_DELAY_MS. */
+#define POLL_RUN_FACTOR 2
+#define POLL_DELAY_MS 1000
 
 static void
-ended (MuxCore *core, Task *task, const MuxWorkerReply *reply)
+raise_ended (MuxCore *core, Task *task, const MuxWorkerReply *reply)
 {
   TaskEvent event = { .kind = TASK_EV_ENDED, .reply = reply };
 
@@ -24,7 +25,7 @@
 }
 
 static void
-happened (MuxCore *core, Task *task, TaskEventKind kind, MuxReason reason)
+raise_event (MuxCore *core, Task *task, TaskEventKind kind, MuxReason reason)
 {
   TaskEvent event = { .kind = kind, .reason = reason };
 
@@ -32,21 +33,22 @@
 }
 
 /*
- * Failure: a caller asks again with its key, or a partition heals, when the
- * worker has dropped what it knew of the attempt, which ran.  Its absence, and
- * a tombstone that could therefore be set, would pass for a proof that it never
- * started, and it would run a second time.  After the time for which a worker
- * is sure to remember, both say as little as a worker that restarted.
+ * Whether the reply comes after the worker may have discarded what it knew of
+ * the attempt.  A caller may retry its key, or a partition heal, that late.  If
+ * the task's absence, or a tombstone that could be set because of it, still
+ * counted as proof that it never started, a task that ran would run a second
+ * time.  So both say no more than the reply of a worker that restarted.
  */
 static bool
-too_late_to_tell (const Task *task, const MuxWorkerReply *reply)
+record_may_be_discarded (const Task *task, const MuxWorkerReply *reply)
 {
   return (reply->state == MUX_TASK_ABSENT || reply->state == MUX_TASK_FORGOTTEN)
          && reply->worker_clock_ms
                 > task->placement.not_after_ms + WORKER_MEMORY_MS;
 }
 
-/* A call's number stands above its attempt, so that replies tell both. */
+/* Call number in the upper half, attempt in the lower, so that a reply can be
+ * assigned to both. */
 static uint64_t
 aux_of (uint32_t call, uint32_t attempt)
 {
@@ -54,55 +56,61 @@
 }
 
 /*
- * Failure: a look and a tombstone are asked for at the same time, as after a
- * pause of this process.  The look finds nothing, the held up start arrives,
- * the other finds it running, and its answer overtakes the look's.  The look's,
- * taken for news, has the task started elsewhere while it runs, and its room
- * given away.  What was asked before it was seen running says nothing then.
+ * Whether an ABSENT reply is older than one that found the task running.  A
+ * fetch and a forget can be in flight together, as after a pause of this
+ * process: the fetch finds nothing, a delayed start arrives, the forget finds
+ * the task running, and its reply arrives first.  If the fetch's reply counted
+ * then, the task would be started elsewhere while it runs, and its room would
+ * be released.
  */
 static bool
-stale_absence (const Task *task, uint32_t call, const MuxWorkerReply *reply)
+is_stale_absence (const Task *task, uint32_t call, const MuxWorkerReply *reply)
 {
   return reply->state == MUX_TASK_ABSENT && call <= task->running_at_call;
 }
 
 static void
-on_state (MuxCore *core, Task *task, uint32_t call, const MuxWorkerReply *reply)
+handle_state (MuxCore *core,
+              Task *task,
+              uint32_t call,
+              const MuxWorkerReply *reply)
 {
-  if (stale_absence (task, call, reply))
+  if (is_stale_absence (task, call, reply))
     {
-      happened (core, task, TASK_EV_TIMER, MUX_REASON_NONE);
+      raise_event (core, task, TASK_EV_TIMER, MUX_REASON_NONE);
       return;
     }
-  if (too_late_to_tell (task, reply))
+  if (record_may_be_discarded (task, reply))
     {
-      happened (core, task, TASK_EV_WORKER_STATE_LOST, MUX_REASON_UNKNOWN_FATE);
+      raise_event (core, task, TASK_EV_WORKER_STATE_LOST,
+                   MUX_REASON_UNKNOWN_FATE);
       return;
     }
   switch (reply->state)
     {
     case MUX_TASK_RUNNING:
       task->running_at_call = task->call_count;
-      happened (core, task, TASK_EV_RUNNING, MUX_REASON_NONE);
+      raise_event (core, task, TASK_EV_RUNNING, MUX_REASON_NONE);
       break;
     case MUX_TASK_DONE:
     case MUX_TASK_DONE_GONE:
     case MUX_TASK_FAILED:
     case MUX_TASK_STOPPED:
-      ended (core, task, reply);
+      raise_ended (core, task, reply);
       break;
     case MUX_TASK_ABSENT:
-      happened (core, task, TASK_EV_ABSENT, MUX_REASON_NONE);
+      raise_event (core, task, TASK_EV_ABSENT, MUX_REASON_NONE);
       break;
     case MUX_TASK_FORGOTTEN:
-      happened (core, task, TASK_EV_TOMBSTONED, MUX_REASON_FENCED_TOMBSTONE);
+      raise_event (core, task, TASK_EV_TOMBSTONED, MUX_REASON_FENCED_TOMBSTONE);
       break;
     }
 }
 
-/* What a refusal of a start says; each is certain: it had no effect. */
+/* Reason of a refused start.  In every case the start certainly had no effect.
+ */
 static MuxReason
-start_refusal (MuxWorkerStatus status)
+start_refusal_reason (MuxWorkerStatus status)
 {
   switch (status)
     {
@@ -129,13 +137,13 @@
 }
 
 static Task *
-of_reply (MuxCore *core, MuxId key, uint64_t aux)
+task_of_reply (MuxCore *core, MuxId key, uint64_t aux)
 {
   Task *task = task_find (core, key);
 
   if (task != NULL && task->attempt == (uint32_t) aux)
     return task;
-  /* The answer of a superseded attempt, or of a task that ended. */
+  /* A reply for a superseded attempt, or for a task that has ended. */
   mux_count (core->counters, MUX_COUNT_EVENTS_DROPPED, 1);
   return NULL;
 }
@@ -143,32 +151,36 @@
 static void
 start_done (MuxCore *core, MuxId key, uint64_t aux, const MuxWorkerReply *reply)
 {
-  Task *task = of_reply (core, key, aux);
+  Task *task = task_of_reply (core, key, aux);
 
   if (task == NULL)
     return;
   switch (reply->status)
     {
     case MUX_WORKER_OK:
-      on_state (core, task, (uint32_t) (aux >> 32), reply);
+      handle_state (core, task, (uint32_t) (aux >> 32), reply);
       break;
     case MUX_WORKER_NO_ANSWER:
-      happened (core, task, TASK_EV_NO_REPLY, MUX_REASON_WORKER_SILENT);
+      raise_event (core, task, TASK_EV_NO_REPLY, MUX_REASON_WORKER_SILENT);
       break;
     case MUX_WORKER_IS_LEAVING:
       worker_set_leaving (core, reply->worker);
-      happened (core, task, TASK_EV_NOT_STARTED, MUX_REASON_WORKER_LEAVING);
+      raise_event (core, task, TASK_EV_NOT_STARTED, MUX_REASON_WORKER_LEAVING);
       break;
     default:
-      happened (core, task, TASK_EV_NOT_STARTED, start_refusal (reply->status));
+      raise_event (core, task, TASK_EV_NOT_STARTED,
+                   start_refusal_reason (reply->status));
       break;
     }
 }
 
 static void
-look_done (MuxCore *core, MuxId key, uint64_t aux, const MuxWorkerReply *reply)
+state_call_done (MuxCore *core,
+                 MuxId key,
+                 uint64_t aux,
+                 const MuxWorkerReply *reply)
 {
-  Task *task = of_reply (core, key, aux);
+  Task *task = task_of_reply (core, key, aux);
 
   if (task == NULL)
     return;
@@ -176,18 +188,18 @@
   switch (reply->status)
     {
     case MUX_WORKER_OK:
-      on_state (core, task, (uint32_t) (aux >> 32), reply);
+      handle_state (core, task, (uint32_t) (aux >> 32), reply);
       break;
     case MUX_WORKER_OLD_INCARNATION:
-      happened (core, task, TASK_EV_WORKER_STATE_LOST,
-                MUX_REASON_FENCED_INCARNATION);
+      raise_event (core, task, TASK_EV_WORKER_STATE_LOST,
+                   MUX_REASON_FENCED_INCARNATION);
       break;
     default:
       if (worker_gone (core, task->placement.worker))
-        happened (core, task, TASK_EV_WORKER_STATE_LOST,
-                  MUX_REASON_WORKER_SILENT);
+        raise_event (core, task, TASK_EV_WORKER_STATE_LOST,
+                     MUX_REASON_WORKER_SILENT);
       else
-        happened (core, task, TASK_EV_NO_REPLY, MUX_REASON_WORKER_SILENT);
+        raise_event (core, task, TASK_EV_NO_REPLY, MUX_REASON_WORKER_SILENT);
       break;
     }
 }
@@ -211,7 +223,7 @@
 }
 
 static uint32_t
-bounded_wait (const MuxCore *core, const Task *task)
+wait_limit_ms (const MuxCore *core, const Task *task)
 {
   int64_t left = task->expires_ms - core->now_ms;
 
@@ -228,7 +240,7 @@
   call_init (task, MUX_WORKER_START, &call);
   call.epoch = task->epoch;
   call.not_after_ms = task->placement.not_after_ms;
-  call.wait_ms = task->has_job ? 0 : bounded_wait (core, task);
+  call.wait_ms = task->has_job ? 0 : wait_limit_ms (core, task);
   call.timeout_ms += call.wait_ms;
   mux_name_copy (call.class_name, task->class_name);
   mux_name_copy (call.home, core->name);
@@ -238,9 +250,10 @@
   call.body = task->body;
   task->poll_count = 0;
   mux_count (core->counters, MUX_COUNT_STARTS, 1);
-  task_set_timer (core, task, PROBE_MS + (int64_t) task->run_ms * PROBE_RUNS);
+  task_set_timer (core, task,
+                  POLL_DELAY_MS + (int64_t) task->run_ms * POLL_RUN_FACTOR);
   if (!send_call (core, task, &call, start_done))
-    happened (core, task, TASK_EV_NOT_STARTED, MUX_REASON_RING_FULL);
+    raise_event (core, task, TASK_EV_NOT_STARTED, MUX_REASON_RING_FULL);
 }
 
 void
@@ -253,7 +266,7 @@
   call_init (task, MUX_WORKER_FETCH, &call);
   call.wait_ms = wait_ms;
   call.timeout_ms += wait_ms;
-  task->fetch_in_flight = send_call (core, task, &call, look_done);
+  task->fetch_in_flight = send_call (core, task, &call, state_call_done);
 }
 
 void
@@ -262,7 +275,7 @@
   MuxWorkerCall call;
 
   call_init (task, MUX_WORKER_FORGET, &call);
-  send_call (core, task, &call, look_done);
+  send_call (core, task, &call, state_call_done);
 }
 
 void
@@ -271,5 +284,5 @@
   MuxWorkerCall call;
 
   call_init (task, MUX_WORKER_STOP, &call);
-  send_call (core, task, &call, look_done);
+  send_call (core, task, &call, state_call_done);
 }
--- a/src/core/task_grant.c
+++ b/src/core/task_grant.c
@@ -6,79 +6,82 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Longest stay in an owner's queue that a message can say. */
-#define GIVE_UP_MAX_MS 3600000
-/* Load of owners in other data centres counts this many times. */
-#define FAR_COST 2
-/* Owners asked for one attempt before its answer is final. */
-#define OWNERS_MAX 4
-
-/* How well one owner suits, lower is better. */
+/* Longest time limit sent to an owner. */
+#define TIME_LIMIT_MAX_MS 3600000
+/* Weight of the load of owners in other data centres, relative to local ones.
+ */
+#define REMOTE_COST_FACTOR 2
+/* Owners that are tried for one attempt; Task.refused_by has as many entries.
+ */
+#define OWNERS_TRIED_MAX 4
+
+/* An owner that room may be requested from; of those with and of those without
+ * room the lowest cost is best. */
 typedef struct
 {
   bool usable;
-  bool room; /* it could be placed at once */
+  bool has_room;
   uint64_t cost;
   const char *name;
   Member *member; /* NULL: this daemon */
-} Choice;
+} OwnerChoice;
 
 static bool
-tried (const Task *task, const char *owner)
+has_refused (const Task *task, const char *owner)
 {
-  for (uint32_t i = 0; i < OWNERS_MAX; i++)
+  for (uint32_t i = 0; i < OWNERS_TRIED_MAX; i++)
     if (strcmp (task->refused_by[i], owner) == 0)
       return true;
   return false;
 }
 
-static Choice
-weigh (const Task *task,
-       const char *name,
-       Member *member,
-       MuxSize free,
-       MuxSize total,
-       uint32_t queued,
-       uint32_t distance)
+static OwnerChoice
+evaluate_owner (const Task *task,
+                const char *name,
+                Member *member,
+                MuxSize free,
+                MuxSize total,
+                uint32_t queued,
+                uint32_t distance)
 {
-  Choice choice = { .name = name, .member = member };
+  OwnerChoice choice = { .name = name, .member = member };
 
-  if (total.slots == 0 || tried (task, name))
+  if (total.slots == 0 || has_refused (task, name))
     return choice;
   choice.usable = true;
-  choice.room = queued == 0 && mux_size_fits (task->size, free);
+  choice.has_room = queued == 0 && mux_size_fits (task->size, free);
   choice.cost = (uint64_t) (queued + 1) * 1000 * distance / total.slots;
   return choice;
 }
 
 static bool
-better (const Choice *a, const Choice *b)
+is_better (const OwnerChoice *a, const OwnerChoice *b)
 {
   if (a->usable != b->usable)
     return a->usable;
-  if (a->room != b->room)
-    return a->room;
+  if (a->has_room != b->has_room)
+    return a->has_room;
   return a->cost < b->cost;
 }
 
 /*
- * Failure: the table is away and the same idempotent key comes to two daemons
- * of this data centre at once; without a row they would run it in two places
- * at one time.  Both ask the same owner, picked by the key, and it books one
- * task id once.
+ * While the store is down, no row shows two daemons of this data centre that
+ * both were sent the same idempotent key, and the work would run in two places
+ * at a time.  Both therefore pick the same owner, by the hash of the key, and
+ * that owner books a task id only once.
  */
-static Choice
-choose_by_key (MuxCore *core, const Task *task)
+static OwnerChoice
+choose_owner_by_key (MuxCore *core, const Task *task)
 {
   MuxSchedStats stats = mux_sched_stats (core->sched, core->now_ms);
   char key[MUX_ID_HEX_LEN];
-  Choice best = { 0 };
+  OwnerChoice best = { 0 };
   uint64_t best_rank = 0;
 
   mux_id_format (task->key, key);
   if (!core->stopping && stats.total.slots > 0)
     {
-      best = (Choice){ .usable = true, .name = core->name };
+      best = (OwnerChoice){ .usable = true, .name = core->name };
       best_rank = members_rank (core->name, key);
     }
   for (Member *m = core->members; m != NULL; m = m->hh.next)
@@ -88,37 +91,37 @@
       if (!m->local || !member_usable (m) || m->total.slots == 0
           || (best.usable && rank < best_rank))
         continue;
-      best = (Choice){ .usable = true, .name = m->name, .member = m };
+      best = (OwnerChoice){ .usable = true, .name = m->name, .member = m };
       best_rank = rank;
     }
-  if (best.usable && tried (task, best.name))
+  if (best.usable && has_refused (task, best.name))
     best.usable = false;
   return best;
 }
 
-static Choice
-choose (MuxCore *core, const Task *task)
+static OwnerChoice
+choose_owner (MuxCore *core, const Task *task)
 {
   MuxSchedStats stats = mux_sched_stats (core->sched, core->now_ms);
-  Choice best = { 0 };
+  OwnerChoice best = { 0 };
 
   if (task->keyed && task->idempotent && commit_store_down (core))
-    return choose_by_key (core, task);
+    return choose_owner_by_key (core, task);
   if (!core->stopping)
-    best = weigh (task, core->name, NULL, stats.available, stats.total,
-                  stats.queued, 1);
-  /* With room here there is no better place: no message, no delay. */
-  if (best.usable && best.room)
+    best = evaluate_owner (task, core->name, NULL, stats.available, stats.total,
+                           stats.queued, 1);
+  /* Room here is preferred to any other: it needs no message and no delay. */
+  if (best.usable && best.has_room)
     return best;
   for (Member *m = core->members; m != NULL; m = m->hh.next)
     {
-      Choice choice;
+      OwnerChoice choice;
 
       if (!member_usable (m))
         continue;
-      choice = weigh (task, m->name, m, m->free, m->total, m->queued,
-                      m->local ? 1 : FAR_COST);
-      if (better (&choice, &best))
+      choice = evaluate_owner (task, m->name, m, m->free, m->total, m->queued,
+                               m->local ? 1 : REMOTE_COST_FACTOR);
+      if (is_better (&choice, &best))
         best = choice;
     }
   return best;
@@ -127,36 +130,37 @@
 bool
 task_owners_exhausted (MuxCore *core, const Task *task)
 {
-  return task->owners_tried >= OWNERS_MAX || !choose (core, task).usable;
+  return task->owners_tried >= OWNERS_TRIED_MAX
+         || !choose_owner (core, task).usable;
 }
 
 void
 task_mark_owner_refused (Task *task, const char *owner)
 {
-  if (task->owners_tried > 0 && task->owners_tried <= OWNERS_MAX)
+  if (task->owners_tried > 0 && task->owners_tried <= OWNERS_TRIED_MAX)
     mux_name_copy (task->refused_by[task->owners_tried - 1], owner);
 }
 
 static uint32_t
-left_ms (const MuxCore *core, int64_t until_ms)
+remaining_ms (const MuxCore *core, int64_t until_ms)
 {
   int64_t left = until_ms - core->now_ms;
 
   if (left < 0)
     return 0;
-  return left > GIVE_UP_MAX_MS ? GIVE_UP_MAX_MS : (uint32_t) left;
+  return left > TIME_LIMIT_MAX_MS ? TIME_LIMIT_MAX_MS : (uint32_t) left;
 }
 
 static void
-send_ask (MuxCore *core, Task *task)
+send_request (MuxCore *core, Task *task)
 {
   Member *member;
   MuxPeerMsg msg = { .verb = MUX_PEER_GRANT_REQUEST,
                      .task = task->id,
                      .group = task->group,
                      .group_count = task->group_count,
-                     .start_within_ms = left_ms (core, task->start_by_ms),
-                     .give_up_ms = left_ms (core, task->expires_ms) };
+                     .start_within_ms = remaining_ms (core, task->start_by_ms),
+                     .give_up_ms = remaining_ms (core, task->expires_ms) };
 
   mux_name_copy (msg.class_name, task->class_name);
   task_set_timer (core, task, core_jitter (core, GRANT_REQUEST_REPEAT_MS));
@@ -175,7 +179,7 @@
 void
 task_request_room (MuxCore *core, Task *task)
 {
-  Choice choice = choose (core, task);
+  OwnerChoice choice = choose_owner (core, task);
 
   task->owner[0] = 0;
   if (!choice.usable)
@@ -194,10 +198,10 @@
   if (choice.member != NULL)
     {
       choice.member->free = mux_size_sub (choice.member->free, task->size);
-      if (!choice.room)
+      if (!choice.has_room)
         choice.member->queued++;
     }
-  send_ask (core, task);
+  send_request (core, task);
 }
 
 void
@@ -211,28 +215,29 @@
   task->group = group;
   task->group_count = count;
   mux_name_copy (task->owner, owner);
-  send_ask (core, task);
+  send_request (core, task);
 }
 
 bool
 task_room_elsewhere (MuxCore *core, const Task *task)
 {
-  Choice choice;
+  OwnerChoice choice;
 
   if (!mux_id_is_none (task->group))
     return false;
-  choice = choose (core, task);
-  return choice.usable && choice.room && strcmp (choice.name, task->owner) != 0;
+  choice = choose_owner (core, task);
+  return choice.usable && choice.has_room
+         && strcmp (choice.name, task->owner) != 0;
 }
 
 void
 task_repeat_request (MuxCore *core, Task *task)
 {
-  send_ask (core, task);
+  send_request (core, task);
 }
 
 static void
-tell_owner (MuxCore *core, const char *owner, MuxPeerMsg *msg)
+send_to_owner (MuxCore *core, const char *owner, MuxPeerMsg *msg)
 {
   Member *member;
 
@@ -257,7 +262,7 @@
   MuxPeerMsg msg = { .verb = MUX_PEER_GRANT_CANCEL, .task = task->id };
 
   if (task->owner[0] != 0)
-    tell_owner (core, task->owner, &msg);
+    send_to_owner (core, task->owner, &msg);
   task->owner[0] = 0;
 }
 
@@ -273,7 +278,7 @@
   if (!task->granted)
     return;
   task->granted = false;
-  tell_owner (core, task->owner, &msg);
+  send_to_owner (core, task->owner, &msg);
 }
 
 void
@@ -284,5 +289,5 @@
                      .not_after_ms = grant->not_after_ms,
                      .state = MUX_TASK_ABSENT };
 
-  tell_owner (core, grant->from, &msg);
+  send_to_owner (core, grant->from, &msg);
 }
--- a/src/core/task_peer.c
+++ b/src/core/task_peer.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* What owners tell the homes of tasks. */
+/* Messages from owners to the homes of tasks. */
 
 static Task *
-of_attempt (MuxCore *core, MuxId id)
+task_of_attempt (MuxCore *core, MuxId id)
 {
   Task *task;
 
@@ -16,7 +16,7 @@
 static void
 on_grant (MuxCore *core, const MuxPeerMsg *msg)
 {
-  Task *task = of_attempt (core, msg->task);
+  Task *task = task_of_attempt (core, msg->task);
   TaskEvent event = { .kind = TASK_EV_GRANTED, .msg = msg };
 
   if (task != NULL && strcmp (task->owner, msg->from) == 0)
@@ -25,14 +25,15 @@
         task_event (core, task, &event);
       return;
     }
-  /* From an owner that was given up on: its room must not stay booked. */
+  /* No task waits for this owner's grant any more; its room must not stay
+   * booked. */
   task_release_unwanted_grant (core, msg);
 }
 
 static void
 on_refused (MuxCore *core, const MuxPeerMsg *msg)
 {
-  Task *task = of_attempt (core, msg->task);
+  Task *task = task_of_attempt (core, msg->task);
   TaskEvent event = { .kind = TASK_EV_REFUSED,
                       .msg = msg,
                       .reason = msg->reason,
@@ -46,7 +47,7 @@
 static void
 on_ended (MuxCore *core, const MuxPeerMsg *msg)
 {
-  Task *task = of_attempt (core, msg->task);
+  Task *task = task_of_attempt (core, msg->task);
   TaskEvent event = { .kind = TASK_EV_WORKER_STATE_LOST,
                       .reason = MUX_REASON_FENCED_INCARNATION };
 
@@ -54,7 +55,7 @@
     return;
   if (msg->state != MUX_TASK_ABSENT)
     {
-      /* Only news that there is something to fetch: the answer itself comes
+      /* Only says that there is something to fetch; the result itself comes
        * from the worker. */
       task->granted = false;
       if (task->state == TASK_RUNNING || task->state == TASK_STARTED)
--- a/src/core/task_request.c
+++ b/src/core/task_request.c
@@ -6,21 +6,23 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Requests as callers bring them. */
+/* Callers' requests to run one task. */
 
-/* Wait advised while this daemon has no configuration yet. */
+/* Retry advice while this daemon has no configuration or the store is down. */
 #define NOT_READY_RETRY_MS 1000
 
 static void
 refuse_request (MuxCore *core,
-                const MuxCoreRequest *ask,
+                const MuxCoreRequest *request,
                 MuxReason reason,
                 uint32_t retry_ms)
 {
-  /* Another time or elsewhere the same may be taken, or have been. */
-  bool named = (ask->key[0] != 0 && !ask->key_is_new) || ask->ticket[0] != 0;
+  /* The same key or ticket may be accepted later or at another daemon, or may
+   * have been already. */
+  bool named = (request->key[0] != 0 && !request->key_is_new)
+               || request->ticket[0] != 0;
 
-  core_respond (core, ask->call_id,
+  core_respond (core, request->call_id,
                 named && mux_reason_passes (reason) ? MUX_OUTCOME_UNKNOWN
                                                     : MUX_OUTCOME_NOT_RUN,
                 reason, retry_ms, (MuxId){ 0, 0 }, NULL);
@@ -36,94 +38,93 @@
          && (a_len == 0 || memcmp (a->bytes, b->bytes, a_len) == 0);
 }
 
-/* The same key again at the same daemon: both get the one answer. */
 void
-task_join (MuxCore *core, Task *task, const MuxCoreRequest *ask)
+task_join (MuxCore *core, Task *task, const MuxCoreRequest *request)
 {
-  /* Two that each claim to be the first can't both be. */
+  /* Two submissions can't both be the key's first. */
   task->key_is_new = false;
-  if (!same_body (task->body, ask->body))
-    refuse_request (core, ask, MUX_REASON_KEY_IN_USE, 0);
-  else if (!task_add_waiter (core, task, ask->call_id,
-                             core->now_ms + ask->timeout_ms))
-    refuse_request (core, ask, MUX_REASON_INTERNAL, RETRY_MS);
+  if (!same_body (task->body, request->body))
+    refuse_request (core, request, MUX_REASON_KEY_IN_USE, 0);
+  else if (!task_add_waiter (core, task, request->call_id,
+                             core->now_ms + request->timeout_ms))
+    refuse_request (core, request, MUX_REASON_INTERNAL, RETRY_MS);
 }
 
 bool
 task_request_refused (MuxCore *core,
-                      const MuxCoreRequest *ask,
+                      const MuxCoreRequest *request,
                       const MuxClassSpec *spec)
 {
   if (core->stopping)
-    refuse_request (core, ask, MUX_REASON_STOPPING, RETRY_MS);
+    refuse_request (core, request, MUX_REASON_STOPPING, RETRY_MS);
   else if (!config_loaded (core))
-    refuse_request (core, ask, MUX_REASON_STORE_DOWN, NOT_READY_RETRY_MS);
+    refuse_request (core, request, MUX_REASON_STORE_DOWN, NOT_READY_RETRY_MS);
   else if (spec == NULL)
-    refuse_request (core, ask, MUX_REASON_UNKNOWN_CLASS, 0);
+    refuse_request (core, request, MUX_REASON_UNKNOWN_CLASS, 0);
   else if (spec->kind != MUX_KIND_SERVICE)
-    refuse_request (core, ask, MUX_REASON_KIND_MISMATCH, 0);
-  else if (ask->timeout_ms == 0)
-    refuse_request (core, ask, MUX_REASON_DEADLINE, 0);
+    refuse_request (core, request, MUX_REASON_KIND_MISMATCH, 0);
+  else if (request->timeout_ms == 0)
+    refuse_request (core, request, MUX_REASON_DEADLINE, 0);
   else
     return false;
   return true;
 }
 
 void
-tasks_request (MuxCore *core, const MuxCoreRequest *ask)
+tasks_request (MuxCore *core, const MuxCoreRequest *request)
 {
-  const MuxClassSpec *spec = config_class (core, ask->name);
+  const MuxClassSpec *spec = config_class (core, request->name);
   TaskOptions options = { .spec = spec,
-                          .body = ask->body,
-                          .call_id = ask->call_id,
-                          .expires_ms = core->now_ms + ask->timeout_ms,
+                          .body = request->body,
+                          .call_id = request->call_id,
+                          .expires_ms = core->now_ms + request->timeout_ms,
                           .attempt = 1 };
   Task *task;
 
   mux_count (core->counters, MUX_COUNT_REQUESTS, 1);
-  if (task_request_refused (core, ask, spec))
+  if (task_request_refused (core, request, spec))
     return;
-  if (ask->key[0] == 0)
+  if (request->key[0] == 0)
     {
       options.key = core_new_task_id (core);
     }
   else
     {
-      options.key = mux_id_of_key (ask->name, ask->key);
+      options.key = mux_id_of_key (request->name, request->key);
       options.keyed = true;
-      options.key_is_new = ask->key_is_new;
+      options.key_is_new = request->key_is_new;
     }
   task = task_find (core, options.key);
   if (task != NULL)
     {
-      task_join (core, task, ask);
+      task_join (core, task, request);
       return;
     }
   if (HASH_COUNT (core->tasks) >= core->opt.queue_max * 2)
     {
-      refuse_request (core, ask, MUX_REASON_QUEUE_FULL, RETRY_MS);
+      refuse_request (core, request, MUX_REASON_QUEUE_FULL, RETRY_MS);
       return;
     }
   if (options.keyed && !spec->idempotent && commit_store_down (core))
     {
-      refuse_request (core, ask, MUX_REASON_STORE_DOWN, NOT_READY_RETRY_MS);
+      refuse_request (core, request, MUX_REASON_STORE_DOWN, NOT_READY_RETRY_MS);
       return;
     }
   if (!task_begin (core, &options))
-    refuse_request (core, ask, MUX_REASON_INTERNAL, RETRY_MS);
+    refuse_request (core, request, MUX_REASON_INTERNAL, RETRY_MS);
 }
 
 bool
 task_begin_ticket (MuxCore *core,
-                   const MuxCoreRequest *ask,
+                   const MuxCoreRequest *request,
                    const MuxClassSpec *spec,
                    const Ticket *ticket)
 {
   TaskOptions options = { .spec = spec,
                           .key = ticket->key,
-                          .body = ask->body,
-                          .call_id = ask->call_id,
-                          .expires_ms = core->now_ms + ask->timeout_ms,
+                          .body = request->body,
+                          .call_id = request->call_id,
+                          .expires_ms = core->now_ms + request->timeout_ms,
                           .attempt = 1 };
   Task *task = task_new (core, &options);
 
