--- a/src/core/task_steps_end.c
+++ b/src/core/task_steps_end.c
@@ -2,9 +2,9 @@
 
 #include "retry_budget.h"
 
-/* How attempts and tasks end, and what their callers are told. */
+/* Ends of attempts and tasks, and the answers to their callers. */
 
-/* Pauses between attempts double up to this many times. */
+/* Most doublings of the pause between attempts. */
 #define BACKOFF_DOUBLINGS 5
 
 void
@@ -39,8 +39,8 @@
       task_finish_not_run (core, task, MUX_REASON_CANCELLED, 0);
       return;
     }
-  /* Another attempt elsewhere would be a second run if the ticket came to
-   * another daemon as well: its caller fetches a new one. */
+  /* If the ticket were also brought to another daemon, a further attempt would
+   * be a second run.  The caller gets a new ticket instead. */
   if (task->ticketed)
     {
       task_finish_not_run (core, task, reason, 0);
--- a/src/core/task_steps_grant.c
+++ b/src/core/task_steps_grant.c
@@ -7,10 +7,11 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Steps of a task that looks for room: WAITING, ASKING, HOLDING. */
+/* Steps of a task that requests room: WAITING, REQUESTING, HOLDING. */
 
-/* Longest pause before a refused ask is made again. */
-#define ASK_PAUSE_MAX_MS 5000
+/* Longest pause before room is requested again.  Owners' advice to callers may
+ * be minutes; a job's task must not miss room for so long. */
+#define REQUEST_PAUSE_MAX_MS 5000
 
 void
 task_request_room_later (MuxCore *core, Task *task, int64_t pause_ms)
@@ -39,7 +40,7 @@
 step_repeat_request (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  /* Who was asked may be dead and not known to be, or long busy. */
+  /* The owner may be dead without being known to be, or busy for long. */
   if (task_room_elsewhere (core, task))
     {
       task_cancel_request (core, task);
@@ -107,8 +108,8 @@
   task->owner[0] = 0;
   task->state = TASK_WAITING;
   task->timer_ms = 0;
-  /* A new number: a late grant of the last round can't be taken for one of
-   * the next. */
+  /* The new attempt number keeps a late grant of this round from being taken
+   * for one of the next. */
   task_set_attempt (core, task, task->attempt + 1);
 }
 
@@ -120,14 +121,15 @@
   jobs_record_placement (core, task);
 }
 
-/* Whether asking again later can't help the one who waits now. */
+/* Whether requesting again later can't help the caller that waits now. */
 static bool
-refusal_final (MuxCore *core, const Task *task, MuxReason reason)
+refusal_is_final (MuxCore *core, const Task *task, MuxReason reason)
 {
   switch (reason)
     {
     case MUX_REASON_NEVER_FITS:
-      /* It speaks of one owner's workers; a job was accepted and waits. */
+      /* Says something of one owner's workers only.  A job was accepted, so it
+       * waits. */
       return !task->has_job && !members_could_hold (core, task->size);
     case MUX_REASON_KIND_MISMATCH:
       return true;
@@ -146,9 +148,8 @@
 {
   int64_t pause_ms = event->retry_ms > RETRY_MS ? event->retry_ms : RETRY_MS;
 
-  /* Advice for callers may be minutes; a job must not sleep through room. */
-  if (pause_ms > ASK_PAUSE_MAX_MS)
-    pause_ms = ASK_PAUSE_MAX_MS;
+  if (pause_ms > REQUEST_PAUSE_MAX_MS)
+    pause_ms = REQUEST_PAUSE_MAX_MS;
   if (event->reason != MUX_REASON_NO_WORKERS || task->owner[0] != 0)
     mux_count_retry (core->counters, event->reason);
   task->last_reason = event->reason;
@@ -173,11 +174,11 @@
           return;
         }
     }
-  /* A stopping daemon with nobody left to ask gives up, and says so at once
-   * rather than at the caller's own time limit. */
+  /* A stopping daemon with no owner left to try answers at once rather than at
+   * the caller's time limit. */
   if (core->stopping && task->owner[0] == 0 && !task->has_job)
     task_finish_not_run (core, task, MUX_REASON_STOPPING, RETRY_MS * 10);
-  else if (refusal_final (core, task, event->reason))
+  else if (refusal_is_final (core, task, event->reason))
     task_finish_not_run (core, task, event->reason, event->retry_ms);
   else
     task_request_room_later (core, task, pause_ms);
--- a/src/core/task_steps_refuse.c
+++ b/src/core/task_steps_refuse.c
@@ -2,23 +2,24 @@
 
 #include "commit.h"
 
-/* Steps of a task that is about to be told "not run": REFUSING. */
+/* Steps of a task that is about to be answered "not run": REFUSING. */
 
-/* How long a refusal waits for the key's row to be read. */
-#define ROW_MS 250
+/* Longest that a refusal waits for the key's row to be read. */
+#define ROW_READ_TIMEOUT_MS 250
 
 static MuxOutcome
-outcome_of (const Task *task)
+refusal_outcome (const Task *task)
 {
   return task->may_have_run ? MUX_OUTCOME_FAILED : MUX_OUTCOME_NOT_RUN;
 }
 
 /*
- * Failure: the answer to a key's first submission is lost, and the second is
- * refused for want of room or of the table.  Told "not run", the caller would
- * take a new key, and the voucher is redeemed twice.  So a key's row is read
- * before that is said: where it can't be, the answer is "unknown".  A caller
- * who says that it never sent the key before needs no row for that.
+ * The answer to a key's first submission may be lost, and its repetition be
+ * refused for want of room or because the store is down.  If that were answered
+ * "not run", the caller would use a new key, and the work would be done twice.
+ * So the key's row is read before such an answer; if it can't be read, the
+ * answer is "unknown".  A caller that says that the key is new needs no such
+ * check.
  */
 void
 task_finish_not_run (MuxCore *core,
@@ -30,7 +31,7 @@
   task->last_retry_ms = retry_ms;
   if (!task->keyed || task->key_is_new || task->waiters == NULL)
     {
-      task_finish (core, task, outcome_of (task), reason, retry_ms,
+      task_finish (core, task, refusal_outcome (task), reason, retry_ms,
                    MUX_TASK_ABSENT, NULL);
       return;
     }
@@ -41,15 +42,15 @@
     }
   task->state = TASK_REFUSING;
   task_mark_waiters_refused (task);
-  task_set_timer (core, task, ROW_MS);
-  /* With memory out the task has its answer and is gone after this. */
+  task_set_timer (core, task, ROW_READ_TIMEOUT_MS);
+  /* Out of memory, this answers and frees the task. */
   commit_read (core, task);
 }
 
-/* Those who were refused hear so; for whoever joined since then the task
- * begins again. */
+/* Answers the callers that were marked; for callers that joined since then the
+ * task begins anew. */
 static void
-tell (MuxCore *core, Task *task, MuxOutcome outcome)
+respond_to_refused (MuxCore *core, Task *task, MuxOutcome outcome)
 {
   if (!task_respond_refused (core, task, outcome))
     {
@@ -61,33 +62,34 @@
   task_request_room_anew (core, task);
 }
 
-/* The caller's limit may have passed long before: only the time set for the
- * row counts here. */
+/* The row can't be read, or not in time.  The callers' time limit may have
+ * passed before; only the timer set for the read counts here. */
 void
 step_refusal_unchecked (MuxCore *core, Task *task, const TaskEvent *event)
 {
   if (event->kind != TASK_EV_STORE_DOWN && core->now_ms < task->timer_ms)
     return;
-  tell (core, task, MUX_OUTCOME_UNKNOWN);
+  respond_to_refused (core, task, MUX_OUTCOME_UNKNOWN);
 }
 
 void
 step_refusal_confirmed (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  tell (core, task, outcome_of (task));
+  respond_to_refused (core, task, refusal_outcome (task));
 }
 
-/* A row stands.  One that this submission wrote, or has settled, changes
- * nothing; another's attempt is followed for as long as the caller waits. */
+/* The key has a row.  If this submission wrote it, or has resolved its attempt,
+ * the refusal holds; another submission's attempt is followed as long as a
+ * caller waits. */
 void
 step_refusal_row_found (MuxCore *core, Task *task, const TaskEvent *event)
 {
   if (event->rev == task->row_rev
       || task_row_is_own (core, task, event->intent))
-    tell (core, task, outcome_of (task));
+    respond_to_refused (core, task, refusal_outcome (task));
   else if (core->now_ms >= task->expires_ms)
-    tell (core, task, MUX_OUTCOME_UNKNOWN);
+    respond_to_refused (core, task, MUX_OUTCOME_UNKNOWN);
   else
     step_row_found (core, task, event);
 }
--- a/src/core/task_steps_resolve.c
+++ b/src/core/task_steps_resolve.c
@@ -1,9 +1,10 @@
 #include "task_steps.h"
 
-/* Steps that find out what became of a start: SETTLING, FOLLOWING. */
+/* Steps that find out the outcome of a start: RESOLVING, FOLLOWING. */
 
-/* Calls without an answer after which a caller is told "unknown". */
-#define LOST_MAX 4
+/* Consecutive calls without a reply after which callers are answered "unknown".
+ */
+#define UNANSWERED_MAX 4
 
 void
 task_resolve (MuxCore *core, Task *task)
@@ -27,18 +28,18 @@
   task_resolve (core, task);
 }
 
-/* No answer again.  After some tries the callers hear "unknown" at once, and
- * the task is minded further without them. */
+/* After UNANSWERED_MAX calls without a reply the callers are answered
+ * "unknown", and the task is handled further without them. */
 void
 step_no_reply (MuxCore *core, Task *task, const TaskEvent *event)
 {
   mux_count_retry (core->counters, event->reason);
   task->unanswered_calls++;
-  if (task->unanswered_calls >= LOST_MAX && task->waiters != NULL)
+  if (task->unanswered_calls >= UNANSWERED_MAX && task->waiters != NULL)
     task_detach_callers (core, task, MUX_OUTCOME_UNKNOWN,
                          MUX_REASON_UNKNOWN_FATE, task_unknown_retry_ms (task));
   task_set_timer (core, task,
-                  core_jitter (core, task->unanswered_calls < LOST_MAX
+                  core_jitter (core, task->unanswered_calls < UNANSWERED_MAX
                                          ? RETRY_MS * 2
                                          : UNKNOWN_RETRY_MS));
 }
@@ -59,10 +60,10 @@
 }
 
 /*
- * Failure: the worker restarted and has forgotten whether this attempt ran.
- * Its former life is over, so nothing of it runs any more: idempotent work
- * may be done again.  Other work may have run once already and must not
- * again; its fate stays unknown for good.
+ * The worker no longer knows whether this attempt ran, as after a restart.  Its
+ * previous incarnation has ended, so nothing of it still runs and idempotent
+ * work may be started again.  Other work may have run once and must not run
+ * again; its outcome stays unknown for good.
  */
 void
 step_worker_state_lost (MuxCore *core, Task *task, const TaskEvent *event)
@@ -82,7 +83,7 @@
   (void) event;
   if (!task->absent_once)
     {
-      /* Its home may be just about to start it: look once more. */
+      /* Its home may be about to start it: check once more. */
       task->absent_once = true;
       task_set_timer (core, task, core_jitter (core, ABSENT_RECHECK_MS));
       return;
--- a/src/core/task_steps_row.c
+++ b/src/core/task_steps_row.c
@@ -25,11 +25,11 @@
 }
 
 /*
- * Failure: an earlier submission of the key at this same daemon wrote the
- * row, for the same worker, and ran.  Taken for the row of the grant at hand,
- * it would be started again; once the worker has restarted that is refused as
- * certainly not started, and the next attempt runs the task a second time.
- * The number of the grant tells the two apart.
+ * An earlier submission of the key at this daemon may have written the row for
+ * the same worker, and have run.  If its row were taken for that of the grant
+ * at hand, the task would be started again; after a restart of the worker that
+ * start is refused as certainly without effect, and the next attempt would run
+ * the task a second time.  The grant's number distinguishes the two.
  */
 bool
 task_row_is_own (const MuxCore *core, const Task *task, const Intent *intent)
@@ -42,8 +42,8 @@
          && intent->incarnation == task->placement.incarnation;
 }
 
-/* Somebody's attempt is on record: this submission gets that one's answer,
- * or, once it is certain that it never starts, makes the next attempt. */
+/* Another attempt is on record.  This submission gets the result of that one,
+ * or makes the next attempt once it is certain that that one never starts. */
 void
 step_row_found (MuxCore *core, Task *task, const TaskEvent *event)
 {
@@ -88,9 +88,10 @@
 }
 
 /*
- * The start has not left, whatever the table has: not run, and said so.  Work
- * that may be done twice goes on without its row: with the table away, a
- * second submission through another data centre can't be told from a first.
+ * The start was not sent, whether or not the row was written, so the task has
+ * not run and is answered so.  Idempotent work goes on without its row: while
+ * the store is down, a second submission in another data centre can't be told
+ * from a first.
  */
 void
 step_store_down (MuxCore *core, Task *task, const TaskEvent *event)
--- a/src/core/task_steps_run.c
+++ b/src/core/task_steps_run.c
@@ -4,15 +4,15 @@
 
 /* Steps of a task that was started: STARTED, RUNNING, STOPPING. */
 
-/* A job's running task is looked at, if nobody tells of its end, after its
+/* A job's running task is polled, unless its end is reported first, after its
  * declared run time, then after twice that and so on, within these bounds; one
- * that declares none, first after the time below. */
-#define JOB_LOOK_MIN_MS 500
-#define JOB_LOOK_FIRST_MS 10000
-#define JOB_LOOK_MAX_MS 1200000
-/* Times that a failed run of idempotent work is tried again. */
+ * that declares none, first after JOB_POLL_FIRST_MS. */
+#define JOB_POLL_MIN_MS 500
+#define JOB_POLL_FIRST_MS 10000
+#define JOB_POLL_MAX_MS 1200000
+/* Retries of a failed run of idempotent work. */
 #define FAILED_RETRIES 2
-/* Longest that a fetch waits for a request's end. */
+/* Longest that a fetch waits for the end of a task that a caller waits for. */
 #define FETCH_WAIT_MS 5000
 
 void
@@ -24,11 +24,11 @@
 }
 
 static bool
-try_again (const Task *task)
+should_retry (const Task *task)
 {
   if (!task->idempotent || task->cancelled || task->ticketed)
     return false;
-  /* A long-running service is meant to run until it is cancelled. */
+  /* A long-running service is to run until it is cancelled. */
   if (task->kind == MUX_KIND_LONG_RUNNING)
     return true;
   return (task->has_job || task->waiters != NULL)
@@ -55,7 +55,7 @@
     default:
       break;
     }
-  if (try_again (task))
+  if (should_retry (task))
     task_next_attempt (core, task, MUX_REASON_TASK_FAILED);
   else
     task_finish (core, task, MUX_OUTCOME_FAILED,
@@ -68,8 +68,8 @@
 step_not_started (MuxCore *core, Task *task, const TaskEvent *event)
 {
   task_end_grant (core, task, MUX_TASK_ABSENT, 0);
-  /* Under a ticket an earlier submission may have run in the life that the
-   * worker has forgotten. */
+  /* Under a ticket an earlier submission may have run in the incarnation whose
+   * state the worker has lost. */
   if (task->ticketed && event->reason == MUX_REASON_FENCED_INCARNATION)
     {
       task_finish_unknown (core, task, MUX_REASON_UNKNOWN_FATE);
@@ -80,38 +80,41 @@
       task_next_attempt (core, task, event->reason);
       return;
     }
-  /* Somebody put this attempt down to make the next one: follow that. */
+  /* Another submission set the tombstone to make the next attempt, which is
+   * followed. */
   mux_count_retry (core->counters, event->reason);
   task->state = TASK_READING;
   commit_read (core, task);
 }
 
 /*
- * Failure: an owner of many workers lists their tasks rarely, and a job of
- * short tasks would wait for each list.  Its home looks by itself, soon after
- * the end is due, then ever more rarely: declared run times are often far too
- * short, and looks at thousands of long tasks would be all that a daemon does.
- * A lost word of a task's end so delays its job by about the task's run time.
+ * Interval until the next poll of a job's running task.  An owner of many
+ * workers lists their tasks rarely, and a job of short tasks would wait for
+ * each list, so the home polls by itself: soon after the end is due, then at
+ * doubling intervals, since declared run times are often far too short and
+ * polls of thousands of long tasks would keep a daemon busy.  A lost report of
+ * a task's end delays its job by about the task's run time.
  */
 static int64_t
-job_look_ms (const Task *task)
+job_poll_interval_ms (const Task *task)
 {
-  int64_t look_ms = task->run_ms;
-
-  if (look_ms == 0)
-    look_ms = JOB_LOOK_FIRST_MS;
-  if (look_ms < JOB_LOOK_MIN_MS)
-    look_ms = JOB_LOOK_MIN_MS;
-  for (uint32_t i = 0; i < task->poll_count && look_ms < JOB_LOOK_MAX_MS; i++)
-    look_ms *= 2;
-  return look_ms < JOB_LOOK_MAX_MS ? look_ms : JOB_LOOK_MAX_MS;
+  int64_t interval_ms = task->run_ms;
+
+  if (interval_ms == 0)
+    interval_ms = JOB_POLL_FIRST_MS;
+  if (interval_ms < JOB_POLL_MIN_MS)
+    interval_ms = JOB_POLL_MIN_MS;
+  for (uint32_t i = 0; i < task->poll_count && interval_ms < JOB_POLL_MAX_MS;
+       i++)
+    interval_ms *= 2;
+  return interval_ms < JOB_POLL_MAX_MS ? interval_ms : JOB_POLL_MAX_MS;
 }
 
 void
 task_poll_soon (MuxCore *core, Task *task)
 {
   task->poll_count = 0;
-  task_set_timer (core, task, core_jitter (core, JOB_LOOK_FIRST_MS));
+  task_set_timer (core, task, core_jitter (core, JOB_POLL_FIRST_MS));
 }
 
 static void
@@ -119,7 +122,8 @@
 {
   if (task->has_job)
     {
-      task_set_timer (core, task, core_jitter (core, job_look_ms (task)));
+      task_set_timer (core, task,
+                      core_jitter (core, job_poll_interval_ms (task)));
       task->poll_count++;
       return;
     }
@@ -144,8 +148,8 @@
   await_end (core, task);
 }
 
-/* While the start is still out, a probe that finds it running only shows that
- * the start's own connection may yet bring the end. */
+/* The start call is still in flight, and a fetch has found the task running:
+ * the start's own connection may still bring the result. */
 void
 step_start_running (MuxCore *core, Task *task, const TaskEvent *event)
 {
@@ -160,7 +164,7 @@
   task_call_fetch (core, task, FETCH_WAIT_MS);
 }
 
-/* The start is still on its way; its own reply will say what became of it. */
+/* The start call is still in flight; its own reply brings its outcome. */
 void
 step_start_not_arrived (MuxCore *core, Task *task, const TaskEvent *event)
 {
