--- a/src/core/jobs.c
+++ b/src/core/jobs.c
@@ -4,11 +4,11 @@
 
 #include <stdlib.h>
 
-/* Between looks for jobs whose tasks have not all been set going. */
-#define CARRY_MS 1000
-/* From hearing a daemon for the first time to a look through the open jobs:
- * the others that live must have been heard by then. */
-#define NEWCOMER_MS INT64_C (3000)
+/* Interval of retries to make Tasks for slots that still need one. */
+#define ACTIVATION_INTERVAL_MS 1000
+/* Delay from the first contact with a daemon to a scan of the open jobs: the
+ * other live daemons must have been heard from by then. */
+#define NEW_MEMBER_SCAN_MS INT64_C (3000)
 
 Jobs *
 jobs_new (void)
@@ -57,11 +57,11 @@
 }
 
 Job *
-job_of_generation (MuxCore *core, MuxId id, uint64_t turn)
+job_of_generation (MuxCore *core, MuxId id, uint64_t generation)
 {
   Job *job = job_find (core, id);
 
-  return job != NULL && job->generation == turn ? job : NULL;
+  return job != NULL && job->generation == generation ? job : NULL;
 }
 
 Job *
@@ -104,54 +104,54 @@
 }
 
 static void
-refuse (MuxCore *core, const MuxCoreRequest *ask, MuxReason reason)
+refuse (MuxCore *core, const MuxCoreRequest *request, MuxReason reason)
 {
-  core_respond (core, ask->call_id, MUX_OUTCOME_NOT_RUN, reason, RETRY_MS * 10,
-                ask->id, NULL);
+  core_respond (core, request->call_id, MUX_OUTCOME_NOT_RUN, reason,
+                RETRY_MS * 10, request->id, NULL);
 }
 
 void
-jobs_request (MuxCore *core, const MuxCoreRequest *ask)
+jobs_request (MuxCore *core, const MuxCoreRequest *request)
 {
-  if (core->stopping && ask->verb != MUX_CORE_JOB_GET
-      && ask->verb != MUX_CORE_JOB_LIST)
+  if (core->stopping && request->verb != MUX_CORE_JOB_GET
+      && request->verb != MUX_CORE_JOB_LIST)
     {
-      refuse (core, ask, MUX_REASON_STOPPING);
+      refuse (core, request, MUX_REASON_STOPPING);
       return;
     }
-  switch (ask->verb)
+  switch (request->verb)
     {
     case MUX_CORE_JOB_SUBMIT:
-      job_submit (core, ask);
+      job_submit (core, request);
       break;
     case MUX_CORE_JOB_WAIT:
-      job_wait (core, ask);
+      job_wait (core, request);
       break;
     case MUX_CORE_JOB_CANCEL:
-      job_request_cancel (core, ask);
+      job_request_cancel (core, request);
       break;
     case MUX_CORE_JOB_LIST:
-      job_list (core, ask);
+      job_list (core, request);
       break;
     default:
-      job_show (core, ask);
+      job_show (core, request);
       break;
     }
 }
 
 /*
- * Failure: a job is adopted before this daemon has its class, as when both
- * come with a start, or its class is set again after it was removed.  Nothing
- * of the job's own would ever set it going.
+ * A job may be adopted before this daemon has its class, as right after a
+ * start, or its class be configured again after it was removed.  No event of
+ * the job itself would then make it go on.
  */
 static void
-carry_on (MuxCore *core)
+activate_waiting_tasks (MuxCore *core)
 {
   Job *job, *next;
 
   if (core->now_ms < core->jobs->next_activation_ms)
     return;
-  core->jobs->next_activation_ms = core->now_ms + CARRY_MS;
+  core->jobs->next_activation_ms = core->now_ms + ACTIVATION_INTERVAL_MS;
   HASH_ITER (hh, core->jobs->open, job, next)
   if (job->loaded && job->next_new < job->header.task_count)
     job_activate_tasks (core, job);
@@ -165,7 +165,7 @@
   if (!core->stopping)
     job_scan (core);
   job_waits_tick (core);
-  carry_on (core);
+  activate_waiting_tasks (core);
   HASH_ITER (hh, core->jobs->open, job, next)
   {
     job_gang_tick (core, job);
@@ -176,9 +176,9 @@
 int64_t
 jobs_wake_ms (const MuxCore *core)
 {
-  /* A stopping daemon adopts nothing, so these stay overdue. */
+  /* A stopping daemon adopts nothing, so these would stay overdue. */
   int64_t at = core->stopping ? INT64_MAX : core->jobs->next_scan_ms;
-  int64_t retake = core->stopping ? INT64_MAX : job_rechecks_wake_ms (core);
+  int64_t recheck = core->stopping ? INT64_MAX : job_rechecks_wake_ms (core);
   int64_t wait = job_waits_wake_ms (core);
   int64_t write_ms;
 
@@ -192,8 +192,8 @@
     }
   if (wait < at)
     at = wait;
-  if (retake < at)
-    at = retake;
+  if (recheck < at)
+    at = recheck;
   return at;
 }
 
@@ -201,25 +201,26 @@
 jobs_member_dead (MuxCore *core, const char *name)
 {
   (void) name;
-  /* Soon, and not all daemons in the same moment. */
+  /* The jitter keeps the daemons from scanning all at the same moment. */
   job_scan_soon (core, RETRY_MS);
 }
 
 /*
- * Failure: a daemon that could not be heard here records jobs, dies, and comes
- * back when the cut has healed.  Its former life was never known here, so its
- * end is no news, and its jobs would wait for the next look at all.
+ * A daemon may record jobs while it is partitioned from this one, die, and come
+ * back when the partition has healed.  Its previous incarnation was never known
+ * here, so its death causes no scan, and its jobs would wait for the next
+ * regular one.
  */
 void
 jobs_member_new (MuxCore *core)
 {
   const Jobs *jobs = core->jobs;
 
-  /* Soon enough as it is, as after this daemon's own start. */
+  /* A scan is due soon anyway, as after this daemon's own start. */
   if (!jobs->scanning && jobs->scan_after[0] == 0
-      && jobs->next_scan_ms <= core->now_ms + 2 * NEWCOMER_MS)
+      && jobs->next_scan_ms <= core->now_ms + 2 * NEW_MEMBER_SCAN_MS)
     return;
-  job_scan_soon (core, NEWCOMER_MS);
+  job_scan_soon (core, NEW_MEMBER_SCAN_MS);
 }
 
 void
@@ -236,8 +237,8 @@
 {
   Job *job, *next;
 
-  /* What is placed but not yet written must not be lost with this process:
-   * its home's successor looks only where the rows say. */
+  /* A placement that is not yet written must not be lost with this process: the
+   * daemon that adopts the job looks only where the rows say. */
   HASH_ITER (hh, core->jobs->open, job, next)
   if (job->writing || job->urgent)
     return false;
--- a/src/core/jobs_row.c
+++ b/src/core/jobs_row.c
@@ -94,7 +94,7 @@
   const char *id, *class_name, *state, *home, *object;
   json_int_t tasks, incarnation, done, failed, at_ms;
   int cancel;
-  bool good
+  bool valid
       = json != NULL
         && json_unpack (
                json, "{s:s, s:s, s:I, s:s, s:b, s:s, s:I, s:s, s:I, s:I, s:I}",
@@ -105,12 +105,12 @@
                == 0;
 
   *header = (JobHeader){ 0 };
-  good = good && mux_id_parse (id, &header->id)
-         && job_state_parse (state, &header->state) && tasks > 0
-         && tasks <= MUX_JOB_TASKS_MAX && strlen (object) < OBJECT_KEY_LEN
-         && mux_name_copy (header->class_name, class_name)
-         && mux_name_copy (header->home, home);
-  if (good)
+  valid = valid && mux_id_parse (id, &header->id)
+          && job_state_parse (state, &header->state) && tasks > 0
+          && tasks <= MUX_JOB_TASKS_MAX && strlen (object) < OBJECT_KEY_LEN
+          && mux_name_copy (header->class_name, class_name)
+          && mux_name_copy (header->home, home);
+  if (valid)
     {
       header->task_count = (uint32_t) tasks;
       header->cancel_requested = cancel != 0;
@@ -121,7 +121,7 @@
       snprintf (header->object, sizeof header->object, "%s", object);
     }
   json_decref (json);
-  return good;
+  return valid;
 }
 
 static uint32_t
@@ -177,13 +177,13 @@
   json_t *array
       = blob == NULL ? NULL : json_loadb (blob->bytes, blob->len, 0, NULL);
   uint32_t first = part * TASKS_PER_PART;
-  bool good = json_is_array (array)
-              && json_array_size (array) == part_end (job, part) - first;
+  bool valid = json_is_array (array)
+               && json_array_size (array) == part_end (job, part) - first;
 
-  for (uint32_t i = first; good && i < part_end (job, part); i++)
-    good = slot_from_json (&job->slots[i], json_array_get (array, i - first));
+  for (uint32_t i = first; valid && i < part_end (job, part); i++)
+    valid = slot_from_json (&job->slots[i], json_array_get (array, i - first));
   json_decref (array);
-  return good;
+  return valid;
 }
 
 uint32_t
--- a/src/core/jobs_tasks.c
+++ b/src/core/jobs_tasks.c
@@ -4,17 +4,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* An ended task is written with the next placement, at the latest then. */
+/* Longest delay of the write of an ended task, which goes along with the next
+ * placement if there is one before. */
 #define LAZY_WRITE_MS 2000
 
 static bool
-slot_final (const Slot *slot)
+slot_is_final (const Slot *slot)
 {
   return slot->state >= SLOT_DONE;
 }
 
 static void
-mark (MuxCore *core, Job *job, uint32_t index, bool urgent)
+mark_dirty (MuxCore *core, Job *job, uint32_t index, bool urgent)
 {
   job->dirty[index / TASKS_PER_PART] = 1;
   if (urgent)
@@ -28,7 +29,7 @@
 }
 
 static void
-look_ended (MuxCore *core, Job *job)
+check_ended (MuxCore *core, Job *job)
 {
   if (job->final_count < job->header.task_count)
     return;
@@ -39,11 +40,11 @@
 }
 
 static void
-slot_end (MuxCore *core, Job *job, uint32_t index, SlotState state)
+end_slot (MuxCore *core, Job *job, uint32_t index, SlotState state)
 {
   Slot *slot = &job->slots[index];
 
-  if (slot_final (slot))
+  if (slot_is_final (slot))
     return;
   slot->state = state;
   job->final_count++;
@@ -51,17 +52,17 @@
     job->header.done++;
   else
     job->header.failed++;
-  mark (core, job, index, false);
-  look_ended (core, job);
+  mark_dirty (core, job, index, false);
+  check_ended (core, job);
 }
 
 /*
- * Failure: memory is out when a task is made.  Counted as minded it would be
- * given to nobody again, and the job would never end.  It stays with the ones
- * not given yet, which are looked at each second.
+ * Out of memory when the Task is made.  If the slot counted as handled, no Task
+ * would be made for it again, and the job would never end.  It goes back to the
+ * slots without one, which are retried each second.
  */
 static void
-give_later (Job *job, uint32_t index)
+defer_task (Job *job, uint32_t index)
 {
   Slot *slot = &job->slots[index];
 
@@ -72,9 +73,9 @@
     job->next_new = index;
 }
 
-/* False: memory is out. */
+/* Return: false: out of memory. */
 static bool
-give_task (MuxCore *core, Job *job, uint32_t index, const MuxClassSpec *spec)
+make_task (MuxCore *core, Job *job, uint32_t index, const MuxClassSpec *spec)
 {
   Slot *slot = &job->slots[index];
   bool gang = spec->kind == MUX_KIND_GANG && job_none_placed (job);
@@ -89,7 +90,7 @@
   Intent at = { .attempt = options.attempt,
                 .incarnation = slot->incarnation,
                 .not_after_ms = slot->not_after_ms };
-  bool given;
+  bool created;
 
   slot->has_task = true;
   job->active_count++;
@@ -97,47 +98,48 @@
   memcpy (at.addr, slot->addr, sizeof at.addr);
   if (slot->state != SLOT_NEW)
     {
-      given = task_resume (core, &options, &at);
+      created = task_resume (core, &options, &at);
     }
   else
     {
       job->unplaced_count++;
-      given = task_begin (core, &options);
+      created = task_begin (core, &options);
     }
-  if (!given)
-    give_later (job, index);
-  return given;
+  if (!created)
+    defer_task (job, index);
+  return created;
 }
 
 void
 job_activate_tasks (MuxCore *core, Job *job)
 {
   const MuxClassSpec *spec = config_class (core, job->header.class_name);
-  uint32_t room;
+  uint32_t allowed;
 
   if (spec == NULL || !job->loaded || job->ended || job->dropped
       || core->stopping)
     return;
-  /* Tasks that run need no window. */
-  room = job->unplaced_count < WINDOW_TASKS ? WINDOW_TASKS - job->unplaced_count
-                                            : 0;
+  /* The limit does not apply to tasks that are placed. */
+  allowed = job->unplaced_count < UNPLACED_TASKS_MAX
+                ? UNPLACED_TASKS_MAX - job->unplaced_count
+                : 0;
   if (spec->kind == MUX_KIND_GANG)
-    room = job->header.task_count;
-  /* Room that is still booked from before is granted at once, and that calls
-   * this again, so the number moves on before the task is given. */
-  while (job->next_new < job->header.task_count && room > 0)
+    allowed = job->header.task_count;
+  /* Room still booked from before is granted at once, which calls this function
+   * again, so the index moves on before the Task is made. */
+  while (job->next_new < job->header.task_count && allowed > 0)
     {
       uint32_t index = job->next_new++;
       const Slot *slot = &job->slots[index];
 
-      /* Of a cancelled job only what may run is looked after: it has to be
-       * found before it can be stopped. */
-      if (slot_final (slot) || slot->has_task
+      /* Of a cancelled job only tasks that may run are handled: they have to be
+       * found before they can be stopped. */
+      if (slot_is_final (slot) || slot->has_task
           || (job->header.cancel_requested && slot->state != SLOT_PLACED))
         continue;
       if (slot->state == SLOT_NEW)
-        room--;
-      if (!give_task (core, job, index, spec))
+        allowed--;
+      if (!make_task (core, job, index, spec))
         return;
     }
   if (spec->kind == MUX_KIND_GANG && job->unplaced_count > 0)
@@ -150,7 +152,8 @@
   TaskEvent event = { .kind = TASK_EV_CANCEL, .reason = MUX_REASON_CANCELLED };
 
   job->header.cancel_requested = true;
-  /* Slots that were not read yet look new; adoption comes back to this. */
+  /* Slots that were not read yet look new; this is called again after adoption.
+   */
   if (!job->loaded)
     return;
   for (uint32_t i = 0; i < job->header.task_count; i++)
@@ -160,9 +163,9 @@
       if (task != NULL)
         task_event (core, task, &event);
       else if (job->slots[i].state == SLOT_NEW)
-        slot_end (core, job, i, SLOT_CANCELLED);
+        end_slot (core, job, i, SLOT_CANCELLED);
     }
-  look_ended (core, job);
+  check_ended (core, job);
 }
 
 void
@@ -204,12 +207,12 @@
   memcpy (slot->addr, task->placement.addr, sizeof slot->addr);
   if (job->pending_count < job->header.task_count)
     job->pending_keys[job->pending_count++] = task->key;
-  mark (core, job, task->job_index, true);
+  mark_dirty (core, job, task->job_index, true);
   job_activate_tasks (core, job);
 }
 
 static SlotState
-slot_of (const Task *task, MuxOutcome outcome, MuxReason reason)
+final_slot_state (const Task *task, MuxOutcome outcome, MuxReason reason)
 {
   if (outcome == MUX_OUTCOME_DONE)
     return SLOT_DONE;
@@ -238,5 +241,6 @@
     job->unplaced_count--;
   job->slots[task->job_index].has_task = false;
   job->active_count--;
-  slot_end (core, job, task->job_index, slot_of (task, outcome, reason));
+  end_slot (core, job, task->job_index,
+            final_slot_state (task, outcome, reason));
 }
--- a/src/core/jobs_write.c
+++ b/src/core/jobs_write.c
@@ -5,17 +5,17 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Pause after the store did not take a write. */
+/* Pause after a write or read that the store did not serve. */
 #define STORE_PAUSE_MS 1000
 
-/* Tasks whose placement was in the write: tell each that it stands. */
+/* Notifies the tasks whose placement was in the write. */
 static void
-tell_written (MuxCore *core, Job *job)
+notify_written (MuxCore *core, Job *job)
 {
   TaskEvent event = { .kind = TASK_EV_ROW_WRITTEN };
 
-  /* What a task does next may be recorded again, in @pending; the job itself
-   * ends or is dropped by answers of the table alone. */
+  /* A task's next step may add to the pending placements; the job itself ends
+   * or is dropped only by replies of the store. */
   for (uint32_t i = 0; i < job->inflight_count; i++)
     {
       Task *task = task_find (core, job->inflight_keys[i]);
@@ -26,10 +26,10 @@
   job->inflight_count = 0;
 }
 
-/* The write did not happen, or that can't be told: the same is due again, and
- * the tasks go on waiting for it. */
+/* The write failed or its outcome is unknown: it becomes due again, and the
+ * tasks keep waiting for it. */
 static void
-write_again (MuxCore *core, Job *job, int64_t pause_ms)
+retry_write (MuxCore *core, Job *job, int64_t pause_ms)
 {
   for (uint32_t i = 0;
        i < job->inflight_count && job->pending_count < job->header.task_count;
@@ -43,7 +43,7 @@
 }
 
 static void
-parts_stand (Job *job, uint64_t rev)
+set_written_revisions (Job *job, uint64_t rev)
 {
   for (uint32_t i = 0; i < job_part_count (&job->header); i++)
     if (job->in_write[i])
@@ -51,33 +51,36 @@
 }
 
 static void
-not_written (MuxCore *core, Job *job, MuxTableStatus status)
+write_failed (MuxCore *core, Job *job, MuxTableStatus status)
 {
   switch (status)
     {
     case MUX_TABLE_OK:
       break;
     case MUX_TABLE_CONFLICT:
-      write_again (core, job, 0);
+      retry_write (core, job, 0);
       job->needs_reread = true;
       break;
     case MUX_TABLE_UNKNOWN:
       mux_count_retry (core->counters, MUX_REASON_WRITE_UNKNOWN);
-      write_again (core, job, RETRY_MS);
+      retry_write (core, job, RETRY_MS);
       job->needs_reread = true;
       break;
     case MUX_TABLE_DOWN:
     case MUX_TABLE_BAD:
       mux_count_retry (core->counters, MUX_REASON_STORE_DOWN);
-      write_again (core, job, STORE_PAUSE_MS);
+      retry_write (core, job, STORE_PAUSE_MS);
       break;
     }
 }
 
 static void
-end_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
+end_done (MuxCore *core,
+          MuxId id,
+          uint64_t generation,
+          const MuxTableReply *reply)
 {
-  Job *job = job_of_generation (core, id, turn);
+  Job *job = job_of_generation (core, id, generation);
 
   if (job == NULL)
     return;
@@ -85,32 +88,32 @@
   if (reply->status == MUX_TABLE_OK)
     job_ended (core, job);
   else
-    not_written (core, job, reply->status);
+    write_failed (core, job, reply->status);
 }
 
 static void
 parts_written (MuxCore *core,
                MuxId id,
-               uint64_t turn,
+               uint64_t generation,
                const MuxTableReply *reply)
 {
-  Job *job = job_of_generation (core, id, turn);
+  Job *job = job_of_generation (core, id, generation);
 
   if (job == NULL)
     return;
   job->writing = false;
   if (reply->status != MUX_TABLE_OK)
     {
-      not_written (core, job, reply->status);
+      write_failed (core, job, reply->status);
       return;
     }
-  parts_stand (job, reply->rev);
+  set_written_revisions (job, reply->rev);
   job->urgent = job->pending_count > 0;
-  tell_written (core, job);
+  notify_written (core, job);
 }
 
 static uint32_t
-dirty_parts (const Job *job)
+count_dirty_parts (const Job *job)
 {
   uint32_t count = 0;
 
@@ -120,12 +123,12 @@
 }
 
 /*
- * Failure: the answer of a write is lost, it is done again, tasks start, and
- * then the first one lands, late, and puts back what it knew: tasks that run
- * are recorded as not placed, and the next home starts them a second time.
- * So each part is put on condition of its own revision; a late write finds it
- * moved and has no effect.  The header's revision, checked with it, keeps out
- * the writes of a former home.
+ * A write of unknown outcome is repeated and tasks start; if the first write
+ * took effect late, it would restore the earlier state: tasks that run would be
+ * recorded as not placed, and the next home would start them a second time. So
+ * each part is written on condition of its own revision, which a late write
+ * finds changed.  The header's revision, checked in the same transaction,
+ * refuses the writes of a previous home.
  */
 static bool
 fill_parts (Job *job, MuxTableCall *call)
@@ -154,7 +157,7 @@
 parts_call (Job *job)
 {
   MuxTableCall *call
-      = mux_table_call_new (MUX_TABLE_TXN, 1 + dirty_parts (job));
+      = mux_table_call_new (MUX_TABLE_TXN, 1 + count_dirty_parts (job));
 
   if (call == NULL || fill_parts (job, call))
     return call;
@@ -163,11 +166,11 @@
 }
 
 /*
- * The last write moves the job from the open ones to the ended ones.
+ * The last write moves the job from the open rows to the ended ones.
  *
- * Failure: a job runs for longer than keys are remembered.  Counted from its
- * submission its row is swept as it ends, and a repeat of its key runs it
- * again.  So it is counted from its end.
+ * Its retention is counted from its end, not from its submission: the row of a
+ * job that runs for longer than keys are remembered would be swept as it ends,
+ * and a repeated submission would run it again.
  */
 static MuxTableCall *
 end_call (const MuxCore *core, Job *job)
@@ -218,7 +221,7 @@
           = core->now_ms + commit_write_interval_ms (core);
       return;
     }
-  write_again (core, job, RETRY_MS);
+  retry_write (core, job, RETRY_MS);
 }
 
 static void
@@ -231,10 +234,10 @@
 static void
 parts_reread (MuxCore *core,
               MuxId id,
-              uint64_t turn,
+              uint64_t generation,
               const MuxTableReply *reply)
 {
-  Job *job = job_of_generation (core, id, turn);
+  Job *job = job_of_generation (core, id, generation);
 
   if (job == NULL)
     return;
@@ -249,9 +252,12 @@
 }
 
 static void
-reread_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
+reread_done (MuxCore *core,
+             MuxId id,
+             uint64_t generation,
+             const MuxTableReply *reply)
 {
-  Job *job = job_of_generation (core, id, turn);
+  Job *job = job_of_generation (core, id, generation);
   JobHeader header;
 
   if (job == NULL)
@@ -263,7 +269,7 @@
     }
   if (job_header_from_blob (reply->rows[1].value, &header))
     {
-      /* Our own last write whose answer was lost, or another home's. */
+      /* This daemon's last write, whose reply was lost, or another home's. */
       job->header = header;
       job_ended (core, job);
       return;
