--- a/src/core/jobs_adopt.c
+++ b/src/core/jobs_adopt.c
@@ -7,26 +7,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between looks through the open jobs for ones without a living home. */
-#define SCAN_EVERY_MS 60000
-/* Between looks at a row that should be carried here. */
-#define RETAKE_MS 1500
-/* Before a look at the row of a job that another daemon took: two that can't
- * hear each other must not take it from one another all the time. */
-#define LET_GO_MS 8000
-/* Looks that find no row before it is believed that none will come. */
-#define RETAKE_TRIES 20
-/* Between pages of one look. */
+/* Longest interval between scans for open jobs whose home has died; at least
+ * half of it. */
+#define SCAN_INTERVAL_MAX_MS 60000
+/* Interval of reads of a row whose job should be handled here. */
+#define RECHECK_MS 1500
+/* Delay before the row of a job that another daemon took is read: two daemons
+ * that can't reach each other must not keep taking it from one another. */
+#define RELEASED_RECHECK_MS 8000
+/* Reads without a row after which it is assumed that none will be written. */
+#define RECHECKS_MAX 20
+/* Delay between the pages of one scan. */
 #define SCAN_PAGE_MS 20
-/* Before the first look: peers must have been heard by then. */
+/* Delay before the first scan: peers must have been heard from by then. */
 #define SCAN_FIRST_MS 3000
-/* Open jobs are divided by the first bits of their ids; each part is looked
- * through by the daemon that is first choice for it, so that all daemons
- * together read the rows about once a look, not each of them all rows. */
-#define PARTS 64
-#define PART_SHIFT 58
+/* Open jobs are divided into partitions by the first bits of their ids.  Each
+ * partition is scanned by the daemon that ranks first for it, so that all
+ * daemons together read the rows about once per scan, not each of them all
+ * rows. */
+#define PARTITIONS 64
+#define PARTITION_SHIFT 58
 #define OPEN_PREFIX "job/open/"
-/* Rows of a page: few, since a page may reach into parts of others. */
+/* Rows of a page: few, since a page may reach into partitions of other daemons.
+ */
 #define SCAN_ROWS 32
 
 static bool
@@ -36,9 +39,9 @@
          && header->home_incarnation == core->opt.incarnation;
 }
 
-/* The home of a row is alive if it is a member that is not known to be dead
- * in that same life.  A member never heard of counts as dead: the first look
- * comes only when all that live have been heard. */
+/* The home is alive if it is a member in the same incarnation that is not known
+ * to be dead.  A member never heard from counts as dead: the first scan begins
+ * only when all live members have been heard from. */
 bool
 job_home_alive (MuxCore *core, const JobHeader *header)
 {
@@ -52,38 +55,38 @@
 }
 
 static uint32_t
-part_of (MuxId id)
+partition_of (MuxId id)
 {
-  return (uint32_t) (id.hi >> PART_SHIFT);
+  return (uint32_t) (id.hi >> PARTITION_SHIFT);
 }
 
 static bool
-part_is_ours (MuxCore *core, uint32_t part)
+scans_partition (MuxCore *core, uint32_t partition)
 {
   char subject[MUX_NAME_LEN];
 
-  snprintf (subject, sizeof subject, "jobs-%u", part);
+  snprintf (subject, sizeof subject, "jobs-%u", partition);
   return members_ranked_first (core, subject, false);
 }
 
 static bool
-is_held (MuxCore *core, MuxId id)
+is_handled (MuxCore *core, MuxId id)
 {
   return job_find (core, id) != NULL || job_submitting (core, id);
 }
 
 static bool
-ours_to_adopt (MuxCore *core, const JobHeader *header)
+should_adopt (MuxCore *core, const JobHeader *header)
 {
-  if (is_held (core, header->id))
+  if (is_handled (core, header->id))
     return false;
   return is_home (core, header)
          || (!job_home_alive (core, header)
-             && part_is_ours (core, part_of (header->id)));
+             && scans_partition (core, partition_of (header->id)));
 }
 
 static void
-adopted (MuxCore *core, Job *job)
+begin_adopted (MuxCore *core, Job *job)
 {
   job->loaded = true;
   mux_count (core->counters, MUX_COUNT_JOBS_ADOPTED, 1);
@@ -114,14 +117,14 @@
   Jobs *jobs = core->jobs;
   int64_t at_ms = core->now_ms + core_jitter (core, after_ms);
 
-  /* The look that is under way may have passed the row already. */
+  /* The scan under way may have passed the row already. */
   jobs->scan_again = jobs->scanning || jobs->scan_after[0] != 0;
   if (at_ms < jobs->next_scan_ms)
     jobs->next_scan_ms = at_ms;
 }
 
 static void
-abandon (MuxCore *core, Job *job)
+abandon_adoption (MuxCore *core, Job *job)
 {
   MuxId id = job->id;
 
@@ -130,20 +133,23 @@
 }
 
 static void
-body_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
+body_done (MuxCore *core,
+           MuxId id,
+           uint64_t generation,
+           const MuxTableReply *reply)
 {
-  Job *job = job_of_generation (core, id, turn);
+  Job *job = job_of_generation (core, id, generation);
 
   if (job == NULL)
     return;
   if (reply->status != MUX_TABLE_OK || reply->row_count == 0
       || reply->rows[0].value == NULL)
     {
-      abandon (core, job);
+      abandon_adoption (core, job);
       return;
     }
   job->body = mux_blob_ref (reply->rows[0].value);
-  adopted (core, job);
+  begin_adopted (core, job);
 }
 
 static void
@@ -153,7 +159,7 @@
 
   if (job->header.object[0] == 0)
     {
-      adopted (core, job);
+      begin_adopted (core, job);
       return;
     }
   call = mux_table_call_new (MUX_TABLE_OBJECT_GET, 1);
@@ -162,19 +168,22 @@
               job->header.object);
   if (call == NULL
       || !call_table (core, call, body_done, job->id, job->generation))
-    abandon (core, job);
+    abandon_adoption (core, job);
 }
 
 static void
-parts_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
+parts_done (MuxCore *core,
+            MuxId id,
+            uint64_t generation,
+            const MuxTableReply *reply)
 {
-  Job *job = job_of_generation (core, id, turn);
+  Job *job = job_of_generation (core, id, generation);
 
   if (job == NULL)
     return;
   if (reply->status != MUX_TABLE_OK)
     {
-      abandon (core, job);
+      abandon_adoption (core, job);
       return;
     }
   job_set_part_revisions (job, reply);
@@ -185,7 +194,7 @@
       if (part < job_part_count (&job->header)
           && !job_part_from_blob (job, part, reply->rows[i].value))
         {
-          abandon (core, job);
+          abandon_adoption (core, job);
           return;
         }
     }
@@ -193,32 +202,36 @@
 }
 
 static void
-take_done (MuxCore *core, MuxId id, uint64_t turn, const MuxTableReply *reply)
+take_over_done (MuxCore *core,
+                MuxId id,
+                uint64_t generation,
+                const MuxTableReply *reply)
 {
-  Job *job = job_of_generation (core, id, turn);
+  Job *job = job_of_generation (core, id, generation);
 
   if (job == NULL)
     return;
   if (reply->status == MUX_TABLE_CONFLICT)
     {
-      /* Another one took it, or it was only cancelled: its row will tell. */
+      /* Another daemon took it, or it was only cancelled; its row shows which.
+       */
       job_release (core, job);
       return;
     }
   if (reply->status != MUX_TABLE_OK)
     {
-      abandon (core, job);
+      abandon_adoption (core, job);
       return;
     }
   job->rev = reply->rev;
   if (!job_read_parts (core, job, parts_done))
-    abandon (core, job);
+    abandon_adoption (core, job);
 }
 
-/* Becoming the home is one conditional write: of several that try, one wins,
- * and a former home that wakes finds its own writes refused. */
+/* A daemon becomes the home by one conditional write: of several that try, one
+ * succeeds, and the writes of a previous home that comes back are refused. */
 static void
-take (MuxCore *core, const MuxRow *row, const JobHeader *found)
+take_over (MuxCore *core, const MuxRow *row, const JobHeader *found)
 {
   JobHeader header = *found;
   MuxTableCall *call;
@@ -242,43 +255,43 @@
       call = NULL;
     }
   if (call == NULL
-      || !call_table (core, call, take_done, job->id, job->generation))
-    abandon (core, job);
+      || !call_table (core, call, take_over_done, job->id, job->generation))
+    abandon_adoption (core, job);
 }
 
 /*
- * Failure: the write that made this daemon the home took effect and its answer
- * was lost, or the job's parts could not be read after it.  The row then names
- * a home that lives, so nobody else adopts the job, and here nobody carries
- * it: it would stay open for ever.  Only this daemon knows, so it looks at
- * that row again until it carries the job or the row names another that lives.
+ * The write that made this daemon the home may take effect while its reply is
+ * lost, or the parts may fail to be read after it.  The row then names a live
+ * home, so no other daemon adopts the job, and it would stay open for ever.
+ * Only this daemon knows, so it reads the row again until it handles the job or
+ * the row names another live home.
  *
- * The same look is due when this daemon lets go of a job that another took and
- * that one has died since: the looks after its death passed over the job, as
- * it was still held here.
+ * The same check is due after this daemon released a job that another one took,
+ * as that one may have died since: the scans after its death passed over the
+ * job while it was still held here.
  */
 static void
-retake_after (MuxCore *core, MuxId id, int64_t after_ms)
+schedule_recheck (MuxCore *core, MuxId id, int64_t after_ms)
 {
-  JobRecheck *retake;
+  JobRecheck *recheck;
 
-  HASH_FIND (hh, core->jobs->rechecks, &id, sizeof id, retake);
-  if (retake == NULL)
+  HASH_FIND (hh, core->jobs->rechecks, &id, sizeof id, recheck);
+  if (recheck == NULL)
     {
-      retake = calloc (1, sizeof *retake);
-      if (retake == NULL)
+      recheck = calloc (1, sizeof *recheck);
+      if (recheck == NULL)
         return;
-      retake->id = id;
-      HASH_ADD (hh, core->jobs->rechecks, id, sizeof retake->id, retake);
+      recheck->id = id;
+      HASH_ADD (hh, core->jobs->rechecks, id, sizeof recheck->id, recheck);
     }
-  retake->checks_left = RETAKE_TRIES;
-  retake->at_ms = core->now_ms + core_jitter (core, after_ms);
+  recheck->checks_left = RECHECKS_MAX;
+  recheck->at_ms = core->now_ms + core_jitter (core, after_ms);
 }
 
 void
 job_recheck (MuxCore *core, MuxId id)
 {
-  retake_after (core, id, RETAKE_MS);
+  schedule_recheck (core, id, RECHECK_MS);
 }
 
 void
@@ -287,51 +300,51 @@
   MuxId id = job->id;
 
   job_drop (core, job);
-  retake_after (core, id, LET_GO_MS);
+  schedule_recheck (core, id, RELEASED_RECHECK_MS);
 }
 
 static void
-retake_done (MuxCore *core, MuxId id, uint64_t aux, const MuxTableReply *reply)
+recheck_done (MuxCore *core, MuxId id, uint64_t aux, const MuxTableReply *reply)
 {
-  JobRecheck *retake;
+  JobRecheck *recheck;
   JobHeader header;
 
   (void) aux;
-  HASH_FIND (hh, core->jobs->rechecks, &id, sizeof id, retake);
-  if (retake == NULL || reply->status != MUX_TABLE_OK || reply->row_count == 0)
+  HASH_FIND (hh, core->jobs->rechecks, &id, sizeof id, recheck);
+  if (recheck == NULL || reply->status != MUX_TABLE_OK || reply->row_count == 0)
     return;
-  /* Not there: the write may yet land, late. */
-  if (reply->rows[0].rev == MUX_REV_ABSENT && --retake->checks_left > 0)
+  /* No row: the write may still take effect. */
+  if (reply->rows[0].rev == MUX_REV_ABSENT && --recheck->checks_left > 0)
     return;
-  HASH_DEL (core->jobs->rechecks, retake);
-  free (retake);
-  /* One row that may be nobody's is not worth asking whose part it is in. */
+  HASH_DEL (core->jobs->rechecks, recheck);
+  free (recheck);
+  /* Not restricted to this daemon's partitions, as it is only one row. */
   if (job_header_from_blob (reply->rows[0].value, &header)
-      && !is_held (core, id)
+      && !is_handled (core, id)
       && (is_home (core, &header) || !job_home_alive (core, &header)))
-    take (core, &reply->rows[0], &header);
+    take_over (core, &reply->rows[0], &header);
 }
 
 static void
-look_again (MuxCore *core, JobRecheck *retake)
+send_recheck (MuxCore *core, JobRecheck *recheck)
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_GET, 1);
 
-  retake->at_ms = core->now_ms + core_jitter (core, RETAKE_MS);
+  recheck->at_ms = core->now_ms + core_jitter (core, RECHECK_MS);
   if (call == NULL)
     return;
-  job_row_key ("open", retake->id, call->rows[0].key);
-  call_table (core, call, retake_done, retake->id, 0);
+  job_row_key ("open", recheck->id, call->rows[0].key);
+  call_table (core, call, recheck_done, recheck->id, 0);
 }
 
 static void
-look_at_retakes (MuxCore *core)
+send_due_rechecks (MuxCore *core)
 {
-  JobRecheck *retake, *next;
+  JobRecheck *recheck, *next;
 
-  HASH_ITER (hh, core->jobs->rechecks, retake, next)
-  if (core->now_ms >= retake->at_ms)
-    look_again (core, retake);
+  HASH_ITER (hh, core->jobs->rechecks, recheck, next)
+  if (core->now_ms >= recheck->at_ms)
+    send_recheck (core, recheck);
 }
 
 int64_t
@@ -348,37 +361,38 @@
 void
 job_rechecks_free (MuxCore *core)
 {
-  JobRecheck *retake, *next;
+  JobRecheck *recheck, *next;
 
-  HASH_ITER (hh, core->jobs->rechecks, retake, next)
+  HASH_ITER (hh, core->jobs->rechecks, recheck, next)
   {
-    HASH_DEL (core->jobs->rechecks, retake);
-    free (retake);
+    HASH_DEL (core->jobs->rechecks, recheck);
+    free (recheck);
   }
 }
 
-/* Go on at the first part of ours from @part on; false: there is none. */
+/* Continues the scan at this daemon's first partition from @partition on;
+ * false: there is none. */
 static bool
-scan_from_part (MuxCore *core, uint32_t part)
+scan_from_partition (MuxCore *core, uint32_t partition)
 {
   Jobs *jobs = core->jobs;
   MuxId start = { 0, 0 };
   char hex[MUX_ID_HEX_LEN];
 
-  while (part < PARTS && !part_is_ours (core, part))
-    part++;
-  if (part == PARTS)
+  while (partition < PARTITIONS && !scans_partition (core, partition))
+    partition++;
+  if (partition == PARTITIONS)
     return false;
   /* Two digits sort before every id that begins with them. */
-  start.hi = (uint64_t) part << PART_SHIFT;
+  start.hi = (uint64_t) partition << PARTITION_SHIFT;
   mux_id_format (start, hex);
   snprintf (jobs->scan_after, sizeof jobs->scan_after, OPEN_PREFIX "%.2s", hex);
   return true;
 }
 
-/* Where the look goes on after a page; false: it has ended. */
+/* Sets where the scan continues after a page; false: it has ended. */
 static bool
-scan_on (MuxCore *core, const MuxTableReply *reply)
+scan_continue (MuxCore *core, const MuxTableReply *reply)
 {
   Jobs *jobs = core->jobs;
   const char *last;
@@ -389,19 +403,21 @@
   last = reply->rows[reply->row_count - 1].key;
   if (!mux_id_parse (last + sizeof OPEN_PREFIX - 1, &id))
     return false;
-  if (!part_is_ours (core, part_of (id)))
-    return scan_from_part (core, part_of (id) + 1);
+  if (!scans_partition (core, partition_of (id)))
+    return scan_from_partition (core, partition_of (id) + 1);
   snprintf (jobs->scan_after, sizeof jobs->scan_after, "%s", last);
   return true;
 }
 
 /*
- * Failure: another daemon took a job that is still held here, as by one that
- * was cut off, and its tasks wait for room: nothing is written, so nothing
- * tells that it is gone.  Should the other die, the job seems to be carried.
+ * Handles one row of a scan: adopts the job, or reads the row of a job that is
+ * held here and that another daemon has taken, as after a partition.  While the
+ * tasks of such a job wait for room nothing is written, so no refused write
+ * shows that the job is gone; and if the other daemon died, the job would still
+ * seem to be handled.
  */
 static void
-look_at_row (MuxCore *core, const MuxRow *row)
+check_row (MuxCore *core, const MuxRow *row)
 {
   JobHeader header;
   Job *job;
@@ -411,8 +427,8 @@
   job = job_find (core, header.id);
   if (job != NULL && job->loaded && !is_home (core, &header))
     job_reread (core, job);
-  else if (ours_to_adopt (core, &header))
-    take (core, row, &header);
+  else if (should_adopt (core, &header))
+    take_over (core, row, &header);
 }
 
 static void
@@ -432,14 +448,15 @@
       return;
     }
   for (uint32_t i = 0; i < reply->row_count; i++)
-    look_at_row (core, &reply->rows[i]);
-  if (scan_on (core, reply))
+    check_row (core, &reply->rows[i]);
+  if (scan_continue (core, reply))
     {
       jobs->next_scan_ms = core->now_ms + SCAN_PAGE_MS;
       return;
     }
   jobs->scan_after[0] = 0;
-  jobs->next_scan_ms = core->now_ms + core_jitter (core, SCAN_EVERY_MS / 2);
+  jobs->next_scan_ms
+      = core->now_ms + core_jitter (core, SCAN_INTERVAL_MAX_MS / 2);
   if (jobs->scan_again)
     jobs->next_scan_ms = core->now_ms + core_jitter (core, RETRY_MS);
   jobs->scan_again = false;
@@ -451,19 +468,19 @@
   Jobs *jobs = core->jobs;
   MuxTableCall *call;
 
-  look_at_retakes (core);
+  send_due_rechecks (core);
   if (jobs->next_scan_ms == 0)
     jobs->next_scan_ms = core->now_ms + core_jitter (core, SCAN_FIRST_MS);
   if (jobs->scanning || core->now_ms < jobs->next_scan_ms)
     return;
-  /* Without the classes an adopted job could not be carried. */
+  /* Without its class an adopted job can't be handled. */
   if (!config_loaded (core))
     {
       jobs->next_scan_ms = core->now_ms + RETRY_MS;
       return;
     }
   jobs->next_scan_ms = core->now_ms + SCAN_FIRST_MS;
-  if (jobs->scan_after[0] == 0 && !scan_from_part (core, 0))
+  if (jobs->scan_after[0] == 0 && !scan_from_partition (core, 0))
     return;
   call = mux_table_call_new (MUX_TABLE_SCAN, 2);
   if (call == NULL)
--- a/src/core/jobs_gang.c
+++ b/src/core/jobs_gang.c
@@ -5,33 +5,34 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* With one place of a gang held, the rest must be granted within this time;
- * it is less than the life of a grant. */
-#define HOLD_MS 2000
-/* Between looks of a gang that waits at its first owner for another that has
- * room at once. */
-#define ELSEWHERE_MS 2000
-/* First pause before a gang asks anew; it doubles. */
-#define AGAIN_MS 250
-#define DOUBLINGS_MAX 5
-/* After an owner said that it can never hold its part, it is asked for this
- * many eighths of it. */
-#define LESS_EIGHTHS 6
-
-/* An owner that may take part of a gang. */
+/* Once one task of a gang is granted, the rest must be granted within this
+ * time; less than GRANT_TTL_MS. */
+#define HOLD_TIMEOUT_MS 2000
+/* Interval at which a gang that waits at its first owner checks whether another
+ * one has room at once. */
+#define ELSEWHERE_CHECK_MS 2000
+/* First pause before a gang requests room again; it doubles up to
+ * BACKOFF_DOUBLINGS_MAX times. */
+#define BACKOFF_MS 250
+#define BACKOFF_DOUBLINGS_MAX 5
+/* After an owner answered that it can never hold its part, it is requested to
+ * hold this many eighths of it. */
+#define REDUCED_EIGHTHS 6
+
+/* An owner that may hold part of a gang. */
 typedef struct
 {
   const char *name;
-  bool near;
-  uint32_t could; /* tasks that it could hold when idle */
-  uint32_t now;   /* tasks that it could hold now */
+  bool local;
+  uint32_t tasks_when_idle;
+  uint32_t tasks_now;
 } Candidate;
 
 /*
- * Failure: a gang's home dies when only some of its tasks are recorded as
- * placed.  Its new home would ask for the rest as a gang of the whole size,
- * which never gets complete, and the job hangs.  The rest of a gang that is
- * placed in part asks one by one.
+ * The home of a gang may die when only some of its tasks are recorded as
+ * placed. If its new home requested room for the rest as a gang, counting the
+ * whole size, that gang would never be complete and the job would hang.  The
+ * rest of a gang that is placed in part is therefore requested one by one.
  */
 bool
 job_none_placed (const Job *job)
@@ -43,7 +44,7 @@
 }
 
 static uint32_t
-ratio (uint32_t total, uint32_t one)
+quotient (uint32_t total, uint32_t one)
 {
   return one == 0 ? UINT32_MAX : total / one;
 }
@@ -57,25 +58,25 @@
 static uint32_t
 count_fitting (MuxSize one, MuxSize total)
 {
-  uint32_t count = min (ratio (total.cpu_milli, one.cpu_milli),
-                        ratio (total.mem_mib, one.mem_mib));
+  uint32_t count = min (quotient (total.cpu_milli, one.cpu_milli),
+                        quotient (total.mem_mib, one.mem_mib));
 
-  return min (count, min (ratio (total.accels, one.accels), total.slots));
+  return min (count, min (quotient (total.accels, one.accels), total.slots));
 }
 
-/* What an owner said of itself bounds what the totals promise: room that is
- * spread over its workers may hold less than their sum. */
+/* An owner's refusal limits what its totals promise: room spread over its
+ * workers may hold fewer tasks than the sum. */
 static uint32_t
-bounded (const Job *job, const char *owner, uint32_t could)
+apply_bound (const Job *job, const char *owner, uint32_t tasks)
 {
   for (uint32_t i = 0; i < job->gang_bound_count; i++)
     if (strcmp (job->gang_bound[i].owner, owner) == 0)
-      return min (could, job->gang_bound[i].tasks);
-  return could;
+      return min (tasks, job->gang_bound[i].tasks);
+  return tasks;
 }
 
 static void
-bound_owner (Job *job, const char *owner, uint32_t tasks)
+set_bound (Job *job, const char *owner, uint32_t tasks)
 {
   GangBound *bound = NULL;
 
@@ -89,46 +90,48 @@
       bound = &job->gang_bound[job->gang_bound_count++];
       mux_name_copy (bound->owner, owner);
     }
-  bound->tasks = tasks * LESS_EIGHTHS / 8;
+  bound->tasks = tasks * REDUCED_EIGHTHS / 8;
 }
 
 static uint32_t
-gather (MuxCore *core, const Job *job, MuxSize one, Candidate *out)
+collect_candidates (MuxCore *core, const Job *job, MuxSize one, Candidate *out)
 {
   MuxSchedStats stats = mux_sched_stats (core->sched, core->now_ms);
   uint32_t count = 0;
 
   out[count++] = (Candidate){
     .name = core->name,
-    .near = true,
-    .could = bounded (job, core->name, count_fitting (one, stats.total)),
-    .now = count_fitting (one, stats.available),
+    .local = true,
+    .tasks_when_idle
+    = apply_bound (job, core->name, count_fitting (one, stats.total)),
+    .tasks_now = count_fitting (one, stats.available),
   };
   for (const Member *m = core->members; m != NULL && count < GANG_PARTS_MAX;
        m = m->hh.next)
     if (member_usable (m))
       out[count++] = (Candidate){
         .name = m->name,
-        .near = m->local,
-        .could = bounded (job, m->name, count_fitting (one, m->total)),
-        .now = count_fitting (one, m->free),
+        .local = m->local,
+        .tasks_when_idle
+        = apply_bound (job, m->name, count_fitting (one, m->total)),
+        .tasks_now = count_fitting (one, m->free),
       };
   return count;
 }
 
-/* Most room now first, then most room at all, near ones before far ones. */
+/* Order: most room now, then most room when idle, then local before remote. */
 static int
 by_room (const void *a, const void *b)
 {
   const Candidate *x = a;
   const Candidate *y = b;
 
-  if (x->now != y->now)
-    return x->now > y->now ? -1 : 1;
-  if (x->could != y->could)
-    return x->could > y->could ? -1 : 1;
-  if (x->near != y->near)
-    return x->near ? -1 : 1;
+  if (x->tasks_now != y->tasks_now)
+    return x->tasks_now > y->tasks_now ? -1 : 1;
+  if (x->tasks_when_idle != y->tasks_when_idle)
+    return x->tasks_when_idle > y->tasks_when_idle ? -1 : 1;
+  if (x->local != y->local)
+    return x->local ? -1 : 1;
   return strcmp (x->name, y->name);
 }
 
@@ -147,25 +150,26 @@
   mux_name_copy (part->owner, from->name);
 }
 
-/* One owner that can hold all if there is one; else as few as it takes. */
+/* Splits the gang: one owner that can hold all of it if there is one, else as
+ * few owners as possible.  Return: false: they can't hold it all. */
 static bool
 split (MuxCore *core, Job *job, MuxSize one, uint32_t tasks)
 {
   Candidate candidate[GANG_PARTS_MAX];
-  uint32_t count = gather (core, job, one, candidate);
+  uint32_t count = collect_candidates (core, job, one, candidate);
   uint32_t left = tasks;
 
   job->gang_part_count = 0;
   qsort (candidate, count, sizeof candidate[0], by_room);
   for (uint32_t i = 0; i < count; i++)
-    if (candidate[i].could >= tasks)
+    if (candidate[i].tasks_when_idle >= tasks)
       {
         add_part (job, &candidate[i], tasks);
         return true;
       }
   for (uint32_t i = 0; i < count && left > 0; i++)
     {
-      uint32_t n = min (left, candidate[i].could);
+      uint32_t n = min (left, candidate[i].tasks_when_idle);
 
       if (n > 0)
         add_part (job, &candidate[i], n);
@@ -177,12 +181,12 @@
 }
 
 static bool
-none_held (const Job *job)
+none_granted (const Job *job)
 {
   return job->gang_current_part == 0 && job->gang_granted == 0;
 }
 
-/* The gang's tasks that wait to be placed, in the order of their numbers. */
+/* The gang's task at @index if it waits to be placed, else NULL. */
 static Task *
 gang_task (MuxCore *core, const Job *job, uint32_t index)
 {
@@ -195,7 +199,7 @@
 }
 
 static void
-ask_part (MuxCore *core, Job *job)
+request_part (MuxCore *core, Job *job)
 {
   uint32_t now = job->gang_current_part;
   GangPart *part = &job->gang_part[now];
@@ -208,8 +212,8 @@
 
       if (task == NULL)
         continue;
-      /* Room that is still booked from before is granted at once, and the last
-       * grant of a part has the next one asked, from its first task on. */
+      /* Room still booked from before is granted at once, and the last grant of
+       * a part requests the next one, beginning with that one's first task. */
       if (++part->requested == part->tasks && now + 1 < job->gang_part_count)
         job->gang_part[now + 1].first_task = i + 1;
       task_request_owner (core, task, part->owner, group, part->tasks);
@@ -235,19 +239,19 @@
   job->gang_rounds++;
   if (!split (core, job, one, tasks))
     {
-      job->gang_timer_ms = core->now_ms + core_jitter (core, HOLD_MS);
+      job->gang_timer_ms = core->now_ms + core_jitter (core, HOLD_TIMEOUT_MS);
       job->gang_bound_count = 0;
       return;
     }
-  /* Always in the order of the owners' names, so that two gangs that each
-   * hold a part never wait for the other's in a ring. */
+  /* Always in the order of the owners' names, so that gangs that each hold a
+   * part can't wait for one another in a cycle. */
   qsort (job->gang_part, job->gang_part_count, sizeof job->gang_part[0],
          by_owner);
   job->gang_state = GANG_REQUESTING;
   job->gang_current_part = 0;
   job->gang_granted = 0;
-  job->gang_timer_ms = core->now_ms + ELSEWHERE_MS;
-  ask_part (core, job);
+  job->gang_timer_ms = core->now_ms + ELSEWHERE_CHECK_MS;
+  request_part (core, job);
 }
 
 void
@@ -260,20 +264,21 @@
 }
 
 /*
- * Failure: a gang gets part of its places and waits for the rest while
- * another does the same, or its owners change in between, so that part of it
- * runs and part never does.  Nothing of a gang starts before all of it is
- * held; when an owner refuses, is lost, or the rest takes longer than grants
- * live, everything held is given back and the gang asks anew.
+ * Releases what is granted and begins anew after a pause.  A gang could hold
+ * part of its room while it waits for the rest and another gang does the same,
+ * or its owners could change meanwhile, so that part of it runs and part never
+ * does.  So no task of a gang starts before all are granted; when an owner
+ * refuses or is lost, or the rest takes longer than grants live, everything is
+ * released.
  */
 static void
-again (MuxCore *core, Job *job)
+back_off (MuxCore *core, Job *job)
 {
-  uint32_t doublings = min (job->gang_rounds, DOUBLINGS_MAX);
+  uint32_t doublings = min (job->gang_rounds, BACKOFF_DOUBLINGS_MAX);
 
   job->gang_state = GANG_BACKOFF;
   job->gang_timer_ms
-      = core->now_ms + core_jitter (core, (int64_t) AGAIN_MS << doublings);
+      = core->now_ms + core_jitter (core, (int64_t) BACKOFF_MS << doublings);
   for (uint32_t i = 0; i < job->header.task_count; i++)
     {
       Task *task = gang_task (core, job, i);
@@ -292,9 +297,8 @@
     return;
   mux_count_retry (core->counters, reason);
   if (reason == MUX_REASON_NEVER_FITS)
-    bound_owner (job, task->owner,
-                 job->gang_part[job->gang_current_part].tasks);
-  again (core, job);
+    set_bound (job, task->owner, job->gang_part[job->gang_current_part].tasks);
+  back_off (core, job);
 }
 
 static void
@@ -317,10 +321,10 @@
 
   if (job == NULL || job->gang_state != GANG_REQUESTING)
     return;
-  /* From the first place on the clock runs: grants do not live long, and a
-   * lost one must not leave the others waiting beside it. */
-  if (none_held (job))
-    job->gang_timer_ms = core->now_ms + HOLD_MS;
+  /* The time limit begins with the first grant: grants do not live long, and
+   * the others must not wait beside one that is lost. */
+  if (none_granted (job))
+    job->gang_timer_ms = core->now_ms + HOLD_TIMEOUT_MS;
   job->gang_granted++;
   if (job->gang_granted < job->gang_part[job->gang_current_part].tasks)
     return;
@@ -331,14 +335,15 @@
     }
   job->gang_current_part++;
   job->gang_granted = 0;
-  ask_part (core, job);
+  request_part (core, job);
 }
 
 /*
- * Failure: a gang waits in an owner's queue, and that owner has given most of
- * its workers to daemons that came since, or keeps what it has for urgent
- * work.  Others stand idle, and the gang starts when its promise is long over.
- * Nothing of it is held yet, so it can still go to them.
+ * Whether another owner has room for the whole gang at once.  The owner in
+ * whose queue it waits may have given most of its workers to daemons that
+ * joined since, or keep its room for more urgent work, while others are idle;
+ * the gang would start long after its target.  Nothing of it is held yet, so it
+ * can still move.
  */
 static bool
 room_elsewhere (MuxCore *core, const Job *job, const MuxClassSpec *spec)
@@ -351,9 +356,9 @@
   one.slots = 1;
   for (uint32_t i = 0; i < job->gang_part_count; i++)
     tasks += job->gang_part[i].tasks;
-  count = gather (core, job, one, candidate);
+  count = collect_candidates (core, job, one, candidate);
   for (uint32_t i = 0; i < count; i++)
-    if (min (candidate[i].now, candidate[i].could) >= tasks
+    if (min (candidate[i].tasks_now, candidate[i].tasks_when_idle) >= tasks
         && strcmp (candidate[i].name, job->gang_part[0].owner) != 0)
       return true;
   return false;
@@ -366,18 +371,19 @@
 
   if (job->gang_state == GANG_NONE || core->now_ms < job->gang_timer_ms)
     return;
-  if (job->gang_state == GANG_REQUESTING && none_held (job)
+  if (job->gang_state == GANG_REQUESTING && none_granted (job)
       && (spec == NULL || !room_elsewhere (core, job, spec)))
     {
-      job->gang_timer_ms = core->now_ms + core_jitter (core, ELSEWHERE_MS);
+      job->gang_timer_ms
+          = core->now_ms + core_jitter (core, ELSEWHERE_CHECK_MS);
       return;
     }
   if (job->gang_state == GANG_REQUESTING)
     {
-      again (core, job);
+      back_off (core, job);
       return;
     }
-  job->gang_timer_ms = core->now_ms + HOLD_MS;
+  job->gang_timer_ms = core->now_ms + HOLD_TIMEOUT_MS;
   if (spec != NULL && !core->stopping)
     begin_round (core, job, spec);
 }
--- a/src/core/jobs_show.c
+++ b/src/core/jobs_show.c
@@ -6,8 +6,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Between looks at the row of a job that another daemon carries. */
-#define LOOK_MS 500
+/* Interval of reads of the row of a job that has another home. */
+#define POLL_MS 500
 
 static json_t *
 header_json (const JobHeader *header)
@@ -23,9 +23,9 @@
       "failed", (json_int_t) header->failed);
 }
 
-/* What the task waits for, where it has no place yet. */
+/* What an unplaced task waits for; "" for others. */
 static const char *
-waits_for (MuxCore *core, const Job *job, uint32_t index)
+blocked_on (MuxCore *core, const Job *job, uint32_t index)
 {
   const Task *task = task_find (core, mux_id_of_part (job->id, index));
 
@@ -51,34 +51,35 @@
           json_pack ("{s:I, s:s, s:s, s:I, s:s}", "index", (json_int_t) i,
                      "state", slot_state_name (slot->state), "worker",
                      slot->worker, "attempt", (json_int_t) slot->attempt,
-                     "waits_for", waits_for (core, job, i)));
+                     "waits_for", blocked_on (core, job, i)));
     }
   json_object_set_new (json, "tasks", tasks);
   return json;
 }
 
 void
-job_respond (MuxCore *core, uint64_t call, uint32_t status, const Job *job)
+job_respond (MuxCore *core, uint64_t call_id, uint32_t status, const Job *job)
 {
-  core_respond_json (core, call, status, job_json (core, job));
+  core_respond_json (core, call_id, status, job_json (core, job));
 }
 
 void
 job_respond_header (MuxCore *core,
-                    uint64_t call,
+                    uint64_t call_id,
                     uint32_t status,
                     const JobHeader *header)
 {
-  core_respond_json (core, call, status, header_json (header));
+  core_respond_json (core, call_id, status, header_json (header));
 }
 
 static void
-answer_reason (MuxCore *core, uint64_t call, MuxReason reason, MuxId id)
+respond_reason (MuxCore *core, uint64_t call_id, MuxReason reason, MuxId id)
 {
-  core_respond (core, call, MUX_OUTCOME_INFO, reason, RETRY_MS * 10, id, NULL);
+  core_respond (core, call_id, MUX_OUTCOME_INFO, reason, RETRY_MS * 10, id,
+                NULL);
 }
 
-/* Reads both places where a job's row may stand. */
+/* Reads both rows that a job can have, the open one and the ended one. */
 static bool
 get_rows (MuxCore *core, MuxId id, TableCallback done, uint64_t aux)
 {
@@ -91,7 +92,7 @@
   return call_table (core, call, done, id, aux);
 }
 
-/* Reason NONE: @header is filled from the row that stands. */
+/* Return: MUX_REASON_NONE: @header is filled from row number @row. */
 static MuxReason
 read_header (const MuxTableReply *reply, JobHeader *header, uint32_t *row)
 {
@@ -104,37 +105,43 @@
 }
 
 static void
-show_done (MuxCore *core, MuxId id, uint64_t call, const MuxTableReply *reply)
+show_done (MuxCore *core,
+           MuxId id,
+           uint64_t call_id,
+           const MuxTableReply *reply)
 {
   JobHeader header;
   uint32_t row;
   MuxReason reason = read_header (reply, &header, &row);
 
   if (reason != MUX_REASON_NONE)
-    answer_reason (core, call, reason, id);
+    respond_reason (core, call_id, reason, id);
   else
-    job_respond_header (core, call, 200, &header);
+    job_respond_header (core, call_id, 200, &header);
 }
 
 void
-job_show (MuxCore *core, const MuxCoreRequest *ask)
+job_show (MuxCore *core, const MuxCoreRequest *request)
 {
-  const Job *job = job_find (core, ask->id);
+  const Job *job = job_find (core, request->id);
 
   if (job != NULL)
-    job_respond (core, ask->call_id, 200, job);
-  else if (!get_rows (core, ask->id, show_done, ask->call_id))
-    answer_reason (core, ask->call_id, MUX_REASON_RING_FULL, ask->id);
+    job_respond (core, request->call_id, 200, job);
+  else if (!get_rows (core, request->id, show_done, request->call_id))
+    respond_reason (core, request->call_id, MUX_REASON_RING_FULL, request->id);
 }
 
 static void
-list_done (MuxCore *core, MuxId id, uint64_t call, const MuxTableReply *reply)
+list_done (MuxCore *core,
+           MuxId id,
+           uint64_t call_id,
+           const MuxTableReply *reply)
 {
   json_t *jobs;
 
   if (reply->status != MUX_TABLE_OK)
     {
-      answer_reason (core, call, MUX_REASON_STORE_DOWN, id);
+      respond_reason (core, call_id, MUX_REASON_STORE_DOWN, id);
       return;
     }
   jobs = json_array ();
@@ -146,28 +153,28 @@
         json_array_append_new (jobs, header_json (&header));
     }
   core_respond_json (
-      core, call, 200,
+      core, call_id, 200,
       json_pack ("{s:o, s:b}", "jobs", jobs, "more", reply->more));
 }
 
 void
-job_list (MuxCore *core, const MuxCoreRequest *ask)
+job_list (MuxCore *core, const MuxCoreRequest *request)
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_SCAN, 2);
 
   if (call != NULL)
     {
       snprintf (call->rows[0].key, sizeof call->rows[0].key, "job/open/");
-      if (!mux_id_is_none (ask->id))
-        job_row_key ("open", ask->id, call->rows[1].key);
+      if (!mux_id_is_none (request->id))
+        job_row_key ("open", request->id, call->rows[1].key);
       call->limit = MUX_ROWS_MAX;
     }
   if (call == NULL
-      || !call_table (core, call, list_done, ask->id, ask->call_id))
-    answer_reason (core, ask->call_id, MUX_REASON_RING_FULL, ask->id);
+      || !call_table (core, call, list_done, request->id, request->call_id))
+    respond_reason (core, request->call_id, MUX_REASON_RING_FULL, request->id);
 }
 
-/* All are told, as the home may have changed since the row was read. */
+/* Sent to all members, as the home may have changed since the row was read. */
 static void
 hint_home (MuxCore *core, MuxId id)
 {
@@ -178,15 +185,15 @@
 
 static void cancel_read_done (MuxCore *core,
                               MuxId id,
-                              uint64_t call,
+                              uint64_t call_id,
                               const MuxTableReply *reply);
 
-/* Cancelling rewrites the row with its flag.  That also moves its revision,
- * so the home's next write is refused, and it reads why. */
+/* Cancelling rewrites the row with its flag set.  That also changes its
+ * revision, so that the home's next write is refused and it reads the row. */
 static void
 cancel_put_done (MuxCore *core,
                  MuxId id,
-                 uint64_t call,
+                 uint64_t call_id,
                  const MuxTableReply *reply)
 {
   Job *job = job_find (core, id);
@@ -198,27 +205,27 @@
         {
           job->rev = reply->rev;
           job->header.cancel_requested = true;
-          job_respond (core, call, 200, job);
+          job_respond (core, call_id, 200, job);
           job_cancel (core, job);
           return;
         }
       hint_home (core, id);
-      if (!get_rows (core, id, show_done, call))
-        answer_reason (core, call, MUX_REASON_RING_FULL, id);
+      if (!get_rows (core, id, show_done, call_id))
+        respond_reason (core, call_id, MUX_REASON_RING_FULL, id);
       return;
     case MUX_TABLE_CONFLICT:
-      /* Its home wrote in between; what it wrote may be the end. */
+      /* Its home wrote in between, possibly the job's end. */
       mux_count_retry (core->counters, MUX_REASON_FENCED_ROW);
-      if (!get_rows (core, id, cancel_read_done, call))
-        answer_reason (core, call, MUX_REASON_RING_FULL, id);
+      if (!get_rows (core, id, cancel_read_done, call_id))
+        respond_reason (core, call_id, MUX_REASON_RING_FULL, id);
       return;
     case MUX_TABLE_UNKNOWN:
-      core_respond (core, call, MUX_OUTCOME_UNKNOWN, MUX_REASON_WRITE_UNKNOWN,
-                    RETRY_MS * 10, id, NULL);
+      core_respond (core, call_id, MUX_OUTCOME_UNKNOWN,
+                    MUX_REASON_WRITE_UNKNOWN, RETRY_MS * 10, id, NULL);
       return;
     case MUX_TABLE_DOWN:
     case MUX_TABLE_BAD:
-      answer_reason (core, call, MUX_REASON_STORE_DOWN, id);
+      respond_reason (core, call_id, MUX_REASON_STORE_DOWN, id);
       return;
     }
 }
@@ -226,7 +233,7 @@
 static void
 cancel_read_done (MuxCore *core,
                   MuxId id,
-                  uint64_t call,
+                  uint64_t call_id,
                   const MuxTableReply *reply)
 {
   JobHeader header;
@@ -236,12 +243,12 @@
 
   if (reason != MUX_REASON_NONE)
     {
-      answer_reason (core, call, reason, id);
+      respond_reason (core, call_id, reason, id);
       return;
     }
   if (row == 1)
     {
-      job_respond_header (core, call, 200, &header);
+      job_respond_header (core, call_id, 200, &header);
       return;
     }
   header.cancel_requested = true;
@@ -257,41 +264,41 @@
       mux_table_call_free (put);
       put = NULL;
     }
-  if (put == NULL || !call_table (core, put, cancel_put_done, id, call))
-    answer_reason (core, call, MUX_REASON_RING_FULL, id);
+  if (put == NULL || !call_table (core, put, cancel_put_done, id, call_id))
+    respond_reason (core, call_id, MUX_REASON_RING_FULL, id);
 }
 
 void
-job_request_cancel (MuxCore *core, const MuxCoreRequest *ask)
+job_request_cancel (MuxCore *core, const MuxCoreRequest *request)
 {
-  if (!get_rows (core, ask->id, cancel_read_done, ask->call_id))
-    answer_reason (core, ask->call_id, MUX_REASON_RING_FULL, ask->id);
+  if (!get_rows (core, request->id, cancel_read_done, request->call_id))
+    respond_reason (core, request->call_id, MUX_REASON_RING_FULL, request->id);
 }
 
 void
-job_wait (MuxCore *core, const MuxCoreRequest *ask)
+job_wait (MuxCore *core, const MuxCoreRequest *request)
 {
   JobWait *wait = calloc (1, sizeof *wait);
 
   if (wait == NULL)
     {
-      answer_reason (core, ask->call_id, MUX_REASON_INTERNAL, ask->id);
+      respond_reason (core, request->call_id, MUX_REASON_INTERNAL, request->id);
       return;
     }
-  wait->call_id = ask->call_id;
-  wait->id = ask->id;
-  wait->expires_ms = core->now_ms + ask->timeout_ms;
+  wait->call_id = request->call_id;
+  wait->id = request->id;
+  wait->expires_ms = core->now_ms + request->timeout_ms;
   wait->next_poll_ms = core->now_ms;
   wait->next = core->jobs->waits;
   core->jobs->waits = wait;
 }
 
 static JobWait **
-wait_at (MuxCore *core, uint64_t call)
+find_wait (MuxCore *core, uint64_t call_id)
 {
   JobWait **at = &core->jobs->waits;
 
-  while (*at != NULL && (*at)->call_id != call)
+  while (*at != NULL && (*at)->call_id != call_id)
     at = &(*at)->next;
   return at;
 }
@@ -306,9 +313,12 @@
 }
 
 static void
-look_done (MuxCore *core, MuxId id, uint64_t call, const MuxTableReply *reply)
+poll_done (MuxCore *core,
+           MuxId id,
+           uint64_t call_id,
+           const MuxTableReply *reply)
 {
-  JobWait **at = wait_at (core, call);
+  JobWait **at = find_wait (core, call_id);
   JobHeader header;
   uint32_t row;
   MuxReason reason = read_header (reply, &header, &row);
@@ -316,15 +326,15 @@
   if (*at == NULL)
     return;
   (*at)->polling = false;
-  (*at)->next_poll_ms = core->now_ms + core_jitter (core, LOOK_MS);
+  (*at)->next_poll_ms = core->now_ms + core_jitter (core, POLL_MS);
   if (reason == MUX_REASON_UNKNOWN_JOB)
     {
-      answer_reason (core, call, reason, id);
+      respond_reason (core, call_id, reason, id);
       wait_remove (at);
     }
   else if (reason == MUX_REASON_NONE && row == 1)
     {
-      job_respond_header (core, call, 200, &header);
+      job_respond_header (core, call_id, 200, &header);
       wait_remove (at);
     }
 }
@@ -334,7 +344,7 @@
 {
   if (core->now_ms < (*at)->expires_ms)
     return false;
-  answer_reason (core, (*at)->call_id, MUX_REASON_DEADLINE, (*at)->id);
+  respond_reason (core, (*at)->call_id, MUX_REASON_DEADLINE, (*at)->id);
   wait_remove (at);
   return true;
 }
@@ -352,9 +362,9 @@
         continue;
       if (!wait->polling && core->now_ms >= wait->next_poll_ms)
         {
-          wait->next_poll_ms = core->now_ms + LOOK_MS;
+          wait->next_poll_ms = core->now_ms + POLL_MS;
           if (job_find (core, wait->id) == NULL)
-            wait->polling = get_rows (core, wait->id, look_done, wait->call_id);
+            wait->polling = get_rows (core, wait->id, poll_done, wait->call_id);
         }
       at = &wait->next;
     }
@@ -393,9 +403,9 @@
 }
 
 void
-jobs_caller_disconnected (MuxCore *core, uint64_t call)
+jobs_caller_disconnected (MuxCore *core, uint64_t call_id)
 {
-  JobWait **at = wait_at (core, call);
+  JobWait **at = find_wait (core, call_id);
 
   if (*at != NULL)
     wait_remove (at);
@@ -406,8 +416,8 @@
 {
   while (core->jobs->waits != NULL)
     {
-      answer_reason (core, core->jobs->waits->call_id, MUX_REASON_STOPPING,
-                     core->jobs->waits->id);
+      respond_reason (core, core->jobs->waits->call_id, MUX_REASON_STOPPING,
+                      core->jobs->waits->id);
       wait_remove (&core->jobs->waits);
     }
 }
--- a/src/core/jobs_submit.c
+++ b/src/core/jobs_submit.c
@@ -9,8 +9,8 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Tries of a write whose answer was lost before the caller hears "unknown". */
-#define TRIES_MAX 5
+/* Writes of unknown outcome before the caller is answered "unknown". */
+#define WRITES_MAX 5
 
 static void send_row (MuxCore *core, JobSubmit *submit);
 
@@ -53,7 +53,7 @@
 static void
 submit_refuse (MuxCore *core, JobSubmit *submit, MuxReason reason)
 {
-  /* After a lost answer it may be on record, or be so soon. */
+  /* After a write of unknown outcome it may be on record, or be soon. */
   MuxOutcome outcome
       = submit->tries > 1 ? MUX_OUTCOME_UNKNOWN : MUX_OUTCOME_NOT_RUN;
 
@@ -71,7 +71,8 @@
 
   mux_count (core->counters, MUX_COUNT_JOBS_ACCEPTED, 1);
   job_respond_header (core, submit->call_id, 202, &submit->header);
-  /* Recorded is accepted, even if there is no memory to carry it yet. */
+  /* What is recorded is accepted, even when there is no memory to handle it
+   * yet. */
   if (job == NULL)
     job_recheck (core, submit->id);
   submit_free (core, submit);
@@ -81,10 +82,10 @@
   job_activate_tasks (core, job);
 }
 
-/* A row of that id stands: an earlier submission of the same key, or this one
- * by a write whose answer was lost. */
+/* A row of that id exists: written by an earlier submission of the same key, or
+ * by this one with a write of unknown outcome. */
 static void
-found (MuxCore *core, JobSubmit *submit, const MuxTableReply *reply)
+row_exists (MuxCore *core, JobSubmit *submit, const MuxTableReply *reply)
 {
   JobHeader header;
 
@@ -102,7 +103,8 @@
       return;
     }
   job_respond_header (core, submit->call_id, 202, &header);
-  /* The row may have landed after the looks that followed its home's death. */
+  /* The row may have been written after the scans that followed its home's
+   * death. */
   if (header.state == JOB_OPEN && !job_home_alive (core, &header))
     job_recheck (core, submit->id);
   submit_free (core, submit);
@@ -122,12 +124,13 @@
       accept (core, submit, reply->rev);
       break;
     case MUX_TABLE_CONFLICT:
-      found (core, submit, reply);
+      row_exists (core, submit, reply);
       break;
     case MUX_TABLE_UNKNOWN:
       mux_count_retry (core->counters, MUX_REASON_WRITE_UNKNOWN);
-      /* The condition makes the repeat safe: it finds the row, or is first. */
-      if (submit->tries < TRIES_MAX)
+      /* The condition makes the repetition safe: it finds the row or writes the
+       * first. */
+      if (submit->tries < WRITES_MAX)
         send_row (core, submit);
       else
         submit_refuse (core, submit, MUX_REASON_WRITE_UNKNOWN);
@@ -173,9 +176,9 @@
     submit_refuse (core, submit, MUX_REASON_STORE_DOWN);
 }
 
-/* The body is stored before the row that names it, so that no row ever names
- * a body that is not there; its key has its hash, so that another body under
- * the same idempotency key can't change it. */
+/* The body is stored before the row that names it, so that no row names a body
+ * that does not exist.  Its key contains its hash, so that another body under
+ * the same idempotency key can't replace it. */
 static void
 send_object (MuxCore *core, JobSubmit *submit)
 {
@@ -192,7 +195,9 @@
 }
 
 static MuxReason
-check (MuxCore *core, const MuxCoreRequest *ask, const MuxClassSpec *spec)
+check_request (MuxCore *core,
+               const MuxCoreRequest *request,
+               const MuxClassSpec *spec)
 {
   if (!config_loaded (core))
     return MUX_REASON_STORE_DOWN;
@@ -200,7 +205,7 @@
     return MUX_REASON_UNKNOWN_CLASS;
   if (spec->kind == MUX_KIND_SERVICE)
     return MUX_REASON_KIND_MISMATCH;
-  if (ask->task_count == 0 || ask->task_count > MUX_JOB_TASKS_MAX)
+  if (request->task_count == 0 || request->task_count > MUX_JOB_TASKS_MAX)
     return MUX_REASON_BAD_FIELD;
   if (!members_could_hold (core, spec->size))
     return MUX_REASON_NEVER_FITS;
@@ -223,11 +228,12 @@
 }
 
 void
-job_submit (MuxCore *core, const MuxCoreRequest *ask)
+job_submit (MuxCore *core, const MuxCoreRequest *request)
 {
-  MuxReason reason = check (core, ask, config_class (core, ask->name));
-  MuxId id = ask->key[0] == 0 ? core_new_task_id (core)
-                              : mux_id_of_key (ask->name, ask->key);
+  MuxReason reason
+      = check_request (core, request, config_class (core, request->name));
+  MuxId id = request->key[0] == 0 ? core_new_task_id (core)
+                                  : mux_id_of_key (request->name, request->key);
   JobSubmit *submit = NULL;
 
   if (reason == MUX_REASON_NONE && submit_find (core, id) != NULL)
@@ -239,18 +245,18 @@
     }
   if (reason != MUX_REASON_NONE)
     {
-      core_respond (core, ask->call_id, MUX_OUTCOME_NOT_RUN, reason,
+      core_respond (core, request->call_id, MUX_OUTCOME_NOT_RUN, reason,
                     RETRY_MS * 10, (MuxId){ 0, 0 }, NULL);
       return;
     }
   submit->id = id;
-  submit->call_id = ask->call_id;
-  submit->body = mux_blob_ref (ask->body);
+  submit->call_id = request->call_id;
+  submit->body = mux_blob_ref (request->body);
   submit->header = (JobHeader){ .id = id,
-                                .task_count = ask->task_count,
+                                .task_count = request->task_count,
                                 .home_incarnation = core->opt.incarnation,
-                                .at_ms = ask->wall_ms };
-  mux_name_copy (submit->header.class_name, ask->name);
+                                .at_ms = request->wall_ms };
+  mux_name_copy (submit->header.class_name, request->name);
   mux_name_copy (submit->header.home, core->name);
   name_object (submit);
   HASH_ADD (hh, core->jobs->submits, id, sizeof submit->id, submit);
