--- a/src/core/sweep.c
+++ b/src/core/sweep.c
@@ -8,14 +8,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* What the daemon that sweeps is ranked by. */
+/* Daemons are ranked by this name; the first one sweeps. */
 #define SWEEP_SUBJECT "sweep"
-/* Between pages while rows are being dropped. */
-#define BUSY_MS 50
-/* Between pages that had nothing to drop. */
-#define IDLE_MS 500
-/* Between rounds. */
-#define ROUND_MS 60000
+/* Delay between pages while rows are being removed. */
+#define PAGE_REMOVED_MS 50
+/* Delay between pages with nothing to remove. */
+#define PAGE_EMPTY_MS 500
+/* Delay between rounds. */
+#define ROUND_INTERVAL_MS 60000
 
 static const char *const prefixes[] = { "once/", "job/done/" };
 #define PREFIXES (sizeof prefixes / sizeof prefixes[0])
@@ -25,7 +25,7 @@
   uint32_t prefix;
   char after[MUX_ROW_KEY_LEN];
   bool busy;
-  bool found; /* the present page had rows to drop */
+  bool page_has_expired; /* the current page had rows to remove */
   int64_t next_ms;
 };
 
@@ -42,12 +42,14 @@
 }
 
 static void
-next_page (MuxCore *core, const char *after, bool more)
+schedule_next_page (MuxCore *core, const char *after, bool more)
 {
   Sweep *sweep = core->sweep;
 
   sweep->busy = false;
-  sweep->next_ms = core->now_ms + (sweep->found ? BUSY_MS : IDLE_MS);
+  sweep->next_ms
+      = core->now_ms
+        + (sweep->page_has_expired ? PAGE_REMOVED_MS : PAGE_EMPTY_MS);
   if (more)
     {
       snprintf (sweep->after, sizeof sweep->after, "%s", after);
@@ -56,12 +58,13 @@
   sweep->after[0] = 0;
   sweep->prefix = (sweep->prefix + 1) % PREFIXES;
   if (sweep->prefix == 0)
-    sweep->next_ms = core->now_ms + core_jitter (core, ROUND_MS);
+    sweep->next_ms = core->now_ms + core_jitter (core, ROUND_INTERVAL_MS);
 }
 
-/* Whether the row is too old; @object receives what it names, or NULL. */
+/* Whether the row is too old; @object receives the key of the body that it
+ * names, or "". */
 static bool
-expired (MuxCore *core, const MuxRow *row, char *object, size_t cap)
+is_expired (MuxCore *core, const MuxRow *row, char *object, size_t cap)
 {
   int64_t keep_ms = (int64_t) core->opt.key_keep_s * 1000;
   json_t *json = row->value == NULL
@@ -77,10 +80,10 @@
   return old;
 }
 
-/* Nothing names the object any more once its job's row has gone; if this is
- * lost, only some room in the store is. */
+/* Removes the body of a job whose row is being removed.  If this call is lost,
+ * the body only takes up space in the store. */
 static void
-drop_object (MuxCore *core, const char *object)
+remove_object (MuxCore *core, const char *object)
 {
   MuxTableCall *call;
 
@@ -94,21 +97,21 @@
 }
 
 static void
-drop_done (MuxCore *core,
-           MuxId subject,
-           uint64_t aux,
-           const MuxTableReply *reply)
+remove_done (MuxCore *core,
+             MuxId subject,
+             uint64_t aux,
+             const MuxTableReply *reply)
 {
   (void) subject;
   (void) aux;
-  /* On a conflict the rows stay for the next round. */
+  /* After a conflict the rows are left to the next round. */
   if (reply->status == MUX_TABLE_OK)
     mux_count (core->counters, MUX_COUNT_ROWS_SWEPT, 1);
   core->sweep->busy = false;
 }
 
 static bool
-drop_rows (MuxCore *core, const MuxTableReply *reply)
+remove_rows (MuxCore *core, const MuxTableReply *reply)
 {
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_TXN, reply->row_count);
   char object[MUX_ROW_KEY_LEN];
@@ -120,9 +123,9 @@
     {
       MuxRow *row = &call->rows[call->row_count];
 
-      if (!expired (core, &reply->rows[i], object, sizeof object))
+      if (!is_expired (core, &reply->rows[i], object, sizeof object))
         continue;
-      drop_object (core, object);
+      remove_object (core, object);
       memcpy (row->key, reply->rows[i].key, sizeof row->key);
       row->rev = reply->rows[i].rev;
       call->row_count++;
@@ -132,7 +135,7 @@
       mux_table_call_free (call);
       return false;
     }
-  return call_table (core, call, drop_done, (MuxId){ 0, 0 }, 0);
+  return call_table (core, call, remove_done, (MuxId){ 0, 0 }, 0);
 }
 
 static void
@@ -145,19 +148,19 @@
 
   (void) subject;
   (void) aux;
-  sweep->found = false;
+  sweep->page_has_expired = false;
   if (reply->status != MUX_TABLE_OK)
     {
       sweep->busy = false;
-      sweep->next_ms = core->now_ms + core_jitter (core, ROUND_MS);
+      sweep->next_ms = core->now_ms + core_jitter (core, ROUND_INTERVAL_MS);
       return;
     }
   if (reply->row_count > 0)
-    sweep->found = drop_rows (core, reply);
-  next_page (core,
-             reply->row_count > 0 ? reply->rows[reply->row_count - 1].key : "",
-             reply->more);
-  sweep->busy = sweep->found;
+    sweep->page_has_expired = remove_rows (core, reply);
+  schedule_next_page (
+      core, reply->row_count > 0 ? reply->rows[reply->row_count - 1].key : "",
+      reply->more);
+  sweep->busy = sweep->page_has_expired;
 }
 
 void
@@ -168,7 +171,7 @@
 
   if (sweep->busy || core->now_ms < sweep->next_ms)
     return;
-  sweep->next_ms = core->now_ms + ROUND_MS;
+  sweep->next_ms = core->now_ms + ROUND_INTERVAL_MS;
   if (core->wall_ms == 0 || !members_ranked_first (core, SWEEP_SUBJECT, false))
     return;
   call = mux_table_call_new (MUX_TABLE_SCAN, 2);
--- a/src/core/sweep.h
+++ b/src/core/sweep.h
@@ -3,8 +3,8 @@
 
 #include "core_private.h"
 
-/* Rows of keys and of ended jobs are dropped once they are older than keys
- * are remembered; one daemon at a time goes round, a page after the other. */
+/* Removes rows of keys and of ended jobs that are older than keys are
+ * remembered.  One daemon at a time scans them, page by page. */
 Sweep *sweep_new (void);
 void sweep_free (Sweep *sweep);
 void sweep_tick (MuxCore *core);
