--- a/src/core/jobs_adopt.c
+++ b/src/core/jobs_adopt.c
@@ -7,6 +7,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Scans of the open jobs, and adoption of those whose home has died. */
+
 /* Longest interval between scans for open jobs whose home has died; at least
  * half of it. */
 #define SCAN_INTERVAL_MAX_MS 60000
--- a/src/core/jobs_gang.c
+++ b/src/core/jobs_gang.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Placement of gangs: all tasks are granted room before any of them starts. */
+
 /* Once one task of a gang is granted, the rest must be granted within this
  * time; less than GRANT_TTL_MS. */
 #define HOLD_TIMEOUT_MS 2000
@@ -30,7 +32,7 @@
 
 /*
  * The home of a gang may die when only some of its tasks are recorded as
- * placed. If its new home requested room for the rest as a gang, counting the
+ * placed.  If its new home requested room for the rest as a gang, counting the
  * whole size, that gang would never be complete and the job would hang.  The
  * rest of a gang that is placed in part is therefore requested one by one.
  */
--- a/src/core/jobs_private.h
+++ b/src/core/jobs_private.h
@@ -165,7 +165,7 @@
   JobHeader header;
   MuxBlob *body;
   int64_t expires_ms;
-  uint32_t tries;
+  uint32_t write_count;
   UT_hash_handle hh;
 };
 
@@ -199,7 +199,9 @@
 const char *slot_state_name (SlotState state);
 
 /* Rows (jobs_row.c). */
+/** job_row_key() - key of the row "open" or "done" of a job, as @prefix says */
 void job_row_key (const char *prefix, MuxId id, char out[MUX_ROW_KEY_LEN]);
+/** job_part_key() - key of the row of part number @part */
 void job_part_key (MuxId id, uint32_t part, char out[MUX_ROW_KEY_LEN]);
 MuxBlob *job_header_to_blob (const JobHeader *header);
 bool job_header_from_blob (const MuxBlob *blob, JobHeader *header);
--- a/src/core/jobs_row.c
+++ b/src/core/jobs_row.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Keys and contents of a job's rows. */
+
 const char *
 job_state_name (JobState state)
 {
--- a/src/core/jobs_show.c
+++ b/src/core/jobs_show.c
@@ -6,6 +6,9 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Queries about jobs, their cancellation, and callers that wait for their end.
+ */
+
 /* Interval of reads of the row of a job that has another home. */
 #define POLL_MS 500
 
--- a/src/core/jobs_submit.c
+++ b/src/core/jobs_submit.c
@@ -9,7 +9,9 @@
 #include <string.h>
 #include <xxhash.h>
 
-/* Writes of unknown outcome before the caller is answered "unknown". */
+/* Submission: a job is stored before it is acknowledged. */
+
+/* Writes of unknown outcome after which the caller is answered "unknown". */
 #define WRITES_MAX 5
 
 static void send_row (MuxCore *core, JobSubmit *submit);
@@ -55,7 +57,7 @@
 {
   /* After a write of unknown outcome it may be on record, or be soon. */
   MuxOutcome outcome
-      = submit->tries > 1 ? MUX_OUTCOME_UNKNOWN : MUX_OUTCOME_NOT_RUN;
+      = submit->write_count > 1 ? MUX_OUTCOME_UNKNOWN : MUX_OUTCOME_NOT_RUN;
 
   core_respond (core, submit->call_id, outcome, reason, RETRY_MS * 10,
                 submit->id, NULL);
@@ -128,9 +130,8 @@
       break;
     case MUX_TABLE_UNKNOWN:
       mux_count_retry (core->counters, MUX_REASON_WRITE_UNKNOWN);
-      /* The condition makes the repetition safe: it finds the row or writes the
-       * first. */
-      if (submit->tries < WRITES_MAX)
+      /* The repetition is safe, as the write requires that there is no row. */
+      if (submit->write_count < WRITES_MAX)
         send_row (core, submit);
       else
         submit_refuse (core, submit, MUX_REASON_WRITE_UNKNOWN);
@@ -148,7 +149,7 @@
   MuxTableCall *call = mux_table_call_new (MUX_TABLE_TXN, 2);
   MuxId id = submit->id;
 
-  submit->tries++;
+  submit->write_count++;
   if (call != NULL)
     {
       job_row_key ("open", id, call->rows[0].key);
--- a/src/core/jobs_tasks.c
+++ b/src/core/jobs_tasks.c
@@ -4,6 +4,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* The tasks of a job: made for its slots, recorded as placed and as ended. */
+
 /* Longest delay of the write of an ended task, which goes along with the next
  * placement if there is one before. */
 #define LAZY_WRITE_MS 2000
--- a/src/core/jobs_write.c
+++ b/src/core/jobs_write.c
@@ -5,6 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Writes of the rows of jobs handled here, and reads after a refused one. */
+
 /* Pause after a write or read that the store did not serve. */
 #define STORE_PAUSE_MS 1000
 
@@ -125,7 +127,7 @@
 /*
  * A write of unknown outcome is repeated and tasks start; if the first write
  * took effect late, it would restore the earlier state: tasks that run would be
- * recorded as not placed, and the next home would start them a second time. So
+ * recorded as not placed, and the next home would start them a second time.  So
  * each part is written on condition of its own revision, which a late write
  * finds changed.  The header's revision, checked in the same transaction,
  * refuses the writes of a previous home.
--- a/src/core/sweep.c
+++ b/src/core/sweep.c
@@ -22,10 +22,10 @@
 
 struct Sweep
 {
-  uint32_t prefix;
-  char after[MUX_ROW_KEY_LEN];
-  bool busy;
-  bool page_has_expired; /* the current page had rows to remove */
+  uint32_t prefix;             /* index in prefixes */
+  char after[MUX_ROW_KEY_LEN]; /* last key read */
+  bool busy;                   /* a call is in flight */
+  bool page_has_expired;       /* the current page had rows to remove */
   int64_t next_ms;
 };
 
@@ -110,6 +110,7 @@
   core->sweep->busy = false;
 }
 
+/* Return: whether there are expired rows and their removal was sent. */
 static bool
 remove_rows (MuxCore *core, const MuxTableReply *reply)
 {
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -10,6 +10,8 @@
 #include <stdlib.h>
 #include <string.h>
 
+/* Tasks at their home: creation, callers, timers and end. */
+
 /* How long a task is still handled after its callers were answered "unknown".
  */
 #define LINGER_MS 600000
--- a/src/core/task.h
+++ b/src/core/task.h
@@ -77,7 +77,7 @@
   uint64_t grant_number;
   char worker[MUX_NAME_LEN];
   char addr[MUX_ADDR_LEN];
-  uint64_t incarnation;
+  uint64_t incarnation; /* of the worker */
   char home[MUX_NAME_LEN];
   uint64_t home_incarnation;
   int64_t not_after_ms; /* latest start, on the worker's clock */
@@ -116,7 +116,7 @@
   char class_name[MUX_NAME_LEN];
   MuxKind kind;
   MuxSize size;
-  uint32_t run_ms;
+  uint32_t run_ms; /* declared run time; 0: none */
   bool idempotent;
   bool key_is_new; /* all callers so far said so */
   bool keyed;      /* has a row once/<key> */
@@ -126,17 +126,17 @@
   MuxId job;
   uint32_t job_index;
   bool in_gang; /* not placed yet, and placed only with its whole gang */
-  MuxId group;
+  MuxId group;  /* gang that its request belongs to, or none */
   uint32_t group_count;
   Waiter *waiters;
   int64_t start_by_ms;
   int64_t expires_ms; /* INT64_MAX: never */
   int64_t timer_ms;   /* time of its only valid TIMER event */
   MuxBlob *body;
-  char owner[MUX_NAME_LEN]; /* requested from, or granted by */
-  Intent placement;         /* where it is granted, started or followed */
-  uint64_t epoch;
-  uint64_t row_rev;
+  char owner[MUX_NAME_LEN];  /* requested from, or granted by */
+  Intent placement;          /* where it is granted, started or followed */
+  uint64_t epoch;            /* of the claim under which it was granted */
+  uint64_t row_rev;          /* of its row, required by the next write */
   uint64_t awaited_row_call; /* write or read of its row, by number */
   bool granted;              /* room is booked for it at @owner */
   bool fetch_in_flight;
--- a/src/core/task_call.c
+++ b/src/core/task_call.c
@@ -5,6 +5,8 @@
 #include <stdio.h>
 #include <string.h>
 
+/* Calls to workers for a task; each reply becomes an event. */
+
 /* Longest that a start or a fetch waits on its connection for the task's end.
  */
 #define WAIT_MAX_MS 60000
--- a/src/core/task_grant.c
+++ b/src/core/task_grant.c
@@ -6,6 +6,8 @@
 #include <stdio.h>
 #include <string.h>
 
+/* Requests for room: the choice of an owner and the messages to it. */
+
 /* Longest time limit sent to an owner. */
 #define TIME_LIMIT_MAX_MS 3600000
 /* Weight of the load of owners in other data centres, relative to local ones.
