--- a/src/core/jobs_gang.c
+++ b/src/core/jobs_gang.c
@@ -245,8 +245,8 @@
       job->gang_bound_count = 0;
       return;
     }
-  /* Always in the order of the owners' names, so that gangs that each hold a
-   * part can't wait for one another in a cycle. */
+  /* Always in the order of the owners' names, so that two gangs that each hold
+   * a part can't wait for one another in a cycle. */
   qsort (job->gang_part, job->gang_part_count, sizeof job->gang_part[0],
          by_owner);
   job->gang_state = GANG_REQUESTING;
--- a/test/unit/test_core_pacing.c
+++ b/test/unit/test_core_pacing.c
@@ -144,7 +144,8 @@
   core_harness_free (h, NULL);
 }
 
-/* Each of 25 daemons reads its part of the open jobs, and some rows over. */
+/* Each of 25 daemons reads its partitions of the open jobs, and some rows
+ * beyond. */
 static void
 test_looks_for_jobs_are_shared (void **state)
 {
@@ -183,8 +184,8 @@
 
 /*
  * An owner of many workers learns late that tasks on them have ended, as it
- * renews rarely.  A job of half a second would take ten to twenty,
- * until the next renewal or a late look of its home.
+ * renews rarely.  A job of half a second would take ten to twenty, until the
+ * next renewal or a late poll by its home.
  */
 static void
 test_job_does_not_wait_for_renewals (void **state)
@@ -208,9 +209,9 @@
 }
 
 /*
- * A service's tasks run for days.  Their home hears of an end from the owner;
- * when a daemon dies, it may take that word with it, for the worker can die in
- * the same rack.  The home looks by itself then, and else hardly ever.
+ * A service's tasks run for days.  Their owner reports an end to the home; a
+ * daemon that dies may take that report with it, as the worker can die in the
+ * same rack.  The home polls the tasks then, and otherwise hardly ever.
  */
 static void
 test_looks_at_long_tasks_are_rare (void **state)
--- a/test/unit/test_jobs_orphan.c
+++ b/test/unit/test_jobs_orphan.c
@@ -2,18 +2,17 @@
 #include "support/test.h"
 
 #define SEED 7
-/* Longer than the longest pause between two looks through the open jobs. */
+/* Longer than the longest interval between two scans of the open jobs. */
 #define LOOK_MS 130000
 #define FIRST_LOOK_MS 10000
-/* Until a daemon of another data centre is called dead, and a look. */
+/* Until a daemon of another data centre counts as dead, and a scan. */
 #define DEAD_MS 30000
-/* Over all parts of the ids that are looked through by themselves, and more in
- * each than a page holds. */
+/* Over all partitions of the ids, and more in each than a page holds. */
 #define JOBS (64 * 20)
 #define PARTS 64
 #define PART_SHIFT 58
 
-/* The row of an open job whose home is @node in its present life. */
+/* The row of an open job whose home is @node in its current incarnation. */
 static void
 put_row (FakeNet *net, uint32_t node, MuxId id)
 {
@@ -46,10 +45,10 @@
 }
 
 /*
- * A submitter is told 202 and waits for ever.  The daemon that carried its
- * job dies; another becomes its home by a write whose answer is lost, and lets
- * the job go.  The dead one comes back and looks after its part of the jobs
- * again, but the row names a home that lives: nobody takes the job over.
+ * Guards against an accepted job (202) that no daemon handles.  Its home dies;
+ * another daemon becomes the home by a write whose reply is lost, and drops the
+ * job.  The dead daemon comes back and scans its partitions again, but the row
+ * names a live home, so no daemon adopts the job.
  */
 static void
 test_lost_answers_leave_no_orphan (void **state)
@@ -67,7 +66,7 @@
   net->lost_ppm = 1000000;
   fake_net_run (net, DEAD_MS);
   assert_true (adopted (net, 0) < JOBS);
-  /* Back again, it looks through its part of the open jobs, as before. */
+  /* Restarted, it scans its partitions of the open jobs as before. */
   fake_net_start (net, 1);
   net->lost_ppm = 0;
   fake_net_run (net, 2 * LOOK_MS);
