--- a/demo/support/callers.c
+++ b/demo/support/callers.c
@@ -54,7 +54,7 @@
   call->give_up_ms = options->give_up_ms;
   call->timeout_ms = options->give_up_ms + EXTRA_MS;
   snprintf (call->key, sizeof call->key, "%s-%u", options->key_prefix, number);
-  mux_request_fill (call, call->key, options->seed + number, 0);
+  mux_test_request_fill (call, call->key, options->seed + number, 0);
 }
 
 static uint32_t
@@ -64,12 +64,12 @@
 
   for (;;)
     {
-      mux_request_send (
+      mux_test_request_send (
           call, http,
           options->addrs[(call->number + tried) % options->addr_count],
           options->log);
       tried++;
-      if (!mux_request_open (call) || tried == options->tries)
+      if (!mux_test_request_open (call) || tried == options->tries)
         return tried;
       mux_pause_ms (PAUSE_MS * tried);
     }
@@ -78,7 +78,7 @@
 static void
 count_call (MuxCallersTally *tally, const MuxTestRequest *call, uint32_t tried)
 {
-  const char *outcome = mux_request_outcome (call);
+  const char *outcome = mux_test_request_outcome (call);
 
   tally->submissions += tried;
   if (strcmp (outcome, "done") == 0)
--- a/demo/support/mixed_callers.c
+++ b/demo/support/mixed_callers.c
@@ -99,7 +99,7 @@
   snprintf (name, sizeof name, "%s-%u", class_name, number);
   if (!idempotent)
     memcpy (request->key, name, sizeof name);
-  mux_request_fill (request, name, random.state, run_ms);
+  mux_test_request_fill (request, name, random.state, run_ms);
 }
 
 static void
@@ -123,9 +123,10 @@
 {
   const MuxMixOptions *options = caller->mix->options;
 
-  mux_request_send (&caller->request, caller->http,
-                    options->addrs[daemon % options->addr_count], options->log);
-  count (&caller->tally, mux_request_outcome (&caller->request));
+  mux_test_request_send (&caller->request, caller->http,
+                         options->addrs[daemon % options->addr_count],
+                         options->log);
+  count (&caller->tally, mux_test_request_outcome (&caller->request));
 }
 
 /* Worth another submission of the same key elsewhere. */
@@ -133,8 +134,8 @@
 goes_on (const Caller *caller)
 {
   if (caller->mix->options->sort == MUX_MIX_BOOKINGS)
-    return strcmp (mux_request_outcome (&caller->request), "done") != 0;
-  return mux_request_open (&caller->request);
+    return strcmp (mux_test_request_outcome (&caller->request), "done") != 0;
+  return mux_test_request_open (&caller->request);
 }
 
 /* Through one daemon after the other while its fate is open. */
@@ -211,7 +212,7 @@
   /* A call without a key is another work if it is sent again. */
   if (kind != CALL_LOOKUP && kind != CALL_LOOKUP_HANG_UP)
     send_until_told (caller, daemon);
-  if (strcmp (mux_request_outcome (&caller->request), "done") != 0)
+  if (strcmp (mux_test_request_outcome (&caller->request), "done") != 0)
     caller->tally.not_done++;
 }
 
--- a/demo/support/request.c
+++ b/demo/support/request.c
@@ -7,30 +7,32 @@
 #include <stdio.h>
 #include <string.h>
 
-#define ANSWER_MAX (MUX_REQUEST_BODY_MAX + 64)
+#define ANSWER_MAX (MUX_TEST_REQUEST_BODY_MAX + 64)
 
 void
-mux_request_fill (MuxTestRequest *request,
-                  const char *name,
-                  uint64_t seed,
-                  uint32_t run_ms)
+mux_test_request_fill (MuxTestRequest *request,
+                       const char *name,
+                       uint64_t seed,
+                       uint32_t run_ms)
 {
   MuxRandom random = { seed };
   char *body = request->body;
   size_t len = 0;
 
   if (run_ms > 0)
-    len = (size_t) snprintf (body, MUX_REQUEST_BODY_MAX, "run_ms=%u\n", run_ms);
-  len += (size_t) snprintf (body + len, MUX_REQUEST_BODY_MAX - len,
+    len = (size_t) snprintf (body, MUX_TEST_REQUEST_BODY_MAX, "run_ms=%u\n",
+                             run_ms);
+  len += (size_t) snprintf (body + len, MUX_TEST_REQUEST_BODY_MAX - len,
                             "%s:", name);
-  request->body_len
-      = len + mux_random_below (&random, MUX_REQUEST_BODY_MAX - (uint32_t) len);
+  request->body_len = len
+                      + mux_random_below (&random, MUX_TEST_REQUEST_BODY_MAX
+                                                       - (uint32_t) len);
   for (; len < request->body_len; len++)
     body[len] = (char) mux_random_below (&random, 256);
 }
 
 const char *
-mux_request_outcome (const MuxTestRequest *request)
+mux_test_request_outcome (const MuxTestRequest *request)
 {
   if (!request->answered || request->reply.outcome[0] == 0)
     return "none";
@@ -38,9 +40,9 @@
 }
 
 bool
-mux_request_open (const MuxTestRequest *request)
+mux_test_request_open (const MuxTestRequest *request)
 {
-  const char *outcome = mux_request_outcome (request);
+  const char *outcome = mux_test_request_outcome (request);
 
   return strcmp (outcome, "none") == 0 || strcmp (outcome, "unknown") == 0
          || strcmp (request->reply.reason, "key_in_use") == 0;
@@ -104,16 +106,17 @@
           request->class_name, "key", request->key, "idempotent",
           (int) request->idempotent, "submit_ms",
           (json_int_t) request->submit_ms, "answer_ms",
-          (json_int_t) mux_mono_ms (), "outcome", mux_request_outcome (request),
-          "task", request->reply.task, "reason", request->reply.reason,
-          "body_hash", body, "answer_hash", answer, "expect_hash", expect));
+          (json_int_t) mux_mono_ms (), "outcome",
+          mux_test_request_outcome (request), "task", request->reply.task,
+          "reason", request->reply.reason, "body_hash", body, "answer_hash",
+          answer, "expect_hash", expect));
 }
 
 void
-mux_request_send (MuxTestRequest *request,
-                  MuxHttp *http,
-                  const char *addr,
-                  MuxJsonl *log)
+mux_test_request_send (MuxTestRequest *request,
+                       MuxHttp *http,
+                       const char *addr,
+                       MuxJsonl *log)
 {
   submit (request, http, addr);
   log_submission (request, log);
--- a/demo/support/request.h
+++ b/demo/support/request.h
@@ -7,7 +7,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define MUX_REQUEST_BODY_MAX 1024
+#define MUX_TEST_REQUEST_BODY_MAX 1024
 
 /**
  * struct MuxTestRequest - a request and its latest submission
@@ -30,7 +30,7 @@
   uint64_t number;
   uint32_t give_up_ms;
   uint32_t timeout_ms;
-  char body[MUX_REQUEST_BODY_MAX];
+  char body[MUX_TEST_REQUEST_BODY_MAX];
   size_t body_len;
   int64_t submit_ms;
   bool answered;
@@ -40,19 +40,19 @@
 /** mux_request_fill() - a body that @name makes its own, of random bytes with
  * zeros among them; the same @name and @seed give the same
  * @run_ms: what the worker stand-in runs; 0: its default */
-void mux_request_fill (MuxTestRequest *request,
-                       const char *name,
-                       uint64_t seed,
-                       uint32_t run_ms);
+void mux_test_request_fill (MuxTestRequest *request,
+                            const char *name,
+                            uint64_t seed,
+                            uint32_t run_ms);
 /** mux_request_send() - once, on a connection of its own; logged then */
-void mux_request_send (MuxTestRequest *request,
-                       MuxHttp *http,
-                       const char *addr,
-                       MuxJsonl *log);
+void mux_test_request_send (MuxTestRequest *request,
+                            MuxHttp *http,
+                            const char *addr,
+                            MuxJsonl *log);
 /** mux_request_outcome() - what was told, "none" for nothing */
-const char *mux_request_outcome (const MuxTestRequest *request);
+const char *mux_test_request_outcome (const MuxTestRequest *request);
 /** mux_request_open() - the same key is worth another submission: nothing is
  * known yet of what became of it */
-bool mux_request_open (const MuxTestRequest *request);
+bool mux_test_request_open (const MuxTestRequest *request);
 
 #endif
--- a/include/port/table.h
+++ b/include/port/table.h
@@ -75,10 +75,10 @@
 typedef enum
 {
   MUX_TABLE_OK,
-  MUX_TABLE_CONFLICT, /* TXN: nothing was written; see @rows of the reply */
-  MUX_TABLE_DOWN,     /* certainly nothing was written */
-  MUX_TABLE_UNKNOWN,  /* TXN or OBJECT_PUT: it may have taken effect */
-  MUX_TABLE_BAD,      /* the platform rejected the request as malformed */
+  MUX_TABLE_CONFLICT,    /* TXN: nothing was written; see @rows of the reply */
+  MUX_TABLE_DOWN,        /* certainly nothing was written */
+  MUX_TABLE_UNKNOWN,     /* TXN or OBJECT_PUT: it may have taken effect */
+  MUX_TABLE_BAD_REQUEST, /* the platform rejected the request as malformed */
 } MuxTableStatus;
 
 /**
--- a/include/port/worker.h
+++ b/include/port/worker.h
@@ -51,7 +51,7 @@
   MUX_WORKER_TOMBSTONE,       /* refused: the task has a tombstone */
   MUX_WORKER_NO_ROOM,         /* refused: the worker has not enough room */
   MUX_WORKER_IS_LEAVING,      /* refused: the worker is leaving */
-  MUX_WORKER_BAD,             /* the worker rejected the request as malformed */
+  MUX_WORKER_BAD_REQUEST,     /* the worker rejected the request as malformed */
   MUX_WORKER_NOT_SENT,        /* certainly not received by the worker */
   MUX_WORKER_NO_ANSWER,       /* may have taken effect */
 } MuxWorkerStatus;
--- a/src/adapter/platform_decode.c
+++ b/src/adapter/platform_decode.c
@@ -163,7 +163,7 @@
 
   if (response->status == STATUS_BAD_REQUEST
       || response->status == STATUS_TOO_LARGE)
-    return mux_table_reply_new (call, MUX_TABLE_BAD, 0);
+    return mux_table_reply_new (call, MUX_TABLE_BAD_REQUEST, 0);
   if (response->status == STATUS_UNAVAILABLE && response->no_effect)
     return mux_table_reply_new (call, MUX_TABLE_DOWN, 0);
   if (packed
--- a/src/adapter/worker_http_wire.c
+++ b/src/adapter/worker_http_wire.c
@@ -23,7 +23,7 @@
   { "tombstone", MUX_WORKER_TOMBSTONE },
   { "no_room", MUX_WORKER_NO_ROOM },
   { "leaving", MUX_WORKER_IS_LEAVING },
-  { "bad", MUX_WORKER_BAD },
+  { "bad", MUX_WORKER_BAD_REQUEST },
   { "wrong_worker", MUX_WORKER_NOT_SENT },
 };
 
@@ -206,7 +206,7 @@
 
   if (!read_status (client, &status))
     return NULL;
-  if (status == MUX_WORKER_BAD || status == MUX_WORKER_NOT_SENT)
+  if (status == MUX_WORKER_BAD_REQUEST || status == MUX_WORKER_NOT_SENT)
     return mux_worker_reply_new (call, status, 0);
   if (!is_from_intended_worker (call, client))
     return NULL;
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -110,7 +110,7 @@
 bool cell_service_is_known (const MuxCell *cell, uint64_t hash);
 void cell_services_free (MuxCell *cell);
 
-/* follow.c */
+/* feed.c */
 void cell_feed_tick (MuxCell *cell, CellFeed *feed);
 void cell_feed_start (CellFeed *feed, uint64_t term, uint64_t version);
 /** cell_feed_is_fresh() - the table's copy is no older than allowed */
--- a/src/core/commit.c
+++ b/src/core/commit.c
@@ -315,7 +315,7 @@
       notify_group (core, put, TASK_RECORDING, TASK_EV_ROW_UNKNOWN, 0);
       break;
     case MUX_TABLE_DOWN:
-    case MUX_TABLE_BAD:
+    case MUX_TABLE_BAD_REQUEST:
       set_store_down (core);
       notify_group (core, put, TASK_RECORDING, TASK_EV_STORE_DOWN, 0);
       break;
--- a/src/core/jobs_show.c
+++ b/src/core/jobs_show.c
@@ -227,7 +227,7 @@
                     MUX_REASON_WRITE_UNKNOWN, RETRY_MS * 10, id, NULL);
       return;
     case MUX_TABLE_DOWN:
-    case MUX_TABLE_BAD:
+    case MUX_TABLE_BAD_REQUEST:
       respond_reason (core, call_id, MUX_REASON_STORE_DOWN, id);
       return;
     }
--- a/src/core/jobs_submit.c
+++ b/src/core/jobs_submit.c
@@ -137,7 +137,7 @@
         submit_refuse (core, submit, MUX_REASON_WRITE_UNKNOWN);
       break;
     case MUX_TABLE_DOWN:
-    case MUX_TABLE_BAD:
+    case MUX_TABLE_BAD_REQUEST:
       submit_refuse (core, submit, MUX_REASON_STORE_DOWN);
       break;
     }
--- a/src/core/jobs_write.c
+++ b/src/core/jobs_write.c
@@ -69,7 +69,7 @@
       job->needs_reread = true;
       break;
     case MUX_TABLE_DOWN:
-    case MUX_TABLE_BAD:
+    case MUX_TABLE_BAD_REQUEST:
       mux_count_retry (core->counters, MUX_REASON_STORE_DOWN);
       retry_write (core, job, STORE_PAUSE_MS);
       break;
--- a/src/core/task_call.c
+++ b/src/core/task_call.c
@@ -131,7 +131,7 @@
     case MUX_WORKER_NOT_SENT:
       return MUX_REASON_WORKER_UNREACHED;
     case MUX_WORKER_OK:
-    case MUX_WORKER_BAD:
+    case MUX_WORKER_BAD_REQUEST:
     case MUX_WORKER_NO_ANSWER:
       break;
     }
--- a/test/standin/platform_routes.c
+++ b/test/standin/platform_routes.c
@@ -100,7 +100,7 @@
   msgpack_sbuffer buffer;
   msgpack_packer out;
 
-  if (status == MUX_TABLE_BAD)
+  if (status == MUX_TABLE_BAD_REQUEST)
     return answer_empty (response, 400);
   if (status == MUX_TABLE_DOWN)
     return answer_refused (response);
@@ -119,7 +119,7 @@
   const StandinPlatformServerOptions *server = data;
   StandinVerdict verdict = admit (server, request, false, server->write_ms);
   StandinRowSet rows, failed = { 0 };
-  MuxTableStatus status = MUX_TABLE_BAD;
+  MuxTableStatus status = MUX_TABLE_BAD_REQUEST;
   uint64_t rev = 0;
   int end;
 
@@ -129,7 +129,8 @@
                                  request->binary_body_length, &rows))
     status = standin_platform_txn (server->platform, rows.row, rows.count, &rev,
                                    &failed);
-  if (status != MUX_TABLE_BAD && standin_platform_faults_loses (server->faults))
+  if (status != MUX_TABLE_BAD_REQUEST
+      && standin_platform_faults_loses (server->faults))
     end = close_connection (response);
   else
     end = answer_txn (response, status, rev, &failed);
--- a/test/standin/platform_state.c
+++ b/test/standin/platform_state.c
@@ -164,7 +164,7 @@
   failed->count = 0;
   failed->more = false;
   if (!txn_valid (rows, count))
-    return MUX_TABLE_BAD;
+    return MUX_TABLE_BAD_REQUEST;
   pthread_mutex_lock (&platform->lock);
   platform->stats.txns++;
   check_conditions (platform->table, rows, count, failed);
--- a/test/standin/worker_logic.c
+++ b/test/standin/worker_logic.c
@@ -219,7 +219,8 @@
   if (call->epoch < worker->epoch)
     return refuse (worker, call, MUX_WORKER_OLD_EPOCH, "old_epoch", now_ms);
   if (call->epoch > worker->epoch)
-    return refuse (worker, call, MUX_WORKER_BAD, "unknown_epoch", now_ms);
+    return refuse (worker, call, MUX_WORKER_BAD_REQUEST, "unknown_epoch",
+                   now_ms);
   if (!worker->claimed || now_ms >= worker->lease_until_ms)
     return refuse (worker, call, MUX_WORKER_OLD_EPOCH, "lapsed", now_ms);
   if (call->not_after_ms != 0 && now_ms > call->not_after_ms)
@@ -296,7 +297,7 @@
       || (call->epoch == 0 && !of_claim))
     return MUX_WORKER_OK;
   if (call->epoch > worker->epoch)
-    return MUX_WORKER_BAD;
+    return MUX_WORKER_BAD_REQUEST;
   if (call->epoch < worker->epoch || (of_claim && !worker->claimed))
     return MUX_WORKER_OLD_EPOCH;
   return MUX_WORKER_OK;
@@ -321,7 +322,8 @@
                    now_ms);
   if (status != MUX_WORKER_OK)
     return refuse (worker, call, status,
-                   status == MUX_WORKER_BAD ? "unknown_epoch" : "old_epoch",
+                   status == MUX_WORKER_BAD_REQUEST ? "unknown_epoch"
+                                                    : "old_epoch",
                    now_ms);
   switch (call->verb)
     {
@@ -345,5 +347,5 @@
     case MUX_WORKER_RELEASE:
       return do_release (worker, call, now_ms);
     }
-  return refuse (worker, call, MUX_WORKER_BAD, "unknown_verb", now_ms);
+  return refuse (worker, call, MUX_WORKER_BAD_REQUEST, "unknown_verb", now_ms);
 }
--- a/test/standin/worker_wire.c
+++ b/test/standin/worker_wire.c
@@ -28,7 +28,7 @@
         [MUX_WORKER_TOMBSTONE] = { "tombstone", 409 },
         [MUX_WORKER_NO_ROOM] = { "no_room", 503 },
         [MUX_WORKER_IS_LEAVING] = { "leaving", 503 },
-        [MUX_WORKER_BAD] = { "bad", 400 } };
+        [MUX_WORKER_BAD_REQUEST] = { "bad", 400 } };
 
 /* An absent header counts as 0. */
 static bool
--- a/test/support/core_record.c
+++ b/test/support/core_record.c
@@ -44,7 +44,7 @@
   [MUX_WORKER_TOMBSTONE] = "tombstone",
   [MUX_WORKER_NO_ROOM] = "no-room",
   [MUX_WORKER_IS_LEAVING] = "is-leaving",
-  [MUX_WORKER_BAD] = "bad",
+  [MUX_WORKER_BAD_REQUEST] = "bad",
   [MUX_WORKER_NOT_SENT] = "not-sent",
   [MUX_WORKER_NO_ANSWER] = "no-answer",
 };
@@ -56,9 +56,9 @@
   [MUX_TABLE_OBJECT_GET] = "object-get",
 };
 static const char *const table_statuses[] = {
-  [MUX_TABLE_OK] = "ok",     [MUX_TABLE_CONFLICT] = "conflict",
-  [MUX_TABLE_DOWN] = "down", [MUX_TABLE_UNKNOWN] = "unknown",
-  [MUX_TABLE_BAD] = "bad",
+  [MUX_TABLE_OK] = "ok",           [MUX_TABLE_CONFLICT] = "conflict",
+  [MUX_TABLE_DOWN] = "down",       [MUX_TABLE_UNKNOWN] = "unknown",
+  [MUX_TABLE_BAD_REQUEST] = "bad",
 };
 static const char *const instance_states[] = { "live", "leaving", "gone" };
 
--- a/test/support/door_bench.c
+++ b/test/support/door_bench.c
@@ -62,7 +62,7 @@
                              .status = 200,
                              .body = mux_blob_new (text, strlen (text)) };
 
-  assert_true (mux_http_server_respond (fake->door, &answer));
+  assert_true (mux_http_server_respond (fake->server, &answer));
   mux_blob_unref (answer.body);
 }
 
--- a/test/support/fake_backend.c
+++ b/test/support/fake_backend.c
@@ -11,17 +11,17 @@
 
   pthread_mutex_lock (&fake->lock);
   mode = fake->mode;
-  answer = fake->answer;
+  answer = fake->response;
   answer.call_id = ask->call_id;
-  if (mode != FAKE_FULL && fake->ask_count < FAKE_ASKS_MAX)
-    fake->asks[fake->ask_count++] = *ask;
+  if (mode != FAKE_FULL && fake->request_count < FAKE_ASKS_MAX)
+    fake->requests[fake->request_count++] = *ask;
   pthread_cond_broadcast (&fake->changed);
   pthread_mutex_unlock (&fake->lock);
   if (mode == FAKE_FULL)
     return false;
   free (ask);
-  if (mode == FAKE_ANSWER)
-    mux_http_server_respond (fake->door, &answer);
+  if (mode == FAKE_RESPOND)
+    mux_http_server_respond (fake->server, &answer);
   return true;
 }
 
@@ -31,7 +31,7 @@
   FakeBackend *fake = (FakeBackend *) backend;
 
   pthread_mutex_lock (&fake->lock);
-  fake->gone_call = call;
+  fake->disconnected_call = call;
   pthread_cond_broadcast (&fake->changed);
   pthread_mutex_unlock (&fake->lock);
 }
@@ -50,38 +50,38 @@
   memset (fake, 0, sizeof *fake);
   fake->backend = (MuxHttpBackend){ submit, gone, ready };
   fake->is_ready = true;
-  fake->answer.outcome = MUX_OUTCOME_INFO;
-  fake->answer.status = 200;
+  fake->response.outcome = MUX_OUTCOME_INFO;
+  fake->response.status = 200;
   pthread_mutex_init (&fake->lock, NULL);
   pthread_cond_init (&fake->changed, NULL);
   fake->counters = mux_counters_new ();
   options.listen = "127.0.0.1:0";
   options.backend = &fake->backend;
   options.counters = fake->counters;
-  fake->door = mux_http_server_new (&options, &err);
-  assert_non_null (fake->door);
-  if (!mux_http_server_listen (fake->door, fake->addr, &err))
+  fake->server = mux_http_server_new (&options, &err);
+  assert_non_null (fake->server);
+  if (!mux_http_server_listen (fake->server, fake->addr, &err))
     fail_msg ("%s", err.text);
 }
 
 void
-fake_backend_wait_asks (FakeBackend *fake, uint32_t count)
+fake_backend_wait_requests (FakeBackend *fake, uint32_t count)
 {
   pthread_mutex_lock (&fake->lock);
-  while (fake->ask_count < count)
+  while (fake->request_count < count)
     pthread_cond_wait (&fake->changed, &fake->lock);
   pthread_mutex_unlock (&fake->lock);
 }
 
 uint64_t
-fake_backend_wait_gone (FakeBackend *fake)
+fake_backend_wait_disconnect (FakeBackend *fake)
 {
   uint64_t call;
 
   pthread_mutex_lock (&fake->lock);
-  while (fake->gone_call == 0)
+  while (fake->disconnected_call == 0)
     pthread_cond_wait (&fake->changed, &fake->lock);
-  call = fake->gone_call;
+  call = fake->disconnected_call;
   pthread_mutex_unlock (&fake->lock);
   return call;
 }
@@ -89,10 +89,10 @@
 void
 fake_backend_close (FakeBackend *fake)
 {
-  mux_http_server_fail_pending (fake->door);
-  mux_http_server_free (fake->door);
-  for (uint32_t i = 0; i < fake->ask_count; i++)
-    mux_blob_unref (fake->asks[i].body);
+  mux_http_server_fail_pending (fake->server);
+  mux_http_server_free (fake->server);
+  for (uint32_t i = 0; i < fake->request_count; i++)
+    mux_blob_unref (fake->requests[i].body);
   mux_counters_free (fake->counters);
   pthread_cond_destroy (&fake->changed);
   pthread_mutex_destroy (&fake->lock);
--- a/test/support/fake_backend.h
+++ b/test/support/fake_backend.h
@@ -12,36 +12,36 @@
  */
 typedef enum
 {
-  FAKE_ANSWER, /* responds at once with @answer */
-  FAKE_HOLD,   /* keeps it until the test responds */
-  FAKE_FULL,   /* refuses: the ring is full */
+  FAKE_RESPOND, /* responds at once with @response */
+  FAKE_HOLD,    /* keeps it until the test responds */
+  FAKE_FULL,    /* refuses: the ring is full */
 } FakeMode;
 
 /**
  * struct FakeBackend - replaces the core behind the HTTP server
  * @backend: first member
- * @door: the server, listening; receives the responses
+ * @server: the server, listening; receives the responses
  * @addr: where it listens
  * @counters: the server's
  * @mode: see enum FakeMode
- * @answer: response for FAKE_ANSWER, but for its call
+ * @response: response for FAKE_RESPOND, but for its call
  * @is_ready: readiness that the server reads
- * @asks: requests in order of arrival, bodies referenced
- * @ask_count: entries of @asks
- * @gone_call: call of the last disconnect; 0: none
+ * @requests: requests in order of arrival, bodies referenced
+ * @request_count: entries of @requests
+ * @disconnected_call: call of the last disconnect; 0: none
  */
 typedef struct
 {
   MuxHttpBackend backend;
-  MuxHttpServer *door;
+  MuxHttpServer *server;
   char addr[MUX_ADDR_LEN];
   MuxCounters *counters;
   FakeMode mode;
-  MuxCoreResponse answer;
+  MuxCoreResponse response;
   bool is_ready;
-  MuxCoreRequest asks[FAKE_ASKS_MAX];
-  uint32_t ask_count;
-  uint64_t gone_call;
+  MuxCoreRequest requests[FAKE_ASKS_MAX];
+  uint32_t request_count;
+  uint64_t disconnected_call;
   pthread_mutex_t lock;
   pthread_cond_t changed;
 } FakeBackend;
@@ -49,10 +49,10 @@
 /** fake_backend_open() - a server with @options on a port the kernel picks */
 void fake_backend_open (FakeBackend *fake, MuxHttpServerOptions options);
 /** fake_backend_wait_asks() - wait until so many requests have arrived */
-void fake_backend_wait_asks (FakeBackend *fake, uint32_t count);
+void fake_backend_wait_requests (FakeBackend *fake, uint32_t count);
 /** fake_backend_wait_gone() - wait for a disconnect
  * Return: its call. */
-uint64_t fake_backend_wait_gone (FakeBackend *fake);
+uint64_t fake_backend_wait_disconnect (FakeBackend *fake);
 void fake_backend_close (FakeBackend *fake);
 
 #endif
--- a/test/support/fake_worker.c
+++ b/test/support/fake_worker.c
@@ -26,7 +26,7 @@
 static int64_t
 clock_ms (const FakeWorker *worker)
 {
-  return worker->net->now_ms + worker->clock_ahead_ms;
+  return worker->net->now_ms + worker->clock_offset_ms;
 }
 
 static int64_t
@@ -118,7 +118,7 @@
 
   if (at_ms == INT64_MAX)
     return;
-  at_ms -= worker->clock_ahead_ms;
+  at_ms -= worker->clock_offset_ms;
   if (worker->tick_ms > worker->net->now_ms && worker->tick_ms <= at_ms)
     return;
   worker->tick_ms = at_ms;
--- a/test/support/fake_worker.h
+++ b/test/support/fake_worker.h
@@ -30,7 +30,7 @@
   StandinWorkerOptions options;
   StandinWorker *logic;
   MuxInstanceState state;
-  int64_t clock_ahead_ms;
+  int64_t clock_offset_ms;
   bool silent;
   bool cut[FAKE_NODES_MAX];
   uint32_t lost_ppm;
--- a/test/support/scenario.c
+++ b/test/support/scenario.c
@@ -87,7 +87,7 @@
   mux_name_copy (worker->data_centre, centre);
   worker->user = s;
   /* No two clocks agree, and a daemon's tells nothing about a worker's. */
-  worker->clock_ahead_ms = 100000 * ((int64_t) index % 3 - 1);
+  worker->clock_offset_ms = 100000 * ((int64_t) index % 3 - 1);
   s->owner[index] = UINT32_MAX;
   fake_worker_init (worker, s->net, &options);
 }
--- a/test/unit/test_door.c
+++ b/test/unit/test_door.c
@@ -16,9 +16,9 @@
 
   for (size_t i = 0; i < sizeof bytes; i++)
     bytes[i] = (char) i;
-  fake->answer.outcome = MUX_OUTCOME_DONE;
-  fake->answer.task = (MuxId){ 1, 2 };
-  fake->answer.body = mux_blob_new (bytes, sizeof bytes);
+  fake->response.outcome = MUX_OUTCOME_DONE;
+  fake->response.task = (MuxId){ 1, 2 };
+  fake->response.body = mux_blob_new (bytes, sizeof bytes);
   reply
       = door_bench_ask (fake,
                         "POST /v1/request/basket HTTP/1.1\r\n"
@@ -33,14 +33,14 @@
                        "application/octet-stream");
   assert_int_equal (reply.body_len, sizeof bytes);
   assert_memory_equal (reply.body, bytes, sizeof bytes);
-  assert_int_equal (fake->ask_count, 1);
-  assert_int_equal (fake->asks[0].verb, MUX_CORE_RUN_TASK);
-  assert_string_equal (fake->asks[0].name, "basket");
-  assert_string_equal (fake->asks[0].key, "k 1~");
-  assert_int_equal (fake->asks[0].timeout_ms, 1500);
-  assert_int_equal (fake->asks[0].body->len, sizeof bytes);
-  assert_memory_equal (fake->asks[0].body->bytes, bytes, sizeof bytes);
-  mux_blob_unref (fake->answer.body);
+  assert_int_equal (fake->request_count, 1);
+  assert_int_equal (fake->requests[0].verb, MUX_CORE_RUN_TASK);
+  assert_string_equal (fake->requests[0].name, "basket");
+  assert_string_equal (fake->requests[0].key, "k 1~");
+  assert_int_equal (fake->requests[0].timeout_ms, 1500);
+  assert_int_equal (fake->requests[0].body->len, sizeof bytes);
+  assert_memory_equal (fake->requests[0].body->bytes, bytes, sizeof bytes);
+  mux_blob_unref (fake->response.body);
   raw_reply_free (&reply);
 }
 
@@ -56,13 +56,13 @@
 
   fake->mode = FAKE_HOLD;
   first = door_bench_begin (fake, "POST /v1/request/a HTTP/1.1");
-  fake_backend_wait_asks (fake, 1);
+  fake_backend_wait_requests (fake, 1);
   second = door_bench_begin (fake, "POST /v1/request/b HTTP/1.1");
-  fake_backend_wait_asks (fake, 2);
-  door_bench_answer (fake, fake->asks[1].call_id, "of the second");
+  fake_backend_wait_requests (fake, 2);
+  door_bench_answer (fake, fake->requests[1].call_id, "of the second");
   reply = raw_read_reply (second);
   door_bench_expect_body (&reply, "of the second");
-  door_bench_answer (fake, fake->asks[0].call_id, "of the first");
+  door_bench_answer (fake, fake->requests[0].call_id, "of the first");
   reply = raw_read_reply (first);
   door_bench_expect_body (&reply, "of the first");
   close (first);
@@ -82,7 +82,7 @@
   for (uint32_t i = 0; i < DOOR_BENCH_CALLERS_MAX; i++)
     {
       fds[i] = door_bench_begin (fake, "POST /v1/request/a HTTP/1.1");
-      fake_backend_wait_asks (fake, i + 1);
+      fake_backend_wait_requests (fake, i + 1);
     }
   reply = door_bench_ask (fake, "POST /v1/request/a HTTP/1.1", "", 0);
   door_bench_expect_come_back (&reply, "callers_full");
@@ -90,12 +90,12 @@
                     1);
   raw_reply_free (&reply);
   pthread_mutex_lock (&fake->lock);
-  fake->mode = FAKE_ANSWER;
+  fake->mode = FAKE_RESPOND;
   pthread_mutex_unlock (&fake->lock);
   door_bench_expect_status (fake, "GET /v1/status HTTP/1.1", "", 0, 200);
   for (uint32_t i = 0; i < DOOR_BENCH_CALLERS_MAX; i++)
     {
-      door_bench_answer (fake, fake->asks[i].call_id, "whole");
+      door_bench_answer (fake, fake->requests[i].call_id, "whole");
       reply = raw_read_reply (fds[i]);
       door_bench_expect_body (&reply, "whole");
       close (fds[i]);
@@ -120,10 +120,10 @@
   FakeBackend *fake = *state;
   RawReply reply;
 
-  fake->answer = (MuxCoreResponse){ .outcome = MUX_OUTCOME_NOT_RUN,
-                                    .reason = MUX_REASON_QUEUE_FULL,
-                                    .status = 429,
-                                    .retry_after_ms = 1500 };
+  fake->response = (MuxCoreResponse){ .outcome = MUX_OUTCOME_NOT_RUN,
+                                      .reason = MUX_REASON_QUEUE_FULL,
+                                      .status = 429,
+                                      .retry_after_ms = 1500 };
   reply = door_bench_ask (fake, "POST /v1/request/a HTTP/1.1", "", 0);
   assert_int_equal (reply.status, 429);
   assert_string_equal (raw_header (&reply, "Cuminmux-Outcome"), "not_run");
@@ -147,18 +147,18 @@
 
   fake->mode = FAKE_HOLD;
   fd = door_bench_begin (fake, "POST /v1/request/a HTTP/1.1");
-  fake_backend_wait_asks (fake, 1);
-  mux_http_server_begin_drain (fake->door);
+  fake_backend_wait_requests (fake, 1);
+  mux_http_server_begin_drain (fake->server);
   reply = door_bench_ask (fake, "POST /v1/request/a HTTP/1.1", "", 0);
   door_bench_expect_come_back (&reply, "stopping");
   assert_string_equal (raw_header (&reply, "Connection"), "close");
   raw_reply_free (&reply);
   door_bench_expect_status (fake, "GET /readyz HTTP/1.1", "", 0, 503);
-  mux_http_server_stop_accepting (fake->door);
-  assert_false (mux_http_server_drain (fake->door, 0));
-  door_bench_answer (fake, fake->asks[0].call_id, "confirmed");
-  assert_true (mux_http_server_drain (fake->door, 60000));
-  mux_http_server_stop (fake->door);
+  mux_http_server_stop_accepting (fake->server);
+  assert_false (mux_http_server_drain (fake->server, 0));
+  door_bench_answer (fake, fake->requests[0].call_id, "confirmed");
+  assert_true (mux_http_server_drain (fake->server, 60000));
+  mux_http_server_stop (fake->server);
   reply = raw_read_reply (fd);
   door_bench_expect_body (&reply, "confirmed");
   close (fd);
@@ -175,8 +175,8 @@
 
   fake->mode = FAKE_HOLD;
   fd = door_bench_begin (fake, "POST /v1/request/a HTTP/1.1");
-  fake_backend_wait_asks (fake, 1);
-  mux_http_server_fail_pending (fake->door);
+  fake_backend_wait_requests (fake, 1);
+  mux_http_server_fail_pending (fake->server);
   reply = raw_read_reply (fd);
   assert_int_equal (reply.status, 504);
   assert_string_equal (raw_header (&reply, "Cuminmux-Outcome"), "unknown");
@@ -198,11 +198,11 @@
 
   fake->mode = FAKE_HOLD;
   waiting = door_bench_begin (fake, "POST /v1/request/a HTTP/1.1");
-  fake_backend_wait_asks (fake, 1);
+  fake_backend_wait_requests (fake, 1);
   silent = raw_connect (fake->addr);
   raw_wait_closed (silent);
   close (silent);
-  door_bench_answer (fake, fake->asks[0].call_id, "late but whole");
+  door_bench_answer (fake, fake->requests[0].call_id, "late but whole");
   reply = raw_read_reply (waiting);
   door_bench_expect_body (&reply, "late but whole");
   raw_wait_closed (waiting);
@@ -220,11 +220,11 @@
 
   fake->mode = FAKE_HOLD;
   close (door_bench_begin (fake, "POST /v1/request/a HTTP/1.1"));
-  call = fake_backend_wait_gone (fake);
-  assert_int_equal (call, fake->asks[0].call_id);
-  assert_true (mux_http_server_drain (fake->door, 60000));
+  call = fake_backend_wait_disconnect (fake);
+  assert_int_equal (call, fake->requests[0].call_id);
+  assert_true (mux_http_server_drain (fake->server, 60000));
   late.call_id = call;
-  assert_false (mux_http_server_respond (fake->door, &late));
+  assert_false (mux_http_server_respond (fake->server, &late));
 }
 
 static void
@@ -240,7 +240,7 @@
   assert_true (raw_send (fd, next, sizeof next - 1));
   reply = raw_read_reply (fd);
   assert_int_equal (reply.status, 200);
-  assert_int_equal (fake->ask_count, 2);
+  assert_int_equal (fake->request_count, 2);
   raw_reply_free (&reply);
   close (fd);
 }
--- a/test/unit/test_door_input.c
+++ b/test/unit/test_door_input.c
@@ -98,7 +98,7 @@
       assert_int_equal (mux_refused_value (fake->counters, reason), before + 1);
       raw_reply_free (&reply);
     }
-  assert_int_equal (fake->ask_count, 0);
+  assert_int_equal (fake->request_count, 0);
 }
 
 static void
@@ -139,14 +139,14 @@
     { "POST /v1/workers/w1/undrain HTTP/1.1", MUX_CORE_DRAIN },
   };
   FakeBackend *fake = *state;
-  MuxCoreRequest *asks = fake->asks;
+  MuxCoreRequest *asks = fake->requests;
 
   for (size_t i = 0; i < sizeof cases / sizeof cases[0]; i++)
     {
       RawReply reply = door_bench_ask (fake, cases[i].request, "{}", 2);
 
       assert_int_equal (reply.status, 200);
-      assert_int_equal (fake->ask_count, i + 1);
+      assert_int_equal (fake->request_count, i + 1);
       assert_int_equal (asks[i].verb, cases[i].verb);
       raw_reply_free (&reply);
     }
@@ -188,7 +188,7 @@
   close (fd);
   assert_int_equal (
       mux_refused_value (fake->counters, MUX_REASON_BODY_TOO_LARGE), 3);
-  assert_int_equal (fake->ask_count, 1);
+  assert_int_equal (fake->request_count, 1);
 }
 
 int
--- a/test/unit/test_platform_adapter.c
+++ b/test/unit/test_platform_adapter.c
@@ -160,7 +160,7 @@
 
   platform_set_row (call, 0, "twice", MUX_REV_ANY, "1", 1);
   platform_set_row (call, 1, "twice", MUX_REV_ANY, "2", 1);
-  assert_int_equal (platform_ask_status (fixture, call), MUX_TABLE_BAD);
+  assert_int_equal (platform_ask_status (fixture, call), MUX_TABLE_BAD_REQUEST);
 }
 
 /* Lists keep coming, also when nothing has changed. */
--- a/test/unit/test_platform_standin.c
+++ b/test/unit/test_platform_standin.c
@@ -161,9 +161,12 @@
   StandinRowSet failed;
   uint64_t rev;
 
-  assert_int_equal (txn (fixture, rows, 2, &rev, &failed), MUX_TABLE_BAD);
-  assert_int_equal (txn (fixture, &nameless, 1, &rev, &failed), MUX_TABLE_BAD);
-  assert_int_equal (txn (fixture, rows, 0, &rev, &failed), MUX_TABLE_BAD);
+  assert_int_equal (txn (fixture, rows, 2, &rev, &failed),
+                    MUX_TABLE_BAD_REQUEST);
+  assert_int_equal (txn (fixture, &nameless, 1, &rev, &failed),
+                    MUX_TABLE_BAD_REQUEST);
+  assert_int_equal (txn (fixture, rows, 0, &rev, &failed),
+                    MUX_TABLE_BAD_REQUEST);
   standin_platform_stats (fixture->platform, &stats);
   assert_int_equal (stats.rows, 0);
 }
--- a/test/unit/test_tls.c
+++ b/test/unit/test_tls.c
@@ -160,7 +160,7 @@
   snprintf (line, sizeof line, "! cuminmux: no answer from %s: its certificate",
             bench->fake.addr);
   expect_said (bench, line);
-  assert_int_equal (bench->fake.ask_count, 0);
+  assert_int_equal (bench->fake.request_count, 0);
 }
 
 static void
@@ -168,15 +168,15 @@
 {
   Bench *bench = *state;
 
-  bench->fake.answer.outcome = MUX_OUTCOME_DONE;
-  bench->fake.answer.body = mux_blob_new ("basket 7", 8);
+  bench->fake.response.outcome = MUX_OUTCOME_DONE;
+  bench->fake.response.body = mux_blob_new ("basket 7", 8);
   assert_int_equal (request (bench, bench->fake.addr, bench->right.path),
                     MUX_EXIT_OK);
   expect_said (bench, "\nbasket 7\n");
-  assert_int_equal (bench->fake.ask_count, 1);
-  assert_string_equal (bench->fake.asks[0].key, "k");
-  assert_int_equal (bench->fake.asks[0].body->len, 5);
-  mux_blob_unref (bench->fake.answer.body);
+  assert_int_equal (bench->fake.request_count, 1);
+  assert_string_equal (bench->fake.requests[0].key, "k");
+  assert_int_equal (bench->fake.requests[0].body->len, 5);
+  mux_blob_unref (bench->fake.response.body);
 }
 
 /* An attacker on the path responds in the daemon's place, with its own
@@ -215,7 +215,7 @@
   assert_int_equal (request (bench, bench->fake.addr, "/nowhere/ca.pem"),
                     MUX_EXIT_USAGE);
   expect_said (bench, "--ca-file: can't read \"/nowhere/ca.pem\": No such");
-  assert_int_equal (bench->fake.ask_count, 0);
+  assert_int_equal (bench->fake.request_count, 0);
 }
 
 /* A daemon without keys warns, unless its peer port is bound to loopback. */
