--- a/include/cell/cell.h
+++ b/include/cell/cell.h
@@ -32,7 +32,7 @@
   bool (*peer_send) (MuxCellSink *sink,
                      const char *addr,
                      const MuxPeerMsg *msg);
-  /* Takes @fields over; NULL: memory was out, and the line is dropped. */
+  /* Takes @fields over; NULL: out of memory, and the line is dropped. */
   void (*log) (MuxCellSink *sink, const char *event, json_t *fields);
 };
 
--- a/include/core/core.h
+++ b/include/core/core.h
@@ -17,7 +17,7 @@
 #define MUX_JOB_TASKS_MAX 4032
 
 /**
- * enum MuxAskVerb - operation requested by a caller or operator
+ * enum MuxCoreVerb - operation requested by a caller or operator
  */
 typedef enum
 {
--- a/include/port/cell.h
+++ b/include/port/cell.h
@@ -318,18 +318,18 @@
 } MuxCellReply;
 
 /** mux_cell_call_new() - allocate a zeroed call
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 MuxCellCall *mux_cell_call_new (MuxCellVerb verb);
 /** mux_cell_call_alloc_changes() - allocate room for @count changes
- * Return: false when memory is out. */
+ * Return: false when out of memory. */
 bool mux_cell_call_alloc_changes (MuxCellCall *call, uint32_t count);
 void mux_cell_call_free (MuxCellCall *call);
 /** mux_cell_reply_new() - allocate a reply to @call without content
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 MuxCellReply *mux_cell_reply_new (const MuxCellCall *call,
                                   MuxCellStatus status);
 /** mux_cell_reply_alloc_rows() - allocate room for @count rows
- * Return: false when memory is out. */
+ * Return: false when out of memory. */
 bool mux_cell_reply_alloc_rows (MuxCellReply *reply, uint32_t count);
 void mux_cell_reply_free (MuxCellReply *reply);
 const char *mux_cell_status_name (MuxCellStatus status);
--- a/include/port/table.h
+++ b/include/port/table.h
@@ -104,11 +104,11 @@
 } MuxTableReply;
 
 /** mux_table_call_new() - allocate a zeroed call with so many rows
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 MuxTableCall *mux_table_call_new (MuxTableVerb verb, uint32_t rows);
 void mux_table_call_free (MuxTableCall *call);
 /** mux_table_reply_new() - allocate a reply to @call with so many zeroed rows
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 MuxTableReply *mux_table_reply_new (const MuxTableCall *call,
                                     MuxTableStatus status,
                                     uint32_t rows);
--- a/include/port/worker.h
+++ b/include/port/worker.h
@@ -168,7 +168,7 @@
 } MuxWorkerReply;
 
 /** mux_worker_reply_new() - allocate a zeroed reply to @call
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 MuxWorkerReply *mux_worker_reply_new (const MuxWorkerCall *call,
                                       MuxWorkerStatus status,
                                       uint32_t reports);
--- a/src/adapter/peer_decode.c
+++ b/src/adapter/peer_decode.c
@@ -219,7 +219,7 @@
     return fail (reader, name, "is too long");
   *body = mux_blob_new (entry.via.bin.ptr, entry.via.bin.size);
   if (*body == NULL)
-    return mux_error_set (reader->err, MUX_ERROR_MEMORY, "memory is out");
+    return mux_error_set (reader->err, MUX_ERROR_MEMORY, "out of memory");
   return true;
 }
 
@@ -324,7 +324,7 @@
   if (len > MUX_PEER_MSG_MAX)
     return fail (&reader, "it", "is too long");
   if (!msgpack_zone_init (&reader.zone, 64))
-    return mux_error_set (err, MUX_ERROR_MEMORY, "memory is out");
+    return mux_error_set (err, MUX_ERROR_MEMORY, "out of memory");
   ok = read_msg (&reader, msg);
   msgpack_zone_destroy (&reader.zone);
   if (!ok)
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -142,7 +142,7 @@
 /** cell_admission_tick() - count the planner's backlog if it is time */
 void cell_admission_tick (MuxCell *cell);
 /** cell_admission_blob() - the message about expected waits for other daemons
- * Return: a reference; NULL when memory is out. */
+ * Return: a reference; NULL when out of memory. */
 MuxBlob *cell_admission_blob (MuxCell *cell);
 /** cell_admission_blob_reset() - drop the message kept for reuse, as a term
  * begins */
@@ -186,7 +186,7 @@
 
 /* quota.c: quotas of workspaces */
 /** cell_workspace_get() - the workspace of that name, created if it is new
- * Return: NULL for "", or when memory is out. */
+ * Return: NULL for "" or when out of memory. */
 CellWorkspace *cell_workspace_get (MuxCell *cell, const char *name);
 /** cell_workspaces_configure() - apply the quotas of the current
  * configuration */
@@ -710,7 +710,7 @@
 bool cell_in_roster (const CellWorker *worker);
 
 /* run.c: starts, stops and ends of runs */
-/** cell_book() - books room for a run; NULL: memory is out */
+/** cell_book() - books room for a run; NULL: out of memory */
 CellBooking *
 cell_book (MuxCell *cell, CellTask *task, CellWorker *worker, uint32_t run);
 /** cell_unbook() - frees the booking and its room */
@@ -870,7 +870,7 @@
                                   const CellWorker *worker);
 CellApproval *cell_approval_find_slot (const CellStage *stage, uint32_t slot);
 /** cell_approval_add() - the entry of the worker, created if it is new
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 CellApproval *cell_approval_add (CellStage *stage, const CellWorker *worker);
 void cell_approvals_free (CellStage *stage);
 
@@ -951,7 +951,7 @@
 
 /* approval_query_peer.c: approval queries made by other daemons */
 /** cell_approval_query_call() - the call to the policy service for a query
- * Return: NULL if @query is malformed, or memory is out. */
+ * Return: NULL if @query is malformed or memory allocation fails. */
 MuxCellCall *cell_approval_query_call (const json_t *query);
 /** cell_approval_peer() - handle a query of the planner, or the reply to one */
 void cell_approval_peer (MuxCell *cell, const MuxPeerMsg *msg);
