--- a/src/cell/feed.c
+++ b/src/cell/feed.c
@@ -5,28 +5,29 @@
 /*
  * Feeds: copies of tables that are kept up to date.
  *
- * A change of the configuration is in force 2 s after it was acknowledged, and
- * one made around an outage of the store 3 s after the end of that (the
- * platform's bounds); a cancelled job's tasks have ended, and a worker's drain
- * is known, after as much. A call that is lost silently is given up after
- * FEED_WAIT_MS and CELL_REPLY_MAX_MS, and the next one answered within the
- * latter: 2.2 s, from the end of an outage on.
+ * The platform's bounds: a change of the configuration is in force 2 s after it
+ * was acknowledged, or, when made around an outage of the store, 3 s after the
+ * outage ends. The same bounds hold for the end of a cancelled job's tasks and
+ * for learning of a worker's drain. A call that is lost without an error times
+ * out after FEED_WAIT_MS + CELL_REPLY_MAX_MS, and the next one is answered
+ * within CELL_REPLY_MAX_MS: 2.2 s in all, counted from the end of an outage.
  */
 
-/* How long a call waits for a change; each is paid for, and a daemon makes
- * one a second for each table without changes. */
+/* How long a call waits for a change. The store charges for each call, and a
+ * daemon makes one a second for each table without changes. */
 #define FEED_WAIT_MS 1000
-/* Between two calls if the first failed at once. */
+/* Least time from one call to the next if the first fails. */
 #define RETRY_MS 250
 /* Age at which a feed's copy counts as stale. If a change comes at the end of
- * one call's wait, a second call follows: twice FEED_WAIT_MS and the store's
- * answers. */
+ * one call's wait, a second call follows: twice FEED_WAIT_MS and the time of
+ * the store's replies. */
 #define STALE_MS 3000
-/* An answer with more rows may have been cut short, and does not show that
- * nothing came after them. */
+/* A reply with more rows may have been cut short, and does not show that no
+ * change followed them. */
 #define COMPLETE_ROWS_MAX 16
-/* Pause after an answer with changes: rows in quick succession then share one
- * call, which is paid for; a change is delayed by half of it on average. */
+/* Pause after a reply with changes: changes in quick succession then share one
+ * call, as the store charges for each; a change is delayed by half of the pause
+ * on average. */
 #define BATCH_PAUSE_MS 30
 
 static void feed_replied (MuxCell *cell,
@@ -97,8 +98,9 @@
     return;
   call->table = feed->table;
   call->after = feed->version;
-  /* While the store fails any answer is news: a call that waited for a change
-   * would leave callers refused for seconds after the store is back. */
+  /* While the store fails any reply shows that it is back. A call that waited
+   * for a change would show so only after the wait, and callers would be
+   * refused until then. */
   call->wait_ms = cell->store_failing_since_ms == 0 ? FEED_WAIT_MS : 0;
   call->timeout_ms = cell->store_failing_since_ms == 0
                          ? FEED_WAIT_MS + CELL_REPLY_MAX_MS
@@ -109,7 +111,7 @@
 static void
 log_loss (MuxCell *cell, CellFeed *feed, const char *why)
 {
-  /* Calls without a wait fail all through an outage. */
+  /* Calls without a wait are those of an outage, and all fail. */
   if (feed->wait_ms == 0)
     return;
   feed->lost = feed->known_until_ms != 0;
@@ -118,7 +120,7 @@
 }
 
 static void
-log_answer (MuxCell *cell, CellFeed *feed)
+log_recovery (MuxCell *cell, CellFeed *feed)
 {
   if (feed->lost)
     cell_log (cell, "feed_back", "{s:s, s:I}", "feed", feed->name, "behind_ms",
@@ -127,14 +129,13 @@
 }
 
 /*
- * After a short outage a feed's call may be lost without a sign on its
+ * After a short outage a feed's call may be lost without an error on its
  * connection, while the daemon's other calls are answered again. So whenever
  * one of these shows that the store begins or stops to fail, the calls sent
- * before are abandoned and sent anew; late answers to the old ones are
- * ignored, as they may be older than what is known by then. A call that has
- * been out for less time than an answer takes is left alone, so that with a
- * slow store that fails now and then not every call is abandoned before its
- * answer.
+ * before are abandoned and sent again; late replies to the old ones are
+ * ignored, as they may be older than what is known by then. A call sent less
+ * than CELL_REPLY_MAX_MS ago is left alone, so that with a slow store that
+ * fails now and then not every call is abandoned before its reply.
  */
 static void
 abandon_suspect_call (MuxCell *cell, CellFeed *feed)
@@ -166,13 +167,13 @@
     send_scan (cell, feed);
 }
 
-/* When the store gave the answer: for one without changes that came after its
- * wait, at the end of the wait; for any other it is only known to be after
- * the call was sent. */
+/* Returns the latest time for which the reply is known to be true: the end of
+ * the wait if it came after that without changes; else the time of sending, as
+ * the store may have read the table at any time since. */
 static int64_t
-answered_ms (const MuxCell *cell,
-             const CellFeed *feed,
-             const MuxCellReply *reply)
+reply_as_of_ms (const MuxCell *cell,
+                const CellFeed *feed,
+                const MuxCellReply *reply)
 {
   int64_t waited_ms = feed->sent_ms + feed->wait_ms;
 
@@ -194,8 +195,8 @@
 }
 
 /*
- * The configuration known by now was the newest when the call was sent; the
- * store may have answered long after it read the table.
+ * The configuration known by now was the newest when the call was sent. No
+ * later time is sure: the store may have replied long after it read the table.
  */
 static void
 confirm_config (MuxCell *cell, const CellFeed *feed, const MuxCellReply *reply)
@@ -205,10 +206,11 @@
     cell_config_confirmed (cell, feed->sent_ms);
 }
 
-/* A full read has the version of its first page: what changed while the
- * others were read is delivered again, which does no harm. */
+/* A full read of the table by scan calls takes the version of its first page:
+ * what changed while the others were read is delivered again, which does no
+ * harm. */
 static void
-page_read (MuxCell *cell, CellFeed *feed, const MuxCellReply *reply)
+page_received (MuxCell *cell, CellFeed *feed, const MuxCellReply *reply)
 {
   if (is_at_start (feed))
     feed->version = reply->version;
@@ -252,8 +254,8 @@
       call_failed (cell, feed, reply);
       return;
     }
-  log_answer (cell, feed);
-  feed->known_until_ms = answered_ms (cell, feed, reply);
+  log_recovery (cell, feed);
+  feed->known_until_ms = reply_as_of_ms (cell, feed, reply);
   for (uint32_t i = 0; i < reply->row_count; i++)
     {
       feed->on_row (cell, &reply->row[i]);
@@ -265,7 +267,7 @@
                   + (reply->row_count > 0 && feed->loaded ? BATCH_PAUSE_MS : 0);
   confirm_config (cell, feed, reply);
   if (reply->verb == MUX_CELL_SCAN)
-    page_read (cell, feed, reply);
+    page_received (cell, feed, reply);
   else if (reply->version > feed->version)
     feed->version = reply->version;
 }
