--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -3,20 +3,29 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Workers named in the first approval query about a gang, as many as the policy
- * service takes at once: a second query costs more than many names. */
-#define CANDIDATES_MAX 100
-/* One worker is expected to be approved for so many that are named. */
+/*
+ * Placement of a gang: its members, the tasks of one stage, start together or
+ * not at all. If its queue requires approval, each of its workers has to be
+ * approved by the policy service, and a start is sent with the proof of that,
+ * which expires soon.
+ */
+
+/* Most workers named in one approval query, as the policy service takes no
+ * more. The first one about a gang names as many: a second query costs more
+ * than many names. */
+#define QUERY_WORKERS_MAX 100
+/* Workers named for each one that is expected to be approved. */
 #define NAMED_PER_APPROVED 3
-/* No more workers are queried once the approved ones, if they were empty, would
- * hold the gang so many times: then it only waits for room. */
+/* No more workers are queried once the approved ones could, if they were empty,
+ * hold so many times the gang's members: then it only waits for room. */
 #define KNOWN_ROOM_FACTOR 5
 /* In a large cell a scan ends after so many workers, twice those of a query. */
-#define SCAN_FOUND_MAX (2 * CANDIDATES_MAX)
-/* A later query names at least as many workers as make it longer by
- * 1/CHEAP_NAMES_PARTS, a quarter. */
-#define CHEAP_NAMES_PARTS 4
-/* Longest time that room is held for proofs; a query takes half of it. */
+#define SCAN_FOUND_MAX (2 * QUERY_WORKERS_MAX)
+/* A later query names at least as many workers as lengthen it by this fraction
+ * of its base time, a quarter. */
+#define CHEAP_NAMES_DIVISOR 4
+/* Longest time that room is held until proofs are renewed or stored; a query
+ * takes half of it. */
 #define HOLD_MAX_MS 900
 
 typedef struct
@@ -26,7 +35,7 @@
   uint32_t fits_eventually; /* members that fit beside long-running tasks */
   bool queried;
   bool approved;
-  bool proven;
+  bool proven;         /* has a proof that is valid now, or needs none */
   bool being_recorded; /* its proof becomes valid once its approval is stored */
   bool reserved;       /* for the gang, in this pass or the one before */
   uint64_t tie_break;  /* decides among equal workers */
@@ -41,7 +50,7 @@
             uint64_t hash,
             Place *p)
 {
-  bool needed = stage->job->spec->queue.approval.required;
+  bool needs_approval = stage->job->spec->queue.approval.required;
 
   if (!cell_worker_is_eligible (cell, stage, worker))
     return 0;
@@ -53,8 +62,8 @@
   p->tie_break = cell_worker_tie_break (hash, worker);
   p->fits_eventually = cell_stage_cap_per_worker (
       stage, cell_tasks_that_fit (stage, cell_room_eventual (worker)));
-  p->approved = !needed || (approval != NULL && approval->approved);
-  p->proven = !needed || cell_usable_proof (cell, approval) != NULL;
+  p->approved = !needs_approval || (approval != NULL && approval->approved);
+  p->proven = !needs_approval || cell_usable_proof (cell, approval) != NULL;
   p->being_recorded
       = !p->proven && cell_approval_is_being_recorded (cell, approval);
   return p->fits_eventually > 0;
@@ -80,7 +89,8 @@
   return n;
 }
 
-/* Other workers matter only for a query. */
+/* Collects the workers reserved for the gang in the pass before, which a scan
+ * of part of the workers might miss. */
 static uint32_t
 collect_reserved (MuxCell *cell, CellStage *stage, uint64_t hash, Place *place)
 {
@@ -124,22 +134,24 @@
   return n;
 }
 
+/* If approval is required, workers that are not approved matter only if a query
+ * may be sent. */
 static uint32_t
 collect (MuxCell *cell, CellStage *stage, bool may_query, Place *place)
 {
-  bool needed = stage->job->spec->queue.approval.required;
+  bool needs_approval = stage->job->spec->queue.approval.required;
   uint64_t hash = mux_hash_name (stage->job->id, stage->step);
-  uint32_t n = needed ? collect_approved (cell, stage, hash, place)
-                      : collect_reserved (cell, stage, hash, place);
+  uint32_t n = needs_approval ? collect_approved (cell, stage, hash, place)
+                              : collect_reserved (cell, stage, hash, place);
 
-  if (may_query || !needed)
+  if (may_query || !needs_approval)
     n += collect_scanned (cell, stage, hash, &place[n]);
   return n;
 }
 
-/* Sorts the workers reserved so far to the front, as the gang would otherwise
- * choose others in each pass and none would ever become free; then those with
- * most room, so that few workers are used. */
+/* Approved workers first; among them those reserved so far, as the gang would
+ * otherwise choose others in each pass and none would ever become free; then
+ * those with most room, so that few workers are used. */
 static int
 by_room (const void *x, const void *y)
 {
@@ -229,8 +241,8 @@
   const MuxApprovalSpec *spec = &stage->job->spec->queue.approval;
 
   return spec->per_worker_us > 0
-             ? spec->base_us / CHEAP_NAMES_PARTS / spec->per_worker_us
-             : CANDIDATES_MAX;
+             ? spec->base_us / CHEAP_NAMES_DIVISOR / spec->per_worker_us
+             : QUERY_WORKERS_MAX;
 }
 
 /* Queries workers that are not known yet, those with most room first, until
@@ -243,13 +255,13 @@
                uint32_t count,
                uint32_t missing)
 {
-  CellWorker *worker[CANDIDATES_MAX];
-  uint32_t name_min
-      = stage->approval_count == 0 ? CANDIDATES_MAX : cheap_name_count (stage);
+  CellWorker *worker[QUERY_WORKERS_MAX];
+  uint32_t name_min = stage->approval_count == 0 ? QUERY_WORKERS_MAX
+                                                 : cheap_name_count (stage);
   uint32_t room = 0;
   uint32_t n = 0;
 
-  for (uint32_t i = 0; i < count && n < CANDIDATES_MAX
+  for (uint32_t i = 0; i < count && n < QUERY_WORKERS_MAX
                        && (n < name_min || room < NAMED_PER_APPROVED * missing);
        i++)
     {
@@ -277,7 +289,7 @@
 
       if (!place[i].approved || take == 0
           || cell_proof_outlasts_query (cell, stage, place[i].worker,
-                                        CANDIDATES_MAX)
+                                        QUERY_WORKERS_MAX)
                  != proof_lasts)
         continue;
       if (!cell_hold_add (stage, place[i].worker, take))
@@ -289,9 +301,9 @@
 
 /*
  * Renews the proofs of the workers that the gang is about to start on and holds
- * their room until the answer.  A gang may need more workers than one query
+ * their room until the reply.  A gang may need more workers than one query
  * names, and then gets its proofs by several queries in turn.  Each query names
- * only workers whose proofs would expire before its answer; else the gang could
+ * only workers whose proofs would expire before its reply; else the gang could
  * wait forever.
  */
 static void
@@ -300,7 +312,7 @@
               const Place *place,
               uint32_t count)
 {
-  CellWorker *worker[CANDIDATES_MAX];
+  CellWorker *worker[QUERY_WORKERS_MAX];
   uint32_t left = stage->spec->count;
   uint32_t lasting;
   uint32_t n = 0;
@@ -309,7 +321,8 @@
   left = hold_members (cell, stage, place, count, left, true);
   lasting = stage->hold_count;
   left = hold_members (cell, stage, place, count, left, false);
-  for (uint32_t i = lasting; i < stage->hold_count && n < CANDIDATES_MAX; i++)
+  for (uint32_t i = lasting; i < stage->hold_count && n < QUERY_WORKERS_MAX;
+       i++)
     worker[n++] = stage->hold[i].worker;
   if (left == 0 && cell_approval_query_send (cell, stage, worker, n))
     stage->holds_expire_ms = cell->time.now_ms + HOLD_MAX_MS;
@@ -341,6 +354,7 @@
     }
 }
 
+/* Sums over places, in members; @unqueried in workers. */
 typedef struct
 {
   uint32_t proven_now;
@@ -425,35 +439,35 @@
                uint32_t count,
                const Room *room)
 {
-  uint32_t need = stage->spec->count;
+  uint32_t members = stage->spec->count;
 
-  if (room->approved_now >= need)
+  if (room->approved_now >= members)
     {
       renew_proofs (cell, stage, place, sort_approved (place, count));
       return;
     }
   if (room->unqueried == 0
-      || room->approved_eventually >= KNOWN_ROOM_FACTOR * need)
+      || room->approved_eventually >= KNOWN_ROOM_FACTOR * members)
     return;
   sort (place, count);
   query_unknown (cell, stage, place, count,
-                 KNOWN_ROOM_FACTOR * need - room->approved_eventually);
+                 KNOWN_ROOM_FACTOR * members - room->approved_eventually);
 }
 
 /* Returns what blocks a gang for which no query was sent in this attempt. */
 static CellBlockedOn
 blocked_on (const CellStage *stage, const Room *room)
 {
-  uint32_t need = stage->spec->count;
-  bool needs_query
-      = stage->job->spec->queue.approval.required
-        && (room->approved_now >= need || room->approved_eventually < need);
+  uint32_t members = stage->spec->count;
+  bool needs_query = stage->job->spec->queue.approval.required
+                     && (room->approved_now >= members
+                         || room->approved_eventually < members);
 
   return needs_query ? CELL_BLOCKED_ON_QUERIER : CELL_BLOCKED_ON_ROOM;
 }
 
-/* Late gangs have a limit of their own; @reservations_left is for those in
- * time. */
+/* Gangs that can't end in time any more have a limit of their own;
+ * @reservations_left is for the others. */
 static uint32_t *
 reservations_of (MuxCell *cell,
                  const CellStage *stage,
@@ -472,12 +486,12 @@
                uint32_t *reservations_left)
 {
   Room room = sum_room (place, count);
-  uint32_t need = stage->spec->count;
+  uint32_t members = stage->spec->count;
 
   if (stage->hold_count > 0 && cell->time.now_ms > stage->holds_expire_ms)
     cell_holds_release (stage);
 
-  if (room.proven_now >= need)
+  if (room.proven_now >= members)
     {
       count = sort_approved (place, count);
       if (!starts_are_recorded (cell, stage, place, count))
@@ -491,7 +505,7 @@
       cell_stage_update (cell, stage);
       return;
     }
-  if (room.proven_soon >= need)
+  if (room.proven_soon >= members)
     {
       count = sort_approved (place, count);
       hold_until_recorded (cell, stage, place, count);
@@ -503,7 +517,7 @@
   if (!stage->query_pending)
     cell_step_set_blocked_on (cell, stage, blocked_on (stage, &room));
   reservations_left = reservations_of (cell, stage, reservations_left);
-  if (*reservations_left == 0 || room.approved_eventually < need
+  if (*reservations_left == 0 || room.approved_eventually < members
       || stage->hold_count > 0)
     return;
   (*reservations_left)--;
@@ -538,7 +552,7 @@
 void
 cell_place_gang (MuxCell *cell, CellStage *stage, uint32_t *reservations_left)
 {
-  bool needed = stage->job->spec->queue.approval.required;
+  bool needs_approval = stage->job->spec->queue.approval.required;
   Place *place;
   uint32_t count;
   bool may_query;
@@ -557,12 +571,12 @@
       cell_step_set_blocked_on (cell, stage, CELL_BLOCKED_ON_QUOTA);
       return;
     }
-  if (needed)
+  if (needs_approval)
     cell_approvals_add_recorded (cell, stage);
   place = calloc (places_max (cell, stage), sizeof *place);
   if (place == NULL)
     return;
-  may_query = needed && cell_can_query (cell, stage, CANDIDATES_MAX);
+  may_query = needs_approval && cell_can_query (cell, stage, QUERY_WORKERS_MAX);
   count = collect (cell, stage, may_query, place);
   if (stage->spec->rack_sensitive)
     restrict_to_one_rack (stage, place, count);
--- a/src/cell/member.c
+++ b/src/cell/member.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* The daemons that send hellos to the planner. */
+/* Members: the daemons that send hellos to the planner. */
 
 CellMember *
 cell_member_find (MuxCell *cell, const char *name)
@@ -72,8 +72,8 @@
       || (msg->from_incarnation == member->incarnation && msg->call_id != 0
           && msg->call_id <= member->hello_number))
     return false;
-  /* An approval query of its previous process is lost together with the
-   * answer: the step sends a new one at once. */
+  /* An approval query that its previous incarnation was putting is lost. It is
+   * ended here, so that its step can send a new one at once. */
   if (member->incarnation != msg->from_incarnation)
     cell_approval_query_done (cell, member->query_number, false, NULL, 0, 0);
   snprintf (member->addr, sizeof member->addr, "%s", msg->from_addr);
