--- a/src/core/owner_recheck.c
+++ b/src/core/owner_recheck.c
@@ -4,6 +4,8 @@
 
 #include <stdlib.h>
 
+/* Periodic checks by an owner of the requests for room that wait with it. */
+
 /* Delay after the loss of a worker, in which a claim or reply in flight may
  * bring it back. */
 #define RECHECK_DELAY_MS 1000
@@ -79,7 +81,8 @@
   HASH_ITER (hh, core->grants, grant, next)
   if (chosen (core, grant))
     ids[count++] = grant->task;
-  /* By id, as a refusal may drop other requests of a home in this daemon. */
+  /* By id: if the home is this daemon, a refusal may at once drop other
+   * requests on the list, such as those of its gang. */
   for (uint32_t i = 0; i < count; i++)
     owner_refuse (core, ids[i], reason);
   free (ids);
@@ -87,10 +90,10 @@
 
 /*
  * Refuses requests whose cancel was lost. A home repeats a request every
- * second or two while it still wants it. A single task would be placed some
- * time and its grant expire; but a task of a gang whose others are gone would
- * wait until the request expires, up to an hour, and this daemon would report
- * a queue to all homes.
+ * second or two while it still wants it. The request of a single task would be
+ * placed at some time, and its grant expire. But one for a task of a gang whose
+ * other requests are gone would wait until it expires, up to an hour, and all
+ * that time this daemon would report a queue that is not empty to all homes.
  */
 static void
 refuse_not_repeated (MuxCore *core)
--- a/src/core/task_grant.c
+++ b/src/core/task_grant.c
@@ -6,24 +6,24 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Requests for room: the choice of an owner and the messages to it. */
+/* A home's requests for room: the choice of an owner and the messages to it. */
 
-/* Longest time limit sent to an owner. */
+/* Longest time limit sent to an owner; a longer one is sent as this. */
 #define TIME_LIMIT_MAX_MS 3600000
-/* Weight of the load of owners in other data centres, relative to local ones.
+/* Factor for the cost of owners in other data centres; that of local ones is 1.
  */
 #define REMOTE_COST_FACTOR 2
 /* Owners that are tried for one attempt; Task.refused_by has as many entries.
  */
 #define OWNERS_TRIED_MAX 4
 
-/* An owner that room may be requested from; of those with and of those without
- * room the lowest cost is best. */
+/* An owner that room may be requested from.  Owners with room are preferred;
+ * among equal ones that with the lowest cost. */
 typedef struct
 {
   bool usable;
   bool has_room;
-  uint64_t cost;
+  uint64_t cost; /* requests per slot with this one, in thousandths */
   const char *name;
   Member *member; /* NULL: this daemon */
 } OwnerChoice;
@@ -44,7 +44,7 @@
                 MuxSize free,
                 MuxSize total,
                 uint32_t queued,
-                uint32_t distance)
+                uint32_t cost_factor)
 {
   OwnerChoice choice = { .name = name, .member = member };
 
@@ -52,7 +52,7 @@
     return choice;
   choice.usable = true;
   choice.has_room = queued == 0 && mux_size_fits (task->size, free);
-  choice.cost = (uint64_t) (queued + 1) * 1000 * distance / total.slots;
+  choice.cost = (uint64_t) (queued + 1) * 1000 * cost_factor / total.slots;
   return choice;
 }
 
@@ -67,10 +67,10 @@
 }
 
 /*
- * While the store is down, no row shows two daemons of this data centre that
- * both were sent the same idempotent key, and the work would run in two places
- * at a time.  Both therefore pick the same owner, by the hash of the key, and
- * that owner books a task id only once.
+ * Two daemons of this data centre may receive the same idempotent key.  While
+ * the store is down, no row shows that to either of them, and the work would
+ * run in two places at a time.  Both therefore choose the same owner, by the
+ * hash of the key, and that owner books a task id only once.
  */
 static OwnerChoice
 choose_owner_by_key (MuxCore *core, const Task *task)
