--- a/src/policy/decide.c
+++ b/src/policy/decide.c
@@ -1,10 +1,17 @@
 #include "internal.h"
 
+/*
+ * Decides which waiting task is placed next, and on which worker.  Two kinds of
+ * room are kept free: the reserve, for forecast urgent work (reserve.c), and
+ * the reservation, for one gang or large task that waits (reservation.c).
+ */
+
 /* Period of mux_sched_tick(). */
 #define TICK_MS 100
 /* Usage reports after which a class's booking size is recomputed. */
 #define REPORTS_PER_RESIZE 64u
-/* Tasks tried behind one that must avoid the only worker that is free. */
+/* Most tasks tried after the head of a queue if that has to avoid the only
+ * worker that is free. */
 #define SKIP_AHEAD_MAX 8u
 
 /* Order of placement: by tier, within a tier by start deadline. */
@@ -13,7 +20,7 @@
   TIER_URGENT,     /* urgent class, product within its quota */
   TIER_DEFERRABLE, /* deferrable class, product within its quota */
   TIER_BORROW,     /* beyond the quota, on idle quota of other products */
-  TIER_NONE,       /* beyond the quota and may not borrow */
+  TIER_NONE,       /* beyond the quota and may not borrow: not placed */
 } Tier;
 
 static bool
@@ -261,9 +268,9 @@
 /**
  * struct Candidate - head of a class's queue
  * @yields: within a tier it goes behind queues of the other kind
- * @key: its start deadline
+ * @start_by_ms: its start deadline
  *
- * Ordered by tier, then by @yields, then by @key.
+ * Ordered by tier, then by @yields, then by @start_by_ms.
  */
 typedef struct
 {
@@ -271,7 +278,7 @@
   MuxQueueKind kind;
   Tier tier;
   bool yields;
-  int64_t key;
+  int64_t start_by_ms;
 } Candidate;
 
 static bool
@@ -281,7 +288,7 @@
     return a->tier < b->tier;
   if (a->yields != b->yields)
     return b->yields;
-  return b->class != NULL && a->key < b->key;
+  return b->class != NULL && a->start_by_ms < b->start_by_ms;
 }
 
 static Candidate
@@ -300,7 +307,7 @@
 
       if (!needs_search (sched, class, kind, now_ms))
         continue;
-      candidate.key = class->queue[kind].node->key;
+      candidate.start_by_ms = class->queue[kind].node->key;
       candidate.tier = tier_of (
           sched, class, placed_together (sched, class->queue[kind].node->item));
       if (goes_before (&candidate, &best))
@@ -337,7 +344,7 @@
         continue;
       class->reports = 0;
       size = mux_learn_size (sched, class);
-      /* Out of memory: the old size is kept until the next attempt. */
+      /* When out of memory, mux_class_resize() keeps the old size. */
       if (memcmp (&size, &class->size, sizeof size) != 0
           && mux_class_resize (sched, class, size))
         sched->room_gen++;
--- a/src/port/cell.c
+++ b/src/port/cell.c
@@ -69,6 +69,8 @@
   free (reply);
 }
 
+/* The texts of both tables stand in log lines, so they don't follow the names
+ * of the values. */
 const char *
 mux_cell_status_name (MuxCellStatus status)
 {
