--- a/src/adapter/peer_curve.c
+++ b/src/adapter/peer_curve.c
@@ -6,7 +6,8 @@
 #define KEY_TEXT_LEN (MUX_CURVE_KEY_TEXT_SIZE - 1)
 #define ZAP_ENDPOINT "inproc://zeromq.zap.01"
 #define ZAP_DOMAIN "cuminmux"
-/* Most requests answered in a row, and most excess frames read of one. */
+/* Most requests answered in a row, and most excess frames read of one: the
+ * thread that answers them serves all links as well. */
 #define ZAP_BATCH_MAX 64
 #define ZAP_EXCESS_FRAMES_MAX 16
 
@@ -131,8 +132,8 @@
          && memcmp (zmq_msg_data (frame), bytes, len) == 0;
 }
 
-/* All daemons of a user share one key pair, so only its public key is accepted.
- */
+/* All daemons of a deployment share one key pair, so only its public key is
+ * accepted. */
 static bool
 request_is_authorized (const MuxPeerCurve *curve, const ZapRequest *request)
 {
@@ -157,11 +158,11 @@
 static bool
 request_receive (void *zap, ZapRequest *request)
 {
-  uint32_t extra = 0;
+  uint32_t excess = 0;
   bool more = true;
 
   request->count = 0;
-  while (more && extra < ZAP_EXCESS_FRAMES_MAX)
+  while (more && excess < ZAP_EXCESS_FRAMES_MAX)
     {
       zmq_msg_t frame;
 
@@ -176,11 +177,11 @@
         request->frame[request->count++] = frame;
       else
         {
-          extra++;
+          excess++;
           zmq_msg_close (&frame);
         }
     }
-  if (extra > 0 && request->count == ZAP_FRAMES)
+  if (excess > 0 && request->count == ZAP_FRAMES)
     zmq_msg_close (&request->frame[--request->count]);
   return true;
 }
--- a/src/adapter/peer_link.c
+++ b/src/adapter/peer_link.c
@@ -25,8 +25,9 @@
 }
 
 /* ZeroMQ's own heartbeats, off by default, end connections that died while
- * idle, on either side.  Their timeout is longer than that of a link in use,
- * which link_replace() handles. */
+ * idle, on either side.  Their timeout is longer than that of a link in use, so
+ * that link_replace() acts first there: ZeroMQ would only reconnect, while
+ * link_replace() also drops the messages queued, logs and counts it. */
 bool
 mux_peer_socket_set_common_options (void *socket, uint32_t silence_timeout_ms)
 {
--- a/src/adapter/peer_thread.h
+++ b/src/adapter/peer_thread.h
@@ -8,7 +8,7 @@
 #include <pthread.h>
 #include <stdatomic.h>
 
-/* A message queued by send() for the thread. */
+/* A message queued by MuxPeerPort.send() for the thread. */
 typedef struct
 {
   char addr[MUX_ADDR_LEN];
@@ -22,14 +22,14 @@
  * @counters: may be NULL
  * @outgoing: ring of MuxPeerOutgoing
  * @zmq: ZeroMQ context
- * @listener: ROUTER; while the thread runs it alone uses this socket, @curve,
- *   @links and the tick times
- * @curve: encryption
+ * @listener: ROUTER socket, receives from all peers
+ * @curve: CURVE key pair and ZAP handler
  * @links: outgoing links to peers
  * @tick_ms: interval between checks of the links
  * @next_tick_ms: time of the next check
  * @stopping: tells the thread to end
- * @thread: uses all sockets while it runs
+ * @thread: while it runs it alone uses @listener, @curve, @links and the tick
+ *   times
  */
 typedef struct
 {
