--- a/include/port/cell.h
+++ b/include/port/cell.h
@@ -124,7 +124,7 @@
  * @proof: START: proof of the approval; "": none
  * @acked: RENEW: the worker may forget ends of runs up to this number
  * @candidate_count: QUERY_APPROVAL: used entries of @candidate
- * @candidate: QUERY_APPROVAL: incarnations of workers asked about; owned
+ * @candidate: QUERY_APPROVAL: incarnations of the workers queried; owned
  */
 typedef struct
 {
@@ -268,7 +268,7 @@
 } MuxCellRow;
 
 /**
- * struct MuxApproval - a worker that may run the step asked about
+ * struct MuxApproval - a worker that may run the step of the query
  * @worker: its incarnation, as named in the query
  * @proof: to be presented to the worker with the start
  */
--- a/include/port/peer.h
+++ b/include/port/peer.h
@@ -21,7 +21,7 @@
  */
 typedef enum
 {
-  MUX_PEER_HEARTBEAT,      /* the sender lives; its state */
+  MUX_PEER_HEARTBEAT,      /* the sender is alive; its state */
   MUX_PEER_GRANT_REQUEST,  /* home to owner: book a place for a task */
   MUX_PEER_GRANT,          /* owner to home: booked on this worker */
   MUX_PEER_GRANT_REFUSED,  /* owner to home: not booked, with the reason */
@@ -34,7 +34,7 @@
   MUX_PEER_CONFIG_REQUEST, /* send all changes after this revision */
   MUX_PEER_CONFIG_ROWS,    /* changes in order, as JSON */
   MUX_PEER_BYE,            /* the sender is stopping */
-  MUX_PEER_MEMBERS,        /* addresses of daemons that the sender holds live */
+  MUX_PEER_MEMBERS,        /* addresses of daemons the sender considers live */
   MUX_PEER_JOB_HINT,       /* the stored row of this job of the receiver's has
                             * changed */
   MUX_PEER_HELLO,          /* to the planner: the sender is alive and can work
--- a/src/cell/authorize.c
+++ b/src/cell/authorize.c
@@ -48,8 +48,8 @@
 }
 
 /* The key may have been added while this daemon's copy of the configuration
- * was stale; a caller who is told that the key is unknown does not come back.
- */
+ * was stale; a caller does not retry after the response that the key is
+ * unknown. */
 static MuxResponseOutcome
 unknown_key (const MuxCell *cell)
 {
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -51,7 +51,7 @@
 /* An order without a reply is carried out within this time or never. */
 #define CELL_LATE_ORDERS_MS 15000
 /* Run numbers of one term.  A planner does not know which numbers its
- * predecessor gave to starts that it has not heard of, so that each term has a
+ * predecessor gave to starts that it does not know of, so that each term has a
  * range of its own: a start each second for a quarter of an hour. */
 #define CELL_RUNS_PER_TERM 1024
 /* Terms are counted up to here and then from 1 again, so that a run number is a
@@ -1051,7 +1051,7 @@
  * @late_orders_until_ms: calls to its previous incarnation may still arrive
  *   until then
  * @acked: its ends up to this number are stored
- * @acked_sent: and it has been told so of those up to this one
+ * @acked_sent: and an acknowledgement of those up to this one has been sent
  * @ends_seen: its ends up to this number are known here
  * @ends_change_seq: these are stored once all parts have stored up to this
  *   change, see MuxCell.change_seq
--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -316,8 +316,8 @@
 }
 
 /*
- * A daemon that was partitioned has not heard the planner for seconds, and its
- * feed of the claim may hang on a dead connection while others are answered
+ * A daemon that was partitioned has not heard from the planner for seconds, and
+ * its feed of the claim may hang on a dead connection while others are answered
  * again. So the table is read before claiming; a heartbeat newer than the last
  * one known shows that this daemon was cut off, not the planner. It also means
  * that no claim is sent into a partition, where it would be delivered at its
--- a/src/cell/claim_lease.c
+++ b/src/cell/claim_lease.c
@@ -72,8 +72,8 @@
 
 /*
  * The planner's claim was possibly extended until a moment ago if this daemon
- * had reported the store as failing, or had not been heard for so long that it
- * did not count. A successor must not assume the short time then.
+ * had reported the store as failing, or its last hello was so old that it did
+ * not count. A successor must not assume the short time then.
  */
 void
 cell_hello_acked (MuxCell *cell, uint64_t number)
--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -37,7 +37,7 @@
   bool approved;
   bool proven;         /* has a proof that is valid now, or needs none */
   bool being_recorded; /* its proof becomes valid once its approval is stored */
-  bool reserved;       /* for the gang, in this pass or the one before */
+  bool reserved;       /* for the gang, in this pass or the previous one */
   uint64_t tie_break;  /* decides among equal workers */
 } Place;
 
@@ -89,7 +89,7 @@
   return n;
 }
 
-/* Collects the workers reserved for the gang in the pass before, which a scan
+/* Collects the workers reserved for the gang in the previous pass, which a scan
  * of part of the workers might miss. */
 static uint32_t
 collect_reserved (MuxCell *cell, CellStage *stage, uint64_t hash, Place *place)
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -298,9 +298,9 @@
 }
 
 /*
- * Failed runs are told apart up to a limit.  A queue may allow more attempts;
- * without this bound their count would never be reached, and the job be retried
- * for good.
+ * Failed runs are distinguished up to a limit.  A queue may allow more
+ * attempts; without this bound their count would never be reached, and the job
+ * be retried forever.
  */
 uint32_t
 cell_attempts_max (const CellJob *job)
@@ -333,7 +333,7 @@
 /*
  * The job's stored progress can't be read, and with it which tasks are done:
  * these would run again.  Such a job fails, so that its caller can act, instead
- * of waiting for good.  Tasks that run until they are cancelled are never done,
+ * of waiting forever.  Tasks that run until they are cancelled are never done,
  * and go on.
  */
 static bool
--- a/src/cell/loss.c
+++ b/src/cell/loss.c
@@ -96,7 +96,7 @@
          || is_over_count (losses);
 }
 
-/* A recorded start is no loss; the pause would begin anew with it. */
+/* A recorded start is no loss; the pause would start again with it. */
 static int64_t
 since_last_ms (const MuxCell *cell, const CellTask *task)
 {
--- a/src/cell/predecessor.c
+++ b/src/cell/predecessor.c
@@ -37,7 +37,7 @@
 }
 
 /*
- * The remaining time counts from when the row is read, so it would begin anew
+ * The remaining time counts from when the row is read, so it would start again
  * with each daemon that reads the row. An absolute time by the store's clock,
  * which all daemons can read, bounds it.
  */
--- a/src/cell/proxy.c
+++ b/src/cell/proxy.c
@@ -22,7 +22,7 @@
 /* The same if no member has been heard from within that time: a planner
  * that is overloaded processes all hellos late. */
 #define MEMBER_GONE_MS 4000
-/* How often a worker's proxy is chosen anew among all members. */
+/* How often a worker's proxy is chosen again among all members. */
 #define PROXY_KEPT_MS 1000
 /* Added to the time-out for the way to the proxy and back. */
 #define ROUND_TRIP_MS 300
@@ -49,7 +49,7 @@
          && strcmp (member->name, cell->options.name) != 0;
 }
 
-/* The same proxy for a worker as long as it lives and the worker answers
+/* The same proxy for a worker as long as it is alive and the worker answers
  * through it, so that its connections are kept. */
 static CellMember *
 choose_proxy (MuxCell *cell, const CellWorker *worker, int64_t max_age_ms)
--- a/src/cell/renew.c
+++ b/src/cell/renew.c
@@ -18,7 +18,7 @@
 /*
  * Polling idle workers would use up the planner's processor: 3,000 of them
  * sent 3,000 answers a second, and no callers were served. Workers with runs
- * are polled as before; a start finds out by itself whether its worker lives,
+ * are polled as before; a start finds out by itself whether its worker is up,
  * and carries its own lease.
  */
 static int64_t
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -10,7 +10,7 @@
  * a list of that length. */
 #define ENDS_PER_REPORT_MAX 500
 /* A run that is confirmed and in no list for so long is stopped, so that its
- * room is not held for good. */
+ * room is not held forever. */
 #define UNLISTED_RUN_MS 2500
 /* A task is stalled if its progress has not changed for so long, and for eight
  * times the estimated time of one percent: it is stopped and run elsewhere, */
--- a/src/cell/request.c
+++ b/src/cell/request.c
@@ -28,9 +28,9 @@
     cell_submit (cell, request);
 }
 
-/* A caller that is told that there is no such queue does not retry, so that it
- * is only told so while the configuration is fresh: the queue may have been
- * added while this daemon could not read the feed. */
+/* A caller does not retry after the response that there is no such queue. So
+ * that is the response only while the configuration is fresh: the queue may
+ * have been added while this daemon could not read the feed. */
 static MuxResponseOutcome
 no_queue_outcome (const MuxCell *cell)
 {
--- a/src/cell/reserve.c
+++ b/src/cell/reserve.c
@@ -2,10 +2,10 @@
 
 /*
  * Room of workers that is reserved for waiting gangs, each from the time at
- * which the gang is expected to start.  Reservations are made anew in each full
- * pass, in planning order; those of the pass before are kept as stale until it
- * ends.  Workers with reservations are in a list, as each stage that leaves the
- * plan has to give up its own.
+ * which the gang is expected to start.  Reservations are made again in each
+ * full pass, in planning order; those of the previous pass are kept as stale
+ * until it ends.  Workers with reservations are in a list, as each stage that
+ * leaves the plan has to give up its own.
  */
 
 /* Declared times may be exceeded by so many percent. */
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -130,7 +130,7 @@
 }
 
 /*
- * If several planners fail in a row, each would wait anew for a worker that
+ * If several planners fail in a row, each would wait again for a worker that
  * none of them reaches. So the first one stores the time when the orders of
  * all planners before it have expired. That holds for the next ones too, as no
  * order is sent there while the expiry may be stored.
@@ -268,7 +268,7 @@
 }
 
 /*
- * Each commit expects the fence row that the one before wrote, and renews it:
+ * Each commit expects the fence row that the previous one wrote, and renews it:
  * a commit that is applied late, after a newer one, fails its condition and
  * can't restore an old state. The claim's row does not change from commit to
  * commit; its condition keeps out commits of a predecessor.
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -75,7 +75,7 @@
 }
 
 /* The log line holds how long the part's last commit of jobs took, so that the
- * time of storing can be told from that of the response. */
+ * time of storing can be distinguished from that of the response. */
 static void
 respond_to_submission (MuxCell *cell,
                        const CellPart *part,
@@ -299,8 +299,8 @@
 
 /*
  * Ends submissions that are out of time.  Once a commit with the job has gone
- * unanswered it may still take effect, and the job run: its caller is then told
- * "unknown" or "accepted", never "refused".
+ * unanswered it may still take effect, and the job run: its caller is then
+ * answered "unknown" or "accepted", never "refused".
  */
 static void
 end_overdue (MuxCell *cell, CellPart *part)
--- a/src/core/jobs_gang.c
+++ b/src/core/jobs_gang.c
@@ -266,12 +266,12 @@
 }
 
 /*
- * Releases what is granted and begins anew after a pause.  A gang could hold
+ * Releases what is granted and starts again after a pause.  A gang could hold
  * part of its room while it waits for the rest and another gang does the same,
  * or its owners could change meanwhile, so that part of it runs and part never
  * does.  So no task of a gang starts before all are granted; when an owner
- * refuses or is lost, or the rest takes longer than grants live, everything is
- * released.
+ * refuses or is lost, or the rest takes longer than grants are valid,
+ * everything is released.
  */
 static void
 back_off (MuxCore *core, Job *job)
@@ -323,7 +323,7 @@
 
   if (job == NULL || job->gang_state != GANG_REQUESTING)
     return;
-  /* The time limit begins with the first grant: grants do not live long, and
+  /* The time limit begins with the first grant: grants expire soon, and
    * the others must not wait beside one that is lost. */
   if (none_granted (job))
     job->gang_timer_ms = core->now_ms + HOLD_TIMEOUT_MS;
--- a/src/core/jobs_private.h
+++ b/src/core/jobs_private.h
@@ -42,7 +42,7 @@
 /**
  * enum JobState - recorded state of a job
  *
- * OPEN until every task has ended, then one of the others for good.
+ * OPEN until every task has ended, then one of the others, finally.
  */
 typedef enum
 {
@@ -220,7 +220,7 @@
 Job *job_find (MuxCore *core, MuxId id);
 /**
  * job_of_generation() - the job that a call was made for; NULL: it is no longer
- * handled here, or was taken anew since
+ * handled here, or was taken again since
  *
  * A job can be released with a write in flight and taken again soon after.  If
  * the old write's reply were taken for that of the new object's write, tasks
--- a/src/core/task_private.h
+++ b/src/core/task_private.h
@@ -10,8 +10,8 @@
 #define UNKNOWN_RETRY_MS 1000
 
 /** task_unknown_retry_ms() - time after which a caller that is answered
- * "unknown" may retry; 0: never, as its retry could not be told from new work
- */
+ * "unknown" may retry; 0: never, as its retry could not be distinguished from
+ * new work */
 uint32_t task_unknown_retry_ms (const Task *task);
 
 /** task_new() - a task on which nothing has been done yet; NULL: out of memory
--- a/src/core/task_steps_refuse.c
+++ b/src/core/task_steps_refuse.c
@@ -48,7 +48,7 @@
 }
 
 /* Answers the callers that were marked; for callers that joined since then the
- * task begins anew. */
+ * task begins again. */
 static void
 respond_to_refused (MuxCore *core, Task *task, MuxOutcome outcome)
 {
--- a/src/core/task_steps_resolve.c
+++ b/src/core/task_steps_resolve.c
@@ -63,7 +63,7 @@
  * The worker no longer knows whether this attempt ran, as after a restart.  Its
  * previous incarnation has ended, so nothing of it still runs and idempotent
  * work may be started again.  Other work may have run once and must not run
- * again; its outcome stays unknown for good.
+ * again; its outcome stays unknown permanently.
  */
 void
 step_worker_state_lost (MuxCore *core, Task *task, const TaskEvent *event)
--- a/src/core/task_steps_row.c
+++ b/src/core/task_steps_row.c
@@ -90,8 +90,8 @@
 /*
  * The start was not sent, whether or not the row was written, so the task has
  * not run and is answered so.  Idempotent work goes on without its row: while
- * the store is down, a second submission in another data centre can't be told
- * from a first.
+ * the store is down, a second submission in another data centre can't be
+ * distinguished from a first.
  */
 void
 step_store_down (MuxCore *core, Task *task, const TaskEvent *event)
