--- a/include/port/table.h
+++ b/include/port/table.h
@@ -103,11 +103,11 @@
   MuxRow rows[];
 } MuxTableReply;
 
-/** mux_table_call_new() - allocate a zeroed call with so many rows
+/** mux_table_call_new() - allocate a zeroed call with @rows rows
  * Return: NULL when out of memory. */
 MuxTableCall *mux_table_call_new (MuxTableVerb verb, uint32_t rows);
 void mux_table_call_free (MuxTableCall *call);
-/** mux_table_reply_new() - allocate a reply to @call with so many zeroed rows
+/** mux_table_reply_new() - allocate a reply to @call with @rows zeroed rows
  * Return: NULL when out of memory. */
 MuxTableReply *mux_table_reply_new (const MuxTableCall *call,
                                     MuxTableStatus status,
--- a/src/cell/approval_query.c
+++ b/src/cell/approval_query.c
@@ -17,7 +17,7 @@
 #define RECORD_MAX_MS 100
 /* An answer counts as lost when it is later than expected by this time, */
 #define OVERDUE_MS 400
-/* doubled after each lost one in a row, up to so many times, i.e. 3.2 s. */
+/* doubled after each lost one in a row, up to this many times, i.e. 3.2 s. */
 #define OVERDUE_DOUBLINGS 3
 /* A daemon that did not answer gets no query for this long. */
 #define QUERIER_BACKOFF_MS 1500
--- a/src/cell/candidate.c
+++ b/src/cell/candidate.c
@@ -10,8 +10,8 @@
 /* Room of the workers named, as a multiple of what the tasks need: only a part
  * of them is approved. */
 #define ROOM_FACTOR 3
-/* In a large cell a scan ends once it has found so many times the workers, and
- * the room, that are named. */
+/* In a large cell a scan ends once it has found this many times the workers,
+ * and the room, that are named. */
 #define PLENTY_FACTOR 3
 /* A stage for which no worker has room is tried again after this long. */
 #define NO_ROOM_MS 8
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -33,16 +33,16 @@
 #define CELL_UNREADABLE_ROWS_MAX 2
 /* Jobs of one commit: a job takes three of its 100 entries. */
 #define CELL_COMMIT_JOBS_MAX 30
-/* A commit, scan or worker call without a reply for so long counts as lost.  A
+/* A commit, scan or worker call without a reply for this long counts as lost. A
  * reply takes some 10 ms, under 100 ms from a loaded store. */
 #define CELL_STORE_TIMEOUT_MS 1500
 #define CELL_WORKER_TIMEOUT_MS 700
 /* A reply to a call that does not wait for changes comes within this time or
  * not at all: twice what the slowest stores take. */
 #define CELL_REPLY_MAX_MS 600
-/* A planner sends no orders once its claim has not been confirmed for so long:
- * longer than the store's usual outages of some 5 s, so that running tasks
- * survive them.  It stops sooner if the store serves other daemons. */
+/* A planner sends no orders once its claim has not been confirmed for this
+ * long: longer than the store's usual outages of some 5 s, so that running
+ * tasks survive them.  It stops sooner if the store serves other daemons. */
 #define CELL_CLAIM_LEASE_MAX_MS 8000
 /* After a pause of this length between two events the claim is read again
  * before any order is sent: the instance may have been frozen while another
@@ -287,8 +287,8 @@
 #define CELL_CANDIDATES_MIN 6
 /* and at most, the service's limit. */
 #define CELL_CANDIDATES_MAX 100
-/* At least so many for a step that is not ready yet: other workers than now may
- * have room by then. */
+/* At least this many for a step that is not ready yet: other workers than now
+ * may have room by then. */
 #define CELL_CANDIDATES_AHEAD_MIN 12
 
 /**
--- a/src/cell/gang.c
+++ b/src/cell/gang.c
@@ -17,9 +17,10 @@
 /* Workers named for each one that is expected to be approved. */
 #define NAMED_PER_APPROVED 3
 /* No more workers are queried once the approved ones could, if they were empty,
- * hold so many times the gang's members: then it only waits for room. */
+ * hold this many times the gang's members: then it only waits for room. */
 #define KNOWN_ROOM_FACTOR 5
-/* In a large cell a scan ends after so many workers, twice those of a query. */
+/* In a large cell a scan ends after this many workers, twice those of a query.
+ */
 #define SCAN_FOUND_MAX (2 * QUERY_WORKERS_MAX)
 /* A later query names at least as many workers as lengthen it by this fraction
  * of its base time, a quarter. */
--- a/src/cell/gang_reserve.c
+++ b/src/cell/gang_reserve.c
@@ -11,8 +11,8 @@
 
 /* Most openings of one worker that are considered. */
 #define OPENINGS_MAX 8
-/* Proofs are requested for workers with room for so many percent more than all
- * members, as some tasks end later than expected. */
+/* Proofs are requested for workers with room for this many percent more than
+ * all members, as some tasks end later than expected. */
 #define SPARE_PERCENT 25
 #define PERCENT 100
 
--- a/src/cell/handover.c
+++ b/src/cell/handover.c
@@ -11,7 +11,7 @@
 /* Interval of checks of the members, that of their hellos: a check each 4 ms
  * with 299 members took 2 % of the planner's processor. */
 #define YIELD_CHECK_MS 250
-/* A member is alive if its last hello is no older; two hellos fit. */
+/* A member is alive if its last hello is no older than this; two hellos fit. */
 #define MEMBER_ALIVE_MS 500
 
 static bool
--- a/src/cell/heartbeat.c
+++ b/src/cell/heartbeat.c
@@ -5,8 +5,8 @@
 
 /* Heartbeat interval; two fit into dead_ms. Each is a paid call. */
 #define HEARTBEAT_INTERVAL_MS 500
-/* Retry interval of reading the own claim, for which all starts wait; each
- * call is paid for, a refused one too. */
+/* Retry interval of reading the own claim, for which all starts wait; the
+ * store charges for each call, a refused one too. */
 #define VERIFY_RETRY_MS 100
 
 void
--- a/src/cell/job_query.c
+++ b/src/cell/job_query.c
@@ -14,7 +14,7 @@
 #define PLANNER_TIMEOUT_MS 250
 /* After a call that failed. */
 #define RETRY_MS 80
-/* A caller is answered so long before it stops waiting. */
+/* A caller is answered this long before it stops waiting. */
 #define RESPONSE_MARGIN_MS 150
 /* End of the key range that holds a job and its cancel: '~' sorts after both.
  */
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -7,10 +7,11 @@
 
 /* The planner's jobs: their deadlines, their states and their ends. */
 
-/* The planner answers queries about a job that has ended from memory for so
- * long; after that they are answered from the store. */
+/* The planner answers queries about a job that has ended from memory for
+ * this long; after that they are answered from the store. */
 #define ENDED_RETENTION_MS 30000
-/* The end of a job is worth nothing after so many times its promised duration.
+/* The end of a job is worth nothing after this many times its promised
+ * duration.
  */
 #define WORTHLESS_FACTOR 3
 /* Workers that an approval query is taken to name in a promised duration. */
--- a/src/cell/late.c
+++ b/src/cell/late.c
@@ -14,11 +14,11 @@
  * in the store alone. */
 #define PLANNER_CONTACT_MS 1500
 
-/* The mean latency is over so many calls at most, */
+/* The mean latency is over this many calls at most, */
 #define LATENCY_SAMPLES_MAX 64
-/* is not used below so many, */
+/* is not used below this many, */
 #define LATENCY_SAMPLES_MIN 8
-/* and after so long without a reply. */
+/* and after this long without a reply. */
 #define LATENCY_EXPIRY_MS 1500
 #define US_PER_MS 1000
 
--- a/src/cell/plan.c
+++ b/src/cell/plan.c
@@ -29,11 +29,11 @@
  * that can't start take only a limited part of the planner's processor. */
 #define IDLE_SCAN_COST_PER_MS 500
 /* Gangs that room is reserved for at the same time: the larger of this minimum
- * and one per so many workers.  More would leave much of the cell idle while
+ * and one per this many workers.  More would leave much of the cell idle while
  * none of them can start. */
 #define RESERVING_GANGS_MIN 3
 #define WORKERS_PER_RESERVING_GANG 70
-/* In addition, late gangs: one, and another one per so many workers. */
+/* In addition, late gangs: one, and another one per this many workers. */
 #define WORKERS_PER_LATE_RESERVING_GANG 170
 
 MuxSize
--- a/src/cell/progress.c
+++ b/src/cell/progress.c
@@ -6,8 +6,8 @@
 
 /* Commits of the progress and the ends of the planner's jobs. */
 
-/* Changes within this time share a commit, as each commit is paid for: a tenth
- * of what an urgent job may wait in all. */
+/* Changes within this time share a commit, as the store charges for each: a
+ * tenth of what an urgent job may wait in all. */
 #define COMMIT_WINDOW_MS 30
 /* After a commit that failed. */
 #define RETRY_MS 100
--- a/src/cell/reports.c
+++ b/src/cell/reports.c
@@ -6,18 +6,19 @@
 /* Processes what a worker lists in reply to RENEW: its runs, and the ends of
  * runs that were not acknowledged. */
 
-/* A worker lists so many ends at most: a run that has ended may be missing from
- * a list of that length. */
+/* A worker lists this many ends at most: a run that has ended may be missing
+ * from a list of that length. */
 #define ENDS_PER_REPORT_MAX 500
-/* A run that is confirmed and in no list for so long is stopped, so that its
+/* A run that is confirmed and in no list for this long is stopped, so that its
  * room is not held forever. */
 #define UNLISTED_RUN_MS 2500
-/* A task is stalled if its progress has not changed for so long, and for eight
- * times the estimated time of one percent: it is stopped and run elsewhere, */
+/* A task is stalled if its progress has not changed for this long, and for
+ * eight times the estimated time of one percent: it is stopped and run
+ * elsewhere, */
 #define STALL_MS 1800
 #define STALL_FACTOR 8
 #define PERCENT 100
-/* and its worker is avoided for so long. */
+/* and its worker is avoided for this long. */
 #define STALL_AVOID_MS 3000
 /* How long no best-effort task is placed beside a serving task that exceeded
  * its target. */
@@ -25,7 +26,7 @@
 /* How long a worker with an orphan run is avoided: it has less room than is
  * known here. */
 #define ORPHAN_AVOID_MS 1000
-/* A worker with unacknowledged ends is called again after so long: a commit
+/* A worker with unacknowledged ends is called again after this long: a commit
  * takes some 10 ms, after a window of 30 ms. */
 #define RENEW_AFTER_ENDS_MS 200
 
--- a/src/cell/reserve.c
+++ b/src/cell/reserve.c
@@ -8,7 +8,7 @@
  * leaves the plan has to give up its own.
  */
 
-/* Declared times may be exceeded by so many percent. */
+/* Declared times may be exceeded by this many percent. */
 #define OVERRUN_PERCENT 25
 #define PERCENT 100
 
--- a/src/cell/run.c
+++ b/src/cell/run.c
@@ -20,8 +20,8 @@
 /* How long a worker without room for a start is avoided: its next list shows
  * what runs there. */
 #define NO_ROOM_AVOID_MS 300
-/* After so many failed runs in a row a worker is suspected of failing whatever
- * it runs, and avoided for a time. */
+/* After this many failed runs in a row a worker is suspected of failing
+ * whatever it runs, and avoided for a time. */
 #define FAILURES_MAX 3
 #define FAILURES_AVOID_MS 3000
 
--- a/src/cell/submit.c
+++ b/src/cell/submit.c
@@ -12,16 +12,17 @@
 /* While the store fails, a job is refused after a quarter of a short target, so
  * that a retry at another daemon can still be in time. */
 #define REFUSE_AFTER_MS 300
-/* A commit whose outcome is unknown is repeated until so long before the caller
- * stops waiting, so that the response still reaches it, */
+/* A commit whose outcome is unknown is repeated until this long before the
+ * caller stops waiting, so that the response still reaches it, */
 #define RESPONSE_MARGIN_MS 200
 /* and for no longer than this: less than half of what callers usually wait, so
  * that a retry at another daemon can still be in time. */
 #define SUBMIT_TIMEOUT_MS 1400
-/* A commit takes some 10 ms, 600 ms in a very slow store.  With no reply for so
- * long new jobs are refused, before a commit makes their outcome unknown; */
+/* A commit takes some 10 ms, 600 ms in a very slow store.  With no reply for
+ * this long new jobs are refused, before a commit makes their outcome unknown;
+ */
 #define STORE_SILENT_MS 800
-/* and after so long the reply counts as lost. */
+/* and after this long the reply counts as lost. */
 #define COMMIT_TIMEOUT_MS 1200
 /* After a commit that failed. */
 #define COMMIT_RETRY_MS 60
--- a/src/cell/wait.c
+++ b/src/cell/wait.c
@@ -7,17 +7,17 @@
  * happen; without this a step for which none happens would leave no trace.
  */
 
-/* A step is logged once it has waited for so long: an approval query about a
+/* A step is logged once it has waited for this long: an approval query about a
  * hundred workers and the gathering of their room usually take some 4 s. */
 #define LOG_AFTER_MS 5000
 /* Interval of lines, for the planner as a whole: the cost of one line, where
  * 200 a second are allowed of each event, and of a scan of all workers is
  * negligible. */
 #define LOG_INTERVAL_MS 1000
-/* A step is logged again after so long, so that the one that waits longest does
- * not hide the others. */
+/* A step is logged again after this long, so that the one that waits longest
+ * does not hide the others. */
 #define LOG_AGAIN_MS 10000
-/* A step that has not been scanned for so long is blocked on its turn. */
+/* A step that has not been scanned for this long is blocked on its turn. */
 #define UNSCANNED_MS 1000
 /* Size assumed of a query that is yet to be sent: a long one may not be put by
  * each daemon. */
