--- a/src/cell/approval_query.c
+++ b/src/cell/approval_query.c
@@ -15,7 +15,7 @@
 #define PROOF_MARGIN_MS 150
 /* Longest time in which a new approval is stored. */
 #define RECORD_MAX_MS 100
-/* An answer counts as lost when it is later than expected by this time, */
+/* A reply counts as lost when it is later than expected by this time, */
 #define OVERDUE_MS 400
 /* doubled after each lost one in a row, up to this many times, i.e. 3.2 s. */
 #define OVERDUE_DOUBLINGS 3
@@ -55,7 +55,7 @@
 }
 
 /*
- * Without this test a stage would repeat its query between the answer and the
+ * Without this test a stage would repeat its query between the reply and the
  * commit that stores it, as no proof is usable then.
  */
 bool
@@ -277,7 +277,7 @@
 }
 
 /*
- * The time limit grows with lost answers.  Otherwise a policy service or daemon
+ * The time limit grows with lost replies.  Otherwise a policy service or daemon
  * slower than configured would answer each query just after it was given up,
  * and the stage would query forever.
  */
@@ -404,7 +404,7 @@
       = answered ? 0 : cell->time.now_ms + QUERIER_BACKOFF_MS;
 }
 
-/* Lets the stage query again, with a longer time limit if answers were late. */
+/* Lets the stage query again, with a longer time limit if replies were late. */
 static void
 end_query (MuxCell *cell,
            CellStage *stage,
@@ -460,8 +460,8 @@
 }
 
 /*
- * Gives up queries without an answer in time: the daemon may have died or the
- * answer may be lost, and a stage with a pending query is not planned.  The
+ * Gives up queries without a reply in time: the daemon may have died or the
+ * reply may be lost, and a stage with a pending query is not planned.  The
  * time limit belongs to the query, so that it ends whatever has become of the
  * daemon.
  */
--- a/src/cell/call.c
+++ b/src/cell/call.c
@@ -127,7 +127,7 @@
 }
 
 /*
- * An answer holds the store's clock at some moment after the call, and from a
+ * A reply holds the store's clock at some moment after the call, and from a
  * slow store it is under way for a second. Taken as the clock at the time of
  * the call it is never behind; otherwise an expiry in the roster could be
  * before the worker's lease ends. A call that waits for changes is too
--- a/src/cell/cell_private.h
+++ b/src/cell/cell_private.h
@@ -858,7 +858,7 @@
                            const CellWorker *worker);
 
 /* reports.c: runs that a worker lists */
-/** cell_reports_apply() - takes the answer to a RENEW call */
+/** cell_reports_apply() - takes the reply to a RENEW call */
 void cell_reports_apply (MuxCell *cell,
                          CellWorker *worker,
                          const MuxCellReply *reply);
@@ -962,7 +962,8 @@
 /** cell_stage_rank_expires_ms() - time at which that rank changes; INT64_MAX:
  * never */
 int64_t cell_stage_rank_expires_ms (const CellStage *stage, int64_t now_ms);
-/** cell_stage_is_late() - whether it goes behind all stages that are in time */
+/** cell_stage_is_late() - whether it goes behind all stages that can still
+ * end in time */
 bool cell_stage_is_late (const CellStage *stage);
 /** cell_stage_compare() - planning order; negative: @a goes first
  * Both have to be ranked. */
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -323,7 +323,7 @@
  * @slot: slots of the workers named; owned
  * @is_renewal: all of them are approved; only new proofs are wanted
  * @sent_ms: when it was sent
- * @expected_by_ms: an answer by then is in the usual time
+ * @expected_by_ms: a reply by then is in the usual time
  * @expires_ms: the query counts as lost from then on
  * @querier: name of the daemon that puts it
  */
@@ -695,7 +695,7 @@
  * @blocked_ms: time blocked on each before that
  * @queries: approval queries sent for it
  * @candidates: workers named in these
- * @approved: workers approved in their answers
+ * @approved: workers approved in their replies
  * @used: approved workers that a start was sent to
  */
 typedef struct
@@ -1047,7 +1047,7 @@
  * @clock_ms: its clock, as last reported
  * @clock_at_ms: when that report arrived
  * @lease_expires_ms: furthest lease requested from it, on its clock
- * @unanswered_sent_ms: when the last call without an answer was sent; 0: none
+ * @unanswered_sent_ms: when the last call without a reply was sent; 0: none
  * @late_orders_until_ms: calls to its previous incarnation may still arrive
  *   until then
  * @acked: its ends up to this number are stored
--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -17,7 +17,7 @@
 #define WEAK_DELAY_MAX_MS 800
 #define RETRY_MS 300
 /* A planner that can't reach the store is replaced once this daemon could for
- * this long, without a gap of more than PROBE_GAP_MAX_MS between answers. */
+ * this long, without a gap of more than PROBE_GAP_MAX_MS between replies. */
 #define PLANNER_FAILING_MS 600
 #define PROBE_INTERVAL_MS 200
 #define PROBE_GAP_MAX_MS 500
@@ -114,8 +114,8 @@
 }
 
 /*
- * The row alone decides who the planner is, whatever the answer to the commit
- * was: a claim whose answer was lost, or that was applied late, is found here
+ * The row alone decides who the planner is, whatever the reply to the commit
+ * was: a claim whose reply was lost, or that was applied late, is found here
  * by our incarnation in it.
  */
 void
@@ -191,7 +191,7 @@
 static void check_before_claim (MuxCell *cell);
 
 /*
- * If the answer to a successful claim is lost, its owner learns of the claim
+ * If the reply to a successful claim is lost, its owner learns of the claim
  * only from a feed, which may hang for as long, and the cell has no planner
  * meanwhile. So the row is read back.
  */
--- a/src/cell/claim_lease.c
+++ b/src/cell/claim_lease.c
@@ -12,7 +12,7 @@
  * did not keep it.
  */
 
-/* Two heartbeats and their answers from a slow store fit into it. */
+/* Two heartbeats and their replies from a slow store fit into it. */
 #define CLAIM_LEASE_MS 2500
 /* How long a member's report counts; three of its hellos fit. */
 #define REPORT_VALID_MS 800
--- a/src/cell/claim_types.h
+++ b/src/cell/claim_types.h
@@ -60,11 +60,11 @@
 } CellHellos;
 
 /**
- * struct CellReplyLatency - how long workers' answers take to reach the
+ * struct CellReplyLatency - how long workers' replies take to reach the
  * planner
- * @count: answers in the running mean @mean_us, up to its window
- * @mean_us: running mean of the time from call to answer
- * @last_ms: when the last answer was processed
+ * @count: replies in the running mean @mean_us, up to its window
+ * @mean_us: running mean of the time from call to reply
+ * @last_ms: when the last reply was processed
  */
 typedef struct
 {
--- a/src/cell/crash.c
+++ b/src/cell/crash.c
@@ -417,7 +417,7 @@
 }
 
 /*
- * If the planner fails with the first crash, its successor gets no answer from
+ * If the planner fails with the first crash, its successor gets no reply from
  * a worker that was approved for the step, or finds another incarnation at its
  * address, and can't tell which of the step's tasks had been started there. So
  * the loss counts for each of them. A task that is already a suspect has a
--- a/src/cell/heartbeat.c
+++ b/src/cell/heartbeat.c
@@ -3,7 +3,7 @@
 /* The planner's heartbeats in the store, and the checks of its claim that
  * decide whether it may send orders to workers. */
 
-/* Heartbeat interval; two fit into dead_ms. Each is a paid call. */
+/* Heartbeat interval; two fit into dead_ms. The store charges for each. */
 #define HEARTBEAT_INTERVAL_MS 500
 /* Retry interval of reading the own claim, for which all starts wait; the
  * store charges for each call, a refused one too. */
@@ -29,7 +29,7 @@
          && !cell->claim_releasing && cell_claim_is_valid (cell);
 }
 
-/* A call sent before the doubt arose does not settle it: an answer that lay
+/* A call sent before the doubt arose does not settle it: a reply that lay
  * in the queue of a frozen instance would end the doubt that the freeze
  * raised. */
 void
--- a/src/cell/incarnation.c
+++ b/src/cell/incarnation.c
@@ -90,7 +90,7 @@
   if (incarnation != but && incarnation->listed)
     {
       cell_worker_unlist (cell, incarnation);
-      /* Its answer tells whether it has ended. */
+      /* Its reply tells whether it has ended. */
       incarnation->next_renew_ms = cell->time.now_ms;
     }
 }
--- a/src/cell/job_query.c
+++ b/src/cell/job_query.c
@@ -9,8 +9,8 @@
  * store if the planner does not answer; a cancel is written to the store.
  */
 
-/* The planner answers from memory within a few ms.  Without its answer for so
- * long the store is read instead. */
+/* The planner answers from memory within a few ms.  Without its reply for
+ * this long the store is read instead. */
 #define PLANNER_TIMEOUT_MS 250
 /* After a call that failed. */
 #define RETRY_MS 80
--- a/src/cell/late.c
+++ b/src/cell/late.c
@@ -7,7 +7,7 @@
  */
 
 /* Event delay above which new jobs are refused.  A job waits for it four times
- * before it starts: for its row, the answer of the policy service, the record
+ * before it starts: for its row, the reply of the policy service, the record
  * of that, and the start. */
 #define ACCEPT_LATE_MAX_MS 500
 /* Contact with the planner is no older than this even if it is by the heartbeat
--- a/src/cell/named_workers.c
+++ b/src/cell/named_workers.c
@@ -7,7 +7,7 @@
  * Candidate workers of a job's steps, stored in the job's own row.
  *
  * A step starts only where a successor will look for it. A record made after
- * the policy service's answer is one more commit, which takes as long as the
+ * the policy service's reply is one more commit, which takes as long as the
  * one that accepted the job, and with a slow store urgent jobs would miss
  * their deadlines. So workers are named before the approval query; one that is
  * approved but not named is recorded first.
--- a/src/cell/outage.c
+++ b/src/cell/outage.c
@@ -15,7 +15,7 @@
 #define ALL_MAX 64
 #define RACK_SHARE 2
 #define RACK_MIN 3
-/* Answers are under way for up to this time. */
+/* Replies are under way for up to this time. */
 #define ANSWER_DELAY_MS 100
 /* No outage is going on after this time without a failure. */
 #define STABLE_MS 1000
@@ -74,7 +74,7 @@
 }
 
 /* If the start was not answered, the worker may have gone down at any time
- * since its last answer. */
+ * since its last reply. */
 static int64_t
 lost_from_ms (const CellBooking *booking)
 {
--- a/src/cell/place.c
+++ b/src/cell/place.c
@@ -3,7 +3,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* A query is sent this long before its answer is needed. */
+/* A query is sent this long before its reply is needed. */
 #define QUERY_AHEAD_MS 900
 
 static uint32_t
--- a/src/cell/proxy.c
+++ b/src/cell/proxy.c
@@ -9,7 +9,7 @@
  * processor has, so daemons with a large CPU share make them as proxies.
  * Proxies decide nothing: an order carries the planner's fencing token, the
  * run number and its deadline, so that one that is carried out late, or whose
- * answer is lost with its proxy, is resolved like any other.
+ * reply is lost with its proxy, is resolved like any other.
  */
 
 /* Up to this many workers the planner calls them itself: calls to 48 workers
@@ -26,7 +26,7 @@
 #define PROXY_KEPT_MS 1000
 /* Added to the time-out for the way to the proxy and back. */
 #define ROUND_TRIP_MS 300
-/* How long a worker is called directly after its proxy got no answer: it may
+/* How long a worker is called directly after its proxy got no reply: it may
  * be unreachable from the proxy alone. */
 #define DIRECT_MS 5000
 /* Limit of workers called directly while others are proxied: as many as
@@ -179,7 +179,7 @@
     mux_cell_reply (cell, cell->time, reply);
 }
 
-/* Answers that wait on connections that this daemon reads late don't count
+/* Replies that wait on connections that this daemon reads late don't count
  * against their workers, up to a limit. */
 static int64_t
 own_delay_ms (const MuxCell *cell)
@@ -189,12 +189,12 @@
   return late_ms < OWN_DELAY_MAX_MS ? late_ms : OWN_DELAY_MAX_MS;
 }
 
-/* A proxy that died takes its answers with it. All overdue calls end in one
+/* A proxy that died takes its replies with it. All overdue calls end in one
  * pass: with one at a time the last of a proxy's fifty workers would be
  * unusable for five seconds. The handler of one may end others, so each is
  * looked up again.
  *
- * An overloaded planner must not take its workers for lost: their answers
+ * An overloaded planner must not take its workers for lost: their replies
  * wait in its own queue when their time is up, each worker is then called
  * directly, which costs the planner more, and once the leases expire running
  * tasks start again. So a call is overdue only once all that arrived up to its
--- a/src/cell/renew.c
+++ b/src/cell/renew.c
@@ -5,19 +5,19 @@
 /* Renewals: they extend a worker's leases, acknowledge the ends of its runs
  * and ask for its list of runs. */
 
-/* How long the answer to a renewal may wait for the end of a run. */
+/* How long the reply to a renewal may wait for the end of a run. */
 #define RENEW_WAIT_MS 1000
-/* Answers a second from workers on which nothing runs: a tenth of a core at
+/* Replies a second from workers on which nothing runs: a tenth of a core at
  * 0.2 ms each, including the way through proxies. */
 #define IDLE_RENEWALS_PER_S 400
 #define MS_PER_S 1000
-/* Ends are acknowledged only to a worker whose last answer is no older than
+/* Ends are acknowledged only to a worker whose last reply is no older than
  * this. */
 #define ACK_FRESH_MS 500
 
 /*
  * Polling idle workers would use up the planner's processor: 3,000 of them
- * sent 3,000 answers a second, and no callers were served. Workers with runs
+ * sent 3,000 replies a second, and no callers were served. Workers with runs
  * are polled as before; a start finds out by itself whether its worker is up,
  * and carries its own lease.
  */
@@ -88,7 +88,7 @@
   worker->reachable = true;
   worker->unreachable_since_ms = 0;
   worker->lease_over_since_ms = 0;
-  /* The time when the answer arrived, not when it is processed: a planner 2.5
+  /* The time when the reply arrived, not when it is processed: a planner 2.5
    * s late asked for leases so much shorter, and 44 of 80 tasks' leases
    * expired and they ran again. */
   if (reply->worker_clock_ms >= worker->clock_ms)
@@ -130,7 +130,7 @@
     answer_received (cell, next, reply);
 }
 
-/* An answer without the start time of the incarnation called does not count. */
+/* A reply without the start time of the incarnation called does not count. */
 static MuxCellStatus
 renewal_status (const CellWorker *worker, const MuxCellReply *reply)
 {
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -172,7 +172,7 @@
 }
 
 /*
- * An expiry or a removal may be in the store though its answer is under way or
+ * An expiry or a removal may be in the store though its reply is under way or
  * lost; a planner that ignored that would let a successor take a busy worker
  * as free. So all states that the store may hold are kept, and written again,
  * until a commit without them is answered.
--- a/src/cell/worker_lease.c
+++ b/src/cell/worker_lease.c
@@ -48,7 +48,7 @@
 /*
  * A call meant for an earlier incarnation of the worker, and carried out late
  * by this one, asks for an expiry on the earlier one's clock, and with that
- * for the longest lease there is. Such a call may come after the last answer.
+ * for the longest lease there is. Such a call may come after the last reply.
  *
  * Return: until when such a lease may last; 0: no such call can arrive any
  * more.
@@ -151,7 +151,7 @@
 }
 
 /* A late call to an earlier incarnation may have requested the longest lease
- * before this answer. */
+ * before this reply. */
 void
 cell_lease_of_stale (const MuxCell *cell, CellWorker *worker)
 {
--- a/src/daemon/http_server_private.h
+++ b/src/daemon/http_server_private.h
@@ -80,7 +80,7 @@
 /** mux_connection_begin_request() - count a request as in flight */
 void mux_connection_begin_request (MuxHttpServer *server,
                                    struct MHD_Connection *connection);
-/** mux_connection_set_timeout() - close the connection when idle for so long
+/** mux_connection_set_timeout() - close the connection after an idle time
  * @seconds: 0: never */
 void mux_connection_set_timeout (uint32_t seconds);
 /** mux_connection_peer_closed() - whether the caller has closed its side */
