--- a/include/port/cell.h
+++ b/include/port/cell.h
@@ -124,7 +124,7 @@
  * @proof: START: proof of the approval; "": none
  * @acked: RENEW: the worker may forget ends of runs up to this number
  * @candidate_count: QUERY_APPROVAL: used entries of @candidate
- * @candidate: QUERY_APPROVAL: incarnations of workers asked about; owned
+ * @candidate: QUERY_APPROVAL: incarnations of the workers queried; owned
  */
 typedef struct
 {
@@ -268,7 +268,7 @@
 } MuxCellRow;
 
 /**
- * struct MuxApproval - a worker that may run the step asked about
+ * struct MuxApproval - a worker that may run the step of the query
  * @worker: its incarnation, as named in the query
  * @proof: to be presented to the worker with the start
  */
@@ -318,18 +318,18 @@
 } MuxCellReply;
 
 /** mux_cell_call_new() - allocate a zeroed call
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 MuxCellCall *mux_cell_call_new (MuxCellVerb verb);
 /** mux_cell_call_alloc_changes() - allocate room for @count changes
- * Return: false when memory is out. */
+ * Return: false when out of memory. */
 bool mux_cell_call_alloc_changes (MuxCellCall *call, uint32_t count);
 void mux_cell_call_free (MuxCellCall *call);
 /** mux_cell_reply_new() - allocate a reply to @call without content
- * Return: NULL when memory is out. */
+ * Return: NULL when out of memory. */
 MuxCellReply *mux_cell_reply_new (const MuxCellCall *call,
                                   MuxCellStatus status);
 /** mux_cell_reply_alloc_rows() - allocate room for @count rows
- * Return: false when memory is out. */
+ * Return: false when out of memory. */
 bool mux_cell_reply_alloc_rows (MuxCellReply *reply, uint32_t count);
 void mux_cell_reply_free (MuxCellReply *reply);
 const char *mux_cell_status_name (MuxCellStatus status);
--- a/src/cell/cell_types.h
+++ b/src/cell/cell_types.h
@@ -33,16 +33,16 @@
 #define CELL_UNREADABLE_ROWS_MAX 2
 /* Jobs of one commit: a job takes three of its 100 entries. */
 #define CELL_COMMIT_JOBS_MAX 30
-/* A commit, scan or worker call without a reply for so long counts as lost.  A
+/* A commit, scan or worker call without a reply for this long counts as lost. A
  * reply takes some 10 ms, under 100 ms from a loaded store. */
 #define CELL_STORE_TIMEOUT_MS 1500
 #define CELL_WORKER_TIMEOUT_MS 700
 /* A reply to a call that does not wait for changes comes within this time or
  * not at all: twice what the slowest stores take. */
 #define CELL_REPLY_MAX_MS 600
-/* A planner sends no orders once its claim has not been confirmed for so long:
- * longer than the store's usual outages of some 5 s, so that running tasks
- * survive them.  It stops sooner if the store serves other daemons. */
+/* A planner sends no orders once its claim has not been confirmed for this
+ * long: longer than the store's usual outages of some 5 s, so that running
+ * tasks survive them.  It stops sooner if the store serves other daemons. */
 #define CELL_CLAIM_LEASE_MAX_MS 8000
 /* After a pause of this length between two events the claim is read again
  * before any order is sent: the instance may have been frozen while another
@@ -51,7 +51,7 @@
 /* An order without a reply is carried out within this time or never. */
 #define CELL_LATE_ORDERS_MS 15000
 /* Run numbers of one term.  A planner does not know which numbers its
- * predecessor gave to starts that it has not heard of, so that each term has a
+ * predecessor gave to starts that it does not know of, so that each term has a
  * range of its own: a start each second for a quarter of an hour. */
 #define CELL_RUNS_PER_TERM 1024
 /* Terms are counted up to here and then from 1 again, so that a run number is a
@@ -287,8 +287,8 @@
 #define CELL_CANDIDATES_MIN 6
 /* and at most, the service's limit. */
 #define CELL_CANDIDATES_MAX 100
-/* At least so many for a step that is not ready yet: other workers than now may
- * have room by then. */
+/* At least this many for a step that is not ready yet: other workers than now
+ * may have room by then. */
 #define CELL_CANDIDATES_AHEAD_MIN 12
 
 /**
@@ -323,7 +323,7 @@
  * @slot: slots of the workers named; owned
  * @is_renewal: all of them are approved; only new proofs are wanted
  * @sent_ms: when it was sent
- * @expected_by_ms: an answer by then is in the usual time
+ * @expected_by_ms: a reply by then is in the usual time
  * @expires_ms: the query counts as lost from then on
  * @querier: name of the daemon that puts it
  */
@@ -695,7 +695,7 @@
  * @blocked_ms: time blocked on each before that
  * @queries: approval queries sent for it
  * @candidates: workers named in these
- * @approved: workers approved in their answers
+ * @approved: workers approved in their replies
  * @used: approved workers that a start was sent to
  */
 typedef struct
@@ -1047,11 +1047,11 @@
  * @clock_ms: its clock, as last reported
  * @clock_at_ms: when that report arrived
  * @lease_expires_ms: furthest lease requested from it, on its clock
- * @unanswered_sent_ms: when the last call without an answer was sent; 0: none
+ * @unanswered_sent_ms: when the last call without a reply was sent; 0: none
  * @late_orders_until_ms: calls to its previous incarnation may still arrive
  *   until then
  * @acked: its ends up to this number are stored
- * @acked_sent: and it has been told so of those up to this one
+ * @acked_sent: and an acknowledgement of those up to this one has been sent
  * @ends_seen: its ends up to this number are known here
  * @ends_change_seq: these are stored once all parts have stored up to this
  *   change, see MuxCell.change_seq
--- a/src/cell/claim.c
+++ b/src/cell/claim.c
@@ -17,7 +17,7 @@
 #define WEAK_DELAY_MAX_MS 800
 #define RETRY_MS 300
 /* A planner that can't reach the store is replaced once this daemon could for
- * this long, without a gap of more than PROBE_GAP_MAX_MS between answers. */
+ * this long, without a gap of more than PROBE_GAP_MAX_MS between replies. */
 #define PLANNER_FAILING_MS 600
 #define PROBE_INTERVAL_MS 200
 #define PROBE_GAP_MAX_MS 500
@@ -114,8 +114,8 @@
 }
 
 /*
- * The row alone decides who the planner is, whatever the answer to the commit
- * was: a claim whose answer was lost, or that was applied late, is found here
+ * The row alone decides who the planner is, whatever the reply to the commit
+ * was: a claim whose reply was lost, or that was applied late, is found here
  * by our incarnation in it.
  */
 void
@@ -191,7 +191,7 @@
 static void check_before_claim (MuxCell *cell);
 
 /*
- * If the answer to a successful claim is lost, its owner learns of the claim
+ * If the reply to a successful claim is lost, its owner learns of the claim
  * only from a feed, which may hang for as long, and the cell has no planner
  * meanwhile. So the row is read back.
  */
@@ -316,8 +316,8 @@
 }
 
 /*
- * A daemon that was partitioned has not heard the planner for seconds, and its
- * feed of the claim may hang on a dead connection while others are answered
+ * A daemon that was partitioned has not heard from the planner for seconds, and
+ * its feed of the claim may hang on a dead connection while others are answered
  * again. So the table is read before claiming; a heartbeat newer than the last
  * one known shows that this daemon was cut off, not the planner. It also means
  * that no claim is sent into a partition, where it would be delivered at its
--- a/src/cell/jobs.c
+++ b/src/cell/jobs.c
@@ -7,10 +7,11 @@
 
 /* The planner's jobs: their deadlines, their states and their ends. */
 
-/* The planner answers queries about a job that has ended from memory for so
- * long; after that they are answered from the store. */
+/* The planner answers queries about a job that has ended from memory for
+ * this long; after that they are answered from the store. */
 #define ENDED_RETENTION_MS 30000
-/* The end of a job is worth nothing after so many times its promised duration.
+/* The end of a job is worth nothing after this many times its promised
+ * duration.
  */
 #define WORTHLESS_FACTOR 3
 /* Workers that an approval query is taken to name in a promised duration. */
@@ -298,9 +299,9 @@
 }
 
 /*
- * Failed runs are told apart up to a limit.  A queue may allow more attempts;
- * without this bound their count would never be reached, and the job be retried
- * for good.
+ * Failed runs are distinguished up to a limit.  A queue may allow more
+ * attempts; without this bound their count would never be reached, and the job
+ * be retried forever.
  */
 uint32_t
 cell_attempts_max (const CellJob *job)
@@ -333,7 +334,7 @@
 /*
  * The job's stored progress can't be read, and with it which tasks are done:
  * these would run again.  Such a job fails, so that its caller can act, instead
- * of waiting for good.  Tasks that run until they are cancelled are never done,
+ * of waiting forever.  Tasks that run until they are cancelled are never done,
  * and go on.
  */
 static bool
--- a/src/cell/late.c
+++ b/src/cell/late.c
@@ -7,18 +7,18 @@
  */
 
 /* Event delay above which new jobs are refused.  A job waits for it four times
- * before it starts: for its row, the answer of the policy service, the record
+ * before it starts: for its row, the reply of the policy service, the record
  * of that, and the start. */
 #define ACCEPT_LATE_MAX_MS 500
 /* Contact with the planner is no older than this even if it is by the heartbeat
  * in the store alone. */
 #define PLANNER_CONTACT_MS 1500
 
-/* The mean latency is over so many calls at most, */
+/* The mean latency is over this many calls at most, */
 #define LATENCY_SAMPLES_MAX 64
-/* is not used below so many, */
+/* is not used below this many, */
 #define LATENCY_SAMPLES_MIN 8
-/* and after so long without a reply. */
+/* and after this long without a reply. */
 #define LATENCY_EXPIRY_MS 1500
 #define US_PER_MS 1000
 
