--- a/include/base/address.h
+++ b/include/base/address.h
@@ -6,26 +6,25 @@
 #include <sys/socket.h>
 
 /**
- * mux_address_parse() - read "ip:port" or "[ip6]:port", IP by number
- * @text: the address; names are not looked up
- * @addr: receives it, ready for bind() or connect()
- * @len: receives the length used of @addr
- * Return: false when @text is anything else.
+ * mux_address_parse() - parse "ip:port" or "[ip6]:port"
+ * @text: numeric address; host names are not resolved
+ * @addr: receives the address, ready for bind() or connect()
+ * @len: receives the used length of @addr, in bytes
+ * Return: false if @text is malformed; @addr and @len are then unspecified.
  */
 bool mux_address_parse (const char *text,
                         struct sockaddr_storage *addr,
                         socklen_t *len);
 
-/** mux_address_reachable() - whether @text, as mux_address_parse() reads it,
- * can be connected to: it names a port and one host */
+/** mux_address_reachable() - whether @text is a valid connect() target: it
+ * parses, its port is not 0 and its host is not the wildcard address */
 bool mux_address_reachable (const char *text);
 
-/** mux_address_loopback() - whether @text, as mux_address_parse() reads it, is
- * reached from this instance alone */
+/** mux_address_loopback() - whether @text parses and is a loopback address */
 bool mux_address_loopback (const char *text);
 
-/** mux_address_format() - write @addr as mux_address_parse() reads it
- * Return: false when the family is unknown or @cap is too small. */
+/** mux_address_format() - format @addr in the form mux_address_parse() accepts
+ * Return: false if the address family is unknown or @cap is too small. */
 bool
 mux_address_format (const struct sockaddr_storage *addr, char *out, size_t cap);
 
--- a/include/base/blob.h
+++ b/include/base/blob.h
@@ -6,10 +6,10 @@
 #include <stdint.h>
 
 /**
- * struct MuxBlob - immutable bytes shared between threads
- * @refs: holders; the last unref frees
- * @len: length of @bytes, which also carry a closing NUL beyond @len
- * @bytes: the content, never changed once shared
+ * struct MuxBlob - reference-counted immutable byte string
+ * @refs: reference count; the last mux_blob_unref() frees the blob
+ * @len: length of @bytes, without the terminating NUL
+ * @bytes: content and a terminating NUL; not modified once shared
  */
 typedef struct
 {
@@ -18,11 +18,12 @@
   char bytes[];
 } MuxBlob;
 
-/** mux_blob_new() - copy @len bytes; NULL when memory is out */
+/** mux_blob_new() - copy @len bytes into a new blob with one reference
+ * Return: NULL if out of memory. */
 MuxBlob *mux_blob_new (const void *bytes, size_t len);
-/** mux_blob_ref() - one more holder; NULL passes through */
+/** mux_blob_ref() - add a reference and return @blob; NULL is allowed */
 MuxBlob *mux_blob_ref (MuxBlob *blob);
-/** mux_blob_unref() - one holder less; NULL is allowed */
+/** mux_blob_unref() - drop a reference; NULL is allowed */
 void mux_blob_unref (MuxBlob *blob);
 
 #endif
--- a/include/base/clock.h
+++ b/include/base/clock.h
@@ -3,7 +3,7 @@
 
 #include <stdint.h>
 
-/** mux_monotonic_ms() - CLOCK_MONOTONIC, for timeouts */
+/** mux_monotonic_ms() - CLOCK_MONOTONIC in milliseconds, for timeouts */
 int64_t mux_monotonic_ms (void);
 
 #endif
--- a/include/base/error.h
+++ b/include/base/error.h
@@ -8,24 +8,24 @@
 #define MUX_FINDINGS_MAX 64
 
 /**
- * enum MuxErrorCode - what kind of failure an error reports
+ * enum MuxErrorCode - kind of failure
  */
 typedef enum
 {
   MUX_ERROR_NONE,
-  MUX_ERROR_USAGE,       /* the caller gave something invalid */
-  MUX_ERROR_MEMORY,      /* memory is out */
-  MUX_ERROR_IO,          /* the system or a peer failed */
-  MUX_ERROR_UNAVAILABLE, /* the other side can't be reached now */
-  MUX_ERROR_PROTOCOL,    /* the other side sent what can't be understood */
-  MUX_ERROR_CONFLICT,    /* a condition did not hold */
-  MUX_ERROR_LIMIT,       /* a bound was reached */
+  MUX_ERROR_USAGE,       /* invalid argument from the caller */
+  MUX_ERROR_MEMORY,      /* out of memory */
+  MUX_ERROR_IO,          /* a system call or a peer failed */
+  MUX_ERROR_UNAVAILABLE, /* the remote side is unreachable for now */
+  MUX_ERROR_PROTOCOL,    /* the remote side sent an invalid message */
+  MUX_ERROR_CONFLICT,    /* a precondition does not hold */
+  MUX_ERROR_LIMIT,       /* a limit was reached */
 } MuxErrorCode;
 
 /**
- * struct MuxError - error passed down the call chain
- * @code: kind; MUX_ERROR_NONE while nothing failed
- * @text: one line for people
+ * struct MuxError - error returned through an out parameter
+ * @code: MUX_ERROR_NONE if there is no error
+ * @text: one-line message
  */
 typedef struct
 {
@@ -38,9 +38,10 @@
     __attribute__ ((format (printf, 3, 4)));
 
 /**
- * struct MuxFinding - one thing wrong with an input
- * @place: where, as "--flag", "CUMINMUX_X" or "class.size.cpu_milli"
- * @text: what is wrong and what is allowed
+ * struct MuxFinding - one validation error of an input
+ * @place: flag, variable or field: "--flag", "CUMINMUX_X" or
+ *   "class.size.cpu_milli"
+ * @text: what is wrong and which values are valid
  */
 typedef struct
 {
@@ -49,9 +50,9 @@
 } MuxFinding;
 
 /**
- * struct MuxFindings - all things wrong with one input, reported together
+ * struct MuxFindings - all validation errors of one input
  * @count: used entries of @item
- * @dropped: findings beyond the array
+ * @dropped: errors that did not fit into @item
  */
 typedef struct
 {
@@ -60,6 +61,8 @@
   MuxFinding item[MUX_FINDINGS_MAX];
 } MuxFindings;
 
+/** mux_findings_add() - append a validation error; counts it as dropped when
+ * @findings is full */
 void mux_findings_add (MuxFindings *findings,
                        const char *place,
                        const char *format,
--- a/include/base/log.h
+++ b/include/base/log.h
@@ -2,7 +2,7 @@
 #define BASE_LOG_H
 
 /**
- * enum MuxLogLevel - syslog severities in use, with syslog's numbers
+ * enum MuxLogLevel - log levels; values are the syslog severities
  */
 typedef enum
 {
@@ -12,13 +12,18 @@
   MUX_LOG_INFO = 6,
 } MuxLogLevel;
 
-/** mux_log_open() - set the program name and the highest level printed */
+/** mux_log_open() - set the program name and the highest level that is logged
+ */
 void mux_log_open (const char *program, MuxLogLevel max);
 
 /**
- * mux_log() - one line on standard error: <priority> program[pid]: event k=v
- * @event: fixed word for the change of state, such as "claim_won"
- * @format: the "key=value" pairs
+ * mux_log() - write one line to standard error
+ * @level: ignored if above the level given to mux_log_open()
+ * @event: name of the event, such as "claim_won"
+ * @format: printf format of the "key=value" fields
+ *
+ * The line is "<priority> program[pid]: event key=value ...".  A longer line
+ * than 511 bytes is truncated.
  */
 void mux_log (MuxLogLevel level, const char *event, const char *format, ...)
     __attribute__ ((format (printf, 3, 4)));
--- a/include/base/mac.h
+++ b/include/base/mac.h
@@ -3,18 +3,18 @@
 
 #include <stdbool.h>
 
-/* Bytes of a code's hexadecimal form with its closing NUL. */
+/* Size of an HMAC in hexadecimal with its NUL. */
 #define MUX_MAC_HEX_LEN 65
 
 /**
  * mux_mac() - HMAC-SHA-256 of @text under @key, in hexadecimal
- * @key: secret, "" for none: then the code only guards against damage
- * Return: false when the library fails.
+ * @key: secret; "": a fixed public key is used, so that the code detects
+ *   corruption but not forgery
+ * Return: false if GnuTLS fails.
  */
 bool mux_mac (const char *key, const char *text, char out[MUX_MAC_HEX_LEN]);
 
-/** mux_mac_equal() - compare two codes in a time that does not tell where
- * they differ */
+/** mux_mac_equal() - compare two codes in constant time */
 bool mux_mac_equal (const char a[MUX_MAC_HEX_LEN],
                     const char b[MUX_MAC_HEX_LEN]);
 
--- a/include/base/number.h
+++ b/include/base/number.h
@@ -5,11 +5,11 @@
 #include <stdint.h>
 
 /**
- * mux_unsigned_parse() - a whole number that came from outside
- * @text: decimal digits and nothing else; NULL is no number
- * @max: largest that is taken
- * @value: unchanged on failure
- * Return: false when it is no number or above @max.
+ * mux_unsigned_parse() - parse an untrusted unsigned integer
+ * @text: decimal digits only; NULL is invalid
+ * @max: largest valid value
+ * @value: receives the number; unchanged on failure
+ * Return: false if @text is malformed or the number exceeds @max.
  */
 bool mux_unsigned_parse (const char *text, uint64_t max, uint64_t *value);
 
--- a/include/base/ring.h
+++ b/include/base/ring.h
@@ -7,33 +7,37 @@
 typedef struct MuxRing MuxRing;
 
 /**
- * mux_ring_new() - bounded ring of pointers, many producers, many consumers
- * @capacity: power of two; one slot stays free
- * Return: NULL when memory or descriptors are out.
+ * mux_ring_new() - create a bounded multi-producer, multi-consumer queue of
+ * pointers
+ * @capacity: a power of two; holds @capacity - 1 entries
+ * Return: NULL if out of memory.
  */
 MuxRing *mux_ring_new (uint32_t capacity);
-/** mux_ring_new_watched() - one whose consumer polls mux_ring_fd() in place of
- * mux_ring_wait() */
+/** mux_ring_new_watched() - create a ring whose consumer polls mux_ring_fd()
+ * instead of calling mux_ring_wait()
+ * Return: NULL if out of memory or file descriptors. */
 MuxRing *mux_ring_new_watched (uint32_t capacity);
-/** mux_ring_free() - the entries left inside stay the caller's */
+/** mux_ring_free() - free the ring, but not the entries left in it */
 void mux_ring_free (MuxRing *ring);
-/** mux_ring_push() - false at once when full; waits for no consumer */
+/** mux_ring_push() - append an entry; does not wait for consumers
+ * Return: false if the ring is full. */
 bool mux_ring_push (MuxRing *ring, void *item);
-/** mux_ring_pop() - NULL when empty */
+/** mux_ring_pop() - take the oldest entry
+ * Return: NULL if the ring is empty. */
 void *mux_ring_pop (MuxRing *ring);
 /**
- * mux_ring_wait() - wait until something may be there
- * @timeout_ms: at most this long; negative waits without end
- * Return: an entry or NULL.
+ * mux_ring_wait() - wait for a push or a wake-up and take the oldest entry
+ * @timeout_ms: longest wait; negative: no limit
+ * Return: NULL after a wake-up, a time-out or a spurious wake-up.
  */
 void *mux_ring_wait (MuxRing *ring, int32_t timeout_ms);
-/** mux_ring_fd() - of a watched ring: readable since something was pushed; -1
- * of any other */
+/** mux_ring_fd() - event descriptor of a watched ring, readable after a push
+ * until mux_ring_settle(); -1 for any other ring */
 int mux_ring_fd (const MuxRing *ring);
-/** mux_ring_settle() - of a watched ring: make its descriptor wait for the next
- * push, before taking what is there */
+/** mux_ring_settle() - clear the event descriptor of a watched ring; call it
+ * before popping, so that a concurrent push makes it readable again */
 void mux_ring_settle (MuxRing *ring);
-/** mux_ring_wake() - let @n waiting consumers return with NULL */
+/** mux_ring_wake() - make @n waiting consumers return from mux_ring_wait() */
 void mux_ring_wake (MuxRing *ring, uint32_t n);
 
 #endif
--- a/src/base/counters.c
+++ b/src/base/counters.c
@@ -6,19 +6,19 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-/* Upper ends of the ranges, in ms; the last range has none. */
-static const int64_t range_ms[]
+/* Upper bounds of the histogram buckets, in ms; the last bucket has none. */
+static const int64_t bucket_bound_ms[]
     = { 1,   2,    5,    10,   20,    50,    100,  200,
         500, 1000, 2000, 5000, 10000, 20000, 60000 };
-#define ENDS (sizeof range_ms / sizeof range_ms[0])
-#define RANGES (ENDS + 1)
+#define BOUND_COUNT (sizeof bucket_bound_ms / sizeof bucket_bound_ms[0])
+#define BUCKET_COUNT (BOUND_COUNT + 1)
 
 struct MuxCounters
 {
   atomic_uint_fast64_t counter[MUX_COUNTER_COUNT];
   atomic_uint_fast64_t refused[MUX_REASON_COUNT];
   atomic_uint_fast64_t retry[MUX_REASON_COUNT];
-  atomic_uint_fast64_t range[MUX_HISTOGRAM_COUNT][RANGES];
+  atomic_uint_fast64_t bucket[MUX_HISTOGRAM_COUNT][BUCKET_COUNT];
   atomic_uint_fast64_t sum_ms[MUX_HISTOGRAM_COUNT];
 };
 
@@ -107,12 +107,13 @@
 
   if (ms < 0)
     ms = 0;
-  while (i < ENDS && ms > range_ms[i])
+  while (i < BOUND_COUNT && ms > bucket_bound_ms[i])
     i++;
-  add (&counters->range[histogram][i], 1);
+  add (&counters->bucket[histogram][i], 1);
   add (&counters->sum_ms[histogram], (uint64_t) ms);
 }
 
+/* Output buffer; @len also counts bytes that did not fit. */
 typedef struct
 {
   char *bytes;
@@ -155,13 +156,13 @@
 
   text_add (text, "# HELP cuminmux_%s %s\n# TYPE cuminmux_%s histogram\n", name,
             histogram_info[histogram].help, name);
-  for (size_t i = 0; i < ENDS; i++)
+  for (size_t i = 0; i < BOUND_COUNT; i++)
     {
-      count += get (&counters->range[histogram][i]);
+      count += get (&counters->bucket[histogram][i]);
       text_add (text, "cuminmux_%s_bucket{le=\"%" PRId64 "\"} %" PRIu64 "\n",
-                name, range_ms[i], count);
+                name, bucket_bound_ms[i], count);
     }
-  count += get (&counters->range[histogram][ENDS]);
+  count += get (&counters->bucket[histogram][BOUND_COUNT]);
   text_add (text,
             "cuminmux_%s_bucket{le=\"+Inf\"} %" PRIu64 "\n"
             "cuminmux_%s_sum %" PRIu64 "\ncuminmux_%s_count %" PRIu64 "\n",
--- a/src/base/id.c
+++ b/src/base/id.c
@@ -61,7 +61,7 @@
 static MuxId
 id_of_hash (XXH128_hash_t h)
 {
-  /* All zero means "absent"; the hash may not collide with it. */
+  /* All zero means "no id"; a hash of zero must not yield it. */
   MuxId id = { h.high64, h.low64 };
 
   if (mux_id_is_none (id))
--- a/src/base/log.c
+++ b/src/base/log.c
@@ -4,7 +4,7 @@
 #include <stdio.h>
 #include <unistd.h>
 
-/* syslog's facility "daemon", shifted as in its priority numbers. */
+/* syslog facility LOG_DAEMON, in its place in a priority value. */
 #define FACILITY_DAEMON (3 << 3)
 
 static const char *log_program = "cuminmux";
@@ -35,7 +35,7 @@
   if (n > (int) sizeof line - 2)
     n = (int) sizeof line - 2;
   line[n] = '\n';
-  /* One write, so that lines of several threads do not mix. */
+  /* A single write() keeps lines of concurrent threads from interleaving. */
   if (write (STDERR_FILENO, line, (size_t) n + 1) < 0)
     return;
 }
--- a/src/base/mac.c
+++ b/src/base/mac.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-/* GnuTLS refuses an empty key; no key is this one. */
+/* Stands for the empty key, which GnuTLS rejects. */
 static const char no_key[] = "cuminmux";
 
 bool
--- a/src/base/number.c
+++ b/src/base/number.c
@@ -4,7 +4,7 @@
 
 #define BASE 10
 
-/* strtoull() takes spaces and signs, and turns -1 into the largest number. */
+/* Not strtoull(): it accepts spaces and signs, and turns -1 into ULLONG_MAX. */
 bool
 mux_unsigned_parse (const char *text, uint64_t max, uint64_t *value)
 {
--- a/src/base/ring.c
+++ b/src/base/ring.c
@@ -10,11 +10,12 @@
 #include <unistd.h>
 
 /*
- * ck's rings synchronise through inline assembly, which the thread sanitizer
- * can't see: it would report the ring's own slots, and every item handed over.
- * So it is told to leave out ck's code, and that the push of an item happens
- * before the pop of that same item and of no other, which is what the ring
- * promises.  Unsynchronised use of an item by its threads is still found.
+ * Concurrency Kit's rings synchronise through inline assembly, which the thread
+ * sanitizer does not see: it would report races on the ring's slots and on
+ * every item passed through it.  It is therefore told to ignore the accesses
+ * within ck, and that the push of an item happens before the pop of the same
+ * item and of no other, as the ring guarantees.  Data races on an item outside
+ * of the ring are still reported.
  */
 #ifdef __SANITIZE_THREAD__
 void __tsan_acquire (void *addr);
@@ -26,7 +27,7 @@
 #endif
 
 static void
-unseen_begin (void *pushed)
+tsan_ignore_begin (void *pushed)
 {
 #ifdef __SANITIZE_THREAD__
   if (pushed != NULL)
@@ -39,7 +40,7 @@
 }
 
 static void
-unseen_end (void *popped)
+tsan_ignore_end (void *popped)
 {
 #ifdef __SANITIZE_THREAD__
   AnnotateIgnoreWritesEnd (__FILE__, __LINE__);
@@ -52,19 +53,19 @@
 }
 
 /*
- * Failure: with ck's own enqueue of many producers each spins until those
- * before it have published.  On an instance with fewer cores than threads one
- * of them is put off its core half way, and the others spin through whole
- * time slices in its place: callers wait for hundreds of milliseconds while
- * all cores are busy.  Producers that wait at a lock sleep.
+ * Producers take a lock instead of using ck's multi-producer enqueue, in which
+ * each producer spins until those before it have published.  With fewer cores
+ * than threads a producer may be preempted in between, and the others spin
+ * through whole time slices: callers then wait for hundreds of milliseconds
+ * with all cores busy.  Producers that wait for a lock sleep.
  */
 struct MuxRing
 {
   pthread_mutex_t push_lock;
   ck_ring_t ring;
   ck_ring_buffer_t *buffer;
-  sem_t tokens; /* one for each push and wake, where nobody watches */
-  int fd;       /* the same for who polls; -1: nobody does */
+  sem_t tokens; /* one per push and wake-up, unless watched */
+  int fd;       /* eventfd of a watched ring; -1 for any other */
 };
 
 MuxRing *
@@ -120,9 +121,9 @@
   bool pushed;
 
   pthread_mutex_lock (&ring->push_lock);
-  unseen_begin (item);
+  tsan_ignore_begin (item);
   pushed = ck_ring_enqueue_spmc (&ring->ring, ring->buffer, item);
-  unseen_end (NULL);
+  tsan_ignore_end (NULL);
   pthread_mutex_unlock (&ring->push_lock);
   if (!pushed)
     return false;
@@ -135,15 +136,15 @@
 {
   void *item = NULL;
 
-  unseen_begin (NULL);
+  tsan_ignore_begin (NULL);
   if (!ck_ring_dequeue_spmc (&ring->ring, ring->buffer, &item))
     item = NULL;
-  unseen_end (item);
+  tsan_ignore_end (item);
   return item;
 }
 
 static void
-take_token (MuxRing *ring, int32_t timeout_ms)
+wait_token (MuxRing *ring, int32_t timeout_ms)
 {
   struct timespec until;
 
@@ -167,17 +168,17 @@
 }
 
 /*
- * Failure: a hundred threads poll one descriptor for the next call, each push
- * wakes them all, and all but one go back to sleep: half of a core went into
- * that.  A semaphore wakes one.  Its token is taken before the item, and the
- * item is there before its token, so that no item is left with everybody
- * asleep; whoever pops without a token leaves a spare one, which costs one
- * empty look.
+ * Consumers wait at a semaphore, since it wakes one of them per push: were a
+ * hundred threads to poll one descriptor, each push would wake them all, which
+ * cost half of a core.  An item is pushed before its token is posted, and the
+ * token is taken before the item, so that no item remains while all consumers
+ * sleep.  A pop without a token leaves a surplus token, which costs one pop
+ * from an empty ring.
  */
 void *
 mux_ring_wait (MuxRing *ring, int32_t timeout_ms)
 {
-  take_token (ring, timeout_ms);
+  wait_token (ring, timeout_ms);
   return mux_ring_pop (ring);
 }
 
--- a/src/base/settings.c
+++ b/src/base/settings.c
@@ -29,8 +29,8 @@
   Value value[];
 };
 
-/* The command line as argtable sees it: one entry for each setting with a
- * flag, then the end marker, which collects the errors. */
+/* The argtable of the command line: one entry per setting with a flag, then the
+ * end marker, which collects the errors. */
 typedef struct
 {
   void **table;
@@ -38,7 +38,7 @@
   struct arg_end *end;
 } Flags;
 
-/* Text of a setting and where it came from. */
+/* Text of a setting, and the flag or variable that gave it, for messages. */
 typedef struct
 {
   const char *text;
@@ -94,7 +94,7 @@
   value->address = calloc (entries, sizeof *value->address);
   if (value->address == NULL)
     {
-      mux_findings_add (findings, place, "memory is out");
+      mux_findings_add (findings, place, "out of memory");
       return false;
     }
   while (rest != NULL)
@@ -131,7 +131,7 @@
              MuxFindings *findings)
 {
   const char *text = value->text;
-  /* An empty default means that the setting may stay unset. */
+  /* An empty default makes the setting optional. */
   bool unset = *text == 0 && spec->fallback != NULL && *spec->fallback == 0;
 
   if (unset)
@@ -203,14 +203,14 @@
   free (flags->table);
 }
 
-/* The value is left out: somebody may have tried to give a secret so. */
+/* The message omits the value, which may be a secret given by mistake. */
 static void
 flags_finding (const Flags *flags, int index, MuxFindings *findings)
 {
   const struct arg_hdr *parent = flags->end->parent[index];
   const char *given = flags->end->argval[index];
   char place[PLACE_LEN] = "command line";
-  const char *text = "memory is out";
+  const char *text = "out of memory";
 
   if (parent->longopts != NULL)
     snprintf (place, sizeof place, "--%s", parent->longopts);
@@ -231,7 +231,7 @@
       text = "a value is missing";
       break;
     default:
-      /* The only check of the entries themselves is of their number. */
+      /* argtable checks nothing else of an entry than how often it is given. */
       if (parent->longopts != NULL)
         text = "is given twice";
     }
@@ -252,7 +252,7 @@
 {
   if (spec->kind == MUX_SETTING_SWITCH)
     return ((const struct arg_lit *) entry)->count > 0 ? "1" : NULL;
-  /* An empty value has been reported as missing by argtable. */
+  /* argtable has already reported an empty value as missing. */
   if (((const struct arg_str *) entry)->count == 0
       || *((const struct arg_str *) entry)->sval[0] == 0)
     return NULL;
@@ -331,7 +331,7 @@
   value->text = strdup (given.text);
   if (value->text == NULL)
     {
-      mux_findings_add (findings, given.place, "memory is out");
+      mux_findings_add (findings, given.place, "out of memory");
       return;
     }
   check_value (spec, given.place, value, findings);
@@ -352,7 +352,7 @@
 
   if (settings == NULL || !flags_new (specs, count, &flags))
     {
-      mux_findings_add (findings, "command line", "memory is out");
+      mux_findings_add (findings, "command line", "out of memory");
       flags_free (&flags);
       free (settings);
       return NULL;
--- a/src/base/settings_help.c
+++ b/src/base/settings_help.c
@@ -5,7 +5,7 @@
 
 #define TEXT_LEN 64
 
-/* What may be given, in words. */
+/* Describes the valid values. */
 static void
 describe_range (const MuxSettingSpec *spec, char out[TEXT_LEN])
 {
