--- a/src/cli/args.c
+++ b/src/cli/args.c
@@ -89,7 +89,7 @@
 /* One finding for each error that argtable2 noted, but for missing ones: it
  * looks for these only when nothing else is wrong. */
 static void
-find_parse_errors (const Table *table, MuxFindings *findings)
+add_parse_errors (const Table *table, MuxFindings *findings)
 {
   for (int i = 0; i < table->end->count; i++)
     {
@@ -110,9 +110,7 @@
 }
 
 static void
-find_missing (const MuxArgList *list,
-              const MuxArgs *args,
-              MuxFindings *findings)
+add_missing (const MuxArgList *list, const MuxArgs *args, MuxFindings *findings)
 {
   char place[64];
 
@@ -247,8 +245,8 @@
     }
   arg_parse (argc, argv, table.entry);
   take_values (&table, args);
-  find_parse_errors (&table, findings);
-  find_missing (list, args, findings);
+  add_parse_errors (&table, findings);
+  add_missing (list, args, findings);
   take_environment (host, args);
   for (int i = 0; i < MUX_ARG_COUNT; i++)
     check_arg ((MuxArg) i, args, findings);
@@ -258,7 +256,7 @@
 
 /* Words that a global option takes at the front of @argv; 0: it is none. */
 static int
-global_words (int argc, char **argv)
+global_option_words (int argc, char **argv)
 {
   for (int i = MUX_ARG_SERVER; i < MUX_ARG_HELP; i++)
     {
@@ -285,8 +283,10 @@
   int leading = 0;
   int words;
 
-  while (leading + 1 < argc
-         && (words = global_words (argc - leading - 1, argv + leading + 1)) > 0)
+  while (
+      leading + 1 < argc
+      && (words = global_option_words (argc - leading - 1, argv + leading + 1))
+             > 0)
     leading += words;
   return leading;
 }
@@ -306,7 +306,7 @@
 }
 
 void
-mux_args_name_flags (MuxFindings *findings)
+mux_args_fields_to_flags (MuxFindings *findings)
 {
   for (uint32_t i = 0; i < findings->count; i++)
     {
--- a/src/cli/args.h
+++ b/src/cli/args.h
@@ -99,11 +99,11 @@
 void mux_args_help (const MuxArgList *list, const char *verb, FILE *out);
 
 /**
- * mux_args_name_flags() - put flags in place of the fields in findings
+ * mux_args_fields_to_flags() - put flags in place of the fields in findings
  *
  * The bounds of fields stand in the model alone; what it finds wrong with
  * "size.cpu_milli" is shown to the operator as "--cpu-milli".
  */
-void mux_args_name_flags (MuxFindings *findings);
+void mux_args_fields_to_flags (MuxFindings *findings);
 
 #endif
--- a/src/cli/body.c
+++ b/src/cli/body.c
@@ -26,13 +26,13 @@
 read_file (const char *path, MuxBytes *body)
 {
   FILE *in = fopen (path, "rb");
-  const char *wrong;
+  const char *error;
 
   if (in == NULL)
     return strerror (errno);
-  wrong = read_all (in, body);
+  error = read_all (in, body);
   fclose (in);
-  return wrong;
+  return error;
 }
 
 bool
@@ -41,7 +41,7 @@
   const char *text = call->args.text[MUX_ARG_BODY];
   const char *path = call->args.text[MUX_ARG_FILE];
   const char *place = path != NULL ? path : "standard input";
-  const char *wrong = NULL;
+  const char *error = NULL;
 
   *body = (MuxBytes){ NULL, 0, 0 };
   if (text != NULL && path != NULL)
@@ -51,14 +51,14 @@
     }
   /* An empty body is one, too. */
   if (!mux_bytes_add (body, text, text != NULL ? strlen (text) : 0))
-    wrong = "memory is out";
+    error = "memory is out";
   else if (path != NULL)
-    wrong = read_file (path, body);
+    error = read_file (path, body);
   else if (text == NULL)
-    wrong = read_all (call->host->in, body);
-  if (wrong == NULL)
+    error = read_all (call->host->in, body);
+  if (error == NULL)
     return true;
-  fprintf (call->host->err, "cuminmux: %s: %s\n", place, wrong);
+  fprintf (call->host->err, "cuminmux: %s: %s\n", place, error);
   mux_bytes_deinit (body);
   return false;
 }
--- a/src/cli/call.c
+++ b/src/cli/call.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 json_t *
-mux_call_json (MuxCliCall *call, const MuxHttpAnswer *answer)
+mux_call_json (MuxCliCall *call, const MuxCliResponse *response)
 {
-  json_t *json = json_loadb (answer->body, answer->body_len, 0, NULL);
+  json_t *json = json_loadb (response->body, response->body_len, 0, NULL);
 
   if (json == NULL)
     fputs ("cuminmux: the daemon's answer is not JSON\n", call->host->err);
@@ -15,7 +15,7 @@
 }
 
 static const char *
-text_of_code (int code)
+exit_code_text (int code)
 {
   switch (code)
     {
@@ -48,10 +48,10 @@
   }
 }
 
-/* What the answer tells besides the fields that are printed by name, such as
+/* What the response tells besides the fields that are printed by name, such as
  * the revision that stands now. */
 static void
-print_rest (FILE *err, const json_t *body)
+print_other_fields (FILE *err, const json_t *body)
 {
   json_t *rest = json_copy ((json_t *) body);
 
@@ -63,74 +63,75 @@
 }
 
 static void
-report_people (FILE *err,
-               int code,
-               const MuxHttpAnswer *answer,
-               const json_t *body)
+print_failure_text (FILE *err,
+                    int code,
+                    const MuxCliResponse *response,
+                    const json_t *body)
 {
-  const json_t *told = json_object_get (body, "text");
-  char *text = mux_render_text (told);
+  const json_t *message = json_object_get (body, "text");
+  char *text = mux_render_text (message);
 
-  fprintf (err, "cuminmux: %s", text_of_code (code));
-  if (answer->reason[0] != 0)
-    fprintf (err, ": %s", answer->reason);
-  if (told != NULL && text != NULL)
+  fprintf (err, "cuminmux: %s", exit_code_text (code));
+  if (response->reason[0] != 0)
+    fprintf (err, ": %s", response->reason);
+  if (message != NULL && text != NULL)
     fprintf (err, ": %s", text);
-  if (code == MUX_EXIT_UNREACHED && answer->error[0] != 0)
-    fprintf (err, ": %s", answer->error);
+  if (code == MUX_EXIT_UNREACHED && response->error[0] != 0)
+    fprintf (err, ": %s", response->error);
   fputc ('\n', err);
   free (text);
   print_findings (err, json_object_get (body, "findings"));
-  print_rest (err, body);
-  if (answer->retry_ms[0] != 0)
-    fprintf (err, "cuminmux: try again in %s ms\n", answer->retry_ms);
+  print_other_fields (err, body);
+  if (response->retry_ms[0] != 0)
+    fprintf (err, "cuminmux: try again in %s ms\n", response->retry_ms);
 }
 
 static void
-report_machine (FILE *out,
-                int code,
-                const MuxHttpAnswer *answer,
-                json_t *body,
-                MuxHttpPair settle)
+print_failure_json (FILE *out,
+                    int code,
+                    const MuxCliResponse *response,
+                    json_t *body,
+                    MuxHttpPair retry_flag)
 {
   json_t *report = json_is_object (body) ? json_copy (body) : json_object ();
 
   json_object_set_new (report, "exit", json_integer (code));
   if (json_object_get (report, "text") == NULL)
-    json_object_set_new (report, "text", json_string (text_of_code (code)));
-  if (answer->reason[0] != 0)
-    json_object_set_new (report, "reason", json_string (answer->reason));
-  if (code == MUX_EXIT_UNREACHED && answer->error[0] != 0)
-    json_object_set_new (report, "error", json_string (answer->error));
-  if (answer->retry_ms[0] != 0)
+    json_object_set_new (report, "text", json_string (exit_code_text (code)));
+  if (response->reason[0] != 0)
+    json_object_set_new (report, "reason", json_string (response->reason));
+  if (code == MUX_EXIT_UNREACHED && response->error[0] != 0)
+    json_object_set_new (report, "error", json_string (response->error));
+  if (response->retry_ms[0] != 0)
     json_object_set_new (report, "retry_ms",
-                         json_integer (atoll (answer->retry_ms)));
-  if (settle.name != NULL)
-    json_object_set_new (report, settle.name, json_string (settle.value));
+                         json_integer (atoll (response->retry_ms)));
+  if (retry_flag.name != NULL)
+    json_object_set_new (report, retry_flag.name,
+                         json_string (retry_flag.value));
   mux_render_json (out, report);
   json_decref (report);
 }
 
 int
-mux_call_report (MuxCliCall *call,
-                 int code,
-                 const MuxHttpAnswer *answer,
-                 MuxHttpPair settle)
+mux_call_print_failure (MuxCliCall *call,
+                        int code,
+                        const MuxCliResponse *response,
+                        MuxHttpPair retry_flag)
 {
   json_t *body = NULL;
 
   if (code != MUX_EXIT_UNKNOWN)
-    settle.name = NULL;
-  if (answer->body != NULL)
-    body = json_loadb (answer->body, answer->body_len, 0, NULL);
+    retry_flag.name = NULL;
+  if (response->body != NULL)
+    body = json_loadb (response->body, response->body_len, 0, NULL);
   if (call->json)
-    report_machine (call->host->out, code, answer, body, settle);
+    print_failure_json (call->host->out, code, response, body, retry_flag);
   else
-    report_people (call->host->err, code, answer, body);
-  if (!call->json && settle.name != NULL)
+    print_failure_text (call->host->err, code, response, body);
+  if (!call->json && retry_flag.name != NULL)
     fprintf (call->host->err,
              "cuminmux: the same command with --%s %s settles it\n",
-             settle.name, settle.value);
+             retry_flag.name, retry_flag.value);
   json_decref (body);
   return code;
 }
@@ -142,20 +143,20 @@
                uint32_t timeout_ms,
                json_t **json)
 {
-  MuxHttpCall http = { .method = "GET",
-                       .query = { query },
-                       .timeout_ms = timeout_ms,
-                       .repeatable = true };
-  MuxHttpAnswer answer;
+  MuxCliRequest http = { .method = "GET",
+                         .query = { query },
+                         .timeout_ms = timeout_ms,
+                         .repeatable = true };
+  MuxCliResponse response;
   int code;
 
   *json = NULL;
   snprintf (http.path, sizeof http.path, "%s", path);
-  code = mux_http_exchange (call->host, &call->servers, &http, &answer);
+  code = mux_cli_exchange (call->host, &call->servers, &http, &response);
   if (code != MUX_EXIT_OK)
-    mux_call_report (call, code, &answer, (MuxHttpPair){ NULL, NULL });
-  else if ((*json = mux_call_json (call, &answer)) == NULL)
+    mux_call_print_failure (call, code, &response, (MuxHttpPair){ NULL, NULL });
+  else if ((*json = mux_call_json (call, &response)) == NULL)
     code = MUX_EXIT_UNREACHED;
-  mux_http_answer_free (&answer);
+  mux_cli_response_free (&response);
   return code;
 }
--- a/src/cli/change.c
+++ b/src/cli/change.c
@@ -6,7 +6,7 @@
 
 #define CHANGE_HEADER "Cuminmux-Change"
 #define WHO_HEADER "Cuminmux-Who"
-#define SETTLE_FLAG "change"
+#define RETRY_FLAG "change"
 
 static bool
 change_id (MuxCliCall *call, char out[MUX_ID_HEX_LEN])
@@ -26,7 +26,7 @@
 }
 
 static void
-print_waiting (FILE *err, const json_t *waiting)
+print_unconfirmed (FILE *err, const json_t *waiting)
 {
   size_t i;
   json_t *name;
@@ -44,22 +44,24 @@
 }
 
 static int
-wait_in_force (MuxCliCall *call, json_int_t revision, json_t *result)
+wait_until_applied (MuxCliCall *call, json_int_t revision, json_t *result)
 {
   json_t *waiting = NULL;
-  bool all = mux_wait_in_force (call, revision, &waiting);
+  bool all = mux_wait_until_applied (call, revision, &waiting);
 
   if (!all && !call->json)
-    print_waiting (call->host->err, waiting);
+    print_unconfirmed (call->host->err, waiting);
   json_object_set_new (result, "confirmed", json_boolean (all));
   json_object_set_new (result, "not_confirmed", waiting);
   return all ? MUX_EXIT_OK : MUX_EXIT_LATER;
 }
 
 static int
-print_committed (MuxCliCall *call, const MuxHttpAnswer *answer, const char *id)
+print_committed (MuxCliCall *call,
+                 const MuxCliResponse *response,
+                 const char *id)
 {
-  json_t *result = mux_call_json (call, answer);
+  json_t *result = mux_call_json (call, response);
   json_int_t revision
       = json_integer_value (json_object_get (result, "revision"));
   int code = MUX_EXIT_OK;
@@ -67,14 +69,14 @@
   if (result == NULL || revision <= 0)
     {
       json_decref (result);
-      return mux_call_report (call, MUX_EXIT_UNKNOWN, answer,
-                              (MuxHttpPair){ SETTLE_FLAG, id });
+      return mux_call_print_failure (call, MUX_EXIT_UNKNOWN, response,
+                                     (MuxHttpPair){ RETRY_FLAG, id });
     }
   json_object_set_new (result, "change", json_string (id));
   if (!call->json)
     fprintf (call->host->out, "revision %" JSON_INTEGER_FORMAT "\n", revision);
   if (call->args.number[MUX_ARG_WAIT] != 0)
-    code = wait_in_force (call, revision, result);
+    code = wait_until_applied (call, revision, result);
   if (call->json)
     mux_render_json (call->host->out, result);
   json_decref (result);
@@ -82,10 +84,10 @@
 }
 
 int
-mux_call_change (MuxCliCall *call, MuxHttpCall *change)
+mux_call_change (MuxCliCall *call, MuxCliRequest *change)
 {
   char id[MUX_ID_HEX_LEN];
-  MuxHttpAnswer answer;
+  MuxCliResponse response;
   int code;
 
   if (!change_id (call, id))
@@ -99,14 +101,15 @@
         = (MuxHttpPair){ WHO_HEADER, call->args.text[MUX_ARG_WHO] };
   change->timeout_ms = call->timeout_ms;
   change->write = true;
-  /* A write can take effect while its answer is lost; the daemons know the
+  /* A write can take effect while its response is lost; the daemons know the
    * change by its id, so a repeat finds its revision and changes nothing. */
   change->repeatable = true;
-  code = mux_http_exchange (call->host, &call->servers, change, &answer);
+  code = mux_cli_exchange (call->host, &call->servers, change, &response);
   if (code == MUX_EXIT_OK)
-    code = print_committed (call, &answer, id);
+    code = print_committed (call, &response, id);
   else
-    mux_call_report (call, code, &answer, (MuxHttpPair){ SETTLE_FLAG, id });
-  mux_http_answer_free (&answer);
+    mux_call_print_failure (call, code, &response,
+                            (MuxHttpPair){ RETRY_FLAG, id });
+  mux_cli_response_free (&response);
   return code;
 }
--- a/src/cli/client.c
+++ b/src/cli/client.c
@@ -65,11 +65,11 @@
  * It is built on libcurl itself. */
 
 /**
- * struct Exchange - one sending
+ * struct Transfer - one sending
  * @curl: the HTTP client
  * @headers: of the request, owned
- * @body: of the answer, as far as it came
- * @answer: being filled
+ * @body: of the response, as far as it came
+ * @response: being filled
  * @sent: the request may have left
  */
 typedef struct
@@ -77,28 +77,28 @@
   CURL *curl;
   struct curl_slist *headers;
   MuxBytes body;
-  MuxHttpAnswer *answer;
+  MuxCliResponse *response;
   bool sent;
-} Exchange;
+} Transfer;
 
 /* Called with the connection made and, under TLS, its certificate checked,
  * right before the request is sent.  A failure before this was certainly sent
  * nothing; one after it may have reached the daemon. */
 static int
-on_send (void *ctx, char *ip, char *own_ip, int port, int own_port)
+before_request (void *ctx, char *ip, char *own_ip, int port, int own_port)
 {
-  Exchange *exchange = ctx;
+  Transfer *transfer = ctx;
 
   (void) ip;
   (void) own_ip;
   (void) port;
   (void) own_port;
-  exchange->sent = true;
+  transfer->sent = true;
   return CURL_PREREQFUNC_OK;
 }
 
 static bool
-add_header (Exchange *exchange, const char *name, const char *value)
+add_header (Transfer *transfer, const char *name, const char *value)
 {
   char line[1024];
   struct curl_slist *headers;
@@ -106,29 +106,29 @@
 
   if (n < 0 || (size_t) n >= sizeof line)
     return false;
-  headers = curl_slist_append (exchange->headers, line);
+  headers = curl_slist_append (transfer->headers, line);
   if (headers != NULL)
-    exchange->headers = headers;
+    transfer->headers = headers;
   return headers != NULL;
 }
 
 static bool
-fill_headers (Exchange *exchange, const MuxHttpCall *call)
+fill_headers (Transfer *transfer, const MuxCliRequest *call)
 {
   /* curl's own would call the body a form. */
   if (call->body != NULL
-      && !add_header (exchange, "Content-Type", "application/octet-stream"))
+      && !add_header (transfer, "Content-Type", "application/octet-stream"))
     return false;
   for (const MuxHttpPair *p = call->header; p->name != NULL; p++)
-    if (!add_header (exchange, p->name, p->value))
+    if (!add_header (transfer, p->name, p->value))
       return false;
-  return curl_easy_setopt (exchange->curl, CURLOPT_HTTPHEADER,
-                           exchange->headers)
+  return curl_easy_setopt (transfer->curl, CURLOPT_HTTPHEADER,
+                           transfer->headers)
          == CURLE_OK;
 }
 
 static bool
-fill_query (CURLU *url, const MuxHttpCall *call)
+fill_query (CURLU *url, const MuxCliRequest *call)
 {
   char pair[1024];
 
@@ -146,7 +146,9 @@
 }
 
 static bool
-fill_url (Exchange *exchange, const MuxServer *server, const MuxHttpCall *call)
+fill_url (Transfer *transfer,
+          const MuxServer *server,
+          const MuxCliRequest *call)
 {
   char text[sizeof HTTPS + MUX_ADDR_LEN + sizeof call->path];
   char *whole = NULL;
@@ -159,16 +161,16 @@
            && curl_url_set (url, CURLUPART_URL, text, 0) == CURLUE_OK
            && fill_query (url, call)
            && curl_url_get (url, CURLUPART_URL, &whole, 0) == CURLUE_OK
-           && curl_easy_setopt (exchange->curl, CURLOPT_URL, whole) == CURLE_OK;
+           && curl_easy_setopt (transfer->curl, CURLOPT_URL, whole) == CURLE_OK;
   curl_free (whole);
   curl_url_cleanup (url);
   return filled;
 }
 
 static bool
-fill_tls (Exchange *exchange, const char *ca_file)
+fill_tls (Transfer *transfer, const char *ca_file)
 {
-  CURL *curl = exchange->curl;
+  CURL *curl = transfer->curl;
 
   if (ca_file == NULL)
     return true;
@@ -178,26 +180,26 @@
 }
 
 static bool
-fill_request (Exchange *exchange,
+fill_request (Transfer *transfer,
               const MuxServer *server,
               const char *ca_file,
-              const MuxHttpCall *call)
+              const MuxCliRequest *call)
 {
-  CURL *curl = exchange->curl;
+  CURL *curl = transfer->curl;
 
   curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, call->method);
-  mux_curl_set_common_options (curl, &exchange->body);
+  mux_curl_set_common_options (curl, &transfer->body);
   mux_curl_set_timeouts (curl, CONNECT_MS_MAX, (long) call->timeout_ms);
-  curl_easy_setopt (curl, CURLOPT_PREREQFUNCTION, on_send);
-  curl_easy_setopt (curl, CURLOPT_PREREQDATA, exchange);
+  curl_easy_setopt (curl, CURLOPT_PREREQFUNCTION, before_request);
+  curl_easy_setopt (curl, CURLOPT_PREREQDATA, transfer);
   if (call->body != NULL)
     {
       curl_easy_setopt (curl, CURLOPT_POSTFIELDSIZE_LARGE,
                         (curl_off_t) call->body_len);
       curl_easy_setopt (curl, CURLOPT_POSTFIELDS, call->body);
     }
-  return fill_url (exchange, server, call) && fill_headers (exchange, call)
-         && fill_tls (exchange, ca_file);
+  return fill_url (transfer, server, call) && fill_headers (transfer, call)
+         && fill_tls (transfer, ca_file);
 }
 
 static void
@@ -210,25 +212,26 @@
 }
 
 static bool
-take_answer (Exchange *exchange)
+take_response (Transfer *transfer)
 {
-  MuxHttpAnswer *answer = exchange->answer;
-  CURL *curl = exchange->curl;
+  MuxCliResponse *response = transfer->response;
+  CURL *curl = transfer->curl;
 
   /* An empty body has its closing NUL, too. */
   if (!mux_curl_response_is_framed (curl)
-      || !mux_bytes_add (&exchange->body, NULL, 0))
+      || !mux_bytes_add (&transfer->body, NULL, 0))
     return false;
-  answer->body = exchange->body.bytes;
-  answer->body_len = exchange->body.len;
-  exchange->body = (MuxBytes){ NULL, 0, 0 };
-  curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &answer->status);
-  copy_header (curl, "Cuminmux-Outcome", answer->outcome,
-               sizeof answer->outcome);
-  copy_header (curl, "Cuminmux-Reason", answer->reason, sizeof answer->reason);
-  copy_header (curl, "Cuminmux-Retry-Ms", answer->retry_ms,
-               sizeof answer->retry_ms);
-  copy_header (curl, "Cuminmux-Task", answer->task, sizeof answer->task);
+  response->body = transfer->body.bytes;
+  response->body_len = transfer->body.len;
+  transfer->body = (MuxBytes){ NULL, 0, 0 };
+  curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &response->status);
+  copy_header (curl, "Cuminmux-Outcome", response->outcome,
+               sizeof response->outcome);
+  copy_header (curl, "Cuminmux-Reason", response->reason,
+               sizeof response->reason);
+  copy_header (curl, "Cuminmux-Retry-Ms", response->retry_ms,
+               sizeof response->retry_ms);
+  copy_header (curl, "Cuminmux-Task", response->task, sizeof response->task);
   return true;
 }
 
@@ -249,45 +252,45 @@
     }
 }
 
-static MuxSent
-perform (Exchange *exchange, const MuxServer *server)
+static MuxSendResult
+perform (Transfer *transfer, const MuxServer *server)
 {
-  MuxHttpAnswer *answer = exchange->answer;
-  CURLcode code = curl_easy_perform (exchange->curl);
+  MuxCliResponse *response = transfer->response;
+  CURLcode code = curl_easy_perform (transfer->curl);
 
-  if (code == CURLE_OK && take_answer (exchange))
-    return MUX_SENT_ANSWERED;
-  if (exchange->sent)
-    return MUX_SENT_LOST;
+  if (code == CURLE_OK && take_response (transfer))
+    return MUX_SEND_ANSWERED;
+  if (transfer->sent)
+    return MUX_SEND_RESPONSE_LOST;
   if (tls_error (code) != NULL)
-    snprintf (answer->error, sizeof answer->error, "%s: %s", server->addr,
+    snprintf (response->error, sizeof response->error, "%s: %s", server->addr,
               tls_error (code));
-  return MUX_SENT_NOT_REACHED;
+  return MUX_SEND_NOT_REACHED;
 }
 
-MuxSent
-mux_http_send (const MuxServer *server,
-               const char *ca_file,
-               const MuxHttpCall *call,
-               MuxHttpAnswer *answer)
+MuxSendResult
+mux_cli_send (const MuxServer *server,
+              const char *ca_file,
+              const MuxCliRequest *call,
+              MuxCliResponse *response)
 {
-  Exchange exchange = { .curl = curl_easy_init (), .answer = answer };
-  MuxSent sent = MUX_SENT_NOT_REACHED;
-
-  memset (answer, 0, sizeof *answer);
-  if (exchange.curl == NULL)
-    return MUX_SENT_NOT_REACHED;
-  if (fill_request (&exchange, server, ca_file, call))
-    sent = perform (&exchange, server);
-  mux_bytes_deinit (&exchange.body);
-  curl_slist_free_all (exchange.headers);
-  curl_easy_cleanup (exchange.curl);
+  Transfer transfer = { .curl = curl_easy_init (), .response = response };
+  MuxSendResult sent = MUX_SEND_NOT_REACHED;
+
+  memset (response, 0, sizeof *response);
+  if (transfer.curl == NULL)
+    return MUX_SEND_NOT_REACHED;
+  if (fill_request (&transfer, server, ca_file, call))
+    sent = perform (&transfer, server);
+  mux_bytes_deinit (&transfer.body);
+  curl_slist_free_all (transfer.headers);
+  curl_easy_cleanup (transfer.curl);
   return sent;
 }
 
 void
-mux_http_answer_free (MuxHttpAnswer *answer)
+mux_cli_response_free (MuxCliResponse *response)
 {
-  free (answer->body);
-  memset (answer, 0, sizeof *answer);
+  free (response->body);
+  memset (response, 0, sizeof *response);
 }
--- a/src/cli/client.h
+++ b/src/cli/client.h
@@ -51,14 +51,14 @@
 } MuxHttpPair;
 
 /**
- * struct MuxHttpCall - one call to the interface
+ * struct MuxCliRequest - one call to the interface
  * @method: HTTP method
  * @path: path from "/v1" on
  * @query: parameters, closed by a NULL name
  * @header: headers, closed by a NULL name
  * @body: bytes to send, or NULL
  * @body_len: length of @body
- * @timeout_ms: longest wait for the answer
+ * @timeout_ms: longest wait for the response
  * @write: it may change or run something
  * @repeatable: sending it again can't make it take effect twice
  */
@@ -73,10 +73,10 @@
   uint32_t timeout_ms;
   bool write;
   bool repeatable;
-} MuxHttpCall;
+} MuxCliRequest;
 
 /**
- * struct MuxHttpAnswer - the answer of a daemon
+ * struct MuxCliResponse - the response of a daemon
  * @status: HTTP status; 0: none came
  * @body: its bytes and a closing NUL, owned; NULL: none came
  * @body_len: length of @body
@@ -96,41 +96,41 @@
   char retry_ms[24];
   char task[MUX_ID_HEX_LEN];
   char error[160];
-} MuxHttpAnswer;
+} MuxCliResponse;
 
 /**
- * enum MuxSent - how one sending of a call ended
+ * enum MuxSendResult - how one sending of a call ended
  */
 typedef enum
 {
-  MUX_SENT_ANSWERED,
-  MUX_SENT_NOT_REACHED, /* nothing was sent */
-  MUX_SENT_LOST,        /* it may have been sent; no whole answer came */
-} MuxSent;
+  MUX_SEND_ANSWERED,
+  MUX_SEND_NOT_REACHED,   /* nothing was sent */
+  MUX_SEND_RESPONSE_LOST, /* it may have been sent; no whole response came */
+} MuxSendResult;
 
-/** mux_http_send() - send @call once to @server
+/** mux_cli_send() - send @call once to @server
  * @ca_file: as in struct MuxServers
- * @answer: filled; its @error alone unless it was answered */
-MuxSent mux_http_send (const MuxServer *server,
-                       const char *ca_file,
-                       const MuxHttpCall *call,
-                       MuxHttpAnswer *answer);
+ * @response: filled; its @error alone unless it was answered */
+MuxSendResult mux_cli_send (const MuxServer *server,
+                            const char *ca_file,
+                            const MuxCliRequest *call,
+                            MuxCliResponse *response);
 
 /**
- * mux_http_exchange() - send @call until a daemon settles it
+ * mux_cli_exchange() - send @call until a daemon settles it
  *
- * A call moves on to the next daemon when it was not sent, when the answer
- * says that it was not run, or when @call is repeatable.  Once an answer was
+ * A call moves on to the next daemon when it was not sent, when the response
+ * says that it was not run, or when @call is repeatable.  Once an response was
  * lost, the daemons are asked a second time round.
  *
- * Return: an enum MuxExit.  @answer holds the last answer and must be freed
- * with mux_http_answer_free() in every case.
+ * Return: an enum MuxExit.  @response holds the last response and must be freed
+ * with mux_cli_response_free() in every case.
  */
-int mux_http_exchange (MuxCliHost *host,
-                       const MuxServers *servers,
-                       const MuxHttpCall *call,
-                       MuxHttpAnswer *answer);
+int mux_cli_exchange (MuxCliHost *host,
+                      const MuxServers *servers,
+                      const MuxCliRequest *call,
+                      MuxCliResponse *response);
 
-void mux_http_answer_free (MuxHttpAnswer *answer);
+void mux_cli_response_free (MuxCliResponse *response);
 
 #endif
--- a/src/cli/config.c
+++ b/src/cli/config.c
@@ -34,7 +34,7 @@
 }
 
 static void
-config_path (const MuxCliCall *call, const char *tail, MuxHttpCall *http)
+config_path (const MuxCliCall *call, const char *tail, MuxCliRequest *http)
 {
   const char *name = call->args.text[MUX_ARG_NAME];
 
@@ -43,7 +43,7 @@
 }
 
 static void
-add_expect (const MuxCliCall *call, MuxHttpCall *http)
+add_expect (const MuxCliCall *call, MuxCliRequest *http)
 {
   const char *expect = call->args.text[MUX_ARG_EXPECT];
 
@@ -55,7 +55,7 @@
 static int
 set_object (MuxCliCall *call, json_t *json, Check check)
 {
-  MuxHttpCall http = { .method = "PUT" };
+  MuxCliRequest http = { .method = "PUT" };
   MuxFindings *findings = calloc (1, sizeof *findings);
   char *body = json_dumps (json, JSON_COMPACT);
   int code = MUX_EXIT_USAGE;
@@ -64,7 +64,7 @@
     fputs ("cuminmux: memory is out\n", call->host->err);
   else if (!check (json, findings))
     {
-      mux_args_name_flags (findings);
+      mux_args_fields_to_flags (findings);
       mux_findings_print (call->host->err, findings);
     }
   else
@@ -82,7 +82,7 @@
 }
 
 static json_t *
-number_of (const MuxCliCall *call, MuxArg arg)
+number_arg (const MuxCliCall *call, MuxArg arg)
 {
   return json_integer (call->args.number[arg]);
 }
@@ -91,19 +91,19 @@
 mux_verb_class_set (MuxCliCall *call)
 {
   const char *const *text = call->args.text;
-  json_t *json
-      = json_pack ("{s:s, s:s, s:b, s:o, s:o, s:{s:o, s:o, s:o}}", "product",
-                   text[MUX_ARG_PRODUCT], "kind", text[MUX_ARG_KIND],
-                   "idempotent", strcmp (text[MUX_ARG_IDEMPOTENT], "yes") == 0,
-                   "start_within_ms", number_of (call, MUX_ARG_START_WITHIN_MS),
-                   "run_ms", number_of (call, MUX_ARG_RUN_MS), "size",
-                   "cpu_milli", number_of (call, MUX_ARG_CPU_MILLI), "mem_mib",
-                   number_of (call, MUX_ARG_MEM_MIB), "accels",
-                   number_of (call, MUX_ARG_ACCELS));
+  json_t *json = json_pack (
+      "{s:s, s:s, s:b, s:o, s:o, s:{s:o, s:o, s:o}}", "product",
+      text[MUX_ARG_PRODUCT], "kind", text[MUX_ARG_KIND], "idempotent",
+      strcmp (text[MUX_ARG_IDEMPOTENT], "yes") == 0, "start_within_ms",
+      number_arg (call, MUX_ARG_START_WITHIN_MS), "run_ms",
+      number_arg (call, MUX_ARG_RUN_MS), "size", "cpu_milli",
+      number_arg (call, MUX_ARG_CPU_MILLI), "mem_mib",
+      number_arg (call, MUX_ARG_MEM_MIB), "accels",
+      number_arg (call, MUX_ARG_ACCELS));
 
   if (text[MUX_ARG_SHARE_PPM] != NULL)
     json_object_set_new (json, "start_share_ppm",
-                         number_of (call, MUX_ARG_SHARE_PPM));
+                         number_arg (call, MUX_ARG_SHARE_PPM));
   return set_object (call, json, check_class);
 }
 
@@ -111,10 +111,10 @@
 mux_verb_product_set (MuxCliCall *call)
 {
   json_t *json = json_pack ("{s:{s:o, s:o, s:o, s:o}}", "quota", "cpu_milli",
-                            number_of (call, MUX_ARG_CPU_MILLI), "mem_mib",
-                            number_of (call, MUX_ARG_MEM_MIB), "accels",
-                            number_of (call, MUX_ARG_ACCELS), "slots",
-                            number_of (call, MUX_ARG_SLOTS));
+                            number_arg (call, MUX_ARG_CPU_MILLI), "mem_mib",
+                            number_arg (call, MUX_ARG_MEM_MIB), "accels",
+                            number_arg (call, MUX_ARG_ACCELS), "slots",
+                            number_arg (call, MUX_ARG_SLOTS));
 
   return set_object (call, json, check_product);
 }
@@ -123,7 +123,7 @@
 mux_verb_cell_set (MuxCliCall *call)
 {
   json_t *json
-      = json_pack ("{s:o}", "idle_ppm", number_of (call, MUX_ARG_IDLE_PPM));
+      = json_pack ("{s:o}", "idle_ppm", number_arg (call, MUX_ARG_IDLE_PPM));
 
   return set_object (call, json, check_cell);
 }
@@ -131,7 +131,7 @@
 int
 mux_verb_config_rm (MuxCliCall *call)
 {
-  MuxHttpCall http = { .method = "DELETE" };
+  MuxCliRequest http = { .method = "DELETE" };
 
   config_path (call, "", &http);
   add_expect (call, &http);
@@ -141,17 +141,17 @@
 int
 mux_verb_config_revert (MuxCliCall *call)
 {
-  MuxHttpCall http = { .method = "POST",
-                       .query = { { "to", call->args.text[MUX_ARG_TO] } } };
+  MuxCliRequest http = { .method = "POST",
+                         .query = { { "to", call->args.text[MUX_ARG_TO] } } };
 
   config_path (call, "/revert", &http);
   return mux_call_change (call, &http);
 }
 
 int
-mux_verb_drain (MuxCliCall *call)
+mux_verb_worker_drain (MuxCliCall *call)
 {
-  MuxHttpCall http = { .method = "POST" };
+  MuxCliRequest http = { .method = "POST" };
 
   snprintf (http.path, sizeof http.path, "/v1/workers/%s/%s",
             call->args.text[MUX_ARG_NAME], call->verb->name);
@@ -161,7 +161,7 @@
 int
 mux_verb_config_get (MuxCliCall *call)
 {
-  MuxHttpCall http = { .path = "" };
+  MuxCliRequest http = { .path = "" };
   json_t *json;
   int code;
 
--- a/src/cli/event_lines.c
+++ b/src/cli/event_lines.c
@@ -21,7 +21,7 @@
 }
 
 static bool
-read_lines (FILE *in, MuxEventTake take, void *user)
+read_lines (FILE *in, MuxEventHandler handler, void *user)
 {
   char line[LINE_MAX_LEN];
 
@@ -32,7 +32,7 @@
                          ? json_loads (begin, JSON_DISABLE_EOF_CHECK, NULL)
                          : NULL;
 
-      if (json != NULL && !take (user, json))
+      if (json != NULL && !handler (user, json))
         return false;
     }
   return true;
@@ -54,14 +54,14 @@
 }
 
 int
-mux_event_lines_read (MuxCliCall *call, MuxEventTake take, void *user)
+mux_event_lines_read (MuxCliCall *call, MuxEventHandler handler, void *user)
 {
   FILE *in = open_log (call);
   int code = MUX_EXIT_OK;
 
   if (in == NULL)
     return MUX_EXIT_USAGE;
-  if (!read_lines (in, take, user))
+  if (!read_lines (in, handler, user))
     {
       fputs ("cuminmux: memory is out\n", call->host->err);
       code = MUX_EXIT_LATER;
--- a/src/cli/event_lines.h
+++ b/src/cli/event_lines.h
@@ -6,7 +6,7 @@
 #include <stdbool.h>
 
 /* Takes a line over; false: memory is out. */
-typedef bool (*MuxEventTake) (void *user, json_t *json);
+typedef bool (*MuxEventHandler) (void *user, json_t *json);
 
 /**
  * mux_event_lines_read() - the JSON lines of daemons' logs, from the verb's
@@ -14,7 +14,8 @@
  * Whatever stands before a line's JSON, and lines without any, are passed over.
  * Return: an enum MuxExit; what went wrong is printed.
  */
-int mux_event_lines_read (MuxCliCall *call, MuxEventTake take, void *user);
+int
+mux_event_lines_read (MuxCliCall *call, MuxEventHandler handler, void *user);
 
 /** mux_event_text() - a field's text; "" when it has none */
 const char *mux_event_text (const json_t *json, const char *field);
--- a/src/cli/exchange.c
+++ b/src/cli/exchange.c
@@ -18,43 +18,43 @@
 }
 
 static int
-exit_of_read (const MuxHttpAnswer *answer)
+read_exit_code (const MuxCliResponse *response)
 {
-  if (status_is_ok (answer->status))
+  if (status_is_ok (response->status))
     return MUX_EXIT_OK;
-  if (answer->status == HTTP_TOO_MANY || answer->status == HTTP_UNAVAILABLE
-      || answer->status == HTTP_GATEWAY_TIMEOUT)
+  if (response->status == HTTP_TOO_MANY || response->status == HTTP_UNAVAILABLE
+      || response->status == HTTP_GATEWAY_TIMEOUT)
     return MUX_EXIT_LATER;
   return MUX_EXIT_REFUSED;
 }
 
 static int
-exit_of_write (const MuxHttpAnswer *answer)
+write_exit_code (const MuxCliResponse *response)
 {
-  bool later
-      = answer->status == HTTP_TOO_MANY || answer->status == HTTP_UNAVAILABLE;
+  bool later = response->status == HTTP_TOO_MANY
+               || response->status == HTTP_UNAVAILABLE;
 
-  if (status_is_ok (answer->status))
+  if (status_is_ok (response->status))
     return MUX_EXIT_OK;
-  if (strcmp (answer->outcome, "not_run") == 0)
+  if (strcmp (response->outcome, "not_run") == 0)
     return later ? MUX_EXIT_LATER : MUX_EXIT_REFUSED;
-  if (strcmp (answer->outcome, "failed") == 0)
+  if (strcmp (response->outcome, "failed") == 0)
     return MUX_EXIT_REFUSED;
-  if (strcmp (answer->outcome, "unknown") == 0 || answer->status >= 500)
+  if (strcmp (response->outcome, "unknown") == 0 || response->status >= 500)
     return MUX_EXIT_UNKNOWN;
   return later ? MUX_EXIT_LATER : MUX_EXIT_REFUSED;
 }
 
-/* After a lost answer, "not run" speaks of the repeat alone: the first sending
- * may have taken effect, or still may.  Only a malformed call, which no daemon
- * takes, and a condition on a revision that is past rule that out. */
+/* After a lost response, "not run" speaks of the repeat alone: the first
+ * sending may have taken effect, or still may.  Only a malformed call, which no
+ * daemon takes, and a condition on a revision that is past rule that out. */
 static bool
-settles_lost (const MuxHttpCall *call, const MuxHttpAnswer *answer)
+resolves_lost (const MuxCliRequest *call, const MuxCliResponse *response)
 {
-  if (status_is_ok (answer->status) || answer->status == HTTP_BAD_REQUEST)
+  if (status_is_ok (response->status) || response->status == HTTP_BAD_REQUEST)
     return true;
-  if (answer->status != HTTP_CONFLICT
-      || strcmp (answer->reason, "revision") != 0)
+  if (response->status != HTTP_CONFLICT
+      || strcmp (response->reason, "revision") != 0)
     return false;
   for (const MuxHttpPair *p = call->query; p->name != NULL; p++)
     if (strcmp (p->name, "expect") == 0)
@@ -65,7 +65,7 @@
 /**
  * struct Progress - what the sendings of one call have come to
  * @code: the best known enum MuxExit
- * @lost: a sending may have taken effect without its answer
+ * @lost: a sending may have taken effect without its response
  * @done: no further sending helps
  */
 typedef struct
@@ -76,7 +76,7 @@
 } Progress;
 
 static void
-note_lost (Progress *progress, const MuxHttpCall *call)
+note_lost (Progress *progress, const MuxCliRequest *call)
 {
   if (!call->write)
     return;
@@ -86,59 +86,61 @@
 }
 
 static void
-note_answer (Progress *progress,
-             const MuxHttpCall *call,
-             const MuxHttpAnswer *answer)
+note_response (Progress *progress,
+               const MuxCliRequest *call,
+               const MuxCliResponse *response)
 {
-  int code = call->write ? exit_of_write (answer) : exit_of_read (answer);
+  int code
+      = call->write ? write_exit_code (response) : read_exit_code (response);
 
   if (code == MUX_EXIT_UNKNOWN)
     {
       note_lost (progress, call);
       return;
     }
-  if (progress->lost && !settles_lost (call, answer))
+  if (progress->lost && !resolves_lost (call, response))
     return;
   progress->code = code;
-  progress->done = code != MUX_EXIT_LATER || answer->status != HTTP_UNAVAILABLE;
+  progress->done
+      = code != MUX_EXIT_LATER || response->status != HTTP_UNAVAILABLE;
 }
 
 static void
 send_round (const MuxServers *servers,
-            const MuxHttpCall *call,
-            MuxHttpAnswer *answer,
+            const MuxCliRequest *call,
+            MuxCliResponse *response,
             Progress *progress)
 {
   for (uint32_t i = 0; i < servers->count && !progress->done; i++)
     {
-      MuxHttpAnswer fresh = { .status = 0 };
-      MuxSent sent
-          = mux_http_send (&servers->server[i], servers->ca_file, call, &fresh);
+      MuxCliResponse fresh = { .status = 0 };
+      MuxSendResult sent
+          = mux_cli_send (&servers->server[i], servers->ca_file, call, &fresh);
 
-      if (sent == MUX_SENT_LOST)
+      if (sent == MUX_SEND_RESPONSE_LOST)
         note_lost (progress, call);
       if (fresh.error[0] != 0)
-        memcpy (answer->error, fresh.error, sizeof answer->error);
-      if (sent != MUX_SENT_ANSWERED)
+        memcpy (response->error, fresh.error, sizeof response->error);
+      if (sent != MUX_SEND_ANSWERED)
         continue;
-      mux_http_answer_free (answer);
-      *answer = fresh;
-      note_answer (progress, call, answer);
+      mux_cli_response_free (response);
+      *response = fresh;
+      note_response (progress, call, response);
     }
 }
 
 int
-mux_http_exchange (MuxCliHost *host,
-                   const MuxServers *servers,
-                   const MuxHttpCall *call,
-                   MuxHttpAnswer *answer)
+mux_cli_exchange (MuxCliHost *host,
+                  const MuxServers *servers,
+                  const MuxCliRequest *call,
+                  MuxCliResponse *response)
 {
   Progress progress = { .code = MUX_EXIT_UNREACHED };
 
-  memset (answer, 0, sizeof *answer);
+  memset (response, 0, sizeof *response);
   for (int round = 0; round < ROUNDS_MAX; round++)
     {
-      send_round (servers, call, answer, &progress);
+      send_round (servers, call, response, &progress);
       if (progress.done || !progress.lost)
         break;
       if (round + 1 < ROUNDS_MAX)
--- a/src/cli/explain.c
+++ b/src/cli/explain.c
@@ -18,17 +18,17 @@
   const char *job;
   Event *event;
   size_t count;
-  size_t room;
-} Story;
+  size_t capacity;
+} History;
 
-/* What is told of an event: a sentence with fields in braces. */
+/* What is_event told of an event: a template with fields in braces. */
 typedef struct
 {
   const char *event;
-  const char *sentence;
-} Sentence;
+  const char *template;
+} Template;
 
-static const Sentence sentences[] = {
+static const Template templates[] = {
   { "accepted", "accepted into queue {queue} ({why})" },
   { "refused", "not accepted, or not known to be: {why}" },
   { "cancel", "its cancel was answered ({outcome})" },
@@ -72,62 +72,62 @@
   { "worker_dead", "worker {worker} counts as dead: {why}" },
 };
 
-static const Sentence *
-sentence_of (const char *event)
+static const Template *
+find_template (const char *event)
 {
-  for (size_t i = 0; i < sizeof sentences / sizeof sentences[0]; i++)
-    if (strcmp (sentences[i].event, event) == 0)
-      return &sentences[i];
+  for (size_t i = 0; i < sizeof templates / sizeof templates[0]; i++)
+    if (strcmp (templates[i].event, event) == 0)
+      return &templates[i];
   return NULL;
 }
 
 static bool
-is_of (const Story *story, const json_t *json)
+concerns_job (const History *history, const json_t *json)
 {
-  return strcmp (mux_event_text (json, "job"), story->job) == 0;
+  return strcmp (mux_event_text (json, "job"), history->job) == 0;
 }
 
-/* Of the job itself, or of what all jobs depend on.  A line whose job is empty
- * speaks of a whole queue, such as the count of its waiting jobs. */
+/* Of the job itself, or of what all jobs depend on.  A line whose job is_event
+ * empty speaks of a whole queue, such as the count of its waiting jobs. */
 static bool
-belongs (const Story *story, const json_t *json)
+is_relevant (const History *history, const json_t *json)
 {
-  if (sentence_of (mux_event_text (json, "event")) == NULL)
+  if (find_template (mux_event_text (json, "event")) == NULL)
     return false;
-  return json_object_get (json, "job") == NULL || is_of (story, json);
+  return json_object_get (json, "job") == NULL || concerns_job (history, json);
 }
 
 static bool
-keep (Story *story, json_t *json)
+append_event (History *history, json_t *json)
 {
   Event *event;
 
-  if (story->count == story->room)
+  if (history->count == history->capacity)
     {
-      size_t room = story->room > 0 ? 2 * story->room : 64;
+      size_t capacity = history->capacity > 0 ? 2 * history->capacity : 64;
 
-      event = realloc (story->event, room * sizeof *event);
+      event = realloc (history->event, capacity * sizeof *event);
       if (event == NULL)
         return false;
-      story->event = event;
-      story->room = room;
+      history->event = event;
+      history->capacity = capacity;
     }
-  story->event[story->count]
+  history->event[history->count]
       = (Event){ json_integer_value (json_object_get (json, "wall_ms")),
-                 story->count, json };
-  story->count++;
+                 history->count, json };
+  history->count++;
   return true;
 }
 
 static bool
-take (void *user, json_t *json)
+take_event (void *user, json_t *json)
 {
-  Story *story = user;
+  History *history = user;
 
-  bool kept = belongs (story, json);
-  bool ok = !kept || keep (story, json);
+  bool relevant = is_relevant (history, json);
+  bool ok = !relevant || append_event (history, json);
 
-  if (!kept || !ok)
+  if (!relevant || !ok)
     json_decref (json);
   return ok;
 }
@@ -144,7 +144,7 @@
 }
 
 static bool
-of_job (const Event *event)
+has_job (const Event *event)
 {
   return json_object_get (event->json, "job") != NULL;
 }
@@ -165,7 +165,7 @@
 print_event (FILE *out, const Event *event, int64_t begin_ms)
 {
   const char *at
-      = sentence_of (mux_event_text (event->json, "event"))->sentence;
+      = find_template (mux_event_text (event->json, "event"))->template;
   char *instance = mux_render_text (json_object_get (event->json, "instance"));
 
   fprintf (out, "%+8" PRId64 " ms  %s: ", event->wall_ms - begin_ms,
@@ -187,7 +187,7 @@
 }
 
 static bool
-is (const Event *event, const char *name)
+is_event (const Event *event, const char *name)
 {
   return strcmp (mux_event_text (event->json, "event"), name) == 0;
 }
@@ -201,7 +201,7 @@
   uint32_t failed;
   uint32_t lost;
   const char *why_failing;
-  uint32_t stood_still;
+  uint32_t stalled;
   uint32_t takeovers;
   uint32_t placed;
   uint32_t placed_late;   /* too late for the promised time */
@@ -212,11 +212,11 @@
 } Counts;
 
 static const Event *
-end_of (const Story *story, size_t first, size_t last)
+end_of (const History *history, size_t first, size_t last)
 {
   for (size_t i = last + 1; i > first; i--)
-    if (is (&story->event[i - 1], "job_ended"))
-      return &story->event[i - 1];
+    if (is_event (&history->event[i - 1], "job_ended"))
+      return &history->event[i - 1];
   return NULL;
 }
 
@@ -225,41 +225,42 @@
 {
   const char *end = mux_event_text (event->json, "end");
 
-  counts->cancelled |= is (event, "cancelling");
-  counts->failed += is (event, "run_ended") && strcmp (end, "failed") == 0;
-  counts->lost += is (event, "run_ended") && strcmp (end, "lapsed") == 0;
-  if (is (event, "job_failing"))
+  counts->cancelled |= is_event (event, "cancelling");
+  counts->failed
+      += is_event (event, "run_ended") && strcmp (end, "failed") == 0;
+  counts->lost += is_event (event, "run_ended") && strcmp (end, "lapsed") == 0;
+  if (is_event (event, "job_failing"))
     counts->why_failing = mux_event_text (event->json, "why");
-  counts->stood_still += is (event, "run_still");
-  counts->takeovers += is (event, "planner_began");
-  counts->placed += is (event, "placed");
+  counts->stalled += is_event (event, "run_still");
+  counts->takeovers += is_event (event, "planner_began");
+  counts->placed += is_event (event, "placed");
   counts->placed_late
-      += is (event, "placed")
+      += is_event (event, "placed")
          && json_integer_value (json_object_get (event->json, "late_ms")) > 0;
   counts->store_failing
-      += is (event, "store_failing") && counts->ended != NULL
+      += is_event (event, "store_failing") && counts->ended != NULL
          && strcmp (mux_event_text (event->json, "instance"),
                     mux_event_text (counts->ended->json, "instance"))
                 == 0;
 }
 
 static Counts
-count_events (const Story *story, size_t first, size_t last)
+count_events (const History *history, size_t first, size_t last)
 {
-  Counts counts = { .ended = end_of (story, first, last),
+  Counts counts = { .ended = end_of (history, first, last),
                     .why_refused = "",
                     .why_failing = "" };
 
   for (size_t i = first; i <= last; i++)
     {
-      const Event *event = &story->event[i];
+      const Event *event = &history->event[i];
 
-      if (is (event, "refused") && !counts.accepted)
+      if (is_event (event, "refused") && !counts.accepted)
         {
           counts.refused++;
           counts.why_refused = mux_event_text (event->json, "why");
         }
-      counts.accepted |= is (event, "accepted");
+      counts.accepted |= is_event (event, "accepted");
       if (counts.accepted && (counts.ended == NULL || event <= counts.ended))
         count_event (&counts, event);
     }
@@ -310,7 +311,7 @@
     return "another daemon took the planning over while it ran or waited";
   if (counts->lost > 0)
     return "a worker with its tasks was lost";
-  if (counts->stood_still > 0)
+  if (counts->stalled > 0)
     return "its tasks stood still on a worker and were run elsewhere";
   if (counts->failed > 0)
     return "failed runs were repeated";
@@ -322,11 +323,11 @@
 }
 
 static bool
-names_worker (const Story *story, const char *worker)
+job_ran_on (const History *history, const char *worker)
 {
-  for (size_t i = 0; i < story->count; i++)
-    if (of_job (&story->event[i])
-        && strcmp (mux_event_text (story->event[i].json, "worker"), worker)
+  for (size_t i = 0; i < history->count; i++)
+    if (has_job (&history->event[i])
+        && strcmp (mux_event_text (history->event[i].json, "worker"), worker)
                == 0)
       return true;
   return false;
@@ -334,58 +335,58 @@
 
 /* Troubles of a worker are told if the job had a run there. */
 static bool
-is_told (const Story *story, const Event *event)
+is_printed (const History *history, const Event *event)
 {
   const char *worker = mux_event_text (event->json, "worker");
 
-  return of_job (event) || worker[0] == 0 || names_worker (story, worker);
+  return has_job (event) || worker[0] == 0 || job_ran_on (history, worker);
 }
 
 static void
-print_story (const Story *story, FILE *out, size_t first, size_t last)
+print_history (const History *history, FILE *out, size_t first, size_t last)
 {
-  Counts counts = count_events (story, first, last);
+  Counts counts = count_events (history, first, last);
 
   for (size_t i = first; i <= last; i++)
-    if (is_told (story, &story->event[i]))
-      print_event (out, &story->event[i], story->event[first].wall_ms);
+    if (is_printed (history, &history->event[i]))
+      print_event (out, &history->event[i], history->event[first].wall_ms);
   fprintf (out, "cause: %s\n", cause_of (&counts));
 }
 
 static int
-tell (Story *story, MuxCliCall *call)
+explain (History *history, MuxCliCall *call)
 {
-  size_t first = story->count;
+  size_t first = history->count;
   size_t last = 0;
 
-  if (story->count > 0)
-    qsort (story->event, story->count, sizeof *story->event, by_time);
-  for (size_t i = 0; i < story->count; i++)
-    if (of_job (&story->event[i]))
+  if (history->count > 0)
+    qsort (history->event, history->count, sizeof *history->event, by_time);
+  for (size_t i = 0; i < history->count; i++)
+    if (has_job (&history->event[i]))
       {
-        first = first == story->count ? i : first;
+        first = first == history->count ? i : first;
         last = i;
       }
-  if (first == story->count)
+  if (first == history->count)
     {
       fprintf (call->host->err, "cuminmux: no line speaks of job %s\n",
-               story->job);
+               history->job);
       return MUX_EXIT_REFUSED;
     }
-  print_story (story, call->host->out, first, last);
+  print_history (history, call->host->out, first, last);
   return MUX_EXIT_OK;
 }
 
 int
 mux_verb_explain (MuxCliCall *call)
 {
-  Story story = { .job = call->args.text[MUX_ARG_NAME] };
-  int code = mux_event_lines_read (call, take, &story);
+  History history = { .job = call->args.text[MUX_ARG_NAME] };
+  int code = mux_event_lines_read (call, take_event, &history);
 
   if (code == MUX_EXIT_OK)
-    code = tell (&story, call);
-  for (size_t i = 0; i < story.count; i++)
-    json_decref (story.event[i].json);
-  free (story.event);
+    code = explain (&history, call);
+  for (size_t i = 0; i < history.count; i++)
+    json_decref (history.event[i].json);
+  free (history.event);
   return code;
 }
--- a/src/cli/merge.c
+++ b/src/cli/merge.c
@@ -34,18 +34,18 @@
 }
 
 static json_t *
-merge_rows (const json_t *answers,
+merge_rows (const json_t *responses,
             const char *field,
             const char *name_field,
             void (*merge) (json_t *kept, const json_t *row))
 {
   json_t *rows = json_array ();
   size_t i, k;
-  json_t *answer, *row;
+  json_t *response, *row;
 
-  json_array_foreach ((json_t *) answers, i, answer)
+  json_array_foreach ((json_t *) responses, i, response)
   {
-    json_array_foreach (json_object_get (answer, field), k, row)
+    json_array_foreach (json_object_get (response, field), k, row)
         add_row (rows, name_field, row, merge);
   }
   return rows;
@@ -63,9 +63,9 @@
 }
 
 json_t *
-mux_merge_workers (const json_t *answers)
+mux_merge_workers (const json_t *responses)
 {
-  return merge_rows (answers, "workers", "worker", merge_worker);
+  return merge_rows (responses, "workers", "worker", merge_worker);
 }
 
 static void
@@ -86,9 +86,9 @@
 }
 
 json_t *
-mux_merge_risk (const json_t *answers)
+mux_merge_risk (const json_t *responses)
 {
-  return merge_rows (answers, "classes", "class", merge_class);
+  return merge_rows (responses, "classes", "class", merge_class);
 }
 
 static json_t *
@@ -109,11 +109,11 @@
 }
 
 void
-mux_merge_status (json_t *answers)
+mux_merge_status (json_t *responses)
 {
   size_t i;
   json_t *status;
 
-  json_array_foreach (answers, i, status)
+  json_array_foreach (responses, i, status)
       json_object_set_new (status, "not_live", members_not_live (status));
 }
--- a/src/cli/merge.h
+++ b/src/cli/merge.h
@@ -4,8 +4,8 @@
 #include <jansson.h>
 
 /**
- * mux_merge_workers() - one row for each worker, from many daemons' answers
- * @answers: array of answers to GET /v1/workers
+ * mux_merge_workers() - one row for each worker, from many daemons' responses
+ * @responses: array of responses to GET /v1/workers
  *
  * The row is that of the daemon that holds the worker; while it changes hands
  * and two say so, that of the higher epoch.  Of a worker that none holds it
@@ -13,24 +13,24 @@
  *
  * Return: an array owned by the caller.
  */
-json_t *mux_merge_workers (const json_t *answers);
+json_t *mux_merge_workers (const json_t *responses);
 
 /**
- * mux_merge_risk() - one row for each class, from many daemons' answers
- * @answers: array of answers to GET /v1/risk
+ * mux_merge_risk() - one row for each class, from many daemons' responses
+ * @responses: array of responses to GET /v1/risk
  *
  * The row is that with the worst forecast; the queues are added up, the
  * longest p99 is kept, and it is at risk if any daemon says so.
  *
  * Return: an array owned by the caller.
  */
-json_t *mux_merge_risk (const json_t *answers);
+json_t *mux_merge_risk (const json_t *responses);
 
 /**
  * mux_merge_status() - one row for each daemon, as it sees itself
- * @answers: array of answers to GET /v1/status; "not_live" is added to each,
- *   the members that it doesn't hear
+ * @responses: array of responses to GET /v1/status; "not_live" is added to
+ * each, the members that it doesn't hear
  */
-void mux_merge_status (json_t *answers);
+void mux_merge_status (json_t *responses);
 
 #endif
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -24,7 +24,7 @@
 {
   LATE_RUNS,     /* a run failed, was lost, or stood still */
   LATE_TAKEOVER, /* the planner changed while the job was open */
-  LATE_WORKERS,  /* it waited for workers that were not heard */
+  LATE_UNHEARD,  /* it waited for workers that were not heard */
   LATE_POLICY,   /* most of its wait were questions to the policy service */
   LATE_ROOM,     /* it waited for room */
   LATE_ESTIMATE, /* placed in time, it ran longer than declared */
@@ -33,7 +33,7 @@
 
 static const char *const late_names[LATE_COUNT] = {
   [LATE_RUNS] = "late_runs",       [LATE_TAKEOVER] = "late_takeover",
-  [LATE_WORKERS] = "late_unheard", [LATE_POLICY] = "late_policy",
+  [LATE_UNHEARD] = "late_unheard", [LATE_POLICY] = "late_policy",
   [LATE_ROOM] = "late_room",       [LATE_ESTIMATE] = "late_estimate",
 };
 
@@ -46,12 +46,12 @@
   int64_t ended_ms;
   int64_t took_ms;
   int64_t due_ms;
-  int64_t asked_ms; /* of the policy service, in all */
+  int64_t query_ms; /* of the policy service, in all */
   int64_t work_ms;  /* its core-time as declared; 0: not told */
   bool completed;
-  bool bad_run;
+  bool failed_run;
   bool placed_late;
-  bool unheard;
+  bool workers_unheard;
   uint32_t refused; /* tries */
   int64_t refused_ms;
   UT_hash_handle hh;
@@ -67,7 +67,7 @@
   uint32_t late[LATE_COUNT];
   uint32_t failed;
   uint32_t open;
-  int64_t asked_ms;
+  int64_t query_ms;
   uint32_t wait_count;
   int64_t *wait_ms;
   MuxSizedJobs sized;
@@ -101,7 +101,7 @@
 }
 
 static bool
-add_number (int64_t **list, uint32_t *count, int64_t value)
+append_number (int64_t **list, uint32_t *count, int64_t value)
 {
   int64_t *more = realloc (*list, (*count + 1) * sizeof *more);
 
@@ -113,7 +113,7 @@
 }
 
 static void
-take_door_event (Job *job, const json_t *json, const char *event)
+take_http_event (Job *job, const json_t *json, const char *event)
 {
   int64_t at_ms = mux_event_number (json, "wall_ms");
 
@@ -143,13 +143,14 @@
       job->placed_late |= mux_event_number (json, "late_ms") > 0;
     }
   else if (strcmp (event, "approvals") == 0)
-    job->asked_ms += mux_event_number (json, "took_ms");
+    job->query_ms += mux_event_number (json, "took_ms");
   else if (strcmp (event, "run_ended") == 0)
-    job->bad_run |= strcmp (end, "failed") == 0 || strcmp (end, "lapsed") == 0;
+    job->failed_run
+        |= strcmp (end, "failed") == 0 || strcmp (end, "lapsed") == 0;
   else if (strcmp (event, "run_still") == 0)
-    job->bad_run = true;
+    job->failed_run = true;
   else if (strcmp (event, "step_waits") == 0)
-    job->unheard
+    job->workers_unheard
         |= strcmp (mux_event_text (json, "lacks"), "workers_unheard") == 0;
   else if (strcmp (event, "job_ended") == 0)
     {
@@ -162,24 +163,25 @@
 }
 
 static bool
-take (void *user, json_t *json)
+take_line (void *user, json_t *json)
 {
   Report *report = user;
   const char *event = mux_event_text (json, "event");
   const char *id = mux_event_text (json, "job");
-  bool door = strcmp (event, "accepted") == 0 || strcmp (event, "refused") == 0;
+  bool from_http
+      = strcmp (event, "accepted") == 0 || strcmp (event, "refused") == 0;
   bool ok = true;
   Job *job;
 
   if (strcmp (event, "planner_began") == 0)
-    ok = add_number (&report->takeover_ms, &report->takeover_count,
-                     mux_event_number (json, "wall_ms"));
+    ok = append_number (&report->takeover_ms, &report->takeover_count,
+                        mux_event_number (json, "wall_ms"));
   else if (id[0] != 0)
     {
       job = job_of (report, id);
       ok = job != NULL;
-      if (ok && door)
-        take_door_event (job, json, event);
+      if (ok && from_http)
+        take_http_event (job, json, event);
       else if (ok)
         take_plan_event (job, json, event);
     }
@@ -202,13 +204,13 @@
 {
   if (planner_changed (report, job))
     return LATE_TAKEOVER;
-  if (job->bad_run)
+  if (job->failed_run)
     return LATE_RUNS;
   if (!job->placed_late)
     return LATE_ESTIMATE;
-  if (job->unheard)
-    return LATE_WORKERS;
-  if (2 * job->asked_ms > job->placed_ms - job->accepted_ms)
+  if (job->workers_unheard)
+    return LATE_UNHEARD;
+  if (2 * job->query_ms > job->placed_ms - job->accepted_ms)
     return LATE_POLICY;
   return LATE_ROOM;
 }
@@ -240,7 +242,7 @@
 count_accepted (const Report *report, Row *row, const Job *job)
 {
   row->accepted++;
-  row->asked_ms += job->asked_ms;
+  row->query_ms += job->query_ms;
   if (job->ended_ms == 0)
     row->open++;
   else if (!job->completed)
@@ -251,10 +253,10 @@
     row->late[late_cause (report, job)]++;
   /* The acceptance is told by another daemon, whose clock may be ahead. */
   return job->placed_ms == 0
-         || add_number (&row->wait_ms, &row->wait_count,
-                        job->placed_ms > job->accepted_ms
-                            ? job->placed_ms - job->accepted_ms
-                            : 0);
+         || append_number (&row->wait_ms, &row->wait_count,
+                           job->placed_ms > job->accepted_ms
+                               ? job->placed_ms - job->accepted_ms
+                               : 0);
 }
 
 /* A job that was refused for good counts as well: it was not in time. */
@@ -309,7 +311,7 @@
 }
 
 static json_t *
-share_json (const Row *row, uint32_t percent)
+percentile_json (const Row *row, uint32_t percent)
 {
   if (row->wait_count == 0)
     return json_null ();
@@ -332,13 +334,14 @@
       row->queue, "from_s",
       (json_int_t) ((row->from_ms - report->begin_ms) / MS_PER_S), "accepted",
       (int) row->accepted, "refused", (int) row->refused, "wait_p50_ms",
-      share_json (row, 50), "wait_p90_ms", share_json (row, 90), "in_time",
-      (int) row->in_time, "failed", (int) row->failed, "open", (int) row->open,
-      "policy_ms", (json_int_t) row->asked_ms, "takeovers", (int) takeovers);
+      percentile_json (row, 50), "wait_p90_ms", percentile_json (row, 90),
+      "in_time", (int) row->in_time, "failed", (int) row->failed, "open",
+      (int) row->open, "policy_ms", (json_int_t) row->query_ms, "takeovers",
+      (int) takeovers);
   for (uint32_t i = 0; i < LATE_COUNT; i++)
     (void) json_object_set_new (json, late_names[i],
                                 json_integer (row->late[i]));
-  mux_sized_jobs_tell (&row->sized, json);
+  mux_sized_jobs_to_json (&row->sized, json);
   return json;
 }
 
@@ -428,7 +431,7 @@
     return mux_report_by_size (call);
   if (call->args.number[MUX_ARG_BY_WORKSPACE] != 0)
     return mux_report_by_workspace (call);
-  code = mux_event_lines_read (call, take, &report);
+  code = mux_event_lines_read (call, take_line, &report);
   if (code == MUX_EXIT_OK && count_all (&report))
     print (&report, call);
   else if (code == MUX_EXIT_OK)
--- a/src/cli/report_by_size.c
+++ b/src/cli/report_by_size.c
@@ -14,22 +14,22 @@
 
 #define NAME_LEN 96
 #define PERCENT 100
-#define LARGEST_PART 10
-#define NEXT_PART 5
+#define LARGEST_DIVISOR 10
+#define NEXT_DIVISOR 5
 
 typedef enum
 {
-  LACK_TURN,
-  LACK_ASKER,
-  LACK_ANSWER,
-  LACK_PROOF,
-  LACK_RECORD,
-  LACK_ROOM,
-  LACK_QUOTA,
-  LACK_COUNT
-} Lack;
-
-static const char *const lack_names[LACK_COUNT]
+  WAIT_TURN,
+  WAIT_QUERIER,
+  WAIT_ANSWER,
+  WAIT_CLAIM_CHECK,
+  WAIT_RECORD,
+  WAIT_ROOM,
+  WAIT_QUOTA,
+  WAIT_COUNT
+} WaitCause;
+
+static const char *const wait_cause_names[WAIT_COUNT]
     = { "turn", "asker", "answer", "proof", "record", "room", "quota" };
 
 typedef struct
@@ -40,12 +40,12 @@
   bool accepted;
   bool in_time;
   bool placed;
-  int64_t questions;
-  int64_t asked_ms;
-  int64_t names;
+  int64_t queries;
+  int64_t query_ms;
+  int64_t workers_asked;
   int64_t approved;
   int64_t used;
-  int64_t lacked_ms[LACK_COUNT];
+  int64_t waited_ms[WAIT_COUNT];
   UT_hash_handle hh;
 } Job;
 
@@ -62,12 +62,12 @@
   uint32_t jobs;
   uint32_t in_time;
   uint32_t placed;
-  int64_t questions;
-  int64_t asked_ms;
-  int64_t names;
+  int64_t queries;
+  int64_t query_ms;
+  int64_t workers_asked;
   int64_t approved;
   int64_t used;
-  int64_t lacked_ms[LACK_COUNT];
+  int64_t waited_ms[WAIT_COUNT];
 } Sums;
 
 static Job *
@@ -89,12 +89,12 @@
 static void
 take_placed (Job *job, const json_t *json)
 {
-  const json_t *lacked = json_object_get (json, "lacked_ms");
+  const json_t *waited = json_object_get (json, "lacked_ms");
 
   job->placed = true;
   job->used += mux_event_number (json, "used");
-  for (uint32_t i = 0; i < LACK_COUNT; i++)
-    job->lacked_ms[i] += mux_event_number (lacked, lack_names[i]);
+  for (uint32_t i = 0; i < WAIT_COUNT; i++)
+    job->waited_ms[i] += mux_event_number (waited, wait_cause_names[i]);
 }
 
 static void
@@ -109,9 +109,9 @@
     }
   else if (strcmp (event, "approvals") == 0)
     {
-      job->questions++;
-      job->asked_ms += mux_event_number (json, "took_ms");
-      job->names += mux_event_number (json, "asked");
+      job->queries++;
+      job->query_ms += mux_event_number (json, "took_ms");
+      job->workers_asked += mux_event_number (json, "asked");
       job->approved += mux_event_number (json, "approved");
     }
   else if (strcmp (event, "placed") == 0)
@@ -123,7 +123,7 @@
 }
 
 static bool
-take (void *user, json_t *json)
+take_line (void *user, json_t *json)
 {
   Report *report = user;
   const char *id = mux_event_text (json, "job");
@@ -142,7 +142,7 @@
 }
 
 static bool
-counts (const Job *job)
+is_counted (const Job *job)
 {
   return job->accepted && job->work_ms > 0;
 }
@@ -151,12 +151,12 @@
 static int
 by_queue_and_size (Job *a, Job *b)
 {
-  int names = strcmp (a->queue, b->queue);
+  int workers_asked = strcmp (a->queue, b->queue);
 
-  if (counts (a) != counts (b))
-    return counts (a) ? -1 : 1;
-  if (names != 0)
-    return names;
+  if (is_counted (a) != is_counted (b))
+    return is_counted (a) ? -1 : 1;
+  if (workers_asked != 0)
+    return workers_asked;
   return a->work_ms > b->work_ms ? -1 : a->work_ms < b->work_ms;
 }
 
@@ -165,8 +165,8 @@
 {
   uint32_t n = 0;
 
-  for (const Job *job = first;
-       job != NULL && counts (job) && strcmp (job->queue, first->queue) == 0;
+  for (const Job *job = first; job != NULL && is_counted (job)
+                               && strcmp (job->queue, first->queue) == 0;
        job = job->hh.next)
     n++;
   return n;
@@ -178,13 +178,13 @@
   sums->jobs++;
   sums->in_time += job->in_time;
   sums->placed += job->placed;
-  sums->questions += job->questions;
-  sums->asked_ms += job->asked_ms;
-  sums->names += job->names;
+  sums->queries += job->queries;
+  sums->query_ms += job->query_ms;
+  sums->workers_asked += job->workers_asked;
   sums->approved += job->approved;
   sums->used += job->used;
-  for (uint32_t i = 0; i < LACK_COUNT; i++)
-    sums->lacked_ms[i] += job->lacked_ms[i];
+  for (uint32_t i = 0; i < WAIT_COUNT; i++)
+    sums->waited_ms[i] += job->waited_ms[i];
 }
 
 static json_t *
@@ -196,16 +196,16 @@
       "{s:s, s:s, s:I, s:I, s:I, s:I, s:I, s:I, s:I, s:I}", "queue", queue,
       "size", size, "jobs", jobs, "in_time_percent",
       (json_int_t) sums->in_time * PERCENT / jobs, "never_placed",
-      jobs - sums->placed, "questions", (json_int_t) sums->questions,
-      "asking_ms", (json_int_t) sums->asked_ms / jobs, "names",
-      (json_int_t) sums->names / jobs, "approved",
+      jobs - sums->placed, "questions", (json_int_t) sums->queries, "asking_ms",
+      (json_int_t) sums->query_ms / jobs, "names",
+      (json_int_t) sums->workers_asked / jobs, "approved",
       (json_int_t) sums->approved / jobs, "used",
       (json_int_t) sums->used / placed);
 
-  for (uint32_t i = 0; i < LACK_COUNT; i++)
+  for (uint32_t i = 0; i < WAIT_COUNT; i++)
     (void) json_object_set_new (
-        row, lack_names[i],
-        json_integer ((json_int_t) sums->lacked_ms[i] / placed));
+        row, wait_cause_names[i],
+        json_integer ((json_int_t) sums->waited_ms[i] / placed));
   return row;
 }
 
@@ -230,11 +230,11 @@
 
   HASH_SORT (report->jobs, by_queue_and_size);
   job = report->jobs;
-  while (job != NULL && counts (job))
+  while (job != NULL && is_counted (job))
     {
       uint32_t count = queue_length (job);
-      uint32_t largest = count / LARGEST_PART;
-      uint32_t next = count / NEXT_PART;
+      uint32_t largest = count / LARGEST_DIVISOR;
+      uint32_t next = count / NEXT_DIVISOR;
 
       job = add_row (rows, "largest tenth", job, largest);
       job = add_row (rows, "next fifth", job, next);
@@ -290,7 +290,7 @@
 mux_report_by_size (MuxCliCall *call)
 {
   Report report = { .jobs = NULL };
-  int code = mux_event_lines_read (call, take, &report);
+  int code = mux_event_lines_read (call, take_line, &report);
 
   if (code == MUX_EXIT_OK)
     print (&report, call);
--- a/src/cli/report_by_workspace.c
+++ b/src/cli/report_by_workspace.c
@@ -80,7 +80,7 @@
 
 /* Return: false when memory is out. */
 static bool
-take_answer (Report *report, Job *job, const json_t *json, bool accepted)
+take_response (Report *report, Job *job, const json_t *json, bool accepted)
 {
   Workspace *workspace
       = workspace_of (report, mux_event_text (json, "workspace"));
@@ -124,7 +124,7 @@
   if (job == NULL)
     return false;
   if (accepted || strcmp (event, "refused") == 0)
-    return take_answer (report, job, json, accepted);
+    return take_response (report, job, json, accepted);
   if (job->workspace != NULL && strcmp (event, "placed") == 0)
     take_placed (job->workspace, json);
   else if (job->workspace != NULL && strcmp (event, "job_ended") == 0)
@@ -133,7 +133,7 @@
 }
 
 static bool
-take (void *user, json_t *json)
+take_line (void *user, json_t *json)
 {
   bool ok = mux_event_text (json, "job")[0] == 0
             || take_event (user, json, mux_event_text (json, "event"));
@@ -162,7 +162,7 @@
 }
 
 static json_int_t
-part (int64_t of, uint32_t count)
+ratio (int64_t of, uint32_t count)
 {
   return count > 0 ? (json_int_t) of / count : 0;
 }
@@ -175,8 +175,8 @@
       (json_int_t) workspace->accepted, "refused",
       (json_int_t) workspace->refused, "open",
       (json_int_t) workspace->accepted - workspace->ended, "in_time_percent",
-      part ((int64_t) workspace->in_time * PERCENT, workspace->accepted),
-      "quota_ms", part (workspace->quota_ms, workspace->placed));
+      ratio ((int64_t) workspace->in_time * PERCENT, workspace->accepted),
+      "quota_ms", ratio (workspace->quota_ms, workspace->placed));
 }
 
 static json_t *
@@ -244,7 +244,7 @@
 mux_report_by_workspace (MuxCliCall *call)
 {
   Report report = { .jobs = NULL };
-  int code = mux_event_lines_read (call, take, &report);
+  int code = mux_event_lines_read (call, take_line, &report);
 
   if (code == MUX_EXIT_OK)
     print (&report, call);
--- a/src/cli/report_sizes.c
+++ b/src/cli/report_sizes.c
@@ -3,8 +3,8 @@
 #include <stdlib.h>
 
 #define PERCENT 100
-#define LARGEST_PART 10
-#define NEXT_PART 5
+#define LARGEST_DIVISOR 10
+#define NEXT_DIVISOR 5
 
 bool
 mux_sized_jobs_add (MuxSizedJobs *jobs, int64_t work_ms, bool in_time)
@@ -29,7 +29,7 @@
 }
 
 static json_t *
-share_json (const MuxSizedJobs *jobs, uint32_t from, uint32_t count)
+in_time_percent_json (const MuxSizedJobs *jobs, uint32_t from, uint32_t count)
 {
   uint32_t in_time = 0;
 
@@ -41,19 +41,19 @@
 }
 
 void
-mux_sized_jobs_tell (MuxSizedJobs *jobs, json_t *row)
+mux_sized_jobs_to_json (MuxSizedJobs *jobs, json_t *row)
 {
-  uint32_t largest = jobs->count / LARGEST_PART;
-  uint32_t next = jobs->count / NEXT_PART;
+  uint32_t largest = jobs->count / LARGEST_DIVISOR;
+  uint32_t next = jobs->count / NEXT_DIVISOR;
 
   if (jobs->count > 0)
     qsort (jobs->job, jobs->count, sizeof *jobs->job, largest_first);
   (void) json_object_set_new (row, "in_time_percent",
-                              share_json (jobs, 0, jobs->count));
+                              in_time_percent_json (jobs, 0, jobs->count));
   (void) json_object_set_new (row, "largest_tenth_percent",
-                              share_json (jobs, 0, largest));
+                              in_time_percent_json (jobs, 0, largest));
   (void) json_object_set_new (row, "next_fifth_percent",
-                              share_json (jobs, largest, next));
+                              in_time_percent_json (jobs, largest, next));
 }
 
 void
--- a/src/cli/report_sizes.h
+++ b/src/cli/report_sizes.h
@@ -24,9 +24,9 @@
 
 /** mux_sized_jobs_add() - Return: false when memory is out */
 bool mux_sized_jobs_add (MuxSizedJobs *jobs, int64_t work_ms, bool in_time);
-/** mux_sized_jobs_tell() - the shares in time, in percent, of all, of the
+/** mux_sized_jobs_to_json() - the shares in time, in percent, of all, of the
  * largest tenth and of the fifth below it; null where there is none */
-void mux_sized_jobs_tell (MuxSizedJobs *jobs, json_t *row);
+void mux_sized_jobs_to_json (MuxSizedJobs *jobs, json_t *row);
 void mux_sized_jobs_clear (MuxSizedJobs *jobs);
 
 #endif
--- a/src/cli/ticket.c
+++ b/src/cli/ticket.c
@@ -6,9 +6,9 @@
 static const MuxHttpPair no_pair = { NULL, NULL };
 
 static int
-print_ticket (MuxCliCall *call, const MuxHttpAnswer *answer)
+print_ticket (MuxCliCall *call, const MuxCliResponse *response)
 {
-  json_t *json = mux_call_json (call, answer);
+  json_t *json = mux_call_json (call, response);
   const char *ticket = json_string_value (json_object_get (json, "ticket"));
   int code = ticket != NULL ? MUX_EXIT_OK : MUX_EXIT_UNREACHED;
 
@@ -25,21 +25,21 @@
 int
 mux_verb_ticket (MuxCliCall *call)
 {
-  /* A ticket whose answer was lost holds room for a moment and runs nothing,
+  /* A ticket whose response was lost holds room for a moment and runs nothing,
    * so asking again is harmless. */
-  MuxHttpCall http = { .method = "POST",
-                       .timeout_ms = call->timeout_ms,
-                       .repeatable = true };
-  MuxHttpAnswer answer;
+  MuxCliRequest http = { .method = "POST",
+                         .timeout_ms = call->timeout_ms,
+                         .repeatable = true };
+  MuxCliResponse response;
   int code;
 
   snprintf (http.path, sizeof http.path, "/v1/ticket/%s",
             call->args.text[MUX_ARG_NAME]);
-  code = mux_http_exchange (call->host, &call->servers, &http, &answer);
+  code = mux_cli_exchange (call->host, &call->servers, &http, &response);
   if (code == MUX_EXIT_OK)
-    code = print_ticket (call, &answer);
+    code = print_ticket (call, &response);
   else
-    mux_call_report (call, code, &answer, no_pair);
-  mux_http_answer_free (&answer);
+    mux_call_print_failure (call, code, &response, no_pair);
+  mux_cli_response_free (&response);
   return code;
 }
--- a/src/cli/verb.h
+++ b/src/cli/verb.h
@@ -35,7 +35,7 @@
  * @verb: what is run
  * @args: its checked arguments
  * @servers: daemons to talk to
- * @timeout_ms: longest wait for an answer
+ * @timeout_ms: longest wait for an response
  * @json: print JSON
  */
 struct MuxCliCall
@@ -63,7 +63,7 @@
 int mux_verb_class_set (MuxCliCall *call);
 int mux_verb_product_set (MuxCliCall *call);
 int mux_verb_cell_set (MuxCliCall *call);
-int mux_verb_drain (MuxCliCall *call);
+int mux_verb_worker_drain (MuxCliCall *call);
 int mux_verb_job_submit (MuxCliCall *call);
 int mux_verb_job_show (MuxCliCall *call);
 int mux_verb_job_wait (MuxCliCall *call);
@@ -76,7 +76,7 @@
 int mux_verb_report (MuxCliCall *call);
 
 /** mux_call_read() - GET @path with up to one parameter (@name may be NULL)
- * @json: receives the answer, owned by the caller; NULL unless it is OK
+ * @json: receives the response, owned by the caller; NULL unless it is OK
  * Return: an enum MuxExit; what went wrong is printed. */
 int mux_call_read (MuxCliCall *call,
                    const char *path,
@@ -86,42 +86,42 @@
 
 /**
  * mux_call_read_all() - GET @path from every daemon of the list, one by one
- * @answers: receives the answers, an array owned by the caller
+ * @responses: receives the responses, an array owned by the caller
  * @unanswered: receives the addresses of the others, likewise; each is also
  *   printed with what went wrong
  * Return: an enum MuxExit; MUX_EXIT_LATER when only a part answered.
  */
 int mux_call_read_all (MuxCliCall *call,
                        const char *path,
-                       json_t **answers,
+                       json_t **responses,
                        json_t **unanswered);
 
 /**
- * mux_call_report() - print what an answer that is not OK says
- * @settle: the flag and value with which the same command settles an unknown
- *   outcome; a NULL name: there is none
- * Return: @code
+ * mux_call_print_failure() - print what an response that is not OK says
+ * @retry_flag: the flag and value with which the same command settles an
+ * unknown outcome; a NULL name: there is none Return: @code
  */
-int mux_call_report (MuxCliCall *call,
-                     int code,
-                     const MuxHttpAnswer *answer,
-                     MuxHttpPair settle);
+int mux_call_print_failure (MuxCliCall *call,
+                            int code,
+                            const MuxCliResponse *response,
+                            MuxHttpPair retry_flag);
 
-/** mux_call_json() - the body of an OK answer; prints when it is no JSON */
-json_t *mux_call_json (MuxCliCall *call, const MuxHttpAnswer *answer);
+/** mux_call_json() - the body of an OK response; prints when it is no JSON */
+json_t *mux_call_json (MuxCliCall *call, const MuxCliResponse *response);
 
 /** mux_call_change() - send a change with its id and who makes it, print the
  * revision that it made and, if asked, wait until it is in force
  * @change: method, path, query and body; the rest is filled here */
-int mux_call_change (MuxCliCall *call, MuxHttpCall *change);
+int mux_call_change (MuxCliCall *call, MuxCliRequest *change);
 
 /** mux_findings_print() - each finding on a line of its own */
 void mux_findings_print (FILE *err, const MuxFindings *findings);
 
-/** mux_wait_in_force() - poll until every reachable daemon has @revision
- * @waiting: receives the names of those that lack it, an array to be freed
+/** mux_wait_until_applied() - poll until every reachable daemon has @revision
+ * @unconfirmed: receives the names of those that lack it, an array to be freed
  * Return: whether all have it. */
-bool
-mux_wait_in_force (MuxCliCall *call, json_int_t revision, json_t **waiting);
+bool mux_wait_until_applied (MuxCliCall *call,
+                             json_int_t revision,
+                             json_t **unconfirmed);
 
 #endif
--- a/src/cli/view.c
+++ b/src/cli/view.c
@@ -9,8 +9,8 @@
 
 static const MuxHttpPair no_pair = { NULL, NULL };
 
-/* Prints the rows that many daemons' answers came to, and in JSON also which
- * daemons did not answer; people are told that on standard error. */
+/* Prints the rows that many daemons' responses came to, and in JSON also which
+ * daemons did not response; people are told that on standard error. */
 static void
 print_merged (MuxCliCall *call,
               const char *field,
@@ -31,31 +31,32 @@
 /**
  * struct View - an array that daemons show
  * @path: where it is read
- * @field: its name in the answer
- * @merge: makes one array of many daemons' answers; NULL: one daemon tells all
+ * @field: its name in the response
+ * @merge: makes one array of many daemons' responses; NULL: one daemon tells
+ * all
  * @columns: its table
  */
 typedef struct
 {
   const char *path;
   const char *field;
-  json_t *(*merge) (const json_t *answers);
+  json_t *(*merge) (const json_t *responses);
   const MuxColumn *columns;
 } View;
 
 static int
 show_all (MuxCliCall *call, const View *view)
 {
-  json_t *answers, *unanswered, *rows;
-  int code = mux_call_read_all (call, view->path, &answers, &unanswered);
+  json_t *responses, *unanswered, *rows;
+  int code = mux_call_read_all (call, view->path, &responses, &unanswered);
 
   if (code != MUX_EXIT_UNREACHED)
     {
-      rows = view->merge (answers);
+      rows = view->merge (responses);
       print_merged (call, view->field, rows, unanswered, view->columns);
       json_decref (rows);
     }
-  json_decref (answers);
+  json_decref (responses);
   json_decref (unanswered);
   return code;
 }
@@ -125,13 +126,13 @@
                                        { "BOOKED", "booked" },
                                        { "MEMBERS NOT LIVE", "not_live" },
                                        { NULL, NULL } };
-  json_t *answers, *unanswered;
-  int code = mux_call_read_all (call, "/v1/status", &answers, &unanswered);
+  json_t *responses, *unanswered;
+  int code = mux_call_read_all (call, "/v1/status", &responses, &unanswered);
 
-  mux_merge_status (answers);
+  mux_merge_status (responses);
   if (code != MUX_EXIT_UNREACHED)
-    print_merged (call, "daemons", answers, unanswered, columns);
-  json_decref (answers);
+    print_merged (call, "daemons", responses, unanswered, columns);
+  json_decref (responses);
   json_decref (unanswered);
   return code;
 }
@@ -304,18 +305,18 @@
                                        { "LABELS", "labels" },
                                        { "VALUE", "value" },
                                        { NULL, NULL } };
-  MuxHttpCall http = { .method = "GET",
-                       .path = "/metrics",
-                       .timeout_ms = call->timeout_ms,
-                       .repeatable = true };
-  MuxHttpAnswer answer;
-  int code = mux_http_exchange (call->host, &call->servers, &http, &answer);
+  MuxCliRequest http = { .method = "GET",
+                         .path = "/metrics",
+                         .timeout_ms = call->timeout_ms,
+                         .repeatable = true };
+  MuxCliResponse response;
+  int code = mux_cli_exchange (call->host, &call->servers, &http, &response);
 
   if (code != MUX_EXIT_OK)
-    mux_call_report (call, code, &answer, no_pair);
+    mux_call_print_failure (call, code, &response, no_pair);
   else
     {
-      json_t *json = counters_of_text (answer.body);
+      json_t *json = counters_of_text (response.body);
 
       if (call->json)
         mux_render_json (call->host->out, json);
@@ -324,6 +325,6 @@
                           columns);
       json_decref (json);
     }
-  mux_http_answer_free (&answer);
+  mux_cli_response_free (&response);
   return code;
 }
--- a/src/cli/wait.c
+++ b/src/cli/wait.c
@@ -8,7 +8,7 @@
 /* A dead member can't be reached and reads the configuration before it is
  * ready again; every other one has to confirm. */
 static bool
-member_lacks (const json_t *member, json_int_t revision)
+member_is_behind (const json_t *member, json_int_t revision)
 {
   const char *state = json_string_value (json_object_get (member, "state"));
   json_int_t has = json_integer_value (json_object_get (member, "revision"));
@@ -19,65 +19,67 @@
 }
 
 static void
-add_instance (json_t *waiting, const json_t *of)
+add_instance (json_t *unconfirmed, const json_t *of)
 {
   json_t *name = json_object_get (of, "instance");
   size_t i;
   json_t *known;
 
-  json_array_foreach (waiting, i, known)
+  json_array_foreach (unconfirmed, i, known)
   {
     if (json_equal (known, name))
       return;
   }
   if (name != NULL)
-    json_array_append (waiting, name);
+    json_array_append (unconfirmed, name);
   else
-    json_array_append_new (waiting, json_string ("(without a name)"));
+    json_array_append_new (unconfirmed, json_string ("(without a name)"));
 }
 
 /* Names of those that @status shows before @revision. */
 static json_t *
-lacking (const json_t *status, json_int_t revision)
+unconfirmed_members (const json_t *status, json_int_t revision)
 {
-  json_t *waiting = json_array ();
+  json_t *unconfirmed = json_array ();
   size_t i;
   json_t *member;
 
-  if (member_lacks (status, revision))
-    add_instance (waiting, status);
+  if (member_is_behind (status, revision))
+    add_instance (unconfirmed, status);
   json_array_foreach (json_object_get (status, "members"), i, member)
   {
-    if (member_lacks (member, revision))
-      add_instance (waiting, member);
+    if (member_is_behind (member, revision))
+      add_instance (unconfirmed, member);
   }
-  return waiting;
+  return unconfirmed;
 }
 
 static json_t *
-ask_lacking (MuxCliCall *call, json_int_t revision)
+read_unconfirmed (MuxCliCall *call, json_int_t revision)
 {
-  MuxHttpCall http = { .method = "GET",
-                       .path = "/v1/status",
-                       .timeout_ms = call->timeout_ms,
-                       .repeatable = true };
-  MuxHttpAnswer answer;
+  MuxCliRequest http = { .method = "GET",
+                         .path = "/v1/status",
+                         .timeout_ms = call->timeout_ms,
+                         .repeatable = true };
+  MuxCliResponse response;
   json_t *status = NULL;
-  json_t *waiting;
+  json_t *unconfirmed;
 
-  if (mux_http_exchange (call->host, &call->servers, &http, &answer)
+  if (mux_cli_exchange (call->host, &call->servers, &http, &response)
       == MUX_EXIT_OK)
-    status = json_loadb (answer.body, answer.body_len, 0, NULL);
-  mux_http_answer_free (&answer);
+    status = json_loadb (response.body, response.body_len, 0, NULL);
+  mux_cli_response_free (&response);
   if (status == NULL)
     return json_pack ("[s]", "(no daemon answered)");
-  waiting = lacking (status, revision);
+  unconfirmed = unconfirmed_members (status, revision);
   json_decref (status);
-  return waiting;
+  return unconfirmed;
 }
 
 bool
-mux_wait_in_force (MuxCliCall *call, json_int_t revision, json_t **waiting)
+mux_wait_until_applied (MuxCliCall *call,
+                        json_int_t revision,
+                        json_t **unconfirmed)
 {
   MuxCliHost *host = call->host;
   uint64_t end
@@ -85,12 +87,12 @@
 
   for (;;)
     {
-      *waiting = ask_lacking (call, revision);
-      if (json_array_size (*waiting) == 0)
+      *unconfirmed = read_unconfirmed (call, revision);
+      if (json_array_size (*unconfirmed) == 0)
         return true;
       if (host->now_ms (host) >= end)
         return false;
-      json_decref (*waiting);
+      json_decref (*unconfirmed);
       host->pause_ms (host, POLL_MS);
     }
 }
--- a/src/cli/work.c
+++ b/src/cli/work.c
@@ -11,7 +11,7 @@
 #define TICKET_HEADER "Cuminmux-Ticket"
 
 static bool
-work_key (MuxCliCall *call, char out[MUX_KEY_LEN])
+idempotency_key (MuxCliCall *call, char out[MUX_KEY_LEN])
 {
   const char *given = call->args.text[MUX_ARG_KEY];
   MuxId id;
@@ -31,17 +31,17 @@
 }
 
 static json_t *
-json_of_result (const MuxHttpAnswer *answer)
+json_of_result (const MuxCliResponse *response)
 {
   json_t *json
-      = json_pack ("{s:s, s:s}", "outcome", "done", "task", answer->task);
-  json_t *text = json_stringn (answer->body, answer->body_len);
+      = json_pack ("{s:s, s:s}", "outcome", "done", "task", response->task);
+  json_t *text = json_stringn (response->body, response->body_len);
   struct _o_datum coded = { 0, NULL };
 
   if (text != NULL)
     json_object_set_new (json, "body", text);
-  else if (o_base64_encode_alloc ((const unsigned char *) answer->body,
-                                  answer->body_len, &coded))
+  else if (o_base64_encode_alloc ((const unsigned char *) response->body,
+                                  response->body_len, &coded))
     {
       json_object_set_new (
           json, "body_base64",
@@ -52,24 +52,24 @@
 }
 
 static void
-print_result (MuxCliCall *call, const MuxHttpAnswer *answer)
+print_result (MuxCliCall *call, const MuxCliResponse *response)
 {
   json_t *json;
 
   if (!call->json)
     {
-      fwrite (answer->body, 1, answer->body_len, call->host->out);
+      fwrite (response->body, 1, response->body_len, call->host->out);
       return;
     }
-  json = json_of_result (answer);
+  json = json_of_result (response);
   mux_render_json (call->host->out, json);
   json_decref (json);
 }
 
 static void
-print_recorded (MuxCliCall *call, const MuxHttpAnswer *answer)
+print_recorded (MuxCliCall *call, const MuxCliResponse *response)
 {
-  json_t *json = mux_call_json (call, answer);
+  json_t *json = mux_call_json (call, response);
   const char *id = json_string_value (json_object_get (json, "id"));
 
   if (call->json && json != NULL)
@@ -83,38 +83,38 @@
  * sending: a key, made up unless one was given,, or the ticket that was given.
  */
 static bool
-work_name (MuxCliCall *call,
-           char key[MUX_KEY_LEN],
-           MuxHttpPair *header,
-           MuxHttpPair *settle)
+work_id_header (MuxCliCall *call,
+                char key[MUX_KEY_LEN],
+                MuxHttpPair *header,
+                MuxHttpPair *retry_flag)
 {
   const char *ticket = call->args.text[MUX_ARG_TICKET];
 
   if (ticket != NULL)
     {
       *header = (MuxHttpPair){ TICKET_HEADER, ticket };
-      *settle = (MuxHttpPair){ "ticket", ticket };
+      *retry_flag = (MuxHttpPair){ "ticket", ticket };
       return true;
     }
   *header = (MuxHttpPair){ KEY_HEADER, key };
-  *settle = (MuxHttpPair){ "key", key };
-  return work_key (call, key);
+  *retry_flag = (MuxHttpPair){ "key", key };
+  return idempotency_key (call, key);
 }
 
-/* Reads the body, sends it under its key or ticket and prints the answer. */
+/* Reads the body, sends it under its key or ticket and prints the response. */
 static int
 submit (MuxCliCall *call,
-        const MuxHttpCall *work,
-        void (*print) (MuxCliCall *, const MuxHttpAnswer *))
+        const MuxCliRequest *work,
+        void (*print) (MuxCliCall *, const MuxCliResponse *))
 {
-  MuxHttpCall http = *work;
+  MuxCliRequest http = *work;
   char key[MUX_KEY_LEN];
-  MuxHttpPair settle;
-  MuxHttpAnswer answer;
+  MuxHttpPair retry_flag;
+  MuxCliResponse response;
   MuxBytes body;
   int code;
 
-  if (!work_name (call, key, &http.header[0], &settle))
+  if (!work_id_header (call, key, &http.header[0], &retry_flag))
     return MUX_EXIT_LATER;
   if (!mux_body_read (call, &body))
     return MUX_EXIT_USAGE;
@@ -123,12 +123,12 @@
   http.body_len = body.len;
   http.write = true;
   http.repeatable = true;
-  code = mux_http_exchange (call->host, &call->servers, &http, &answer);
+  code = mux_cli_exchange (call->host, &call->servers, &http, &response);
   if (code == MUX_EXIT_OK)
-    print (call, &answer);
+    print (call, &response);
   else
-    mux_call_report (call, code, &answer, settle);
-  mux_http_answer_free (&answer);
+    mux_call_print_failure (call, code, &response, retry_flag);
+  mux_cli_response_free (&response);
   mux_bytes_deinit (&body);
   return code;
 }
@@ -138,7 +138,7 @@
 {
   int64_t give_up_ms = call->args.number[MUX_ARG_GIVE_UP_MS];
   char give_up[24];
-  MuxHttpCall http
+  MuxCliRequest http
       = { .header = { { NULL, NULL }, { GIVE_UP_HEADER, give_up } },
           .timeout_ms = call->timeout_ms + (uint32_t) give_up_ms };
 
@@ -158,10 +158,10 @@
 mux_verb_job_submit (MuxCliCall *call)
 {
   char tasks[24];
-  MuxHttpCall http = { .path = "/v1/jobs",
-                       .query = { { "class", call->args.text[MUX_ARG_NAME] },
-                                  { "tasks", tasks } },
-                       .timeout_ms = call->timeout_ms };
+  MuxCliRequest http = { .path = "/v1/jobs",
+                         .query = { { "class", call->args.text[MUX_ARG_NAME] },
+                                    { "tasks", tasks } },
+                         .timeout_ms = call->timeout_ms };
 
   snprintf (tasks, sizeof tasks, "%" PRId64, call->args.number[MUX_ARG_TASKS]);
   return submit (call, &http, print_recorded);
@@ -228,23 +228,23 @@
 mux_verb_job_cancel (MuxCliCall *call)
 {
   /* Cancelling a cancelled job changes nothing, so a repeat is harmless. */
-  MuxHttpCall http = { .method = "DELETE",
-                       .timeout_ms = call->timeout_ms,
-                       .write = true,
-                       .repeatable = true };
-  MuxHttpAnswer answer;
+  MuxCliRequest http = { .method = "DELETE",
+                         .timeout_ms = call->timeout_ms,
+                         .write = true,
+                         .repeatable = true };
+  MuxCliResponse response;
   json_t *job;
   int code;
 
   job_path (call, http.path, sizeof http.path);
-  code = mux_http_exchange (call->host, &call->servers, &http, &answer);
+  code = mux_cli_exchange (call->host, &call->servers, &http, &response);
   if (code != MUX_EXIT_OK)
-    mux_call_report (call, code, &answer, (MuxHttpPair){ NULL, NULL });
-  else if ((job = mux_call_json (call, &answer)) != NULL)
+    mux_call_print_failure (call, code, &response, (MuxHttpPair){ NULL, NULL });
+  else if ((job = mux_call_json (call, &response)) != NULL)
     {
       print_job (call, job);
       json_decref (job);
     }
-  mux_http_answer_free (&answer);
+  mux_cli_response_free (&response);
   return code;
 }
