--- a/include/cli/cli.h
+++ b/include/cli/cli.h
@@ -13,24 +13,24 @@
 typedef enum
 {
   MUX_EXIT_OK = 0,
-  MUX_EXIT_REFUSED = 1,   /* a daemon refused; the reason is printed */
-  MUX_EXIT_USAGE = 2,     /* bad use of the command line */
-  MUX_EXIT_UNREACHED = 3, /* no daemon can be reached */
-  MUX_EXIT_UNKNOWN = 4,   /* whether it took effect can't be told */
-  MUX_EXIT_LATER = 5,     /* not run or not yet; try later */
+  MUX_EXIT_REFUSED = 1,   /* refused by a daemon; the reason is printed */
+  MUX_EXIT_USAGE = 2,     /* invalid command line */
+  MUX_EXIT_UNREACHED = 3, /* no daemon is reachable */
+  MUX_EXIT_UNKNOWN = 4,   /* it is unknown whether it took effect */
+  MUX_EXIT_LATER = 5,     /* not run, or not yet; retry later */
 } MuxExit;
 
 typedef struct MuxCliHost MuxCliHost;
 
 /**
- * struct MuxCliHost - what the command line needs from its process
- * @setting: value of an environment variable, or NULL
- * @now_ms: a clock that never goes back, in milliseconds
- * @pause_ms: wait for so many milliseconds
- * @new_id: a fresh random id; false when the system has none
- * @in: where bodies are read from
+ * struct MuxCliHost - process environment of the command line; tests replace it
+ * @setting: returns the value of an environment variable, or NULL
+ * @now_ms: returns the time of a monotonic clock, in milliseconds
+ * @pause_ms: sleeps for @ms milliseconds
+ * @new_id: creates a random id; false if the system gives no random bytes
+ * @in: input for bodies and logs
  * @out: results
- * @err: messages for people
+ * @err: error messages
  */
 struct MuxCliHost
 {
@@ -44,10 +44,10 @@
 };
 
 /**
- * mux_cli_run() - run one command line
+ * mux_cli_run() - execute a command line
  * @argc: length of @argv
  * @argv: program name, verb and flags
- * Return: an enum MuxExit.
+ * Return: the exit code, an enum MuxExit.
  */
 int mux_cli_run (MuxCliHost *host, int argc, char **argv);
 
--- a/src/cli/all.c
+++ b/src/cli/all.c
@@ -2,7 +2,8 @@
 
 #include <stdio.h>
 
-/* Reads @path from the daemon at @index alone. */
+/* Reads @path from the daemon at @index only; NULL on failure, which is
+ * printed. */
 static json_t *
 read_server (MuxCliCall *call, uint32_t index, const char *path)
 {
@@ -21,7 +22,7 @@
     json = json_loadb (response.body, response.body_len, 0, NULL);
   if (!json_is_object (json))
     {
-      /* The error names the daemon by itself. */
+      /* response.error contains the address. */
       fprintf (call->host->err, "cuminmux: no answer from %s%s%s\n",
                response.error[0] != 0 ? response.error : one.server[0].addr,
                response.reason[0] != 0 ? ": " : "", response.reason);
--- a/src/cli/arg_spec.c
+++ b/src/cli/arg_spec.c
@@ -5,7 +5,7 @@
 /* A day. */
 #define SPAN_MAX_S 86400
 
-/* A number that fills a field of the model may be any; the model judges it. */
+/* A number for a field of the model: the model checks its range. */
 #define MODEL MUX_CHECK_NUMBER, INT64_MIN, INT64_MAX, 0
 
 const MuxArgSpec mux_arg_specs[MUX_ARG_COUNT] = {
--- a/src/cli/arg_spec.h
+++ b/src/cli/arg_spec.h
@@ -4,7 +4,7 @@
 #include "args.h"
 
 /**
- * enum MuxArgCheck - how the text of an argument is checked
+ * enum MuxArgCheck - type of an argument
  */
 typedef enum
 {
@@ -22,12 +22,13 @@
 /**
  * struct MuxArgSpec - one flag or positional argument
  * @flag: long flag without its dashes; NULL: positional
- * @datatype: stands for the value in the help
- * @check: see enum MuxArgCheck
+ * @datatype: placeholder for the value in the help
+ * @check: type
  * @min: least number
  * @max: greatest number
- * @fallback: number when it is absent
- * @field: field of the model that it fills, whose bounds the model checks
+ * @fallback: default of a number
+ * @field: field of the model that it sets and whose range the model checks, or
+ *   NULL
  * @help: one line
  */
 typedef struct
--- a/src/cli/args.c
+++ b/src/cli/args.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define PARSE_ERRORS_MAX 32
-/* Longest ticket that daemons take. */
+/* Longest ticket that daemons accept. */
 #define TICKET_MAX 511
 
 static const struct
@@ -22,9 +22,9 @@
                     { MUX_ARG_JSON, "CUMINMUX_JSON" } };
 
 /**
- * struct Table - an argtable and which argument each entry is
- * @entry: for argtable2, closed by @end
- * @arg: the argument of each entry
+ * struct Table - an argtable with the argument of each entry
+ * @entry: argtable2 entries, terminated by @end
+ * @arg: argument of each entry
  * @count: entries before @end
  */
 typedef struct
@@ -86,8 +86,8 @@
   return NULL;
 }
 
-/* One finding for each error that argtable2 noted, but for missing ones: it
- * looks for these only when nothing else is wrong. */
+/* Adds a finding for each error of argtable2 except missing arguments, which it
+ * checks only if there is no other error; see add_missing(). */
 static void
 add_parse_errors (const Table *table, MuxFindings *findings)
 {
@@ -254,7 +254,8 @@
   return findings->count == 0;
 }
 
-/* Words that a global option takes at the front of @argv; 0: it is none. */
+/* Returns the number of words of the global option at the front of @argv, 0 if
+ * there is none. */
 static int
 global_option_words (int argc, char **argv)
 {
--- a/src/cli/args.h
+++ b/src/cli/args.h
@@ -7,7 +7,7 @@
 #include <jansson.h>
 
 /**
- * enum MuxArg - names one flag or positional argument
+ * enum MuxArg - flag or positional argument
  */
 typedef enum
 {
@@ -49,13 +49,13 @@
   MUX_ARG_COUNT
 } MuxArg;
 
-/* Closes a list of arguments. */
+/* Terminates a list of arguments. */
 #define MUX_ARG_END MUX_ARG_COUNT
 
 /**
  * struct MuxArgList - the arguments of one verb besides the global ones
- * @required: must be given; closed by MUX_ARG_END
- * @optional: may be given; closed by MUX_ARG_END
+ * @required: required arguments, terminated by MUX_ARG_END
+ * @optional: optional arguments, terminated by MUX_ARG_END
  */
 typedef struct
 {
@@ -64,9 +64,9 @@
 } MuxArgList;
 
 /**
- * struct MuxArgs - checked arguments
- * @text: as given, from the flag or its environment variable; NULL: absent
- * @number: value of a number, or its default; of a switch: 0 or 1
+ * struct MuxArgs - validated arguments
+ * @text: value from the flag or its environment variable; NULL: absent
+ * @number: value of a number or its default; of a switch: 0 or 1
  */
 typedef struct
 {
@@ -75,11 +75,11 @@
 } MuxArgs;
 
 /**
- * mux_args_parse() - read a verb's arguments through its argtable
+ * mux_args_parse() - parse and validate the arguments of a verb
  * @argv: from the verb's last word on
- * @findings: receives everything wrong at once
- * Return: true when there was no finding.  A --help among the arguments is
- * left in @args also when there was one.
+ * @findings: receives all errors
+ * Return: true if there is no error.  A --help is recorded in @args in either
+ * case.
  */
 bool mux_args_parse (const MuxArgList *list,
                      MuxCliHost *host,
@@ -89,20 +89,20 @@
                      MuxFindings *findings);
 
 /**
- * mux_args_leading() - words before the verb that belong to global options
- * @argv: as main() got it
- * Return: how many words after @argv[0], values of flags among them.
+ * mux_args_leading() - count the words of global options before the verb
+ * @argv: argument vector of main()
+ * Return: number of words after @argv[0], including values of flags.
  */
 int mux_args_leading (int argc, char **argv);
 
-/** mux_args_help() - the syntax line and the glossary of a verb */
+/** mux_args_help() - print the syntax line and the glossary of a verb */
 void mux_args_help (const MuxArgList *list, const char *verb, FILE *out);
 
 /**
- * mux_args_fields_to_flags() - put flags in place of the fields in findings
+ * mux_args_fields_to_flags() - replace fields by their flags in @findings
  *
- * The bounds of fields stand in the model alone; what it finds wrong with
- * "size.cpu_milli" is shown to the operator as "--cpu-milli".
+ * Only the model checks the ranges of fields; its error for "size.cpu_milli" is
+ * shown to the operator as one of "--cpu-milli".
  */
 void mux_args_fields_to_flags (MuxFindings *findings);
 
--- a/src/cli/body.c
+++ b/src/cli/body.c
@@ -49,7 +49,7 @@
       fputs ("cuminmux: --body, --file: give one of them\n", call->host->err);
       return false;
     }
-  /* An empty body is one, too. */
+  /* An empty body is valid; adding 0 bytes allocates its terminating NUL. */
   if (!mux_bytes_add (body, text, text != NULL ? strlen (text) : 0))
     error = "memory is out";
   else if (path != NULL)
--- a/src/cli/body.h
+++ b/src/cli/body.h
@@ -5,9 +5,9 @@
 #include "verb.h"
 
 /**
- * mux_body_read() - from --body, --file or standard input
- * @body: receives them, to be given back with mux_bytes_deinit()
- * Return: false when there was none to be had; the cause is printed.
+ * mux_body_read() - read the body from --body, --file or standard input
+ * @body: receives the body; the caller frees it with mux_bytes_deinit()
+ * Return: false on failure; the cause is printed.
  */
 bool mux_body_read (MuxCliCall *call, MuxBytes *body);
 
--- a/src/cli/call.c
+++ b/src/cli/call.c
@@ -48,8 +48,7 @@
   }
 }
 
-/* What the response tells besides the fields that are printed by name, such as
- * the revision that stands now. */
+/* Prints the remaining fields of the response, such as the current revision. */
 static void
 print_other_fields (FILE *err, const json_t *body)
 {
--- a/src/cli/change.c
+++ b/src/cli/change.c
@@ -101,8 +101,8 @@
         = (MuxHttpPair){ WHO_HEADER, call->args.text[MUX_ARG_WHO] };
   change->timeout_ms = call->timeout_ms;
   change->write = true;
-  /* A write can take effect while its response is lost; the daemons know the
-   * change by its id, so a repeat finds its revision and changes nothing. */
+  /* A write may take effect while its response is lost.  Daemons identify the
+   * change by its id, so a retry returns its revision and changes nothing. */
   change->repeatable = true;
   code = mux_cli_exchange (call->host, &call->servers, change, &response);
   if (code == MUX_EXIT_OK)
--- a/src/cli/client.c
+++ b/src/cli/client.c
@@ -59,18 +59,18 @@
     }
 }
 
-/* Not ulfius's client, which this one takes the place of: that takes no file of
- * certificates to trust, its error does not say whether anything was sent nor
- * what was wrong with the certificate, and its timeout counts whole seconds.
- * It is built on libcurl itself. */
+/* Uses libcurl directly instead of ulfius's client, which is built on it: that
+ * one accepts no file of trusted certificates, its error does not say whether
+ * anything was sent nor what is wrong with the certificate, and its timeout is
+ * in whole seconds. */
 
 /**
- * struct Transfer - one sending
- * @curl: the HTTP client
- * @headers: of the request, owned
- * @body: of the response, as far as it came
- * @response: being filled
- * @sent: the request may have left
+ * struct Transfer - one attempt to send a request
+ * @curl: libcurl handle
+ * @headers: request headers, owned
+ * @body: response body received so far
+ * @response: receives the response
+ * @sent: the request may have been sent
  */
 typedef struct
 {
@@ -81,9 +81,10 @@
   bool sent;
 } Transfer;
 
-/* Called with the connection made and, under TLS, its certificate checked,
- * right before the request is sent.  A failure before this was certainly sent
- * nothing; one after it may have reached the daemon. */
+/* Called by libcurl right before it sends the request, once the connection is
+ * established and, with TLS, the certificate is verified.  If the transfer
+ * fails before this, nothing was sent; after it, the request may have reached
+ * the daemon. */
 static int
 before_request (void *ctx, char *ip, char *own_ip, int port, int own_port)
 {
@@ -113,13 +114,13 @@
 }
 
 static bool
-fill_headers (Transfer *transfer, const MuxCliRequest *call)
+fill_headers (Transfer *transfer, const MuxCliRequest *request)
 {
-  /* curl's own would call the body a form. */
-  if (call->body != NULL
+  /* libcurl's default content type is that of a form. */
+  if (request->body != NULL
       && !add_header (transfer, "Content-Type", "application/octet-stream"))
     return false;
-  for (const MuxHttpPair *p = call->header; p->name != NULL; p++)
+  for (const MuxHttpPair *p = request->header; p->name != NULL; p++)
     if (!add_header (transfer, p->name, p->value))
       return false;
   return curl_easy_setopt (transfer->curl, CURLOPT_HTTPHEADER,
@@ -128,11 +129,11 @@
 }
 
 static bool
-fill_query (CURLU *url, const MuxCliRequest *call)
+fill_query (CURLU *url, const MuxCliRequest *request)
 {
   char pair[1024];
 
-  for (const MuxHttpPair *p = call->query; p->name != NULL; p++)
+  for (const MuxHttpPair *p = request->query; p->name != NULL; p++)
     {
       int n = snprintf (pair, sizeof pair, "%s=%s", p->name, p->value);
 
@@ -148,18 +149,18 @@
 static bool
 fill_url (Transfer *transfer,
           const MuxServer *server,
-          const MuxCliRequest *call)
+          const MuxCliRequest *request)
 {
-  char text[sizeof HTTPS + MUX_ADDR_LEN + sizeof call->path];
+  char text[sizeof HTTPS + MUX_ADDR_LEN + sizeof request->path];
   char *whole = NULL;
   CURLU *url = curl_url ();
   bool filled;
 
   snprintf (text, sizeof text, "%s%s%s", server->tls ? HTTPS : HTTP,
-            server->addr, call->path);
+            server->addr, request->path);
   filled = url != NULL
            && curl_url_set (url, CURLUPART_URL, text, 0) == CURLUE_OK
-           && fill_query (url, call)
+           && fill_query (url, request)
            && curl_url_get (url, CURLUPART_URL, &whole, 0) == CURLUE_OK
            && curl_easy_setopt (transfer->curl, CURLOPT_URL, whole) == CURLE_OK;
   curl_free (whole);
@@ -174,7 +175,7 @@
 
   if (ca_file == NULL)
     return true;
-  /* Who names its authority trusts no other, whatever the system has. */
+  /* Given an authority, trust no other, including those of the system. */
   return curl_easy_setopt (curl, CURLOPT_CAPATH, NULL) == CURLE_OK
          && curl_easy_setopt (curl, CURLOPT_CAINFO, ca_file) == CURLE_OK;
 }
@@ -183,23 +184,23 @@
 fill_request (Transfer *transfer,
               const MuxServer *server,
               const char *ca_file,
-              const MuxCliRequest *call)
+              const MuxCliRequest *request)
 {
   CURL *curl = transfer->curl;
 
-  curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, call->method);
+  curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, request->method);
   mux_curl_set_common_options (curl, &transfer->body);
-  mux_curl_set_timeouts (curl, CONNECT_MS_MAX, (long) call->timeout_ms);
+  mux_curl_set_timeouts (curl, CONNECT_MS_MAX, (long) request->timeout_ms);
   curl_easy_setopt (curl, CURLOPT_PREREQFUNCTION, before_request);
   curl_easy_setopt (curl, CURLOPT_PREREQDATA, transfer);
-  if (call->body != NULL)
+  if (request->body != NULL)
     {
       curl_easy_setopt (curl, CURLOPT_POSTFIELDSIZE_LARGE,
-                        (curl_off_t) call->body_len);
-      curl_easy_setopt (curl, CURLOPT_POSTFIELDS, call->body);
+                        (curl_off_t) request->body_len);
+      curl_easy_setopt (curl, CURLOPT_POSTFIELDS, request->body);
     }
-  return fill_url (transfer, server, call) && fill_headers (transfer, call)
-         && fill_tls (transfer, ca_file);
+  return fill_url (transfer, server, request)
+         && fill_headers (transfer, request) && fill_tls (transfer, ca_file);
 }
 
 static void
@@ -217,7 +218,7 @@
   MuxCliResponse *response = transfer->response;
   CURL *curl = transfer->curl;
 
-  /* An empty body has its closing NUL, too. */
+  /* Adds the terminating NUL of an empty body. */
   if (!mux_curl_response_is_framed (curl)
       || !mux_bytes_add (&transfer->body, NULL, 0))
     return false;
@@ -235,7 +236,8 @@
   return true;
 }
 
-/* What an operator can mend: a daemon that is there, but not to be trusted. */
+/* Describes TLS failures of a reachable daemon, which an operator can correct;
+ * NULL for any other failure. */
 static const char *
 tls_error (CURLcode code)
 {
@@ -271,7 +273,7 @@
 MuxSendResult
 mux_cli_send (const MuxServer *server,
               const char *ca_file,
-              const MuxCliRequest *call,
+              const MuxCliRequest *request,
               MuxCliResponse *response)
 {
   Transfer transfer = { .curl = curl_easy_init (), .response = response };
@@ -280,7 +282,7 @@
   memset (response, 0, sizeof *response);
   if (transfer.curl == NULL)
     return MUX_SEND_NOT_REACHED;
-  if (fill_request (&transfer, server, ca_file, call))
+  if (fill_request (&transfer, server, ca_file, request))
     sent = perform (&transfer, server);
   mux_bytes_deinit (&transfer.body);
   curl_slist_free_all (transfer.headers);
--- a/src/cli/client.h
+++ b/src/cli/client.h
@@ -21,11 +21,11 @@
 } MuxServer;
 
 /**
- * struct MuxServers - daemons to talk to, in order
- * @count: used entries
- * @server: each of them
- * @ca_file: PEM certificates that their own must come from; NULL: the
- *   system's.  Borrowed.
+ * struct MuxServers - daemons in the order in which they are tried
+ * @count: used entries of @server
+ * @server: the daemons
+ * @ca_file: PEM file of the only trusted authorities, not owned; NULL: those of
+ *   the system
  */
 typedef struct
 {
@@ -35,9 +35,9 @@
 } MuxServers;
 
 /**
- * mux_servers_parse() - read "http[s]://ip:port[,…]"
- * @servers: its list is filled
- * Return: false when @text is anything else.
+ * mux_servers_parse() - parse "http[s]://ip:port[,…]"
+ * @servers: receives the list; its @ca_file is unchanged
+ * Return: false if @text is malformed.
  */
 bool mux_servers_parse (const char *text, MuxServers *servers);
 
@@ -51,16 +51,16 @@
 } MuxHttpPair;
 
 /**
- * struct MuxCliRequest - one call to the interface
+ * struct MuxCliRequest - one HTTP request
  * @method: HTTP method
- * @path: path from "/v1" on
- * @query: parameters, closed by a NULL name
- * @header: headers, closed by a NULL name
- * @body: bytes to send, or NULL
+ * @path: path, such as "/v1/status"
+ * @query: parameters, terminated by a NULL name
+ * @header: headers, terminated by a NULL name
+ * @body: request body, not owned, or NULL
  * @body_len: length of @body
- * @timeout_ms: longest wait for the response
- * @write: it may change or run something
- * @repeatable: sending it again can't make it take effect twice
+ * @timeout_ms: time limit of one attempt
+ * @write: may change or run something
+ * @repeatable: idempotent: a retry can't take effect twice
  */
 typedef struct
 {
@@ -76,15 +76,15 @@
 } MuxCliRequest;
 
 /**
- * struct MuxCliResponse - the response of a daemon
- * @status: HTTP status; 0: none came
- * @body: its bytes and a closing NUL, owned; NULL: none came
+ * struct MuxCliResponse - HTTP response of a daemon
+ * @status: HTTP status; 0: no response
+ * @body: content and a terminating NUL, owned; NULL: no response
  * @body_len: length of @body
  * @outcome: header Cuminmux-Outcome, or ""
  * @reason: header Cuminmux-Reason, or ""
  * @retry_ms: header Cuminmux-Retry-Ms, or ""
  * @task: header Cuminmux-Task, or ""
- * @error: why a daemon that is there could not be talked to, or ""
+ * @error: why TLS to a reachable daemon failed, or ""
  */
 typedef struct
 {
@@ -99,36 +99,37 @@
 } MuxCliResponse;
 
 /**
- * enum MuxSendResult - how one sending of a call ended
+ * enum MuxSendResult - outcome of one attempt to send a request
  */
 typedef enum
 {
   MUX_SEND_ANSWERED,
   MUX_SEND_NOT_REACHED,   /* nothing was sent */
-  MUX_SEND_RESPONSE_LOST, /* it may have been sent; no whole response came */
+  MUX_SEND_RESPONSE_LOST, /* may have been sent; no complete response */
 } MuxSendResult;
 
-/** mux_cli_send() - send @call once to @server
- * @ca_file: as in struct MuxServers
- * @response: filled; its @error alone unless it was answered */
+/** mux_cli_send() - send @request once to @server
+ * @ca_file: see struct MuxServers
+ * @response: receives the response; without one, only its @error may be set */
 MuxSendResult mux_cli_send (const MuxServer *server,
                             const char *ca_file,
-                            const MuxCliRequest *call,
+                            const MuxCliRequest *request,
                             MuxCliResponse *response);
 
 /**
- * mux_cli_exchange() - send @call until a daemon settles it
+ * mux_cli_exchange() - send @request to one daemon after the other until its
+ * outcome is known
  *
- * A call moves on to the next daemon when it was not sent, when the response
- * says that it was not run, or when @call is repeatable.  Once an response was
- * lost, the daemons are asked a second time round.
+ * The next daemon is tried if the request was not sent, if the response says
+ * that it was not run, or if @request is repeatable.  If a response was lost,
+ * all daemons are tried a second time.
  *
  * Return: an enum MuxExit.  @response holds the last response and must be freed
  * with mux_cli_response_free() in every case.
  */
 int mux_cli_exchange (MuxCliHost *host,
                       const MuxServers *servers,
-                      const MuxCliRequest *call,
+                      const MuxCliRequest *request,
                       MuxCliResponse *response);
 
 void mux_cli_response_free (MuxCliResponse *response);
--- a/src/cli/config.c
+++ b/src/cli/config.c
@@ -51,7 +51,7 @@
     http->query[0] = (MuxHttpPair){ "expect", expect };
 }
 
-/* Sets @json, which it takes over, once the model finds nothing wrong. */
+/* Validates @json with the model and sets it; takes over @json. */
 static int
 set_object (MuxCliCall *call, json_t *json, Check check)
 {
--- a/src/cli/event_lines.c
+++ b/src/cli/event_lines.c
@@ -3,7 +3,7 @@
 #include <errno.h>
 #include <string.h>
 
-/* Longest line of a log that is read; longer ones are no event of ours. */
+/* Size of the line buffer; no event of a daemon is longer. */
 #define LINE_MAX_LEN 8192
 
 const char *
--- a/src/cli/exchange.c
+++ b/src/cli/exchange.c
@@ -45,28 +45,29 @@
   return later ? MUX_EXIT_LATER : MUX_EXIT_REFUSED;
 }
 
-/* After a lost response, "not run" speaks of the repeat alone: the first
- * sending may have taken effect, or still may.  Only a malformed call, which no
- * daemon takes, and a condition on a revision that is past rule that out. */
+/* After a lost response, "not run" is true of the retry only: the first attempt
+ * may have taken effect, or still may.  This is ruled out only if the request
+ * is malformed, so that no daemon accepts it, or if it expects a revision that
+ * is no longer current. */
 static bool
-resolves_lost (const MuxCliRequest *call, const MuxCliResponse *response)
+resolves_lost (const MuxCliRequest *request, const MuxCliResponse *response)
 {
   if (status_is_ok (response->status) || response->status == HTTP_BAD_REQUEST)
     return true;
   if (response->status != HTTP_CONFLICT
       || strcmp (response->reason, "revision") != 0)
     return false;
-  for (const MuxHttpPair *p = call->query; p->name != NULL; p++)
+  for (const MuxHttpPair *p = request->query; p->name != NULL; p++)
     if (strcmp (p->name, "expect") == 0)
       return true;
   return false;
 }
 
 /**
- * struct Progress - what the sendings of one call have come to
- * @code: the best known enum MuxExit
- * @lost: a sending may have taken effect without its response
- * @done: no further sending helps
+ * struct Progress - outcome of the attempts to send one request so far
+ * @code: enum MuxExit, as far as known
+ * @lost: the response of an attempt was lost; it may have taken effect
+ * @done: no further attempt is needed or allowed
  */
 typedef struct
 {
@@ -76,29 +77,29 @@
 } Progress;
 
 static void
-note_lost (Progress *progress, const MuxCliRequest *call)
+note_lost (Progress *progress, const MuxCliRequest *request)
 {
-  if (!call->write)
+  if (!request->write)
     return;
   progress->lost = true;
   progress->code = MUX_EXIT_UNKNOWN;
-  progress->done = !call->repeatable;
+  progress->done = !request->repeatable;
 }
 
 static void
 note_response (Progress *progress,
-               const MuxCliRequest *call,
+               const MuxCliRequest *request,
                const MuxCliResponse *response)
 {
   int code
-      = call->write ? write_exit_code (response) : read_exit_code (response);
+      = request->write ? write_exit_code (response) : read_exit_code (response);
 
   if (code == MUX_EXIT_UNKNOWN)
     {
-      note_lost (progress, call);
+      note_lost (progress, request);
       return;
     }
-  if (progress->lost && !resolves_lost (call, response))
+  if (progress->lost && !resolves_lost (request, response))
     return;
   progress->code = code;
   progress->done
@@ -107,32 +108,32 @@
 
 static void
 send_round (const MuxServers *servers,
-            const MuxCliRequest *call,
+            const MuxCliRequest *request,
             MuxCliResponse *response,
             Progress *progress)
 {
   for (uint32_t i = 0; i < servers->count && !progress->done; i++)
     {
       MuxCliResponse fresh = { .status = 0 };
-      MuxSendResult sent
-          = mux_cli_send (&servers->server[i], servers->ca_file, call, &fresh);
+      MuxSendResult sent = mux_cli_send (&servers->server[i], servers->ca_file,
+                                         request, &fresh);
 
       if (sent == MUX_SEND_RESPONSE_LOST)
-        note_lost (progress, call);
+        note_lost (progress, request);
       if (fresh.error[0] != 0)
         memcpy (response->error, fresh.error, sizeof response->error);
       if (sent != MUX_SEND_ANSWERED)
         continue;
       mux_cli_response_free (response);
       *response = fresh;
-      note_response (progress, call, response);
+      note_response (progress, request, response);
     }
 }
 
 int
 mux_cli_exchange (MuxCliHost *host,
                   const MuxServers *servers,
-                  const MuxCliRequest *call,
+                  const MuxCliRequest *request,
                   MuxCliResponse *response)
 {
   Progress progress = { .code = MUX_EXIT_UNREACHED };
@@ -140,7 +141,7 @@
   memset (response, 0, sizeof *response);
   for (int round = 0; round < ROUNDS_MAX; round++)
     {
-      send_round (servers, call, response, &progress);
+      send_round (servers, request, response, &progress);
       if (progress.done || !progress.lost)
         break;
       if (round + 1 < ROUNDS_MAX)
--- a/src/cli/keygen.c
+++ b/src/cli/keygen.c
@@ -5,7 +5,7 @@
 
 #define SECRET_KEY "CUMINMUX_CURVE_SECRET_KEY"
 #define PUBLIC_KEY "CUMINMUX_CURVE_PUBLIC_KEY"
-/* Z85 text of a key and its NUL. */
+/* Size of a key in Z85 with its NUL. */
 #define KEY_LEN 41
 
 static void
@@ -15,7 +15,7 @@
 
   if (!call->json)
     {
-      /* Z85 has characters that a shell would read, but no quote. */
+      /* Z85 contains shell metacharacters, but no single quote. */
       fprintf (call->host->out, SECRET_KEY "='%s'\n" PUBLIC_KEY "='%s'\n",
                secret, public);
       return;
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -56,7 +56,7 @@
     }
   code = mux_cli_run (&host, argc, argv);
   curl_global_cleanup ();
-  /* A result that was not written (a full disk, a closed pipe) must not look
+  /* A result that could not be written (full disk, closed pipe) must not look
    * like success to a script. */
   if (fflush (stdout) != 0 || ferror (stdout))
     {
--- a/src/cli/merge.c
+++ b/src/cli/merge.c
@@ -9,7 +9,7 @@
   return json_integer_value (json_object_get (row, field));
 }
 
-/* Adds @row, or hands it to @merge with the row that has the same name. */
+/* Adds @row, or calls @merge if @rows has one with the same name. */
 static void
 add_row (json_t *rows,
          const char *name_field,
--- a/src/cli/render.c
+++ b/src/cli/render.c
@@ -55,11 +55,11 @@
 }
 
 /**
- * struct Grid - the cells of a table, the headings in the first row
- * @rows: rows with the headings
- * @columns: columns
- * @width: widest cell of each column
- * @cell: texts, row after row
+ * struct Grid - cells of a table, with the headings in the first row
+ * @rows: number of rows, including the headings
+ * @columns: number of columns
+ * @width: width of the widest cell of each column
+ * @cell: texts in row-major order, owned
  */
 typedef struct
 {
--- a/src/cli/report_by_size.c
+++ b/src/cli/report_by_size.c
@@ -22,7 +22,7 @@
   WAIT_TURN,
   WAIT_QUERIER,
   WAIT_ANSWER,
-  WAIT_CLAIM_CHECK,
+  WAIT_PROOF,
   WAIT_RECORD,
   WAIT_ROOM,
   WAIT_QUOTA,
@@ -151,12 +151,12 @@
 static int
 by_queue_and_size (Job *a, Job *b)
 {
-  int workers_asked = strcmp (a->queue, b->queue);
+  int order = strcmp (a->queue, b->queue);
 
   if (is_counted (a) != is_counted (b))
     return is_counted (a) ? -1 : 1;
-  if (workers_asked != 0)
-    return workers_asked;
+  if (order != 0)
+    return order;
   return a->work_ms > b->work_ms ? -1 : a->work_ms < b->work_ms;
 }
 
--- a/src/cli/run.c
+++ b/src/cli/run.c
@@ -104,7 +104,7 @@
                       MUX_SERVERS_MAX, text);
 }
 
-/* A file that is not there would show only as a daemon that is not trusted. */
+/* Otherwise a missing file would show only as an untrusted daemon. */
 static void
 check_ca_file (MuxCliCall *call, MuxFindings *findings)
 {
@@ -176,9 +176,9 @@
   int words = 0;
   int code;
 
-  /* Guards against an end without a word: a daemon that closes while it is
-   * sent to over TLS, or a closed pipe behind the command, raises SIGPIPE.
-   * Ignored, it is an error of the write, which is told. */
+  /* SIGPIPE would end the program without a message, if a daemon closes a TLS
+   * connection during a send or the reader of standard output exits.  If it is
+   * ignored, the write fails and the error is printed. */
   signal (SIGPIPE, SIG_IGN);
   if (line == NULL)
     {
@@ -194,8 +194,8 @@
       free (line);
       return code;
     }
-  /* The options go right after the verb: a "--" among its arguments would
-   * make positional ones of what follows it. */
+  /* Leading options are moved right behind the verb: after a "--" among its
+   * arguments they would be parsed as positional ones. */
   memmove (line + 1 + words + leading, line + 1 + words,
            (size_t) (rest - 1 - words) * sizeof *line);
   memcpy (line + 1 + words, argv + 1, (size_t) leading * sizeof *line);
--- a/src/cli/ticket.c
+++ b/src/cli/ticket.c
@@ -25,8 +25,8 @@
 int
 mux_verb_ticket (MuxCliCall *call)
 {
-  /* A ticket whose response was lost holds room for a moment and runs nothing,
-   * so asking again is harmless. */
+  /* A ticket whose response was lost reserves room for a short time and runs
+   * nothing, so a retry is harmless. */
   MuxCliRequest http = { .method = "POST",
                          .timeout_ms = call->timeout_ms,
                          .repeatable = true };
--- a/src/cli/verb.h
+++ b/src/cli/verb.h
@@ -12,11 +12,11 @@
  * struct MuxVerb - one verb of the command line
  * @group: first word
  * @name: second word, or NULL
- * @sort: sort of configured object that it deals with, or NULL
- * @help: one line
- * @args: its arguments besides the global ones
- * @run: does it and returns an enum MuxExit
- * @local: asks no daemon
+ * @sort: kind of configuration object that it reads or changes, or NULL
+ * @help: one-line description
+ * @args: arguments besides the global options
+ * @run: executes the verb and returns an enum MuxExit
+ * @local: runs without a daemon
  */
 typedef struct
 {
@@ -30,12 +30,12 @@
 } MuxVerb;
 
 /**
- * struct MuxCliCall - one run of a verb
- * @host: the process around it
- * @verb: what is run
- * @args: its checked arguments
- * @servers: daemons to talk to
- * @timeout_ms: longest wait for an response
+ * struct MuxCliCall - one execution of a verb
+ * @host: process environment
+ * @verb: the verb
+ * @args: validated arguments
+ * @servers: daemons to send requests to
+ * @timeout_ms: time limit of a request
  * @json: print JSON
  */
 struct MuxCliCall
@@ -48,7 +48,7 @@
   bool json;
 };
 
-/* Closed by an entry without a group. */
+/* Terminated by an entry with a NULL group. */
 extern const MuxVerb mux_verbs[];
 
 int mux_verb_status (MuxCliCall *call);
@@ -75,9 +75,10 @@
 int mux_verb_explain (MuxCliCall *call);
 int mux_verb_report (MuxCliCall *call);
 
-/** mux_call_read() - GET @path with up to one parameter (@name may be NULL)
- * @json: receives the response, owned by the caller; NULL unless it is OK
- * Return: an enum MuxExit; what went wrong is printed. */
+/** mux_call_read() - GET @path
+ * @query: parameter; none if its name is NULL
+ * @json: receives the response, owned by the caller; NULL on failure
+ * Return: an enum MuxExit; failures are printed. */
 int mux_call_read (MuxCliCall *call,
                    const char *path,
                    MuxHttpPair query,
@@ -85,11 +86,11 @@
                    json_t **json);
 
 /**
- * mux_call_read_all() - GET @path from every daemon of the list, one by one
- * @responses: receives the responses, an array owned by the caller
- * @unanswered: receives the addresses of the others, likewise; each is also
- *   printed with what went wrong
- * Return: an enum MuxExit; MUX_EXIT_LATER when only a part answered.
+ * mux_call_read_all() - GET @path from every daemon, one after the other
+ * @responses: receives an array of the responses, owned by the caller
+ * @unanswered: receives an array of the addresses of daemons without response,
+ *   owned by the caller; each is also printed with the cause
+ * Return: an enum MuxExit; MUX_EXIT_LATER if only some daemons answered.
  */
 int mux_call_read_all (MuxCliCall *call,
                        const char *path,
@@ -97,29 +98,36 @@
                        json_t **unanswered);
 
 /**
- * mux_call_print_failure() - print what an response that is not OK says
- * @retry_flag: the flag and value with which the same command settles an
- * unknown outcome; a NULL name: there is none Return: @code
+ * mux_call_print_failure() - print a failure and what its response says
+ * @retry_flag: flag and value with which the same command can be repeated to
+ *   resolve an unknown outcome; a NULL name: none
+ *
+ * Return: @code
  */
 int mux_call_print_failure (MuxCliCall *call,
                             int code,
                             const MuxCliResponse *response,
                             MuxHttpPair retry_flag);
 
-/** mux_call_json() - the body of an OK response; prints when it is no JSON */
+/** mux_call_json() - parse the body of a response; prints an error if it is not
+ * JSON Return: NULL if it is not JSON. */
 json_t *mux_call_json (MuxCliCall *call, const MuxCliResponse *response);
 
-/** mux_call_change() - send a change with its id and who makes it, print the
- * revision that it made and, if asked, wait until it is in force
- * @change: method, path, query and body; the rest is filled here */
+/** mux_call_change() - send a configuration change, print its revision and,
+ * with
+ * --wait, wait until all reachable daemons have applied it
+ * @change: method, path, query and body; the id and the author are added here
+ * Return: an enum MuxExit; failures are printed. */
 int mux_call_change (MuxCliCall *call, MuxCliRequest *change);
 
-/** mux_findings_print() - each finding on a line of its own */
+/** mux_findings_print() - print each finding on a line of its own */
 void mux_findings_print (FILE *err, const MuxFindings *findings);
 
-/** mux_wait_until_applied() - poll until every reachable daemon has @revision
- * @unconfirmed: receives the names of those that lack it, an array to be freed
- * Return: whether all have it. */
+/** mux_wait_until_applied() - poll until all reachable daemons have applied
+ * @revision, for at most --wait-ms
+ * @unconfirmed: receives an array of the names of those that have not, owned by
+ *   the caller
+ * Return: whether all have applied it. */
 bool mux_wait_until_applied (MuxCliCall *call,
                              json_int_t revision,
                              json_t **unconfirmed);
--- a/src/cli/view.c
+++ b/src/cli/view.c
@@ -9,8 +9,8 @@
 
 static const MuxHttpPair no_pair = { NULL, NULL };
 
-/* Prints the rows that many daemons' responses came to, and in JSON also which
- * daemons did not response; people are told that on standard error. */
+/* Prints merged rows, and in JSON also the daemons without response; in text
+ * these have been printed on standard error. */
 static void
 print_merged (MuxCliCall *call,
               const char *field,
@@ -29,12 +29,11 @@
 }
 
 /**
- * struct View - an array that daemons show
- * @path: where it is read
- * @field: its name in the response
- * @merge: makes one array of many daemons' responses; NULL: one daemon tells
- * all
- * @columns: its table
+ * struct View - an array in daemons' responses that is shown as a table
+ * @path: path of the request
+ * @field: name of the array in the response
+ * @merge: merges the arrays of several daemons; NULL: any daemon has all rows
+ * @columns: columns of the table
  */
 typedef struct
 {
@@ -210,7 +209,7 @@
   return show_table (call, &view);
 }
 
-/* Adds "when", in UTC, to each change beside its "when_ms". */
+/* Adds "when", in UTC, to each change that has "when_ms". */
 static void
 add_when (json_t *changes)
 {
@@ -259,7 +258,7 @@
   return code;
 }
 
-/* One "name{labels} value" line of the Prometheus text as a row. */
+/* Converts a "name{labels} value" line of the Prometheus text to a row. */
 static json_t *
 counter_row (const char *line, size_t len)
 {
--- a/src/cli/wait.c
+++ b/src/cli/wait.c
@@ -5,8 +5,8 @@
 #define POLL_MS 100
 #define MEMBER_DEAD "dead"
 
-/* A dead member can't be reached and reads the configuration before it is
- * ready again; every other one has to confirm. */
+/* A dead member is unreachable, and reads the configuration before it becomes
+ * ready again; every other member has to confirm the revision. */
 static bool
 member_is_behind (const json_t *member, json_int_t revision)
 {
@@ -36,7 +36,7 @@
     json_array_append_new (unconfirmed, json_string ("(without a name)"));
 }
 
-/* Names of those that @status shows before @revision. */
+/* Returns the names of the members that have not reached @revision. */
 static json_t *
 unconfirmed_members (const json_t *status, json_int_t revision)
 {
--- a/src/cli/work.c
+++ b/src/cli/work.c
@@ -79,9 +79,8 @@
   json_decref (json);
 }
 
-/* What names the work, so that a repeat finds out what became of the first
- * sending: a key, made up unless one was given,, or the ticket that was given.
- */
+/* Sets the header that identifies the work, so that a retry returns the outcome
+ * of the first attempt: the given ticket, or else the given or a random key. */
 static bool
 work_id_header (MuxCliCall *call,
                 char key[MUX_KEY_LEN],
@@ -101,7 +100,7 @@
   return idempotency_key (call, key);
 }
 
-/* Reads the body, sends it under its key or ticket and prints the response. */
+/* Reads the body, sends it with its key or ticket and prints the response. */
 static int
 submit (MuxCliCall *call,
         const MuxCliRequest *work,
@@ -227,7 +226,7 @@
 int
 mux_verb_job_cancel (MuxCliCall *call)
 {
-  /* Cancelling a cancelled job changes nothing, so a repeat is harmless. */
+  /* Cancelling is idempotent. */
   MuxCliRequest http = { .method = "DELETE",
                          .timeout_ms = call->timeout_ms,
                          .write = true,
