--- a/src/cli/explain.c
+++ b/src/cli/explain.c
@@ -5,11 +5,11 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One event that touches the job, or what the daemons believed meanwhile. */
+/* An event of the job, or one that concerns all jobs, such as a takeover. */
 typedef struct
 {
   int64_t wall_ms;
-  size_t order; /* as read: events of one moment stay in it */
+  size_t order; /* order of reading; breaks ties of @wall_ms */
   json_t *json;
 } Event;
 
@@ -21,11 +21,11 @@
   size_t capacity;
 } History;
 
-/* What is_event told of an event: a template with fields in braces. */
+/* Sentence printed for an event, with names of its fields in braces. */
 typedef struct
 {
   const char *event;
-  const char *template;
+  const char *sentence;
 } Template;
 
 static const Template templates[] = {
@@ -87,8 +87,9 @@
   return strcmp (mux_event_text (json, "job"), history->job) == 0;
 }
 
-/* Of the job itself, or of what all jobs depend on.  A line whose job is_event
- * empty speaks of a whole queue, such as the count of its waiting jobs. */
+/* Whether the event is one of the job, or has no job and so concerns all jobs.
+ * An empty job id stands for a whole queue, such as in counts of waiting jobs.
+ */
 static bool
 is_relevant (const History *history, const json_t *json)
 {
@@ -165,7 +166,7 @@
 print_event (FILE *out, const Event *event, int64_t begin_ms)
 {
   const char *at
-      = find_template (mux_event_text (event->json, "event"))->template;
+      = find_template (mux_event_text (event->json, "event"))->sentence;
   char *instance = mux_render_text (json_object_get (event->json, "instance"));
 
   fprintf (out, "%+8" PRId64 " ms  %s: ", event->wall_ms - begin_ms,
@@ -192,20 +193,20 @@
   return strcmp (mux_event_text (event->json, "event"), name) == 0;
 }
 
-/* Refusals are counted from the first try on, all else between the job's
- * acceptance and its end: what came before could not delay it. */
+/* Counts of a job's events.  Refusals are counted until the acceptance, all
+ * else between acceptance and end, as only this can have delayed the job. */
 typedef struct
 {
   uint32_t refused;
-  const char *why_refused; /* the last time */
+  const char *why_refused; /* reason of the last refusal */
   uint32_t failed;
   uint32_t lost;
   const char *why_failing;
   uint32_t stalled;
   uint32_t takeovers;
   uint32_t placed;
-  uint32_t placed_late;   /* too late for the promised time */
-  uint32_t store_failing; /* at the daemon that told of the end */
+  uint32_t placed_late;   /* too late to end within the promised time */
+  uint32_t store_failing; /* at the daemon that logged the end */
   const Event *ended;
   bool cancelled;
   bool accepted;
@@ -287,7 +288,8 @@
   return "its tasks failed as often as the queue allows";
 }
 
-/* The one that binds: in the order in which each alone explains the rest. */
+/* Returns the primary cause: the checks are ordered so that an earlier one can
+ * explain all later ones. */
 static const char *
 cause_of (const Counts *counts)
 {
@@ -333,7 +335,7 @@
   return false;
 }
 
-/* Troubles of a worker are told if the job had a run there. */
+/* Events of a worker are printed only if the job had a run there. */
 static bool
 is_printed (const History *history, const Event *event)
 {
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -9,23 +9,23 @@
 #include <string.h>
 #include <uthash.h>
 
-/*
- * What callers of each queue got, by spans of time, from the logs of any number
- * of daemons in any order.  A job belongs to the span in which it was accepted;
- * one that came too late counts under the one cause that came first in the list
- * of causes, each of which alone explains the rest.
+/* Reports the service level of each queue per span of time, from the logs of
+ * any number of daemons in any order.  A job belongs to the span in which it
+ * was accepted.  A late job counts under its primary cause only: the first
+ * cause in the order of late_cause() that applies, which can explain all later
+ * ones.
  */
 
-/* Bytes of a job's id and of a queue's name, with NUL. */
+/* Size of a job's id and of a queue's name, with NUL. */
 #define NAME_LEN 96
 #define MS_PER_S 1000
 
 typedef enum
 {
-  LATE_RUNS,     /* a run failed, was lost, or stood still */
+  LATE_RUNS,     /* a run failed, was lost, or stalled */
   LATE_TAKEOVER, /* the planner changed while the job was open */
-  LATE_UNHEARD,  /* it waited for workers that were not heard */
-  LATE_POLICY,   /* most of its wait were questions to the policy service */
+  LATE_UNHEARD,  /* it waited for workers not heard from */
+  LATE_POLICY,   /* it waited mostly for approval queries */
   LATE_ROOM,     /* it waited for room */
   LATE_ESTIMATE, /* placed in time, it ran longer than declared */
   LATE_COUNT
@@ -41,18 +41,18 @@
 {
   char id[NAME_LEN];
   char queue[NAME_LEN];
-  int64_t accepted_ms; /* 0: no line says so */
-  int64_t placed_ms;   /* the first time; 0: not */
+  int64_t accepted_ms; /* 0: not accepted, as far as logged */
+  int64_t placed_ms;   /* of the first step placed; 0: none */
   int64_t ended_ms;
   int64_t took_ms;
   int64_t due_ms;
-  int64_t query_ms; /* of the policy service, in all */
-  int64_t work_ms;  /* its core-time as declared; 0: not told */
+  int64_t query_ms; /* total time of its approval queries */
+  int64_t work_ms;  /* declared core-time; 0: unknown */
   bool completed;
   bool failed_run;
   bool placed_late;
   bool workers_unheard;
-  uint32_t refused; /* tries */
+  uint32_t refused; /* attempts */
   int64_t refused_ms;
   UT_hash_handle hh;
 } Job;
@@ -251,7 +251,7 @@
     row->in_time++;
   else
     row->late[late_cause (report, job)]++;
-  /* The acceptance is told by another daemon, whose clock may be ahead. */
+  /* The acceptance is logged by another daemon, whose clock may be ahead. */
   return job->placed_ms == 0
          || append_number (&row->wait_ms, &row->wait_count,
                            job->placed_ms > job->accepted_ms
@@ -259,7 +259,7 @@
                                : 0);
 }
 
-/* A job that was refused for good counts as well: it was not in time. */
+/* A job that was never accepted counts as not in time. */
 static bool
 count_size (Row *row, const Job *job)
 {
@@ -381,7 +381,7 @@
   json_decref (rows);
 }
 
-/* Spans are counted from the first job that a daemon answered. */
+/* Spans start at the first job that a daemon accepted or refused. */
 static bool
 count_all (Report *report)
 {
--- a/src/cli/report_by_size.c
+++ b/src/cli/report_by_size.c
@@ -6,10 +6,9 @@
 #include <string.h>
 #include <uthash.h>
 
-/*
- * Each queue has a row for the largest tenth of its jobs by the core-time that
- * they declare, one for the fifth below it and one for the rest.  Jobs count
- * that were accepted and whose core-time is known.
+/* Each queue has a row for the largest tenth of its jobs by declared core-time,
+ * one for the next fifth and one for the rest.  Only jobs that were accepted
+ * and whose core-time is known are counted.
  */
 
 #define NAME_LEN 96
@@ -55,7 +54,7 @@
 } Report;
 
 /**
- * struct Sums - of the jobs of one row
+ * struct Sums - sums over the jobs of one row
  */
 typedef struct
 {
@@ -147,7 +146,7 @@
   return job->accepted && job->work_ms > 0;
 }
 
-/* By queue, the largest first; those that don't count come last. */
+/* By queue, the largest first; jobs that are not counted come last. */
 static int
 by_queue_and_size (Job *a, Job *b)
 {
--- a/src/cli/report_by_size.h
+++ b/src/cli/report_by_size.h
@@ -4,9 +4,9 @@
 #include "verb.h"
 
 /**
- * mux_report_by_size() - what the steps of each queue waited for, and what
- * their questions to the policy service brought, by the size of their jobs
- * Return: an enum MuxExit; what went wrong is printed.
+ * mux_report_by_size() - print what the steps of each queue waited for and the
+ * results of their approval queries, by the size of their jobs
+ * Return: an enum MuxExit; failures are printed.
  */
 int mux_report_by_size (MuxCliCall *call);
 
--- a/src/cli/report_by_workspace.c
+++ b/src/cli/report_by_workspace.c
@@ -6,19 +6,19 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Rows that are shown; those of the other workspaces are one more. */
+/* Workspaces shown; the others are summed up in one more row. */
 #define ROWS_MAX 30
 #define NAME_LEN 96
 #define PERCENT 100
 
 /**
- * struct Workspace - what its callers got
- * @accepted: jobs
- * @refused: tries
- * @ended: jobs of these
- * @in_time: as promised
- * @placed: steps
- * @quota_ms: how long these waited for quota, together
+ * struct Workspace - service level of one workspace
+ * @accepted: jobs accepted
+ * @refused: attempts to submit a job that were refused
+ * @ended: accepted jobs that ended
+ * @in_time: jobs completed within the promised time
+ * @placed: steps placed
+ * @quota_ms: total time that these steps waited for quota
  */
 typedef struct
 {
@@ -45,7 +45,7 @@
   Job *jobs;
 } Report;
 
-/* NULL: memory is out; so does job_of(). */
+/* Returns NULL if out of memory, like job_of(). */
 static Workspace *
 workspace_of (Report *report, const char *name)
 {
@@ -78,7 +78,7 @@
   return job;
 }
 
-/* Return: false when memory is out. */
+/* Returns false if out of memory. */
 static bool
 take_response (Report *report, Job *job, const json_t *json, bool accepted)
 {
@@ -87,7 +87,7 @@
 
   if (workspace == NULL)
     return false;
-  /* One that comes again is answered again. */
+  /* A job that is submitted again is logged as accepted again. */
   if (accepted && job->workspace == NULL)
     {
       workspace->accepted++;
--- a/src/cli/report_by_workspace.h
+++ b/src/cli/report_by_workspace.h
@@ -4,9 +4,9 @@
 #include "verb.h"
 
 /**
- * mux_report_by_workspace() - what callers of each workspace got, the busiest
- * first
- * Return: an enum MuxExit; what went wrong is printed.
+ * mux_report_by_workspace() - print the service level of each workspace, in
+ * descending order of accepted jobs
+ * Return: an enum MuxExit; failures are printed.
  */
 int mux_report_by_workspace (MuxCliCall *call);
 
--- a/src/cli/report_sizes.h
+++ b/src/cli/report_sizes.h
@@ -5,7 +5,7 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/** DOC: which of a queue's jobs were in time, by their core-time */
+/** DOC: share of a queue's jobs that were in time, by declared core-time */
 
 typedef struct
 {
@@ -14,7 +14,7 @@
 } MuxSizedJob;
 
 /**
- * struct MuxSizedJobs - those whose core-time is known
+ * struct MuxSizedJobs - jobs whose core-time is known
  */
 typedef struct
 {
@@ -22,10 +22,11 @@
   MuxSizedJob *job; /* owned */
 } MuxSizedJobs;
 
-/** mux_sized_jobs_add() - Return: false when memory is out */
+/** mux_sized_jobs_add() - append a job
+ * Return: false if out of memory. */
 bool mux_sized_jobs_add (MuxSizedJobs *jobs, int64_t work_ms, bool in_time);
-/** mux_sized_jobs_to_json() - the shares in time, in percent, of all, of the
- * largest tenth and of the fifth below it; null where there is none */
+/** mux_sized_jobs_to_json() - add to @row the percentages in time of all jobs,
+ * of the largest tenth and of the next fifth; null for an empty group */
 void mux_sized_jobs_to_json (MuxSizedJobs *jobs, json_t *row);
 void mux_sized_jobs_clear (MuxSizedJobs *jobs);
 
