--- a/src/cli/args.c
+++ b/src/cli/args.c
@@ -240,7 +240,7 @@
   if (!table_make (&table, list))
     {
       table_free (&table);
-      mux_findings_add (findings, "arguments", "memory is out");
+      mux_findings_add (findings, "arguments", "out of memory");
       return false;
     }
   arg_parse (argc, argv, table.entry);
--- a/src/cli/body.c
+++ b/src/cli/body.c
@@ -17,7 +17,7 @@
       if (n > BODY_MAX - body->len)
         return "over 64 MiB";
       if (!mux_bytes_add (body, step, n))
-        return "memory is out";
+        return "out of memory";
     }
   return ferror (in) ? strerror (errno) : NULL;
 }
@@ -51,7 +51,7 @@
     }
   /* An empty body is valid; adding 0 bytes allocates its terminating NUL. */
   if (!mux_bytes_add (body, text, text != NULL ? strlen (text) : 0))
-    error = "memory is out";
+    error = "out of memory";
   else if (path != NULL)
     error = read_file (path, body);
   else if (text == NULL)
--- a/src/cli/change.c
+++ b/src/cli/change.c
@@ -92,7 +92,7 @@
 
   if (!change_id (call, id))
     {
-      fputs ("cuminmux: the system gives no random bytes\n", call->host->err);
+      fputs ("cuminmux: no random bytes from the system\n", call->host->err);
       return MUX_EXIT_LATER;
     }
   change->header[0] = (MuxHttpPair){ CHANGE_HEADER, id };
--- a/src/cli/config.c
+++ b/src/cli/config.c
@@ -61,7 +61,7 @@
   int code = MUX_EXIT_USAGE;
 
   if (findings == NULL || body == NULL)
-    fputs ("cuminmux: memory is out\n", call->host->err);
+    fputs ("cuminmux: out of memory\n", call->host->err);
   else if (!check (json, findings))
     {
       mux_args_fields_to_flags (findings);
--- a/src/cli/event_lines.c
+++ b/src/cli/event_lines.c
@@ -63,7 +63,7 @@
     return MUX_EXIT_USAGE;
   if (!read_lines (in, handler, user))
     {
-      fputs ("cuminmux: memory is out\n", call->host->err);
+      fputs ("cuminmux: out of memory\n", call->host->err);
       code = MUX_EXIT_LATER;
     }
   if (in != call->host->in)
--- a/src/cli/keygen.c
+++ b/src/cli/keygen.c
@@ -33,7 +33,8 @@
 
   if (zmq_curve_keypair (public, secret) != 0)
     {
-      fputs ("cuminmux: this ZeroMQ has no CURVE keys\n", call->host->err);
+      fputs ("cuminmux: this build of ZeroMQ has no CURVE support\n",
+             call->host->err);
       return MUX_EXIT_REFUSED;
     }
   print_pair (call, secret, public);
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -51,7 +51,7 @@
 
   if (curl_global_init (CURL_GLOBAL_DEFAULT) != CURLE_OK)
     {
-      fputs ("cuminmux: the HTTP client can't be set up\n", stderr);
+      fputs ("cuminmux: the HTTP client can't be initialised\n", stderr);
       return MUX_EXIT_UNREACHED;
     }
   code = mux_cli_run (&host, argc, argv);
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -436,7 +436,7 @@
     print (&report, call);
   else if (code == MUX_EXIT_OK)
     {
-      fputs ("cuminmux: memory is out\n", call->host->err);
+      fputs ("cuminmux: out of memory\n", call->host->err);
       code = MUX_EXIT_LATER;
     }
   report_free (&report);
--- a/src/cli/run.c
+++ b/src/cli/run.c
@@ -124,7 +124,7 @@
 
   if (findings == NULL)
     {
-      fputs ("cuminmux: memory is out\n", call->host->err);
+      fputs ("cuminmux: out of memory\n", call->host->err);
       return MUX_EXIT_LATER;
     }
   mux_args_parse (&call->verb->args, call->host, argc, argv, &call->args,
@@ -182,7 +182,7 @@
   signal (SIGPIPE, SIG_IGN);
   if (line == NULL)
     {
-      fputs ("cuminmux: memory is out\n", host->err);
+      fputs ("cuminmux: out of memory\n", host->err);
       return MUX_EXIT_LATER;
     }
   line[0] = argv[0];
--- a/src/cli/work.c
+++ b/src/cli/work.c
@@ -26,7 +26,7 @@
       mux_id_format (id, out);
       return true;
     }
-  fputs ("cuminmux: the system gives no random bytes\n", call->host->err);
+  fputs ("cuminmux: no random bytes from the system\n", call->host->err);
   return false;
 }
 
