--- a/src/cli/change.c
+++ b/src/cli/change.c
@@ -26,13 +26,13 @@
 }
 
 static void
-print_unconfirmed (FILE *err, const json_t *waiting)
+print_unconfirmed (FILE *err, const json_t *unconfirmed)
 {
   size_t i;
   json_t *name;
 
   fputs ("cuminmux: not yet in force at:", err);
-  json_array_foreach ((json_t *) waiting, i, name)
+  json_array_foreach ((json_t *) unconfirmed, i, name)
   {
     char *text = mux_render_text (name);
 
@@ -46,13 +46,13 @@
 static int
 wait_until_applied (MuxCliCall *call, json_int_t revision, json_t *result)
 {
-  json_t *waiting = NULL;
-  bool all = mux_wait_until_applied (call, revision, &waiting);
+  json_t *unconfirmed = NULL;
+  bool all = mux_wait_until_applied (call, revision, &unconfirmed);
 
   if (!all && !call->json)
-    print_unconfirmed (call->host->err, waiting);
+    print_unconfirmed (call->host->err, unconfirmed);
   json_object_set_new (result, "confirmed", json_boolean (all));
-  json_object_set_new (result, "not_confirmed", waiting);
+  json_object_set_new (result, "not_confirmed", unconfirmed);
   return all ? MUX_EXIT_OK : MUX_EXIT_LATER;
 }
 
--- a/src/cli/report.c
+++ b/src/cli/report.c
@@ -9,7 +9,8 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Reports the service level of each queue per span of time, from the logs of
+/*
+ * Reports the service level of each queue per span of time, from the logs of
  * any number of daemons in any order.  A job belongs to the span in which it
  * was accepted.  A late job counts under its primary cause only: the first
  * cause in the order of late_cause() that applies, which can explain all later
--- a/src/cli/report_by_size.c
+++ b/src/cli/report_by_size.c
@@ -6,7 +6,8 @@
 #include <string.h>
 #include <uthash.h>
 
-/* Each queue has a row for the largest tenth of its jobs by declared core-time,
+/*
+ * Each queue has a row for the largest tenth of its jobs by declared core-time,
  * one for the next fifth and one for the rest.  Only jobs that were accepted
  * and whose core-time is known are counted.
  */
@@ -16,13 +17,14 @@
 #define LARGEST_DIVISOR 10
 #define NEXT_DIVISOR 5
 
+/* What a step waits for; see the planner's CELL_BLOCKED_ON_ values. */
 typedef enum
 {
-  WAIT_TURN,
-  WAIT_QUERIER,
-  WAIT_ANSWER,
-  WAIT_PROOF,
-  WAIT_RECORD,
+  WAIT_TURN,    /* to be scanned */
+  WAIT_QUERIER, /* a free querier for its approval query */
+  WAIT_ANSWER,  /* the answer to its approval query */
+  WAIT_PROOF,   /* renewed proofs of approved workers */
+  WAIT_RECORD,  /* its approvals to be stored */
   WAIT_ROOM,
   WAIT_QUOTA,
   WAIT_COUNT
--- a/src/cli/view.c
+++ b/src/cli/view.c
@@ -92,14 +92,14 @@
                                        { "FREE ACCELS", "free.accels" },
                                        { "FREE SLOTS", "free.slots" },
                                        { NULL, NULL } };
-  const json_t *waiting = json_object_get (json, "not_confirmed");
+  const json_t *unconfirmed = json_object_get (json, "not_confirmed");
   size_t i;
   json_t *name;
 
   mux_render_fields (out, json);
   fputc ('\n', out);
   mux_render_table (out, json_object_get (json, "members"), columns);
-  json_array_foreach ((json_t *) waiting, i, name)
+  json_array_foreach ((json_t *) unconfirmed, i, name)
   {
     char *text = mux_render_text (name);
 
@@ -107,7 +107,7 @@
       fprintf (out, "%s%s", i == 0 ? "\nnot confirmed: " : ", ", text);
     free (text);
   }
-  if (json_array_size (waiting) > 0)
+  if (json_array_size (unconfirmed) > 0)
     fputc ('\n', out);
 }
 
