--- a/include/base/reason.h
+++ b/include/base/reason.h
@@ -8,7 +8,7 @@
  * the counters, HTTP status of a response with this reason, help text. */
 #define MUX_REASONS(X)                                                        \
   X (NONE, "none", 200, "no refusal")                                         \
-  X (BAD_JSON, "bad_json", 400, "body is not the JSON expected")              \
+  X (BAD_JSON, "bad_json", 400, "body is not the JSON asked for")             \
   X (BAD_FIELD, "bad_field", 400, "a field has a wrong type or range")        \
   X (BAD_KEY, "bad_key", 400, "idempotency key is malformed or too long")     \
   X (BAD_TICKET, "bad_ticket", 400, "ticket is malformed or not ours")        \
@@ -18,7 +18,7 @@
   X (UNKNOWN_JOB, "unknown_job", 404, "no such job")                          \
   X (UNKNOWN_WORKER, "unknown_worker", 404, "no such worker")                 \
   X (BODY_TOO_LARGE, "body_too_large", 413, "body is over the limit")         \
-  X (NEVER_FITS, "never_fits", 422, "no worker is large enough for it")       \
+  X (NEVER_FITS, "never_fits", 422, "no worker can ever hold it")             \
   X (KIND_MISMATCH, "kind_mismatch", 422, "class is of another kind")         \
   X (QUEUE_FULL, "queue_full", 429, "the class's queue is full")              \
   X (QUOTA, "quota", 429, "the product is at its quota")                      \
@@ -29,7 +29,7 @@
   X (CALLERS_FULL, "callers_full", 503, "too many callers are connected")     \
   X (STOPPING, "stopping", 503, "this daemon is stopping")                    \
   X (CANCELLED, "cancelled", 409, "it was cancelled before it started")       \
-  X (REVISION, "revision", 409, "changed concurrently by another")            \
+  X (REVISION, "revision", 409, "changed by somebody else meanwhile")         \
   X (ALREADY_RAN, "already_ran", 409, "it ran; its response has expired")     \
   X (RETRY_BUDGET, "retry_budget", 503, "the class's retry budget is spent")  \
   X (TASK_FAILED, "task_failed", 502, "the task ran and failed")              \
