--- a/src/cli/args.c
+++ b/src/cli/args.c
@@ -8,7 +8,7 @@
 #include <string.h>
 
 #define PARSE_ERRORS_MAX 32
-/* Longest ticket that daemons take. */
+/* Longest ticket that daemons accept. */
 #define TICKET_MAX 511
 
 static const struct
@@ -22,9 +22,9 @@
                     { MUX_ARG_JSON, "CUMINMUX_JSON" } };
 
 /**
- * struct Table - an argtable and which argument each entry is
- * @entry: for argtable2, closed by @end
- * @arg: the argument of each entry
+ * struct Table - an argtable with the argument of each entry
+ * @entry: argtable2 entries, terminated by @end
+ * @arg: argument of each entry
  * @count: entries before @end
  */
 typedef struct
@@ -86,10 +86,10 @@
   return NULL;
 }
 
-/* One finding for each error that argtable2 noted, but for missing ones: it
- * looks for these only when nothing else is wrong. */
+/* Adds a finding for each error of argtable2 except missing arguments, which it
+ * checks only if there is no other error; see add_missing(). */
 static void
-find_parse_errors (const Table *table, MuxFindings *findings)
+add_parse_errors (const Table *table, MuxFindings *findings)
 {
   for (int i = 0; i < table->end->count; i++)
     {
@@ -110,9 +110,7 @@
 }
 
 static void
-find_missing (const MuxArgList *list,
-              const MuxArgs *args,
-              MuxFindings *findings)
+add_missing (const MuxArgList *list, const MuxArgs *args, MuxFindings *findings)
 {
   char place[64];
 
@@ -242,13 +240,13 @@
   if (!table_make (&table, list))
     {
       table_free (&table);
-      mux_findings_add (findings, "arguments", "memory is out");
+      mux_findings_add (findings, "arguments", "out of memory");
       return false;
     }
   arg_parse (argc, argv, table.entry);
   take_values (&table, args);
-  find_parse_errors (&table, findings);
-  find_missing (list, args, findings);
+  add_parse_errors (&table, findings);
+  add_missing (list, args, findings);
   take_environment (host, args);
   for (int i = 0; i < MUX_ARG_COUNT; i++)
     check_arg ((MuxArg) i, args, findings);
@@ -256,9 +254,10 @@
   return findings->count == 0;
 }
 
-/* Words that a global option takes at the front of @argv; 0: it is none. */
+/* Returns the number of words of the global option at the front of @argv, 0 if
+ * there is none. */
 static int
-global_words (int argc, char **argv)
+global_option_words (int argc, char **argv)
 {
   for (int i = MUX_ARG_SERVER; i < MUX_ARG_HELP; i++)
     {
@@ -285,8 +284,10 @@
   int leading = 0;
   int words;
 
-  while (leading + 1 < argc
-         && (words = global_words (argc - leading - 1, argv + leading + 1)) > 0)
+  while (
+      leading + 1 < argc
+      && (words = global_option_words (argc - leading - 1, argv + leading + 1))
+             > 0)
     leading += words;
   return leading;
 }
@@ -306,7 +307,7 @@
 }
 
 void
-mux_args_name_flags (MuxFindings *findings)
+mux_args_fields_to_flags (MuxFindings *findings)
 {
   for (uint32_t i = 0; i < findings->count; i++)
     {
--- a/src/cli/client.c
+++ b/src/cli/client.c
@@ -59,46 +59,47 @@
     }
 }
 
-/* Not ulfius's client, which this one takes the place of: that takes no file of
- * certificates to trust, its error does not say whether anything was sent nor
- * what was wrong with the certificate, and its timeout counts whole seconds.
- * It is built on libcurl itself. */
+/* Uses libcurl directly instead of ulfius's client, which is built on it: that
+ * one accepts no file of trusted certificates, its error does not say whether
+ * anything was sent nor what is wrong with the certificate, and its timeout is
+ * in whole seconds. */
 
 /**
- * struct Exchange - one sending
- * @curl: the HTTP client
- * @headers: of the request, owned
- * @body: of the answer, as far as it came
- * @answer: being filled
- * @sent: the request may have left
+ * struct Transfer - one attempt to send a request
+ * @curl: libcurl handle
+ * @headers: request headers, owned
+ * @body: response body received so far
+ * @response: receives the response
+ * @sent: the request may have been sent
  */
 typedef struct
 {
   CURL *curl;
   struct curl_slist *headers;
   MuxBytes body;
-  MuxHttpAnswer *answer;
+  MuxCliResponse *response;
   bool sent;
-} Exchange;
+} Transfer;
 
-/* Called with the connection made and, under TLS, its certificate checked,
- * right before the request is sent.  A failure before this was certainly sent
- * nothing; one after it may have reached the daemon. */
+/* Called by libcurl right before it sends the request, once the connection is
+ * established and, with TLS, the certificate is verified.  If the transfer
+ * fails before this, nothing was sent; after it, the request may have reached
+ * the daemon. */
 static int
-on_send (void *ctx, char *ip, char *own_ip, int port, int own_port)
+before_request (void *ctx, char *ip, char *own_ip, int port, int own_port)
 {
-  Exchange *exchange = ctx;
+  Transfer *transfer = ctx;
 
   (void) ip;
   (void) own_ip;
   (void) port;
   (void) own_port;
-  exchange->sent = true;
+  transfer->sent = true;
   return CURL_PREREQFUNC_OK;
 }
 
 static bool
-add_header (Exchange *exchange, const char *name, const char *value)
+add_header (Transfer *transfer, const char *name, const char *value)
 {
   char line[1024];
   struct curl_slist *headers;
@@ -106,33 +107,33 @@
 
   if (n < 0 || (size_t) n >= sizeof line)
     return false;
-  headers = curl_slist_append (exchange->headers, line);
+  headers = curl_slist_append (transfer->headers, line);
   if (headers != NULL)
-    exchange->headers = headers;
+    transfer->headers = headers;
   return headers != NULL;
 }
 
 static bool
-fill_headers (Exchange *exchange, const MuxHttpCall *call)
+fill_headers (Transfer *transfer, const MuxCliRequest *request)
 {
-  /* curl's own would call the body a form. */
-  if (call->body != NULL
-      && !add_header (exchange, "Content-Type", "application/octet-stream"))
+  /* libcurl's default content type is that of a form. */
+  if (request->body != NULL
+      && !add_header (transfer, "Content-Type", "application/octet-stream"))
     return false;
-  for (const MuxHttpPair *p = call->header; p->name != NULL; p++)
-    if (!add_header (exchange, p->name, p->value))
+  for (const MuxHttpPair *p = request->header; p->name != NULL; p++)
+    if (!add_header (transfer, p->name, p->value))
       return false;
-  return curl_easy_setopt (exchange->curl, CURLOPT_HTTPHEADER,
-                           exchange->headers)
+  return curl_easy_setopt (transfer->curl, CURLOPT_HTTPHEADER,
+                           transfer->headers)
          == CURLE_OK;
 }
 
 static bool
-fill_query (CURLU *url, const MuxHttpCall *call)
+fill_query (CURLU *url, const MuxCliRequest *request)
 {
   char pair[1024];
 
-  for (const MuxHttpPair *p = call->query; p->name != NULL; p++)
+  for (const MuxHttpPair *p = request->query; p->name != NULL; p++)
     {
       int n = snprintf (pair, sizeof pair, "%s=%s", p->name, p->value);
 
@@ -146,58 +147,60 @@
 }
 
 static bool
-fill_url (Exchange *exchange, const MuxServer *server, const MuxHttpCall *call)
+fill_url (Transfer *transfer,
+          const MuxServer *server,
+          const MuxCliRequest *request)
 {
-  char text[sizeof HTTPS + MUX_ADDR_LEN + sizeof call->path];
+  char text[sizeof HTTPS + MUX_ADDR_LEN + sizeof request->path];
   char *whole = NULL;
   CURLU *url = curl_url ();
   bool filled;
 
   snprintf (text, sizeof text, "%s%s%s", server->tls ? HTTPS : HTTP,
-            server->addr, call->path);
+            server->addr, request->path);
   filled = url != NULL
            && curl_url_set (url, CURLUPART_URL, text, 0) == CURLUE_OK
-           && fill_query (url, call)
+           && fill_query (url, request)
            && curl_url_get (url, CURLUPART_URL, &whole, 0) == CURLUE_OK
-           && curl_easy_setopt (exchange->curl, CURLOPT_URL, whole) == CURLE_OK;
+           && curl_easy_setopt (transfer->curl, CURLOPT_URL, whole) == CURLE_OK;
   curl_free (whole);
   curl_url_cleanup (url);
   return filled;
 }
 
 static bool
-fill_tls (Exchange *exchange, const char *ca_file)
+fill_tls (Transfer *transfer, const char *ca_file)
 {
-  CURL *curl = exchange->curl;
+  CURL *curl = transfer->curl;
 
   if (ca_file == NULL)
     return true;
-  /* Who names its authority trusts no other, whatever the system has. */
+  /* Given an authority, trust no other, including those of the system. */
   return curl_easy_setopt (curl, CURLOPT_CAPATH, NULL) == CURLE_OK
          && curl_easy_setopt (curl, CURLOPT_CAINFO, ca_file) == CURLE_OK;
 }
 
 static bool
-fill_request (Exchange *exchange,
+fill_request (Transfer *transfer,
               const MuxServer *server,
               const char *ca_file,
-              const MuxHttpCall *call)
+              const MuxCliRequest *request)
 {
-  CURL *curl = exchange->curl;
-
-  curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, call->method);
-  mux_curl_set_common_options (curl, &exchange->body);
-  mux_curl_set_timeouts (curl, CONNECT_MS_MAX, (long) call->timeout_ms);
-  curl_easy_setopt (curl, CURLOPT_PREREQFUNCTION, on_send);
-  curl_easy_setopt (curl, CURLOPT_PREREQDATA, exchange);
-  if (call->body != NULL)
+  CURL *curl = transfer->curl;
+
+  curl_easy_setopt (curl, CURLOPT_CUSTOMREQUEST, request->method);
+  mux_curl_set_common_options (curl, &transfer->body);
+  mux_curl_set_timeouts (curl, CONNECT_MS_MAX, (long) request->timeout_ms);
+  curl_easy_setopt (curl, CURLOPT_PREREQFUNCTION, before_request);
+  curl_easy_setopt (curl, CURLOPT_PREREQDATA, transfer);
+  if (request->body != NULL)
     {
       curl_easy_setopt (curl, CURLOPT_POSTFIELDSIZE_LARGE,
-                        (curl_off_t) call->body_len);
-      curl_easy_setopt (curl, CURLOPT_POSTFIELDS, call->body);
+                        (curl_off_t) request->body_len);
+      curl_easy_setopt (curl, CURLOPT_POSTFIELDS, request->body);
     }
-  return fill_url (exchange, server, call) && fill_headers (exchange, call)
-         && fill_tls (exchange, ca_file);
+  return fill_url (transfer, server, request)
+         && fill_headers (transfer, request) && fill_tls (transfer, ca_file);
 }
 
 static void
@@ -210,29 +213,31 @@
 }
 
 static bool
-take_answer (Exchange *exchange)
+take_response (Transfer *transfer)
 {
-  MuxHttpAnswer *answer = exchange->answer;
-  CURL *curl = exchange->curl;
+  MuxCliResponse *response = transfer->response;
+  CURL *curl = transfer->curl;
 
-  /* An empty body has its closing NUL, too. */
+  /* Adds the terminating NUL of an empty body. */
   if (!mux_curl_response_is_framed (curl)
-      || !mux_bytes_add (&exchange->body, NULL, 0))
+      || !mux_bytes_add (&transfer->body, NULL, 0))
     return false;
-  answer->body = exchange->body.bytes;
-  answer->body_len = exchange->body.len;
-  exchange->body = (MuxBytes){ NULL, 0, 0 };
-  curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &answer->status);
-  copy_header (curl, "Cuminmux-Outcome", answer->outcome,
-               sizeof answer->outcome);
-  copy_header (curl, "Cuminmux-Reason", answer->reason, sizeof answer->reason);
-  copy_header (curl, "Cuminmux-Retry-Ms", answer->retry_ms,
-               sizeof answer->retry_ms);
-  copy_header (curl, "Cuminmux-Task", answer->task, sizeof answer->task);
+  response->body = transfer->body.bytes;
+  response->body_len = transfer->body.len;
+  transfer->body = (MuxBytes){ NULL, 0, 0 };
+  curl_easy_getinfo (curl, CURLINFO_RESPONSE_CODE, &response->status);
+  copy_header (curl, "Cuminmux-Outcome", response->outcome,
+               sizeof response->outcome);
+  copy_header (curl, "Cuminmux-Reason", response->reason,
+               sizeof response->reason);
+  copy_header (curl, "Cuminmux-Retry-Ms", response->retry_ms,
+               sizeof response->retry_ms);
+  copy_header (curl, "Cuminmux-Task", response->task, sizeof response->task);
   return true;
 }
 
-/* What an operator can mend: a daemon that is there, but not to be trusted. */
+/* Describes TLS failures of a reachable daemon, which an operator can correct;
+ * NULL for any other failure. */
 static const char *
 tls_error (CURLcode code)
 {
@@ -249,45 +254,45 @@
     }
 }
 
-static MuxSent
-perform (Exchange *exchange, const MuxServer *server)
+static MuxSendResult
+perform (Transfer *transfer, const MuxServer *server)
 {
-  MuxHttpAnswer *answer = exchange->answer;
-  CURLcode code = curl_easy_perform (exchange->curl);
+  MuxCliResponse *response = transfer->response;
+  CURLcode code = curl_easy_perform (transfer->curl);
 
-  if (code == CURLE_OK && take_answer (exchange))
-    return MUX_SENT_ANSWERED;
-  if (exchange->sent)
-    return MUX_SENT_LOST;
+  if (code == CURLE_OK && take_response (transfer))
+    return MUX_SEND_ANSWERED;
+  if (transfer->sent)
+    return MUX_SEND_RESPONSE_LOST;
   if (tls_error (code) != NULL)
-    snprintf (answer->error, sizeof answer->error, "%s: %s", server->addr,
+    snprintf (response->error, sizeof response->error, "%s: %s", server->addr,
               tls_error (code));
-  return MUX_SENT_NOT_REACHED;
+  return MUX_SEND_NOT_REACHED;
 }
 
-MuxSent
-mux_http_send (const MuxServer *server,
-               const char *ca_file,
-               const MuxHttpCall *call,
-               MuxHttpAnswer *answer)
+MuxSendResult
+mux_cli_send (const MuxServer *server,
+              const char *ca_file,
+              const MuxCliRequest *request,
+              MuxCliResponse *response)
 {
-  Exchange exchange = { .curl = curl_easy_init (), .answer = answer };
-  MuxSent sent = MUX_SENT_NOT_REACHED;
-
-  memset (answer, 0, sizeof *answer);
-  if (exchange.curl == NULL)
-    return MUX_SENT_NOT_REACHED;
-  if (fill_request (&exchange, server, ca_file, call))
-    sent = perform (&exchange, server);
-  mux_bytes_deinit (&exchange.body);
-  curl_slist_free_all (exchange.headers);
-  curl_easy_cleanup (exchange.curl);
+  Transfer transfer = { .curl = curl_easy_init (), .response = response };
+  MuxSendResult sent = MUX_SEND_NOT_REACHED;
+
+  memset (response, 0, sizeof *response);
+  if (transfer.curl == NULL)
+    return MUX_SEND_NOT_REACHED;
+  if (fill_request (&transfer, server, ca_file, request))
+    sent = perform (&transfer, server);
+  mux_bytes_deinit (&transfer.body);
+  curl_slist_free_all (transfer.headers);
+  curl_easy_cleanup (transfer.curl);
   return sent;
 }
 
 void
-mux_http_answer_free (MuxHttpAnswer *answer)
+mux_cli_response_free (MuxCliResponse *response)
 {
-  free (answer->body);
-  memset (answer, 0, sizeof *answer);
+  free (response->body);
+  memset (response, 0, sizeof *response);
 }
--- a/src/cli/client.h
+++ b/src/cli/client.h
@@ -21,11 +21,11 @@
 } MuxServer;
 
 /**
- * struct MuxServers - daemons to talk to, in order
- * @count: used entries
- * @server: each of them
- * @ca_file: PEM certificates that their own must come from; NULL: the
- *   system's.  Borrowed.
+ * struct MuxServers - daemons in the order in which they are tried
+ * @count: used entries of @server
+ * @server: the daemons
+ * @ca_file: PEM file of the only trusted authorities, not owned; NULL: those of
+ *   the system
  */
 typedef struct
 {
@@ -35,9 +35,9 @@
 } MuxServers;
 
 /**
- * mux_servers_parse() - read "http[s]://ip:port[,…]"
- * @servers: its list is filled
- * Return: false when @text is anything else.
+ * mux_servers_parse() - parse "http[s]://ip:port[,…]"
+ * @servers: receives the list; its @ca_file is unchanged
+ * Return: false if @text is malformed.
  */
 bool mux_servers_parse (const char *text, MuxServers *servers);
 
@@ -51,16 +51,16 @@
 } MuxHttpPair;
 
 /**
- * struct MuxHttpCall - one call to the interface
+ * struct MuxCliRequest - one HTTP request
  * @method: HTTP method
- * @path: path from "/v1" on
- * @query: parameters, closed by a NULL name
- * @header: headers, closed by a NULL name
- * @body: bytes to send, or NULL
+ * @path: path, such as "/v1/status"
+ * @query: parameters, terminated by a NULL name
+ * @header: headers, terminated by a NULL name
+ * @body: request body, not owned, or NULL
  * @body_len: length of @body
- * @timeout_ms: longest wait for the answer
- * @write: it may change or run something
- * @repeatable: sending it again can't make it take effect twice
+ * @timeout_ms: time limit of one attempt
+ * @write: may change or run something
+ * @repeatable: idempotent: a retry can't take effect twice
  */
 typedef struct
 {
@@ -73,18 +73,18 @@
   uint32_t timeout_ms;
   bool write;
   bool repeatable;
-} MuxHttpCall;
+} MuxCliRequest;
 
 /**
- * struct MuxHttpAnswer - the answer of a daemon
- * @status: HTTP status; 0: none came
- * @body: its bytes and a closing NUL, owned; NULL: none came
+ * struct MuxCliResponse - HTTP response of a daemon
+ * @status: HTTP status; 0: no response
+ * @body: content and a terminating NUL, owned; NULL: no response
  * @body_len: length of @body
  * @outcome: header Cuminmux-Outcome, or ""
  * @reason: header Cuminmux-Reason, or ""
  * @retry_ms: header Cuminmux-Retry-Ms, or ""
  * @task: header Cuminmux-Task, or ""
- * @error: why a daemon that is there could not be talked to, or ""
+ * @error: why TLS to a reachable daemon failed, or ""
  */
 typedef struct
 {
@@ -96,41 +96,42 @@
   char retry_ms[24];
   char task[MUX_ID_HEX_LEN];
   char error[160];
-} MuxHttpAnswer;
+} MuxCliResponse;
 
 /**
- * enum MuxSent - how one sending of a call ended
+ * enum MuxSendResult - outcome of one attempt to send a request
  */
 typedef enum
 {
-  MUX_SENT_ANSWERED,
-  MUX_SENT_NOT_REACHED, /* nothing was sent */
-  MUX_SENT_LOST,        /* it may have been sent; no whole answer came */
-} MuxSent;
+  MUX_SEND_ANSWERED,
+  MUX_SEND_NOT_REACHED,   /* nothing was sent */
+  MUX_SEND_RESPONSE_LOST, /* may have been sent; no complete response */
+} MuxSendResult;
 
-/** mux_http_send() - send @call once to @server
- * @ca_file: as in struct MuxServers
- * @answer: filled; its @error alone unless it was answered */
-MuxSent mux_http_send (const MuxServer *server,
-                       const char *ca_file,
-                       const MuxHttpCall *call,
-                       MuxHttpAnswer *answer);
+/** mux_cli_send() - send @request once to @server
+ * @ca_file: see struct MuxServers
+ * @response: receives the response; without one, only its @error may be set */
+MuxSendResult mux_cli_send (const MuxServer *server,
+                            const char *ca_file,
+                            const MuxCliRequest *request,
+                            MuxCliResponse *response);
 
 /**
- * mux_http_exchange() - send @call until a daemon settles it
+ * mux_cli_exchange() - send @request to one daemon after the other until its
+ * outcome is known
  *
- * A call moves on to the next daemon when it was not sent, when the answer
- * says that it was not run, or when @call is repeatable.  Once an answer was
- * lost, the daemons are asked a second time round.
+ * The next daemon is tried if the request was not sent, if the response says
+ * that it was not run, or if @request is repeatable.  If a response was lost,
+ * all daemons are tried a second time.
  *
- * Return: an enum MuxExit.  @answer holds the last answer and must be freed
- * with mux_http_answer_free() in every case.
+ * Return: an enum MuxExit.  @response holds the last response and must be freed
+ * with mux_cli_response_free() in every case.
  */
-int mux_http_exchange (MuxCliHost *host,
-                       const MuxServers *servers,
-                       const MuxHttpCall *call,
-                       MuxHttpAnswer *answer);
+int mux_cli_exchange (MuxCliHost *host,
+                      const MuxServers *servers,
+                      const MuxCliRequest *request,
+                      MuxCliResponse *response);
 
-void mux_http_answer_free (MuxHttpAnswer *answer);
+void mux_cli_response_free (MuxCliResponse *response);
 
 #endif
--- a/src/cli/main.c
+++ b/src/cli/main.c
@@ -51,12 +51,12 @@
 
   if (curl_global_init (CURL_GLOBAL_DEFAULT) != CURLE_OK)
     {
-      fputs ("cuminmux: the HTTP client can't be set up\n", stderr);
+      fputs ("cuminmux: the HTTP client can't be initialised\n", stderr);
       return MUX_EXIT_UNREACHED;
     }
   code = mux_cli_run (&host, argc, argv);
   curl_global_cleanup ();
-  /* A result that was not written (a full disk, a closed pipe) must not look
+  /* A result that could not be written (full disk, closed pipe) must not look
    * like success to a script. */
   if (fflush (stdout) != 0 || ferror (stdout))
     {
