--- a/test/proof/proof_faults.c
+++ b/test/proof/proof_faults.c
@@ -35,7 +35,7 @@
   uint32_t count = 0;
 
   for (uint32_t i = first; i < s->call_count; i++)
-    count += scenario_told (s, i, outcome);
+    count += scenario_has_outcome (s, i, outcome);
   return count;
 }
 
@@ -49,12 +49,12 @@
 
   load (s, 1000, SCENARIO_MANY);
   s->workers[0].state = MUX_INSTANCE_LEAVING;
-  s->lists_late = s->without;
+  s->lists_late = s->mechanism_off;
   load (s, LEAVING_MS, SCENARIO_MANY);
   seen = starts_seen (s, 0);
   load (s, 3000, SCENARIO_MANY);
   proof_expect (s, starts_seen (s, 0) == seen, "a leaving worker got a start");
-  scenario_settle (s, 20000);
+  scenario_heal_and_check (s, 20000);
 }
 
 /* The worker leaves while the links to it are silent: its own word can't come,
@@ -68,13 +68,13 @@
   load (s, 500, SCENARIO_MANY);
   memset (s->workers[0].cut, 1, sizeof s->workers[0].cut);
   s->workers[0].state = MUX_INSTANCE_LEAVING;
-  s->lists_late = s->without;
+  s->lists_late = s->mechanism_off;
   load (s, LEAVING_MS, SCENARIO_MANY);
   memset (s->workers[0].cut, 0, sizeof s->workers[0].cut);
   seen = starts_seen (s, 0);
   load (s, 3000, SCENARIO_MANY);
   proof_expect (s, starts_seen (s, 0) == seen, "a leaving worker got a start");
-  scenario_settle (s, 20000);
+  scenario_heal_and_check (s, 20000);
 }
 
 /* A daemon is stopped as planned, under load.  Each of its callers gets the
@@ -90,7 +90,7 @@
   proof_fill (s, old, SCENARIO_MANY, 3, 2500);
   scenario_run (s, 100);
 
-  if (s->without)
+  if (s->mechanism_off)
     fake_net_kill (s->net, old);
   else
     scenario_stop (s, old);
@@ -106,7 +106,7 @@
   load (s, 1000, SCENARIO_MANY);
   scenario_run (s, 3000);
   proof_expect_all (s, first, s->call_count - first, MUX_OUTCOME_DONE);
-  scenario_settle (s, 20000);
+  scenario_heal_and_check (s, 20000);
 }
 
 /* A daemon dies under load with the store down.  Its workers are placed on
@@ -127,7 +127,7 @@
   proof_expect (s, scenario_runs_on (s, 0, s->calls[first].asked_ms) > 0,
                 "its worker is not placed on");
   proof_expect_all (s, first, s->call_count - first, MUX_OUTCOME_DONE);
-  scenario_settle (s, 20000);
+  scenario_heal_and_check (s, 20000);
 }
 
 /* An instance dies without a word.  Requests that ran there and may run again
@@ -140,7 +140,7 @@
 
   scenario_run (s, 500);
   s->workers[0].silent = true;
-  scenario_life_over (s, 0);
+  scenario_incarnation_ended (s, 0);
   scenario_run (s, 1000);
   s->workers[0].state = MUX_INSTANCE_GONE;
   scenario_run (s, 9000);
@@ -165,7 +165,7 @@
                 "the reason is not that it never fits");
   scenario_run (s, 9000);
   proof_expect_all (s, slow, 3, MUX_OUTCOME_DONE);
-  scenario_settle (s, 10000);
+  scenario_heal_and_check (s, 10000);
 }
 
 /* Forty jobs are cancelled in one wave, some running, some waiting.  All end,
@@ -190,7 +190,7 @@
   first = proof_fill (s, 0, SCENARIO_MANY, 8, 200);
   scenario_run (s, 3000);
   proof_expect_all (s, first, 8, MUX_OUTCOME_DONE);
-  scenario_settle (s, 60000);
+  scenario_heal_and_check (s, 60000);
 }
 
 /* A worker fails whatever it starts, and so is always free.  Requests that may
@@ -215,7 +215,7 @@
   seen = starts_seen (s, 0);
   load (s, 15000, SCENARIO_ONCE);
   proof_expect (s, starts_seen (s, 0) > seen, "mended, it is not used");
-  scenario_settle (s, 20000);
+  scenario_heal_and_check (s, 20000);
 }
 
 /* The store is down for a minute.  Requests that may run again are served,
@@ -237,7 +237,7 @@
   proof_expect_all (s, many, 6, MUX_OUTCOME_DONE);
   proof_expect_all (s, once, 6, MUX_OUTCOME_UNKNOWN);
   scenario_run (s, 30000);
-  scenario_settle (s, 60000);
+  scenario_heal_and_check (s, 60000);
   proof_expect (s, s->works[job].runs == 3, "a job's task ran again");
 }
 
@@ -254,7 +254,7 @@
   scenario_submit (s, 0, scenario_work (s, SCENARIO_ONCE, false, 0, 200), 1500);
   scenario_run (s, GIVE_UP_MS + 1000);
   proof_expect_all (s, first, 7, MUX_OUTCOME_DONE);
-  scenario_settle (s, 20000);
+  scenario_heal_and_check (s, 20000);
 }
 
 /* The connection that carries an answer goes silent for good while new ones
@@ -270,7 +270,7 @@
   scenario_run (s, 9000);
   proof_expect_all (s, first, 6, MUX_OUTCOME_DONE);
   proof_expect (s, s->run_count == 6, "something ran again");
-  scenario_settle (s, 20000);
+  scenario_heal_and_check (s, 20000);
 }
 
 /* Messages from one daemon to another vanish, the other way they arrive.  The
@@ -287,7 +287,7 @@
                 count_told (s, first, MUX_OUTCOME_DONE) * 100
                     >= (s->call_count - first) * 99,
                 "over 1 % of the callers got no answer");
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* The first attempt of a request is held up on its way, put down and made
@@ -307,7 +307,7 @@
   scenario_run (s, 15000);
   proof_expect_all (s, s->call_count - 1, 1, MUX_OUTCOME_DONE);
   proof_expect (s, s->run_count == 1, "it did not run once");
-  scenario_settle (s, 10000);
+  scenario_heal_and_check (s, 10000);
 }
 
 /* Answers overtake one another, some are lost, attempts are superseded.  Each
@@ -325,7 +325,7 @@
       s->workers[i].late_ms = 2500;
     }
   first = load (s, 4000, SCENARIO_MANY);
-  scenario_settle (s, 40000);
+  scenario_heal_and_check (s, 40000);
   proof_expect (s, count_told (s, first, MUX_OUTCOME_DONE) > 50,
                 "hardly a caller got its answer");
 }
@@ -351,7 +351,7 @@
       fake_net_freeze (s->net, 0, 1250);
       scenario_run (s, 8000);
     }
-  scenario_settle (s, 60000);
+  scenario_heal_and_check (s, 60000);
 }
 
 /* A worker falls silent with a start on its way, and its owner is stopped.
--- a/test/proof/proof_give_up.c
+++ b/test/proof/proof_give_up.c
@@ -23,7 +23,7 @@
       scenario_run (s, SHORT_MS + SLACK_MS);
       proof_expect_all (s, call, 1, MUX_OUTCOME_UNKNOWN);
     }
-  scenario_settle (s, 90000);
+  scenario_heal_and_check (s, 90000);
 }
 
 /* The store is down.  A desk that sends a key for the first time, and says so,
@@ -49,7 +49,7 @@
                         i == 0 ? MUX_OUTCOME_NOT_RUN : MUX_OUTCOME_UNKNOWN);
     }
   mux_blob_unref (ask.body);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 static const Proof proofs[] = {
--- a/test/proof/proof_once.c
+++ b/test/proof/proof_once.c
@@ -30,13 +30,13 @@
   uint32_t tag = scenario_work (s, SCENARIO_ONCE, true, 0, 500);
   uint32_t call = s->call_count;
 
-  s->net->table.ignore_conditions = s->without;
+  s->net->table.ignore_conditions = s->mechanism_off;
   scenario_cut (s, 0, 1, true);
   scenario_submit (s, 0, tag, GIVE_UP_MS);
   scenario_submit (s, 1, tag, GIVE_UP_MS);
   scenario_run (s, GIVE_UP_MS);
   proof_expect_all (s, call, 2, MUX_OUTCOME_DONE);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A redemption is answered; its daemon dies; the desk, which lost the answer,
@@ -47,7 +47,7 @@
 {
   uint32_t tag = scenario_work (s, SCENARIO_ONCE, true, 0, 500);
 
-  s->net->table.ignore_conditions = s->without;
+  s->net->table.ignore_conditions = s->mechanism_off;
   scenario_submit (s, 0, tag, GIVE_UP_MS);
   scenario_run (s, 3000);
   fake_net_kill (s->net, 0);
@@ -55,7 +55,7 @@
   scenario_submit (s, 1, tag, GIVE_UP_MS);
   scenario_run (s, GIVE_UP_MS);
   proof_expect_all (s, s->call_count - 1, 1, MUX_OUTCOME_DONE);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* The row is written and its home freezes before the start leaves.  The key
@@ -67,7 +67,8 @@
 {
   uint32_t tag = scenario_work (s, SCENARIO_ONCE, true, 0, 300);
 
-  s->workers[0].ignores_forget = s->workers[1].ignores_forget = s->without;
+  s->workers[0].ignores_forget = s->workers[1].ignores_forget
+      = s->mechanism_off;
   s->workers[0].ignores_not_after = s->workers[1].ignores_not_after = true;
   scenario_submit (s, 0, tag, 20000);
   until_row (s);
@@ -76,7 +77,7 @@
   scenario_submit (s, 1, tag, 10000);
   scenario_run (s, 20000);
   proof_expect_all (s, s->call_count - 2, 2, MUX_OUTCOME_DONE);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* The home is killed between its row and its start, or between its start and
@@ -88,7 +89,7 @@
     {
       uint32_t tag = scenario_work (s, SCENARIO_ONCE, true, 0, 3000);
 
-      s->net->table.ignore_conditions = s->without;
+      s->net->table.ignore_conditions = s->mechanism_off;
       scenario_submit (s, 0, tag, 20000);
       if (i == 0)
         until_row (s);
@@ -103,7 +104,7 @@
       fake_net_start (s->net, 0);
       scenario_run (s, 12000);
     }
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A write's answer is lost: the row may stand, not stand, or come to stand
@@ -126,7 +127,7 @@
     scenario_submit (s, (i + 1) % 2, tags[i], GIVE_UP_MS);
   scenario_run (s, 10000);
   proof_expect_all (s, s->call_count - 8, 8, MUX_OUTCOME_DONE);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A desk gives up while its row is being written and asks again: the second
@@ -155,7 +156,7 @@
       scenario_run (s, GIVE_UP_MS);
       proof_expect_all (s, s->call_count - 2, 2, MUX_OUTCOME_DONE);
     }
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A write's answer is lost and its daemon is killed before it can read the
@@ -173,7 +174,7 @@
   scenario_submit (s, 1, tag, 20000);
   scenario_run (s, 20000);
   proof_expect_all (s, s->call_count - 1, 1, MUX_OUTCOME_DONE);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A redemption runs, its answer is lost with the connection, and the worker
@@ -184,7 +185,7 @@
 {
   uint32_t tag = scenario_work (s, SCENARIO_ONCE, true, 0, 300);
 
-  s->workers[0].ignores_incarnation = s->without;
+  s->workers[0].ignores_incarnation = s->mechanism_off;
   s->workers[0].silent = false;
   scenario_submit (s, 0, tag, 20000);
   scenario_until_running (s, tag);
@@ -194,7 +195,7 @@
   s->workers[0].silent = false;
   scenario_run (s, 20000);
   proof_expect_all (s, s->call_count - 1, 1, MUX_OUTCOME_UNKNOWN);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A start is held up on its way and taken for lost; its attempt is put down
@@ -205,13 +206,13 @@
 {
   uint32_t tag = scenario_work (s, SCENARIO_BATCH, true, 1, 300);
 
-  s->workers[0].ignores_forget = s->without;
+  s->workers[0].ignores_forget = s->mechanism_off;
   s->workers[0].ignores_not_after = true;
   s->workers[0].late_starts = 1;
   s->workers[0].late_ms = 5000;
   scenario_submit (s, 0, tag, 1500);
   scenario_run (s, 1000);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* The desk asks again with the same key when the worker has long dropped what
@@ -224,7 +225,7 @@
   scenario_submit (s, 0, tag, GIVE_UP_MS);
   scenario_run (s, 1500000);
   scenario_submit (s, 1, tag, GIVE_UP_MS);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* No worker has room before the deadline: the row is read, none stands, and
@@ -251,7 +252,7 @@
   scenario_submit (s, 1, tag, 1000);
   scenario_run (s, 2000);
   proof_expect_all (s, s->call_count - 5, 5, MUX_OUTCOME_UNKNOWN);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A settlement runs for longer than keys are remembered.  Its row is counted
@@ -263,7 +264,7 @@
 {
   uint32_t tag = scenario_work (s, SCENARIO_BATCH, true, 1, 700000);
 
-  s->dated = true;
+  s->sends_time = true;
   scenario_submit (s, 0, tag, 10000);
   scenario_run (s, 710000);
   for (uint32_t i = 0; i < 4; i++)
--- a/test/proof/proof_place.c
+++ b/test/proof/proof_place.c
@@ -11,7 +11,7 @@
 {
   uint32_t old = s->owner[0];
 
-  s->workers[0].ignores_epoch = s->without;
+  s->workers[0].ignores_epoch = s->mechanism_off;
   fake_net_freeze (s->net, old, 9000);
   scenario_run (s, 8500);
   proof_expect (s, s->owner[0] != old, "nobody took the worker over");
@@ -19,7 +19,7 @@
   scenario_run (s, 300);
   fake_net_freeze (s->net, old, 0);
   proof_fill (s, old, SCENARIO_MANY, 4, 6000);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* The same while the store is down: nothing but the worker can tell the two
@@ -39,13 +39,13 @@
 static void
 late_start (Scenario *s)
 {
-  s->workers[0].ignores_not_after = s->without;
+  s->workers[0].ignores_not_after = s->mechanism_off;
   s->workers[0].late_starts = 1;
   s->workers[0].late_ms = 6000;
   proof_fill (s, 0, SCENARIO_MANY, 1, 8000);
   scenario_run (s, 5000);
   proof_fill (s, 0, SCENARIO_MANY, 4, 8000);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A worker restarts while a start is on its way to its former life.  In the
@@ -54,8 +54,8 @@
 static void
 restart_start_on_way (Scenario *s)
 {
-  s->workers[0].ignores_incarnation = s->without;
-  s->workers[0].ignores_epoch = s->without;
+  s->workers[0].ignores_incarnation = s->mechanism_off;
+  s->workers[0].ignores_epoch = s->mechanism_off;
   s->workers[0].late_starts = 1;
   s->workers[0].late_ms = 2900;
   proof_fill (s, 0, SCENARIO_MANY, 1, 8000);
@@ -63,7 +63,7 @@
   scenario_restart_worker (s, 0);
   scenario_run (s, 2000);
   proof_fill (s, 0, SCENARIO_MANY, 4, 8000);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* Two submissions of one key at daemons of one data centre run one task: both
@@ -81,7 +81,7 @@
   scenario_run (s, 100);
   s->net->table_slow_ms = 0;
   proof_fill (s, home, SCENARIO_MANY, 4, 5000);
-  scenario_settle (s, 30000);
+  scenario_heal_and_check (s, 30000);
 }
 
 /* A daemon is frozen for long and wakes.  To it all others have been silent
@@ -106,7 +106,7 @@
   for (uint32_t i = 0; i < s->worker_count; i++)
     proof_expect (s, owner[i] == old || s->claims[i] == claims[i],
                   "it claimed a worker of others");
-  scenario_settle (s, 20000);
+  scenario_heal_and_check (s, 20000);
 }
 
 static const Proof proofs[] = {
--- a/test/proof/proof_random.c
+++ b/test/proof/proof_random.c
@@ -220,7 +220,7 @@
 
   c.s = scenario_new (seed, NODES, WORKERS, 1 + below (&c, 2));
   c.s->verbose = verbose;
-  c.s->dated = true;
+  c.s->sends_time = true;
   c.s->store_fails = seed % 2 == 0;
   until_ms = c.s->net->now_ms + BUSY_MS;
   while (c.s->net->now_ms < until_ms)
@@ -233,7 +233,7 @@
   for (uint32_t i = 0; i < NODES; i++)
     if (c.s->net->nodes[i].core != NULL && below (&c, 3) == 0)
       fake_net_kill (c.s->net, i);
-  scenario_settle (c.s, SETTLE_MS);
+  scenario_heal_and_check (c.s, SETTLE_MS);
   wrong = c.s->wrong;
   if (wrong > 0)
     printf ("seed %" PRIu64 ": %u wrong, first: %s\n", seed, wrong,
--- a/test/support/cell_chaos.c
+++ b/test/support/cell_chaos.c
@@ -51,7 +51,7 @@
                      2000 + chaos_below (c, 6000));
   job->step[0].gang = chaos_below (c, 4) == 0;
   job_name (id, c->jobs);
-  c->question[c->jobs++] = world_submit (c->world, cell, job, id);
+  c->request[c->jobs++] = world_submit (c->world, cell, job, id);
 }
 
 static void
@@ -72,7 +72,7 @@
     c->world->store_ms = ms[chaos_below (c, 4)];
   c->world->late_ms = 500 + chaos_below (c, 6000);
   if (chaos_below (c, 6) == 0)
-    c->world->forgotten = c->world->version;
+    c->world->compacted_version = c->world->version;
 }
 
 /* Commits of one table alone. */
@@ -98,7 +98,8 @@
           WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS),
           WORLD_DEAF (MUX_TABLE_WORKERS) };
 
-  c->world->cell[chaos_below (c, CHAOS_CELLS)].deaf = deaf[chaos_below (c, 6)];
+  c->world->cell[chaos_below (c, CHAOS_CELLS)].hanging_feeds
+      = deaf[chaos_below (c, 6)];
 }
 
 static void
@@ -106,8 +107,8 @@
 {
   WorldCell *cell = &c->world->cell[chaos_below (c, CHAOS_CELLS)];
 
-  cell->cut = chaos_below (c, 2) == 0;
-  cell->far_workers
+  cell->isolated = chaos_below (c, 2) == 0;
+  cell->unreachable_workers
       = chaos_below (c, 2) == 0 ? chaos_below (c, CHAOS_WORKERS) : 0;
 }
 
@@ -140,7 +141,7 @@
   if (chaos_below (c, 6) == 0)
     world_worker_restart (c->world, number);
   worker->fault = faults[chaos_below (c, 6)];
-  worker->cut = chaos_below (c, 3) == 0;
+  worker->unreachable = chaos_below (c, 3) == 0;
   worker->fails = chaos_below (c, 10) == 0;
 }
 
@@ -152,37 +153,38 @@
   World *world = c->world;
   uint32_t planner = world_planner (world);
 
-  if (planner == WORLD_CELLS_MAX || c->serves_ms != 0)
+  if (planner == WORLD_CELLS_MAX || c->refused_until_ms != 0)
     return;
   world->cell[planner].store = WORLD_REFUSES;
-  world->cell[planner].deaf
+  world->cell[planner].hanging_feeds
       = WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS);
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
-    world->cell[i].far_workers = i != planner ? CHAOS_WORKERS / 2 : 0;
-  c->turned_away = planner;
+    world->cell[i].unreachable_workers = i != planner ? CHAOS_WORKERS / 2 : 0;
+  c->refused_planner = planner;
   c->claim = world_claim_version (world);
-  c->serves_ms = world->now_ms + TURNED_AWAY_MS;
+  c->refused_until_ms = world->now_ms + TURNED_AWAY_MS;
 }
 
 void
-chaos_serve_replaced (Chaos *c)
+chaos_end_refusal (Chaos *c)
 {
   World *world = c->world;
 
-  if (c->serves_ms == 0
+  if (c->refused_until_ms == 0
       || (world_claim_version (world) == c->claim
-          && world->now_ms < c->serves_ms))
+          && world->now_ms < c->refused_until_ms))
     return;
-  world->cell[c->turned_away].store = WORLD_SERVES;
+  world->cell[c->refused_planner].store = WORLD_SERVES;
   if (chaos_below (c, 2) == 0)
-    world->forgotten = world->version;
+    world->compacted_version = world->version;
   if (chaos_below (c, 2) == 0)
-    world->cell[c->turned_away].deaf = WORLD_DEAF (MUX_TABLE_CLAIM);
-  c->serves_ms = 0;
+    world->cell[c->refused_planner].hanging_feeds
+        = WORLD_DEAF (MUX_TABLE_CLAIM);
+  c->refused_until_ms = 0;
 }
 
 void
-chaos_fail_something (Chaos *c)
+chaos_toggle_fault (Chaos *c)
 {
   switch (chaos_below (c, 8))
     {
@@ -211,7 +213,7 @@
 }
 
 void
-chaos_mend (World *world)
+chaos_heal (World *world)
 {
   world->store_ms = 5;
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
@@ -221,16 +223,16 @@
       if (cell->dead)
         world_cell_start (world, i);
       cell->frozen = false;
-      cell->cut = false;
-      cell->deaf = 0;
-      cell->far_workers = 0;
+      cell->isolated = false;
+      cell->hanging_feeds = 0;
+      cell->unreachable_workers = 0;
       cell->store = WORLD_SERVES;
       memset (cell->commits, 0, sizeof cell->commits);
     }
   for (uint32_t i = 0; i < CHAOS_WORKERS; i++)
     {
       world->worker[i].fault = WORLD_SERVES;
-      world->worker[i].cut = false;
+      world->worker[i].unreachable = false;
       world->worker[i].fails = false;
     }
 }
@@ -243,11 +245,11 @@
   for (uint32_t i = 0; i < c->jobs; i++)
     {
       char id[MUX_JOB_ID_LEN];
-      uint64_t question = c->question[i];
+      uint64_t question = c->request[i];
       MuxJobState state;
 
       if (!c->world->answered[question]
-          || c->world->answer[question].outcome != MUX_RESPONSE_ACCEPTED)
+          || c->world->response[question].outcome != MUX_RESPONSE_ACCEPTED)
         continue;
       job_name (id, i);
       state = world_state (c->world, 0, id);
@@ -266,8 +268,8 @@
 void
 chaos_check (Chaos *c, uint64_t seed)
 {
-  bool twice = world_twice_told (c->world);
-  bool over = world_over_budget (c->world) || c->world->over_room > 0;
+  bool twice = world_double_run_acked (c->world);
+  bool over = world_over_crash_budget (c->world) || c->world->over_room > 0;
   uint32_t lost = lost_jobs (c);
 
   if (twice || over || lost > 0)
@@ -279,8 +281,8 @@
 chaos_step (Chaos *c)
 {
   if (chaos_below (c, FAULT_ONE_IN) == 0)
-    chaos_fail_something (c);
-  chaos_serve_replaced (c);
+    chaos_toggle_fault (c);
+  chaos_end_refusal (c);
   if (chaos_below (c, CHAOS_JOB_ONE_IN) == 0)
     chaos_submit (c);
   world_run (c->world, CHAOS_STEP_MS);
@@ -289,15 +291,15 @@
 void
 chaos_step_of_takeovers (Chaos *c)
 {
-  if (c->serves_ms == 0 && chaos_below (c, TAKEOVER_ONE_IN) == 0)
+  if (c->refused_until_ms == 0 && chaos_below (c, TAKEOVER_ONE_IN) == 0)
     {
-      chaos_mend (c->world);
+      chaos_heal (c->world);
       world_run (c->world, CALM_MS + chaos_below (c, CALM_MS));
       replace_planner (c);
     }
   if (chaos_below (c, FAULT_ONE_IN * FAULT_ONE_IN) == 0)
     fail_store (c);
-  chaos_serve_replaced (c);
+  chaos_end_refusal (c);
   if (chaos_below (c, CHAOS_JOB_ONE_IN) == 0)
     chaos_submit (c);
   world_run (c->world, CHAOS_STEP_MS);
--- a/test/support/cell_chaos.h
+++ b/test/support/cell_chaos.h
@@ -27,14 +27,14 @@
 {
   World *world;
   MuxRandom random;
-  uint32_t turned_away; /* planner that the store refuses */
-  uint64_t claim;       /* then known */
-  int64_t serves_ms;    /* it is served again by then; 0: none is refused */
-  bool crashes;         /* workers crash, some jobs crash theirs */
+  uint32_t refused_planner; /* planner that the store refuses */
+  uint64_t claim;           /* then known */
+  int64_t refused_until_ms; /* it is served again by then; 0: none is refused */
+  bool crashes;             /* workers crash, some jobs crash theirs */
   uint32_t jobs;
-  uint64_t question[CHAOS_JOBS_MAX];
+  uint64_t request[CHAOS_JOBS_MAX];
   WorldCallers callers; /* of bursts */
-  uint32_t times;
+  uint32_t burst_factor;
   int64_t burst_until_ms;
 } Chaos;
 
@@ -42,9 +42,9 @@
 /** chaos_submit() - hand a job in at any daemon that is up */
 void chaos_submit (Chaos *c);
 /** chaos_fail_something() - or let it work again */
-void chaos_fail_something (Chaos *c);
+void chaos_toggle_fault (Chaos *c);
 /** chaos_serve_replaced() - end what replaced a planner, when it is due */
-void chaos_serve_replaced (Chaos *c);
+void chaos_end_refusal (Chaos *c);
 /** chaos_step() - any fault at any time: few takeovers, much that is away at
  * once */
 void chaos_step (Chaos *c);
@@ -52,7 +52,7 @@
  * what goes on besides */
 void chaos_step_of_takeovers (Chaos *c);
 /** chaos_mend() - all is well */
-void chaos_mend (World *world);
+void chaos_heal (World *world);
 /** chaos_check() - fail the test if a task ran twice, too often or where it had
  * no room, or if an accepted job neither ended well nor may fail */
 void chaos_check (Chaos *c, uint64_t seed);
--- a/test/support/cell_world.c
+++ b/test/support/cell_world.c
@@ -25,15 +25,15 @@
 {
   return (MuxCellTime){
     .now_ms = world->now_ms,
-    .wall_ms = WORLD_WALL_MS + world->now_ms + world->cell[cell].wall_ms,
-    .processed_ms = world->now_ms - world->cell[cell].late_ms,
+    .wall_ms = WORLD_WALL_MS + world->now_ms + world->cell[cell].clock_ahead_ms,
+    .processed_ms = world->now_ms - world->cell[cell].input_delay_ms,
   };
 }
 
 static uint64_t
 incarnation_of (const World *world, uint32_t cell)
 {
-  return world->cell[cell].dead ? 0 : world->cell[cell].life;
+  return world->cell[cell].dead ? 0 : world->cell[cell].incarnation;
 }
 
 WorldEvent *
@@ -251,7 +251,7 @@
 static void
 cut_answer (const World *world, MuxCellReply *reply)
 {
-  uint32_t rows = world->follow_rows;
+  uint32_t rows = world->feed_rows;
 
   while (rows > 0 && rows < reply->row_count
          && reply->row[rows].version == reply->row[rows - 1].version)
@@ -277,7 +277,7 @@
 {
   uint32_t news = 0;
 
-  if (call->after < world->forgotten)
+  if (call->after < world->compacted_version)
     {
       reply->status = MUX_CELL_HISTORY_GONE;
       return true;
@@ -331,14 +331,14 @@
   uint32_t each_us = world->approval_us;
   int64_t took_ms;
 
-  if (job != NULL && world->times_by_job)
+  if (job != NULL && world->times_at_submit)
     {
       base_ms = job->approval_ms;
       each_us = job->approval_us;
     }
   took_ms = base_ms + call->candidate_count * each_us / 1000;
   if (job != NULL)
-    job->asked_ms += took_ms;
+    job->approval_spent_ms += took_ms;
   return took_ms;
 }
 
@@ -358,17 +358,18 @@
 int64_t
 world_task_ms (const World *world, const MuxTaskRef *task)
 {
-  const WorldJob *job = world->times_by_job ? job_of (world, task->job) : NULL;
+  const WorldJob *job
+      = world->times_at_submit ? job_of (world, task->job) : NULL;
 
   return job != NULL ? job->task_ms : world->task_ms;
 }
 
 int64_t
-world_asked_ms (const World *world, const char *id)
+world_approval_spent_ms (const World *world, const char *id)
 {
   const WorldJob *job = job_of (world, id);
 
-  return job != NULL ? job->asked_ms : 0;
+  return job != NULL ? job->approval_spent_ms : 0;
 }
 
 static void
@@ -376,7 +377,7 @@
 {
   MuxCellReply *reply = mux_cell_reply_new (call, MUX_CELL_OK);
 
-  world->approvals_asked++;
+  world->approval_queries++;
   if (world->lose_approvals)
     {
       reply->status = MUX_CELL_NOT_DONE;
@@ -405,14 +406,14 @@
 static bool
 is_deaf (const World *world, uint32_t cell, const MuxCellCall *call)
 {
-  return (world->cell[cell].deaf & WORLD_DEAF (call->table)) != 0;
+  return (world->cell[cell].hanging_feeds & WORLD_DEAF (call->table)) != 0;
 }
 
 /* Its calls to the part where the claim stands are lost. */
 static bool
 misses_claim (const World *world, uint32_t cell, const MuxCellCall *call)
 {
-  return world->cell[cell].claim_away && call->part[0] == 0
+  return world->cell[cell].claim_unreachable && call->part[0] == 0
          && call->verb != MUX_CELL_FEED;
 }
 
@@ -447,7 +448,7 @@
     {
       world->late_order = true;
       if (worker != NULL && worker->down_until_ms == 0)
-        mux_cell_reply_free (world_worker_serves (world, worker, call));
+        mux_cell_reply_free (world_worker_execute (world, worker, call));
       world->late_order = false;
       return;
     }
@@ -522,7 +523,7 @@
 
   assert_true (reply->call_id < 8192);
   assert_false (world->answered[reply->call_id]);
-  world->answer[reply->call_id] = *reply;
+  world->response[reply->call_id] = *reply;
   world->answered[reply->call_id] = true;
 }
 
@@ -531,10 +532,10 @@
 {
   const WorldCell *cell = (const WorldCell *) sink;
   World *world = cell->world;
-  bool cut = world->peers_cut || cell->cut;
+  bool cut = world->peers_cut || cell->isolated;
 
   for (uint32_t i = 0; i < WORLD_CELLS_MAX && !cut; i++)
-    if (world->cell[i].cell != NULL && !world->cell[i].cut
+    if (world->cell[i].cell != NULL && !world->cell[i].isolated
         && strcmp (world->cell[i].addr, addr) == 0)
       {
         WorldEvent *event = world_event_new (world, i, PEER_MS);
@@ -583,8 +584,8 @@
   assert_non_null (fields);
   if (strcmp (event, "step_waits") == 0)
     {
-      cell->world->waits_told++;
-      snprintf (cell->world->wait_lacks, sizeof cell->world->wait_lacks, "%s",
+      cell->world->blocked_logged++;
+      snprintf (cell->world->blocked_on, sizeof cell->world->blocked_on, "%s",
                 json_string_value (json_object_get (fields, "lacks")));
     }
   if (strcmp (event, "config_in_force") == 0)
@@ -630,11 +631,11 @@
   if (call->verb == MUX_CELL_RENEW)
     {
       worker = world_worker_at (world, call->addr);
-      if (worker != NULL && event->life != worker->life)
+      if (worker != NULL && event->life != worker->incarnation)
         overdue = overdue || !world->silent_crashes;
       else if (world_in_reach (world, event->cell, worker)
-               && (overdue || world_has_ends (worker, call->acked)))
-        event->reply = world_worker_serves (world, worker, call);
+               && (overdue || world_has_unacked_ends (worker, call->acked)))
+        event->reply = world_worker_execute (world, worker, call);
       if (event->reply == NULL && overdue)
         event->reply = mux_cell_reply_new (call, MUX_CELL_UNKNOWN);
       return;
@@ -671,7 +672,7 @@
 queue_event (World *world, WorldEvent *event)
 {
   const WorldCell *cell = &world->cell[event->cell];
-  int64_t late_ms = cell->late_ms + cell->unread_ms;
+  int64_t late_ms = cell->input_delay_ms + cell->unseen_delay_ms;
 
   if (late_ms == 0 || event->waited)
     return false;
@@ -770,7 +771,7 @@
   cell->world = world;
   cell->number = number;
   mux_cell_free (cell->cell);
-  cell->life = options.incarnation;
+  cell->incarnation = options.incarnation;
   cell->cell = mux_cell_new (&options, NULL);
   assert_non_null (cell->cell);
   cell->dead = false;
@@ -838,8 +839,8 @@
 {
   MuxQueueConfig *config = change_config (world);
 
-  mux_workspaces_free (world->former_workspaces);
-  world->former_workspaces = world->workspaces;
+  mux_workspaces_free (world->previous_workspaces);
+  world->previous_workspaces = world->workspaces;
   world->workspaces = workspaces;
   world->workspaces_ms = world->now_ms;
   config->workspaces = workspaces;
@@ -886,7 +887,7 @@
 }
 
 void
-world_approve_unasked (World *world)
+world_skip_approval (World *world)
 {
   MuxQueueConfig *config = change_config (world);
 
@@ -895,7 +896,7 @@
 }
 
 void
-world_ask_slowly (World *world, uint32_t base_ms, uint32_t per_worker_us)
+world_slow_approvals (World *world, uint32_t base_ms, uint32_t per_worker_us)
 {
   MuxQueueConfig *config = change_config (world);
 
@@ -997,12 +998,12 @@
   for (uint32_t i = 0; i < WORLD_CELLS_MAX; i++)
     if (i % world->data_centres == data_centre)
       {
-        world->cell[i].cut = cut;
+        world->cell[i].isolated = cut;
         world->cell[i].store = cut ? WORLD_SILENT : WORLD_SERVES;
       }
   for (uint32_t i = 0; i < world->worker_end; i++)
     if (i % world->data_centres == data_centre)
-      world->worker[i].cut = cut;
+      world->worker[i].unreachable = cut;
 }
 
 World *
@@ -1052,7 +1053,7 @@
   for (uint32_t i = 0; i < world->row_count; i++)
     mux_blob_unref (world->row[i].value);
   world_workspaces_free (world);
-  free (world->past);
+  free (world->ended_run);
   for (uint32_t i = 0; i < world->job_count; i++)
     free (world->job[i].size);
   free (world->job);
@@ -1088,11 +1089,11 @@
   MuxRequest *question = calloc (1, sizeof *question);
 
   question->verb = verb;
-  question->call_id = ++world->next_question;
+  question->call_id = ++world->next_request;
   question->timeout_ms = 3000;
   snprintf (question->host, sizeof question->host, "cell.example");
   snprintf (question->path, sizeof question->path, "/batch/%s", id);
-  world_key (world, question);
+  world_copy_key (world, question);
   return question;
 }
 
@@ -1111,7 +1112,7 @@
   job->task_ms = world->task_ms;
   job->approval_ms = world->approval_ms;
   job->approval_us = world->approval_us;
-  job->asked_ms = 0;
+  job->approval_spent_ms = 0;
   job->step_count = spec->step_count;
   job->size = calloc (spec->step_count, sizeof *job->size);
   assert_non_null (job->size);
@@ -1142,7 +1143,7 @@
 }
 
 uint64_t
-world_ask (World *world, uint32_t cell, MuxRequestVerb verb, const char *id)
+world_request (World *world, uint32_t cell, MuxRequestVerb verb, const char *id)
 {
   MuxRequest *question = question_new (world, verb, id);
   uint64_t number = question->call_id;
@@ -1154,14 +1155,14 @@
 MuxJobState
 world_state (World *world, uint32_t cell, const char *id)
 {
-  uint64_t call = world_ask (world, cell, MUX_REQUEST_QUERY, id);
+  uint64_t call = world_request (world, cell, MUX_REQUEST_QUERY, id);
 
   world_run (world, 400);
   assert_true (world->answered[call]);
-  if (world->answer[call].outcome == MUX_RESPONSE_NO_JOB)
+  if (world->response[call].outcome == MUX_RESPONSE_NO_JOB)
     return MUX_JOB_ABSENT;
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_STATE);
-  return world->answer[call].state;
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_STATE);
+  return world->response[call].state;
 }
 
 uint64_t
@@ -1188,7 +1189,7 @@
 }
 
 uint32_t
-world_ends (const World *world)
+world_ended_rows (const World *world)
 {
   uint32_t n = 0;
 
--- a/test/support/cell_world.h
+++ b/test/support/cell_world.h
@@ -81,7 +81,7 @@
   uint32_t percent;
   bool lapsed;
   bool crashes;
-  bool heard;
+  bool reported;
 } WorldRun;
 
 /**
@@ -91,10 +91,10 @@
 typedef struct
 {
   char worker[MUX_NAME_LEN];
-  uint32_t life;
+  uint32_t incarnation;
   MuxTaskRef task;
   uint32_t run;
-} WorldPast;
+} WorldEndedRun;
 
 /* Changes of a worker's room that are remembered. */
 #define WORLD_ROOMS_MAX 16
@@ -128,12 +128,12 @@
   bool listed;
   MuxWorkerInfo info;
   WorldFault fault;
-  bool cut;
+  bool unreachable;
   bool fails;
   uint32_t usage;
   uint32_t stuck_percent;
   int64_t down_until_ms;
-  uint32_t life;
+  uint32_t incarnation;
   int64_t clock_ms;
   int64_t list_ms;
   WorldRoom room[WORLD_ROOMS_MAX];
@@ -160,10 +160,10 @@
   int64_t at_ms;
   int64_t ended_ms; /* 0: it runs */
   MuxRunEnd end;
-  bool told; /* its end was acknowledged in time */
+  bool acknowledged; /* its end was acknowledged in time */
   bool crashes;
   bool crashed;
-  bool unheard;
+  bool end_lost;
 } WorldStart;
 
 /**
@@ -181,7 +181,7 @@
   int64_t task_ms;
   int64_t approval_ms;
   uint32_t approval_us;
-  int64_t asked_ms;
+  int64_t approval_spent_ms;
   uint32_t step_count;
   MuxSize *size; /* owned */
 } WorldJob;
@@ -196,17 +196,17 @@
   World *world;
   uint32_t number;
   MuxCell *cell;
-  uint64_t life; /* its process, by the order of their starts */
+  uint64_t incarnation; /* its process, by the order of their starts */
   bool frozen;
   bool dead;
-  bool cut;                /* messages from and to other daemons are lost */
-  uint32_t deaf;           /* WORLD_DEAF: its feeds of that table hang */
-  bool claim_away;         /* its calls to the claim's part get no answer */
-  uint32_t far_workers;    /* so many, the first, are out of its reach */
-  uint32_t near_workers;   /* only so many, the first, are in it; 0: all */
-  int64_t wall_ms;         /* its time of day is ahead by this */
-  int64_t late_ms;         /* what arrives waits so long until it is taken */
-  int64_t unread_ms;       /* and so long before, without its knowledge */
+  bool isolated;          /* messages from and to other daemons are lost */
+  uint32_t hanging_feeds; /* WORLD_DEAF: its feeds of that table hang */
+  bool claim_unreachable; /* its calls to the claim's part get no answer */
+  uint32_t unreachable_workers; /* so many, the first, are out of its reach */
+  uint32_t reachable_workers;   /* only so many, the first, are in it; 0: all */
+  int64_t clock_ahead_ms;       /* its time of day is ahead by this */
+  int64_t input_delay_ms;  /* what arrives waits so long until it is taken */
+  int64_t unseen_delay_ms; /* and so long before, without its knowledge */
   uint32_t strength_milli; /* 0: a whole processor */
   WorldFault store;
   WorldFault commits[MUX_TABLE_COUNT]; /* that change such a row */
@@ -219,7 +219,7 @@
 {
   int64_t now_ms;
   uint64_t version;
-  uint64_t forgotten; /* changes up to this version can't be followed */
+  uint64_t compacted_version; /* changes up to this version can't be followed */
   uint64_t incarnation;
   MuxCounters *counters;
   uint32_t data_centres;
@@ -231,25 +231,26 @@
   uint32_t start_count;
   WorldStart start[WORLD_STARTS_MAX];
   uint32_t past_count;
-  WorldPast *past;
+  WorldEndedRun *ended_run;
   uint32_t job_count;
   WorldJob *job;             /* that were handed in */
   uint32_t over_room;        /* starts that brought a worker over its room */
   uint32_t over_quota;       /* that brought a workspace over its quota */
   MuxWorkspaces *workspaces; /* as configured; NULL: none */
-  MuxWorkspaces *former_workspaces; /* as they were before */
-  int64_t workspaces_ms;            /* when the present ones came */
-  char key[MUX_KEY_DIGEST_LEN + 1]; /* that callers show; "": none */
-  uint32_t revoke_timeout_ms;       /* of daemons started from now on */
-  uint32_t quota_overrun_milli;     /* the same */
-  bool late_order;      /* an order is carried out now that came late */
-  int64_t task_ms;      /* run time of a task */
-  int64_t crash_ms;     /* after which a task that crashes its worker does so */
-  int64_t down_ms;      /* a worker that crashed is back after so long */
-  bool same_ids;        /* workers that are back keep their ids */
-  int64_t list_late_ms; /* a life under a former id is listed so much later */
-  bool silent_crashes;  /* calls to it hang meanwhile, they are not refused */
-  bool peers_cut;       /* messages between daemons are lost */
+  MuxWorkspaces *previous_workspaces; /* as they were before */
+  int64_t workspaces_ms;              /* when the present ones came */
+  char key[MUX_KEY_DIGEST_LEN + 1];   /* that callers show; "": none */
+  uint32_t revoke_timeout_ms;         /* of daemons started from now on */
+  uint32_t quota_overrun_milli;       /* the same */
+  bool late_order;  /* an order is carried out now that came late */
+  int64_t task_ms;  /* run time of a task */
+  int64_t crash_ms; /* after which a task that crashes its worker does so */
+  int64_t down_ms;  /* a worker that crashed is back after so long */
+  bool same_ids;    /* workers that are back keep their ids */
+  int64_t
+      relist_delay_ms; /* a life under a former id is listed so much later */
+  bool silent_crashes; /* calls to it hang meanwhile, they are not refused */
+  bool peers_cut;      /* messages between daemons are lost */
   bool lose_approvals;
   bool lists_backwards;    /* workers list what is newest first */
   int64_t late_ms;         /* after which WORLD_LATE calls are carried out */
@@ -258,25 +259,25 @@
   uint32_t approve_one_in; /* workers, by number; 0: all */
   bool approve_by_job;     /* other workers for each job */
   bool approve_by_chance;  /* each worker by itself, not every n-th */
-  bool times_by_job;       /* the world's when a job came, not those of now */
+  bool times_at_submit;    /* the world's when a job came, not those of now */
   uint32_t keep_s;         /* of daemons started from now on; 0: a day */
   uint32_t unread_max;     /* the same; 0: as usual */
   uint32_t lease_ms;       /* the same; 0: 4 s */
   int64_t store_ms;        /* time of a call to the store */
   uint32_t page_rows;      /* most rows of one reading; 0: all */
-  uint32_t follow_rows;    /* the same of one answer to who follows a table */
-  uint32_t approvals_asked;
-  uint32_t waits_told; /* lines of why a step waits */
-  char wait_lacks[32]; /* what the last of them says it lacks */
+  uint32_t feed_rows;      /* the same of one answer to who follows a table */
+  uint32_t approval_queries;
+  uint32_t blocked_logged; /* lines of why a step waits */
+  char blocked_on[32];     /* what the last of them says it lacks */
   uint32_t commits;
   uint32_t own_commits[WORLD_CELLS_MAX];  /* by the daemon that made them */
   uint32_t worker_calls[WORLD_CELLS_MAX]; /* by the daemon that made them */
   clock_t core_clock; /* processor time inside the cores' ticks and replies */
   WorldLogged logged[WORLD_EVENTS_MAX];
   WorldEvent *events;
-  MuxResponse answer[8192]; /* by the question's call */
+  MuxResponse response[8192]; /* by the question's call */
   bool answered[8192];
-  uint64_t next_question;
+  uint64_t next_request;
 };
 
 /** world_new() - @cells daemons, @workers workers of 32 processors */
@@ -305,13 +306,15 @@
 /** world_fenced() - parts that the daemon which holds the claim has fenced */
 uint32_t world_fenced (const World *world);
 /** world_ends() - rows of ended jobs that stand in the store */
-uint32_t world_ends (const World *world);
+uint32_t world_ended_rows (const World *world);
 /** world_submit() - hand in; the answer comes while time passes
  * Return: number of the question */
 uint64_t
 world_submit (World *world, uint32_t cell, MuxJobSpec *job, const char *id);
-uint64_t
-world_ask (World *world, uint32_t cell, MuxRequestVerb verb, const char *id);
+uint64_t world_request (World *world,
+                        uint32_t cell,
+                        MuxRequestVerb verb,
+                        const char *id);
 /** world_state() - asks and waits a little */
 MuxJobState world_state (World *world, uint32_t cell, const char *id);
 /** world_starts() - of the tasks of a job */
@@ -321,12 +324,12 @@
 int64_t world_first_start_ms (const World *world, const char *id);
 /** world_twice_told() - two runs of a task at once, or one after it was done
  * and that end was acknowledged, then or later */
-bool world_twice_told (const World *world);
+bool world_double_run_acked (const World *world);
 /** world_twice() - two runs of a task at once, or one after it was done */
-bool world_twice (const World *world);
+bool world_double_run (const World *world);
 /** world_over_budget() - a task that crashes each worker that starts it was
  * started three times more after three had crashed under it */
-bool world_over_budget (const World *world);
+bool world_over_crash_budget (const World *world);
 /** world_is_crashing() - some task of the job crashes what starts it */
 bool world_is_crashing (const World *world, const char *id);
 /** world_crashes() - of workers under tasks of the job */
@@ -362,7 +365,7 @@
 /** world_set_attempts() - that the queue's tasks have from now on */
 void world_set_attempts (World *world, uint32_t attempts);
 /** world_approve_unasked() - the queue's jobs need no approval from now on */
-void world_approve_unasked (World *world);
+void world_skip_approval (World *world);
 /** world_row() - that stands in the store under the key; NULL: there is none */
 const WorldRow *
 world_row (const World *world, MuxCellTable table, const char *key);
@@ -387,12 +390,13 @@
 /** world_done_by() - runs of the job that ended well by @at_ms */
 uint32_t world_done_by (const World *world, const char *id, int64_t at_ms);
 /** world_asked_ms() - time of the policy service that a job's questions took */
-int64_t world_asked_ms (const World *world, const char *id);
+int64_t world_approval_spent_ms (const World *world, const char *id);
 /** world_logged() - how often the cells logged @event */
 uint32_t world_logged (const World *world, const char *event);
 /** world_ask_slowly() - the policy service takes so long from now on, and the
  * queue's configuration says so */
-void world_ask_slowly (World *world, uint32_t base_ms, uint32_t per_worker_us);
+void
+world_slow_approvals (World *world, uint32_t base_ms, uint32_t per_worker_us);
 /** world_worker_drains() - it says that it will leave, or no longer */
 void world_worker_drains (World *world, uint32_t worker, bool draining);
 /** world_worker_leaves() - the same, and it says that it stays for @in_ms */
--- a/test/support/cell_world_check.c
+++ b/test/support/cell_world_check.c
@@ -22,7 +22,7 @@
 }
 
 bool
-world_twice (const World *world)
+world_double_run (const World *world)
 {
   for (uint32_t i = 0; i < world->start_count; i++)
     for (uint32_t j = 0; j < i; j++)
@@ -48,7 +48,7 @@
 }
 
 bool
-world_twice_told (const World *world)
+world_double_run_acked (const World *world)
 {
   for (uint32_t i = 0; i < world->start_count; i++)
     for (uint32_t j = 0; j < i; j++)
@@ -59,7 +59,7 @@
         if (memcmp (&a->task, &b->task, sizeof a->task) != 0)
           continue;
         if (a->ended_ms != 0 && b->at_ms >= a->ended_ms
-            && (a->end != MUX_RUN_DONE || !a->told))
+            && (a->end != MUX_RUN_DONE || !a->acknowledged))
           continue;
         print_message ("%s.%u.%u: run %u on worker %u from %lld to %lld (%d), "
                        "run %u on worker %u from %lld\n",
@@ -102,7 +102,7 @@
 }
 
 bool
-world_over_budget (const World *world)
+world_over_crash_budget (const World *world)
 {
   for (uint32_t i = 0; i < world->start_count; i++)
     {
@@ -153,7 +153,7 @@
       for (uint32_t j = 0; j < world->start_count; j++)
         if (is_same_task (start, &world->start[j]))
           {
-            crashed += world->start[j].crashed || world->start[j].unheard;
+            crashed += world->start[j].crashed || world->start[j].end_lost;
             failed += world->start[j].ended_ms != 0
                       && world->start[j].end == MUX_RUN_FAILED;
           }
--- a/test/support/cell_world_private.h
+++ b/test/support/cell_world_private.h
@@ -42,7 +42,7 @@
 
 /* cell_world_workspaces.c */
 /** world_key() - that callers show */
-void world_key (const World *world, MuxRequest *question);
+void world_copy_key (const World *world, MuxRequest *question);
 /** world_workspace_of() - of the key that callers show; "": of none */
 const char *world_workspace_of (const World *world);
 /** world_check_quota() - a start that brings a workspace over what it may have
@@ -61,11 +61,11 @@
 /** world_in_reach() - of the calls of @cell; false for NULL */
 bool
 world_in_reach (const World *world, uint32_t cell, const WorldWorker *worker);
-bool world_has_ends (const WorldWorker *worker, uint64_t acked);
+bool world_has_unacked_ends (const WorldWorker *worker, uint64_t acked);
 /** world_worker_serves() - carry @call out; Return: its answer */
-MuxCellReply *world_worker_serves (World *world,
-                                   WorldWorker *worker,
-                                   const MuxCellCall *call);
+MuxCellReply *world_worker_execute (World *world,
+                                    WorldWorker *worker,
+                                    const MuxCellCall *call);
 /** world_worker_call() - takes @call over, which @cell sends */
 void world_worker_call (World *world, uint32_t cell, MuxCellCall *call);
 /** world_proof() - that the present life of the worker takes */
--- a/test/support/cell_world_worker.c
+++ b/test/support/cell_world_worker.c
@@ -59,16 +59,16 @@
   return NULL;
 }
 
-static WorldPast *
+static WorldEndedRun *
 past_find (const World *world,
            const WorldWorker *worker,
            const MuxTaskRef *task)
 {
   for (uint32_t i = 0; i < world->past_count; i++)
-    if (memcmp (&world->past[i].task, task, sizeof *task) == 0
-        && world->past[i].life == worker->life
-        && strcmp (world->past[i].worker, worker->info.id) == 0)
-      return &world->past[i];
+    if (memcmp (&world->ended_run[i].task, task, sizeof *task) == 0
+        && world->ended_run[i].incarnation == worker->incarnation
+        && strcmp (world->ended_run[i].worker, worker->info.id) == 0)
+      return &world->ended_run[i];
   return NULL;
 }
 
@@ -79,15 +79,16 @@
           const MuxTaskRef *task,
           uint32_t run)
 {
-  WorldPast *past = past_find (world, worker, task);
+  WorldEndedRun *past = past_find (world, worker, task);
 
   if (past == NULL)
     {
-      world->past = realloc (world->past,
-                             (world->past_count + 1) * sizeof *world->past);
-      assert_non_null (world->past);
-      past = &world->past[world->past_count++];
-      *past = (WorldPast){ .task = *task, .life = worker->life };
+      world->ended_run = realloc (
+          world->ended_run, (world->past_count + 1) * sizeof *world->ended_run);
+      assert_non_null (world->ended_run);
+      past = &world->ended_run[world->past_count++];
+      *past = (WorldEndedRun){ .task = *task,
+                               .incarnation = worker->incarnation };
       memcpy (past->worker, worker->info.id, sizeof past->worker);
     }
   if (run > past->run)
@@ -145,7 +146,7 @@
 
   for (uint32_t i = 0; i < world->worker_end; i++)
     if (world->worker[i].used && strcmp (world->worker[i].info.id, id) == 0)
-      life = world->worker[i].life;
+      life = world->worker[i].incarnation;
   snprintf (proof, MUX_TOKEN_LEN, "yes %u", life);
 }
 
@@ -220,7 +221,7 @@
           MuxCellReply *reply)
 {
   WorldRun *run = run_find (worker, &call->task, call->run);
-  const WorldPast *past = past_find (world, worker, &call->task);
+  const WorldEndedRun *past = past_find (world, worker, &call->task);
   WorldStart *start;
 
   if (run != NULL && run->number == 0)
@@ -286,7 +287,7 @@
           WorldStart *start = start_of (world, run);
 
           if (start != NULL)
-            start->told = !run->lapsed;
+            start->acknowledged = !run->lapsed;
           run->used = false;
         }
       if (!run->used)
@@ -294,7 +295,7 @@
       report->task = run->task;
       report->run = run->run;
       report->end_number = run->number;
-      run->heard = run->number != 0;
+      run->reported = run->number != 0;
       report->end = run->end;
       report->usage = worker->usage;
       report->percent
@@ -306,7 +307,7 @@
 }
 
 bool
-world_has_ends (const WorldWorker *worker, uint64_t acked)
+world_has_unacked_ends (const WorldWorker *worker, uint64_t acked)
 {
   for (uint32_t i = 0; i < worker->run_end; i++)
     if (worker->run[i].used && worker->run[i].number > acked)
@@ -352,7 +353,9 @@
 }
 
 MuxCellReply *
-world_worker_serves (World *world, WorldWorker *worker, const MuxCellCall *call)
+world_worker_execute (World *world,
+                      WorldWorker *worker,
+                      const MuxCellCall *call)
 {
   MuxCellReply *reply = mux_cell_reply_new (
       call, worker_hears (worker, call, clock_of (world, worker)));
@@ -375,10 +378,10 @@
 bool
 world_in_reach (const World *world, uint32_t cell, const WorldWorker *worker)
 {
-  uint32_t near = world->cell[cell].near_workers;
+  uint32_t near = world->cell[cell].reachable_workers;
 
-  return worker != NULL && !worker->cut && worker->down_until_ms == 0
-         && worker >= world->worker + world->cell[cell].far_workers
+  return worker != NULL && !worker->unreachable && worker->down_until_ms == 0
+         && worker >= world->worker + world->cell[cell].unreachable_workers
          && (near == 0 || worker < world->worker + near);
 }
 
@@ -393,7 +396,7 @@
   world->worker_calls[cell]++;
   if (worker != NULL)
     worker->calls++;
-  if (worker != NULL && worker->down_until_ms != 0 && !worker->cut
+  if (worker != NULL && worker->down_until_ms != 0 && !worker->unreachable
       && !world->silent_crashes)
     world_answer_call (world, cell,
                        mux_cell_reply_new (call, MUX_CELL_NOT_DONE), WORKER_MS);
@@ -405,7 +408,7 @@
                        mux_cell_reply_new (call, MUX_CELL_NOT_DONE), WORKER_MS);
   else if (fault == WORLD_LOSES_ANSWER)
     {
-      mux_cell_reply_free (world_worker_serves (world, worker, call));
+      mux_cell_reply_free (world_worker_execute (world, worker, call));
       world_answer_call (world, cell,
                          mux_cell_reply_new (call, MUX_CELL_UNKNOWN),
                          call->timeout_ms);
@@ -419,16 +422,16 @@
       return;
     }
   else if (call->verb == MUX_CELL_RENEW && call->wait_ms > 0
-           && !world_has_ends (worker, call->acked))
+           && !world_has_unacked_ends (worker, call->acked))
     {
       (void) worker_hears (worker, call, clock_of (world, worker));
       event = world_event_new (world, cell, call->wait_ms);
       event->waiting = call;
-      event->life = worker->life;
+      event->life = worker->incarnation;
       return;
     }
   else
-    world_answer_call (world, cell, world_worker_serves (world, worker, call),
+    world_answer_call (world, cell, world_worker_execute (world, worker, call),
                        WORKER_MS);
   mux_cell_call_free (call);
 }
@@ -545,7 +548,7 @@
 
       if (start == NULL)
         continue;
-      start->unheard = run->number != 0 && !run->heard;
+      start->end_lost = run->number != 0 && !run->reported;
       if (run->number != 0)
         continue;
       start->crashed = true;
@@ -553,7 +556,7 @@
       start->end = MUX_RUN_LEASE_EXPIRED;
     }
   memset (worker->run, 0, sizeof worker->run);
-  worker->life++;
+  worker->incarnation++;
 }
 
 void
@@ -584,7 +587,7 @@
 
   worker->clock_ms = world->now_ms;
   worker->info.started_ms = (uint64_t) (WORLD_WALL_MS + world->now_ms);
-  worker->list_ms = world->now_ms + world->list_late_ms;
+  worker->list_ms = world->now_ms + world->relist_delay_ms;
 }
 
 static void
--- a/test/support/cell_world_workspaces.c
+++ b/test/support/cell_world_workspaces.c
@@ -44,7 +44,7 @@
 }
 
 void
-world_key (const World *world, MuxRequest *question)
+world_copy_key (const World *world, MuxRequest *question)
 {
   question->has_key = world->key[0] != 0;
   question->key = digest_of (world->key);
@@ -133,7 +133,7 @@
 {
   const char *name = workspace_of_job (world, task->job);
   const MuxWorkspaceSpec *now = find (world->workspaces, name);
-  const MuxWorkspaceSpec *before = find (world->former_workspaces, name);
+  const MuxWorkspaceSpec *before = find (world->previous_workspaces, name);
   bool counts = world->now_ms - world->workspaces_ms < CHANGE_MS;
   MuxSize size = world_size_of (world, task);
   MuxQuota running;
@@ -155,5 +155,5 @@
 world_workspaces_free (World *world)
 {
   mux_workspaces_free (world->workspaces);
-  mux_workspaces_free (world->former_workspaces);
+  mux_workspaces_free (world->previous_workspaces);
 }
--- a/test/support/chaos_variants.c
+++ b/test/support/chaos_variants.c
@@ -68,7 +68,8 @@
   WorldCell *cell = &c->world->cell[chaos_below (c, CHAOS_CELLS)];
 
   if (chaos_below (c, LATE_ONE_IN) == 0)
-    cell->late_ms = chaos_below (c, 2) == 0 ? 0 : chaos_below (c, LATE_MAX_MS);
+    cell->input_delay_ms
+        = chaos_below (c, 2) == 0 ? 0 : chaos_below (c, LATE_MAX_MS);
 }
 
 /* Commits take long, so that jobs name the workers that they may run on, and
@@ -139,13 +140,14 @@
 
   if (chaos_below (c, BURST_ONE_IN) == 0)
     {
-      c->times = BURST_TIMES_MIN
-                 + chaos_below (c, BURST_TIMES_MAX - BURST_TIMES_MIN + 1);
+      c->burst_factor
+          = BURST_TIMES_MIN
+            + chaos_below (c, BURST_TIMES_MAX - BURST_TIMES_MIN + 1);
       c->burst_until_ms
           = now_ms + BURST_LEAST_MS + chaos_below (c, BURST_MORE_MS);
     }
   if (now_ms < c->burst_until_ms)
-    world_callers_hand_in (&c->callers, c->times - 1, CHAOS_STEP_MS);
+    world_callers_hand_in (&c->callers, c->burst_factor - 1, CHAOS_STEP_MS);
 }
 
 /* Return: the usual service is not back in time, or a job of a burst was lost,
@@ -170,7 +172,7 @@
 lose_workers (World *world)
 {
   for (uint32_t i = 0; i < GONE; i++)
-    world->worker[i].cut = true;
+    world->worker[i].unreachable = true;
 }
 
 /* One planner after the other is lost, while workers are gone that only some of
@@ -187,7 +189,7 @@
     if (world->cell[i].dead && chaos_below (c, BACK_ONE_IN) == 0)
       world_cell_start (world, i);
   if (chaos_below (c, GONE_BACK_ONE_IN) == 0)
-    world->worker[chaos_below (c, GONE)].cut = chaos_below (c, 2) == 0;
+    world->worker[chaos_below (c, GONE)].unreachable = chaos_below (c, 2) == 0;
 }
 
 static void
@@ -204,14 +206,14 @@
                               .cpu_milli = 5000,
                               .attempts = CHAOS_ATTEMPTS };
   world->task_ms = 300;
-  world->follow_rows = variant->follow_rows;
+  world->feed_rows = variant->follow_rows;
   if (variant->same_ids)
     world_keep_ids (world);
-  world->list_late_ms = variant->same_ids ? LIST_LATE_MS : 0;
+  world->relist_delay_ms = variant->same_ids ? LIST_LATE_MS : 0;
   /* Without a proof that is of one life nothing else keeps a late start from
    * the next one. */
   if (variant->same_ids && seed % 3 == 0)
-    world_approve_unasked (world);
+    world_skip_approval (world);
   if (seed % 2 == 1)
     world_make_urgent (world);
   world_run (world, 1000);
@@ -238,11 +240,11 @@
       else
         chaos_step_of_takeovers (&c);
     }
-  chaos_mend (world);
+  chaos_heal (world);
   if (variant->rooms)
     restore_rooms (world);
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
-    world->cell[i].late_ms = 0;
+    world->cell[i].input_delay_ms = 0;
   if (variant->bursts)
     world_run (world, RECOVERY_MS);
   watched_ms = world->now_ms;
--- a/test/support/config_cell.c
+++ b/test/support/config_cell.c
@@ -54,7 +54,7 @@
 {
   ask->call_id = ++cell->call;
   cell->answers = 0;
-  fake_net_ask (cell->net, node, ask);
+  fake_net_request (cell->net, node, ask);
 }
 
 void
--- a/test/support/fake_net.c
+++ b/test/support/fake_net.c
@@ -230,7 +230,7 @@
   node->core = mux_core_new (&options, NULL);
   if (node->core == NULL)
     abort ();
-  fake_net_give (net, index, &(MuxEvent){ .kind = MUX_EVENT_TICK });
+  fake_net_deliver (net, index, &(MuxEvent){ .kind = MUX_EVENT_TICK });
 }
 
 uint32_t
@@ -249,7 +249,7 @@
 }
 
 void
-fake_net_give (FakeNet *net, uint32_t node, const MuxEvent *event)
+fake_net_deliver (FakeNet *net, uint32_t node, const MuxEvent *event)
 {
   FakeTap *tap = net->nodes[node].sink.tap;
 
@@ -260,10 +260,10 @@
 }
 
 void
-fake_net_ask (FakeNet *net, uint32_t node, const MuxCoreRequest *ask)
+fake_net_request (FakeNet *net, uint32_t node, const MuxCoreRequest *ask)
 {
-  fake_net_give (net, node,
-                 &(MuxEvent){ .kind = MUX_EVENT_REQUEST, .u.request = ask });
+  fake_net_deliver (net, node,
+                    &(MuxEvent){ .kind = MUX_EVENT_REQUEST, .u.request = ask });
 }
 
 void
@@ -273,10 +273,10 @@
 }
 
 void
-fake_net_later (FakeNet *net,
-                int64_t delay_ms,
-                void (*act) (void *arg),
-                void *arg)
+fake_net_schedule (FakeNet *net,
+                   int64_t delay_ms,
+                   void (*act) (void *arg),
+                   void *arg)
 {
   FakeDelivery *item = deliver (net, 0, delay_ms);
 
@@ -311,7 +311,7 @@
     event = (MuxEvent){ .kind = MUX_EVENT_WORKER_REPLY,
                         .u.worker_reply = item->worker };
   if (node->core != NULL && node->incarnation == item->incarnation)
-    fake_net_give (net, item->node, &event);
+    fake_net_deliver (net, item->node, &event);
 }
 
 /* A wake-up asked for at once comes 1 ms after the last one, so that a core
@@ -387,8 +387,8 @@
   if (wake_ms (node) > net->now_ms)
     net->now_ms = wake_ms (node);
   node->ticked_ms = net->now_ms;
-  fake_net_give (net, (uint32_t) (node - net->nodes),
-                 &(MuxEvent){ .kind = MUX_EVENT_TICK });
+  fake_net_deliver (net, (uint32_t) (node - net->nodes),
+                    &(MuxEvent){ .kind = MUX_EVENT_TICK });
 }
 
 void
--- a/test/support/fake_net.h
+++ b/test/support/fake_net.h
@@ -81,8 +81,8 @@
 void fake_net_kill (FakeNet *net, uint32_t node);
 void fake_net_start (FakeNet *net, uint32_t node);
 /** fake_net_give() - an event for a core, now */
-void fake_net_give (FakeNet *net, uint32_t node, const MuxEvent *event);
-void fake_net_ask (FakeNet *net, uint32_t node, const MuxCoreRequest *ask);
+void fake_net_deliver (FakeNet *net, uint32_t node, const MuxEvent *event);
+void fake_net_request (FakeNet *net, uint32_t node, const MuxCoreRequest *ask);
 /** fake_net_reply() - a worker's reply, @delay_ms from now; takes it over */
 void fake_net_reply (FakeNet *net,
                      uint32_t node,
@@ -91,10 +91,10 @@
 /** fake_net_freeze() - it takes no steps for @ms while time goes on */
 void fake_net_freeze (FakeNet *net, uint32_t node, int64_t ms);
 /** fake_net_later() - call @act after @delay_ms */
-void fake_net_later (FakeNet *net,
-                     int64_t delay_ms,
-                     void (*act) (void *arg),
-                     void *arg);
+void fake_net_schedule (FakeNet *net,
+                        int64_t delay_ms,
+                        void (*act) (void *arg),
+                        void *arg);
 /** fake_net_next() - the next delivery or wake-up, whichever comes first */
 void fake_net_next (FakeNet *net);
 /** fake_net_run() - all that happens in the next @ms */
--- a/test/support/fake_worker.c
+++ b/test/support/fake_worker.c
@@ -122,7 +122,7 @@
   if (worker->tick_ms > worker->net->now_ms && worker->tick_ms <= at_ms)
     return;
   worker->tick_ms = at_ms;
-  fake_net_later (worker->net, at_ms - worker->net->now_ms, tick, worker);
+  fake_net_schedule (worker->net, at_ms - worker->net->now_ms, tick, worker);
 }
 
 static void
@@ -152,7 +152,7 @@
     if (!item->waiting || !mux_id_equal (item->call.task, task))
       continue;
     item->waiting = false;
-    fake_net_later (worker->net, 0, release, item);
+    fake_net_schedule (worker->net, 0, release, item);
   }
 }
 
@@ -225,7 +225,7 @@
       mux_worker_reply_free (reply);
       item->waiting = true;
       item->wait_ms = worker->net->now_ms + item->call.wait_ms;
-      fake_net_later (worker->net, item->call.wait_ms, wait_over, worker);
+      fake_net_schedule (worker->net, item->call.wait_ms, wait_over, worker);
       return;
     }
   answer (item, reply);
@@ -253,7 +253,7 @@
       if (arrive_ms >= (int64_t) call->timeout_ms)
         give_nothing (item);
     }
-  fake_net_later (worker->net, arrive_ms, arrive, item);
+  fake_net_schedule (worker->net, arrive_ms, arrive, item);
 }
 
 static void
--- a/test/support/proof.c
+++ b/test/support/proof.c
@@ -9,7 +9,7 @@
 proof_expect (Scenario *s, bool good, const char *text)
 {
   if (!good)
-    scenario_wrong (s, "%s", text);
+    scenario_violation (s, "%s", text);
 }
 
 uint32_t
@@ -33,12 +33,12 @@
                   MuxOutcome outcome)
 {
   for (uint32_t i = first; i < first + count; i++)
-    if (!scenario_told (s, i, outcome))
-      scenario_wrong (s, "call %u: %u answers, %s %s instead of %s", i,
-                      s->calls[i].answers,
-                      mux_outcome_name (s->calls[i].answer.outcome),
-                      mux_reason_name (s->calls[i].answer.reason),
-                      mux_outcome_name (outcome));
+    if (!scenario_has_outcome (s, i, outcome))
+      scenario_violation (s, "call %u: %u answers, %s %s instead of %s", i,
+                          s->calls[i].answers,
+                          mux_outcome_name (s->calls[i].answer.outcome),
+                          mux_reason_name (s->calls[i].answer.reason),
+                          mux_outcome_name (outcome));
 }
 
 /* Seeds in which it broke. */
@@ -53,8 +53,8 @@
           = scenario_new (seed, proof->nodes, proof->workers, proof->centres);
 
       s->verbose = getenv ("PROOF_VERBOSE") != NULL;
-      s->without = without;
-      proof->story (s);
+      s->mechanism_off = without;
+      proof->play (s);
       if (s->wrong > 0 && !without)
         printf ("# %s, seed %u: %s\n", proof->id, (uint32_t) seed,
                 s->first_wrong);
@@ -69,7 +69,7 @@
 {
   if (play (proof, false) > 0)
     return false;
-  if (!proof->caught || play (proof, true) > 0)
+  if (!proof->fails_without || play (proof, true) > 0)
     return true;
   printf ("# %s holds without its mechanism too\n", proof->id);
   return false;
--- a/test/support/proof.h
+++ b/test/support/proof.h
@@ -14,8 +14,8 @@
 typedef struct
 {
   const char *id;
-  void (*story) (Scenario *s);
-  bool caught;
+  void (*play) (Scenario *s);
+  bool fails_without;
   uint32_t nodes, workers, centres;
 } Proof;
 
--- a/test/support/scenario.c
+++ b/test/support/scenario.c
@@ -46,7 +46,7 @@
   for (uint32_t i = 0; i < s->net->node_count && !s->lists_late; i++)
     if (s->net->nodes[i].core != NULL
         && s->net->nodes[i].thaw_ms <= s->net->now_ms)
-      fake_net_give (s->net, i, &event);
+      fake_net_deliver (s->net, i, &event);
   free (list);
 }
 
@@ -56,7 +56,7 @@
   Scenario *s = arg;
 
   scenario_lists (s);
-  fake_net_later (s->net, LIST_EVERY_MS, give_lists, s);
+  fake_net_schedule (s->net, LIST_EVERY_MS, give_lists, s);
 }
 
 static void
@@ -119,9 +119,9 @@
   while (s->calls[call].answers == 0)
     fake_net_next (s->net);
   if (s->calls[call].answer.status != 200)
-    scenario_wrong (s, "configuration of %s was refused: %u %s", name,
-                    s->calls[call].answer.status,
-                    mux_reason_name (s->calls[call].answer.reason));
+    scenario_violation (s, "configuration of %s was refused: %u %s", name,
+                        s->calls[call].answer.status,
+                        mux_reason_name (s->calls[call].answer.reason));
 }
 
 static void
@@ -230,7 +230,7 @@
       = { .call_id = call + 1,
           .verb = work->parts > 0 ? MUX_CORE_JOB_SUBMIT : MUX_CORE_RUN_TASK,
           .timeout_ms = give_up_ms,
-          .wall_ms = s->dated ? s->net->now_ms : 0,
+          .wall_ms = s->sends_time ? s->net->now_ms : 0,
           .task_count = work->parts };
 
   work->calls++;
@@ -239,7 +239,7 @@
     key_of (tag, ask.key);
   snprintf (body, sizeof body, "run_ms=%u\n#%u", work->run_ms, tag);
   ask.body = mux_blob_new (body, strlen (body));
-  fake_net_ask (s->net, node, &ask);
+  fake_net_request (s->net, node, &ask);
   mux_blob_unref (ask.body);
   return call;
 }
@@ -262,8 +262,8 @@
   uint32_t call = add_call (s, node, SCENARIO_NO_TAG, ask->timeout_ms);
 
   ask->call_id = call + 1;
-  ask->wall_ms = s->dated ? s->net->now_ms : 0;
-  fake_net_ask (s->net, node, ask);
+  ask->wall_ms = s->sends_time ? s->net->now_ms : 0;
+  fake_net_request (s->net, node, ask);
   return call;
 }
 
@@ -274,19 +274,19 @@
 
   ask.call_id = add_call (s, node, SCENARIO_NO_TAG, JOB_GIVE_UP_MS) + 1;
   s->works[tag].cancelled = true;
-  fake_net_ask (s->net, node, &ask);
+  fake_net_request (s->net, node, &ask);
 }
 
 void
 scenario_stop (Scenario *s, uint32_t node)
 {
-  fake_net_give (s->net, node, &(MuxEvent){ .kind = MUX_EVENT_STOP });
+  fake_net_deliver (s->net, node, &(MuxEvent){ .kind = MUX_EVENT_STOP });
 }
 
 void
 scenario_restart_worker (Scenario *s, uint32_t worker)
 {
-  scenario_life_over (s, worker);
+  scenario_incarnation_ended (s, worker);
   s->owner[worker] = UINT32_MAX;
   fake_worker_restart (&s->workers[worker]);
 }
@@ -307,7 +307,7 @@
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].tag == tag && s->runs[i].end_ms == 0)
       return s->runs[i].worker;
-  scenario_wrong (s, "#%u did not start", tag);
+  scenario_violation (s, "#%u did not start", tag);
   return 0;
 }
 
@@ -322,7 +322,7 @@
 }
 
 void
-scenario_settle (Scenario *s, int64_t ms)
+scenario_heal_and_check (Scenario *s, int64_t ms)
 {
   memset (s->net->cut, 0, sizeof s->net->cut);
   s->net->lost_ppm = s->net->peer_lost_ppm = 0;
--- a/test/support/scenario.h
+++ b/test/support/scenario.h
@@ -64,7 +64,7 @@
   uint32_t give_up_ms;
   uint32_t answers;
   MuxCoreResponse answer; /* without its body */
-  bool whole;             /* the body was this work's whole answer */
+  bool body_intact;       /* the body was this work's whole answer */
 } ScenarioCall;
 
 /**
@@ -97,8 +97,8 @@
   char first_wrong[256];
   bool store_fails;
   bool lists_late;
-  bool without;
-  bool dated;
+  bool mechanism_off;
+  bool sends_time;
   bool verbose;
   uint32_t steps;
 } Scenario;
@@ -143,13 +143,14 @@
 /** scenario_until_running() - run until @tag runs; Return: its worker */
 uint32_t scenario_until_running (Scenario *s, uint32_t tag);
 /** scenario_told() - the call has one answer, with this outcome */
-bool scenario_told (const Scenario *s, uint32_t call, MuxOutcome outcome);
+bool
+scenario_has_outcome (const Scenario *s, uint32_t call, MuxOutcome outcome);
 /** scenario_settle() - heal everything, run @ms, check what must have ended */
-void scenario_settle (Scenario *s, int64_t ms);
+void scenario_heal_and_check (Scenario *s, int64_t ms);
 
 /* The checker (scenario_check.c). */
 /** scenario_wrong() - a promise is broken */
-void scenario_wrong (Scenario *s, const char *format, ...)
+void scenario_violation (Scenario *s, const char *format, ...)
     __attribute__ ((format (printf, 2, 3)));
 /** scenario_logged() - a line of a worker's execution log */
 void scenario_logged (void *ctx, const StandinWorkerEvent *event);
@@ -157,7 +158,7 @@
 void
 scenario_answered (void *user, uint32_t node, const MuxCoreResponse *answer);
 /** scenario_life_over() - every execution of a worker's life has ended */
-void scenario_life_over (Scenario *s, uint32_t worker);
+void scenario_incarnation_ended (Scenario *s, uint32_t worker);
 /** scenario_check_ended() - after all has healed: every call was answered,
  * nothing told "not run" ran, and accepted jobs have ended */
 void scenario_check_ended (Scenario *s);
--- a/test/support/scenario_check.c
+++ b/test/support/scenario_check.c
@@ -10,7 +10,7 @@
 #define ANSWER_SLACK_MS 12000
 
 void
-scenario_wrong (Scenario *s, const char *format, ...)
+scenario_violation (Scenario *s, const char *format, ...)
 {
   char text[256];
   va_list args;
@@ -69,12 +69,13 @@
         continue;
       if (other->end_ms == 0
           && !(s->store_fails && work->class_id == SCENARIO_MANY))
-        scenario_wrong (s, "#%u.%u (class %d) runs on workers %u and %u",
-                        run->tag, run->part, work->class_id, other->worker,
-                        run->worker);
+        scenario_violation (s, "#%u.%u (class %d) runs on workers %u and %u",
+                            run->tag, run->part, work->class_id, other->worker,
+                            run->worker);
       else if (runs_once (work->class_id))
-        scenario_wrong (s, "#%u.%u runs again: worker %u, before on worker %u",
-                        run->tag, run->part, run->worker, other->worker);
+        scenario_violation (s,
+                            "#%u.%u runs again: worker %u, before on worker %u",
+                            run->tag, run->part, run->worker, other->worker);
     }
 }
 
@@ -91,7 +92,7 @@
 
   if (run.tag == SCENARIO_NO_TAG)
     {
-      scenario_wrong (s, "worker %u runs what nobody submitted", worker);
+      scenario_violation (s, "worker %u runs what nobody submitted", worker);
       return;
     }
   run.part = part_of (&s->works[run.tag], run.id);
@@ -99,7 +100,7 @@
   check_twice (s, &run);
   s->booked[worker] = mux_size_add (s->booked[worker], run.size);
   if (!mux_size_fits (s->booked[worker], at->options.capacity))
-    scenario_wrong (s, "worker %u holds more than it can", worker);
+    scenario_violation (s, "worker %u holds more than it can", worker);
   s->runs
       = fake_sink_grow (s->runs, s->run_count, &s->run_cap, sizeof *s->runs);
   s->runs[s->run_count++] = run;
@@ -116,7 +117,7 @@
 }
 
 void
-scenario_life_over (Scenario *s, uint32_t worker)
+scenario_incarnation_ended (Scenario *s, uint32_t worker)
 {
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].worker == worker && s->runs[i].end_ms == 0)
@@ -163,7 +164,7 @@
       s->claims[worker]++;
     }
   else if (strcmp (event->event, "overcommit_attempt") == 0)
-    scenario_wrong (s, "worker %u was to hold more than it can", worker);
+    scenario_violation (s, "worker %u was to hold more than it can", worker);
   if (strcmp (event->event, "end") != 0)
     return;
   for (uint32_t i = 0; i < s->run_count; i++)
@@ -191,11 +192,11 @@
 static void
 check_done (Scenario *s, ScenarioCall *call, const MuxCoreResponse *answer)
 {
-  call->whole = is_whole (call, &s->works[call->tag], answer);
-  if (!call->whole && answer->reason != MUX_REASON_ALREADY_RAN)
-    scenario_wrong (s, "#%u was not given its own whole answer", call->tag);
+  call->body_intact = is_whole (call, &s->works[call->tag], answer);
+  if (!call->body_intact && answer->reason != MUX_REASON_ALREADY_RAN)
+    scenario_violation (s, "#%u was not given its own whole answer", call->tag);
   if (s->works[call->tag].runs == 0)
-    scenario_wrong (s, "#%u was told done and never ran", call->tag);
+    scenario_violation (s, "#%u was told done and never ran", call->tag);
 }
 
 /* A caller who asks again after a lost answer takes "not run" for the truth
@@ -210,7 +211,7 @@
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].tag == call->tag && s->runs[i].start_ms < call->asked_ms)
       {
-        scenario_wrong (s, "#%u was told not run and had run", call->tag);
+        scenario_violation (s, "#%u was told not run and had run", call->tag);
         return;
       }
 }
@@ -232,8 +233,8 @@
             (int) call->tag, mux_outcome_name (answer->outcome),
             mux_reason_name (answer->reason));
   if (call->answers++ > 0)
-    scenario_wrong (s, "call %u was answered twice",
-                    (uint32_t) answer->call_id);
+    scenario_violation (s, "call %u was answered twice",
+                        (uint32_t) answer->call_id);
   call->answer = *answer;
   call->answer.body = NULL;
   call->answered_ms = s->net->now_ms;
@@ -248,7 +249,7 @@
 }
 
 bool
-scenario_told (const Scenario *s, uint32_t call, MuxOutcome outcome)
+scenario_has_outcome (const Scenario *s, uint32_t call, MuxOutcome outcome)
 {
   return s->calls[call].answers == 1
          && s->calls[call].answer.outcome == outcome;
@@ -274,7 +275,7 @@
       || node->incarnation != call->node_incarnation
       || call->asked_ms + call->give_up_ms + ANSWER_SLACK_MS > s->net->now_ms)
     return;
-  scenario_wrong (s, "call %u (#%d) has no answer", index, (int) call->tag);
+  scenario_violation (s, "call %u (#%d) has no answer", index, (int) call->tag);
 }
 
 static void
@@ -297,14 +298,14 @@
   snprintf (key, sizeof key, "job/done/%s", hex);
   if (fake_table_find (&s->net->table, key) == NULL)
     {
-      scenario_wrong (s, "job #%u was accepted and has not ended", tag);
+      scenario_violation (s, "job #%u was accepted and has not ended", tag);
       if (s->verbose)
         print_rows (s, hex);
     }
   else if (!runs_once (work->class_id) && !work->cancelled
            && work->runs < work->parts)
-    scenario_wrong (s, "job #%u ended with %u runs of %u tasks", tag,
-                    work->runs, work->parts);
+    scenario_violation (s, "job #%u ended with %u runs of %u tasks", tag,
+                        work->runs, work->parts);
 }
 
 void
@@ -317,7 +318,7 @@
       const ScenarioWork *work = &s->works[tag];
 
       if (work->calls > 0 && work->not_run == work->calls && work->runs > 0)
-        scenario_wrong (s, "#%u was told not run by all and ran", tag);
+        scenario_violation (s, "#%u was told not run by all and ran", tag);
       if (work->accepted)
         check_job (s, tag);
     }
--- a/test/support/world_callers.c
+++ b/test/support/world_callers.c
@@ -51,7 +51,7 @@
     {
       WorldCall *call = &callers->call[i];
 
-      if (call->answered_ms == 0 && callers->world->answered[call->question])
+      if (call->answered_ms == 0 && callers->world->answered[call->request])
         call->answered_ms = callers->world->now_ms;
     }
 }
@@ -104,8 +104,8 @@
 {
   const World *world = callers->world;
   const WorldCall *call = &callers->call[number];
-  bool answered = world->answered[call->question];
-  MuxResponseOutcome outcome = world->answer[call->question].outcome;
+  bool answered = world->answered[call->request];
+  MuxResponseOutcome outcome = world->response[call->request].outcome;
   char id[MUX_JOB_ID_LEN];
 
   call_name (id, number);
--- a/test/support/world_callers.h
+++ b/test/support/world_callers.h
@@ -18,7 +18,7 @@
  */
 typedef struct
 {
-  uint64_t question;
+  uint64_t request;
   int64_t sent_ms;
   int64_t answered_ms;
 } WorldCall;
--- a/test/unit/test_cell.c
+++ b/test/unit/test_cell.c
@@ -19,7 +19,7 @@
 assert_accepted (World *world, uint64_t call)
 {
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_ACCEPTED);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_ACCEPTED);
 }
 
 static MuxJobSpec *
@@ -49,7 +49,7 @@
   for (uint32_t cell = 0; cell < CELLS; cell++)
     assert_int_equal (world_state (world, cell, "job-a"), MUX_JOB_COMPLETED);
   assert_int_equal (world_state (world, 0, "job-b"), MUX_JOB_ABSENT);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -93,7 +93,7 @@
   world->cell[0].store = WORLD_REFUSES;
   world_run (world, 5000);
   assert_true (world->answered[lost]);
-  assert_int_equal (world->answer[lost].outcome, MUX_RESPONSE_UNKNOWN);
+  assert_int_equal (world->response[lost].outcome, MUX_RESPONSE_UNKNOWN);
   world->cell[0].store = WORLD_SERVES;
   world_run (world, 1000);
   known = world_submit (world, 0, world_job (1, 1, 1000), "job-a");
@@ -119,8 +119,8 @@
   call = world_submit (world, 0, world_job (1, 1, 1000), "job-a");
   world_run (world, 500);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
-  assert_true (world->answer[call].retry_ms > 0);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_REFUSED);
+  assert_true (world->response[call].retry_ms > 0);
   world->cell[0].store = WORLD_SERVES;
   world_run (world, 3000);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_ABSENT);
@@ -153,7 +153,7 @@
   assert_int_equal (world_starts (world, "job-a"), 4);
   assert_int_equal (world_state (world, other_than (planner), "job-a"),
                     MUX_JOB_COMPLETED);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -203,7 +203,7 @@
   world_run (world, 5000);
   assert_int_equal (world_state (world, planner, "job-a"), MUX_JOB_COMPLETED);
   assert_int_equal (world_starts (world, "job-a"), 8);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -221,13 +221,13 @@
   (void) world_submit (world, 0, world_job (1, 1, 1000), "job-a");
   world_run (world, 500);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  world->worker[world->start[0].worker].cut = true;
+  world->worker[world->start[0].worker].unreachable = true;
   world_run (world, 3500);
   assert_int_equal (world_starts (world, "job-a"), 1);
   world_run (world, 4000);
   assert_int_equal (world_starts (world, "job-a"), 2);
   assert_int_not_equal (world->start[0].worker, world->start[1].worker);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -249,11 +249,11 @@
   (void) world_submit (world, other, world_job (1, 1, 1000), "job-a");
   world_run (world, 500);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  world->worker[0].cut = true;
+  world->worker[0].unreachable = true;
   world_cell_kill (world, planner);
   world_run (world, TAKEOVER_MS);
   world->worker[1] = world->worker[0];
-  world->worker[1].cut = false;
+  world->worker[1].unreachable = false;
   snprintf (world->worker[1].info.addr, MUX_ADDR_LEN, "10.1.0.99:8000");
   world_worker_restart (world, 1);
   /* The copy's restart unlisted the life that it was copied from. */
@@ -288,7 +288,7 @@
   world_run (world, 6000);
   assert_true (first < 2);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_COMPLETED);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -361,7 +361,7 @@
   (void) world_submit (world, other, world_job (1, 1, 1000), "job-b");
   (void) world_submit (world, other, world_job (1, 1, 1000), "job-c");
   world_run (world, 50);
-  world->forgotten = world->version;
+  world->compacted_version = world->version;
   world->cell[planner].store = WORLD_SERVES;
   world_run (world, 5000);
   assert_int_equal (world_state (world, other, "job-a"), MUX_JOB_COMPLETED);
@@ -382,19 +382,19 @@
   world->task_ms = 5000;
   (void) world_submit (world, other, world_job (2, 4, 1000), "job-a");
   world_run (world, 500);
-  cancel = world_ask (world, other, MUX_REQUEST_CANCEL, "job-a");
+  cancel = world_request (world, other, MUX_REQUEST_CANCEL, "job-a");
   world_run (world, 500);
   assert_true (world->answered[cancel]);
-  assert_int_equal (world->answer[cancel].outcome, MUX_RESPONSE_CANCELLED);
+  assert_int_equal (world->response[cancel].outcome, MUX_RESPONSE_CANCELLED);
   for (uint32_t i = 0; i < world->start_count; i++)
     assert_int_equal (world->start[i].end, MUX_RUN_STOPPED);
   world_run (world, 3000);
   assert_int_equal (world_starts (world, "job-a"), 4);
   for (uint32_t cell = 0; cell < CELLS; cell++)
     assert_int_equal (world_state (world, cell, "job-a"), MUX_JOB_CANCELLED);
-  cancel = world_ask (world, other, MUX_REQUEST_CANCEL, "job-z");
+  cancel = world_request (world, other, MUX_REQUEST_CANCEL, "job-z");
   world_run (world, 500);
-  assert_int_equal (world->answer[cancel].outcome, MUX_RESPONSE_NO_JOB);
+  assert_int_equal (world->response[cancel].outcome, MUX_RESPONSE_NO_JOB);
   world_free (world);
 }
 
@@ -423,7 +423,7 @@
   assert_true (world_starts (world, "job-a") >= 2);
   assert_int_equal (world->start[0].end, MUX_RUN_STOPPED);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_COMPLETED);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -515,7 +515,7 @@
   world_run (world, 4000);
   assert_int_equal (world_state (world, other_than (planner), "job-a"),
                     MUX_JOB_COMPLETED);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -668,7 +668,7 @@
   world_run (world, 12000);
   assert_true (world_starts (world, "job-a") >= 12);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_ACTIVE);
-  (void) world_ask (world, 0, MUX_REQUEST_CANCEL, "job-a");
+  (void) world_request (world, 0, MUX_REQUEST_CANCEL, "job-a");
   world_run (world, 1500);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_CANCELLED);
   world_free (world);
@@ -742,7 +742,7 @@
       snprintf (id, sizeof id, "job-%u", i);
       assert_int_equal (world_state (world, planner, id), MUX_JOB_COMPLETED);
     }
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   assert_int_equal (world_planner (world), planner);
   world_free (world);
 }
@@ -803,7 +803,7 @@
       world->cell[0].cell,
       (MuxCellTime){ world->now_ms, 1700000000000, world->now_ms }, question);
   assert_true (world->answered[200]);
-  assert_int_equal (world->answer[200].outcome, MUX_RESPONSE_NO_QUEUE);
+  assert_int_equal (world->response[200].outcome, MUX_RESPONSE_NO_QUEUE);
   world_free (world);
 }
 
@@ -879,9 +879,9 @@
 
   (void) state;
   world_run (world, 1000);
-  call = world_ask (world, planner, MUX_REQUEST_QUERY, "");
+  call = world_request (world, planner, MUX_REQUEST_QUERY, "");
   world_run (world, 50);
-  assert_int_equal (world->answer[call].pending, 0);
+  assert_int_equal (world->response[call].pending, 0);
   world->worker[0].fault = WORLD_REFUSES;
   for (uint32_t i = 0; i < WAITING_JOBS; i++)
     {
@@ -893,10 +893,10 @@
   world_run (world, COUNT_AGE_MS);
   for (uint32_t i = 0; i < CELLS; i++)
     {
-      call = world_ask (world, i, MUX_REQUEST_QUERY, "");
+      call = world_request (world, i, MUX_REQUEST_QUERY, "");
       world_run (world, 50);
       assert_true (world->answered[call]);
-      assert_int_equal (world->answer[call].pending, WAITING_JOBS);
+      assert_int_equal (world->response[call].pending, WAITING_JOBS);
     }
   world_free (world);
 }
--- a/test/unit/test_cell_ask_ahead.c
+++ b/test/unit/test_cell_ask_ahead.c
@@ -62,7 +62,7 @@
   (void) world_submit (world, world_planner (world), job, "job-a");
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "job-a"), TASKS);
-  assert_int_equal (world->approvals_asked, 1);
+  assert_int_equal (world->approval_queries, 1);
   world_run (world, LONG_TASK_MS + 2000);
   assert_int_equal (world_starts (world, "job-a"), 2 * TASKS);
   world_free (world);
@@ -88,7 +88,7 @@
   world->lose_approvals = false;
   world_run (world, 6000);
   assert_int_equal (world_starts (world, "job-a"), 2 * TASKS);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
--- a/test/unit/test_cell_askers.c
+++ b/test/unit/test_cell_askers.c
@@ -126,7 +126,7 @@
   job->step[0].gang = queue == &gang;
   job->step[0].estimate_ms = queue->task_ms;
   world->task_ms = queue->task_ms;
-  world_ask_slowly (world, queue->ask_ms, queue->ask_us);
+  world_slow_approvals (world, queue->ask_ms, queue->ask_us);
   world_set_priority (world, queue->priority);
   world_set_slack (world, queue->slack_milli);
   world_run (world, CONFIG_MS);
@@ -156,7 +156,7 @@
 
   world->approve_one_in = APPROVE_ONE_IN;
   world->approve_by_chance = true;
-  world->times_by_job = true;
+  world->times_at_submit = true;
   world_run (world, WARM_MS);
   begin_ms = world->now_ms;
   while (world->now_ms < begin_ms + LOAD_MS)
@@ -194,7 +194,7 @@
       served.in_time
           += world_done_by (load->world, id, load->sent_ms[i] + PROMISED_MS)
              == tasks;
-      served.asked_ms += world_asked_ms (load->world, id);
+      served.asked_ms += world_approval_spent_ms (load->world, id);
     }
   return served;
 }
@@ -216,7 +216,7 @@
                  (int) (widest.asked_ms / widest.all));
   assert_true (10 * widest.in_time * all.all >= 7 * all.in_time * widest.all);
   assert_true (widest.asked_ms <= (int64_t) WIDEST_ASKED_MS * widest.all);
-  assert_false (world_twice (load.world));
+  assert_false (world_double_run (load.world));
   world_free (load.world);
 }
 
--- a/test/unit/test_cell_audit.c
+++ b/test/unit/test_cell_audit.c
@@ -62,8 +62,8 @@
   while (world_fenced (world) < PARTS)
     world_run (world, 1);
   world->cell[reader].store = WORLD_REFUSES;
-  world->cell[reader].deaf = DEAF;
-  world->cell[reader].near_workers = HALF;
+  world->cell[reader].hanging_feeds = DEAF;
+  world->cell[reader].reachable_workers = HALF;
   return reader;
 }
 
@@ -89,7 +89,7 @@
       reader = successor_before_its_reading (world);
       for (uint32_t i = 0; i < CELLS; i++)
         if (i != reader)
-          world->cell[i].far_workers = HALF;
+          world->cell[i].unreachable_workers = HALF;
       wait_for_another_claim (world, world_claim_version (world));
       other = world_planner (world);
       world_run (world, 100 + phase_ms);
@@ -99,7 +99,7 @@
         world_run (world, 1);
       world->cell[reader].store = WORLD_SERVES;
       world_run (world, 8000);
-      assert_false (world_twice (world));
+      assert_false (world_double_run (world));
       world_free (world);
     }
 }
@@ -165,13 +165,13 @@
   submit_jobs (world, planner, "long", 2);
   world_run (world, 300);
   assert_int_equal (world_starts (world, "long-0"), 2);
-  world->cell[planner].deaf = DEAF;
-  world->cell[planner].cut = true;
-  world->cell[planner].claim_away = true;
-  world->cell[planner].near_workers = HALF;
+  world->cell[planner].hanging_feeds = DEAF;
+  world->cell[planner].isolated = true;
+  world->cell[planner].claim_unreachable = true;
+  world->cell[planner].reachable_workers = HALF;
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
-      world->cell[i].far_workers = HALF;
+      world->cell[i].unreachable_workers = HALF;
   for (uint32_t i = 0;
        i < CLAIM_WITHIN_MS && world_claim_version (world) == version; i++)
     run_with_short_jobs (world, planner, 1);
@@ -206,13 +206,13 @@
   world->task_ms = 60000;
   submit_jobs (world, planner, "long", 4);
   world_run (world, 1000);
-  world->cell[planner].deaf = DEAF;
-  world->cell[planner].cut = true;
+  world->cell[planner].hanging_feeds = DEAF;
+  world->cell[planner].isolated = true;
   world->cell[planner].store = WORLD_SILENT;
-  world->cell[planner].far_workers = HALF;
+  world->cell[planner].unreachable_workers = HALF;
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
-      world->cell[i].near_workers = HALF;
+      world->cell[i].reachable_workers = HALF;
   world_run (world, 10000);
   assert_int_not_equal (world_planner (world), planner);
   assert_false (overlaps (world));
@@ -240,7 +240,7 @@
   world_make_urgent (world);
   world_run (world, 1000);
   world->task_ms = 300;
-  world->cell[planner].wall_ms = AHEAD_MS;
+  world->cell[planner].clock_ahead_ms = AHEAD_MS;
   job->repetitions = 2;
   job->first_due_ms = WORLD_WALL_MS + world->now_ms + AHEAD_MS + 500;
   job->interval_ms = 60000;
@@ -250,7 +250,7 @@
   world_cell_kill (world, planner);
   world_run (world, 8000);
   assert_int_equal (world_starts (world, "timed"), 1);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -269,24 +269,24 @@
   (void) state;
   world_run (world, 1000);
   world->lose_approvals = true;
-  call = world_ask (world, planner, MUX_REQUEST_QUERY, "");
+  call = world_request (world, planner, MUX_REQUEST_QUERY, "");
   world_run (world, 100);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_PENDING);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_PENDING);
   world->cell[planner].store = WORLD_SILENT;
-  world->cell[planner].deaf = DEAF;
-  world->cell[planner].cut = true;
-  world->cell[planner].far_workers = WORKERS;
+  world->cell[planner].hanging_feeds = DEAF;
+  world->cell[planner].isolated = true;
+  world->cell[planner].unreachable_workers = WORKERS;
   world_run (world, 7000);
   submit_jobs (world, world_planner (world), "job", 1);
   world_run (world, 8000);
-  call = world_ask (world, world_planner (world), MUX_REQUEST_QUERY, "");
+  call = world_request (world, world_planner (world), MUX_REQUEST_QUERY, "");
   world_run (world, 100);
-  assert_int_equal (world->answer[call].pending, JOBS);
-  call = world_ask (world, planner, MUX_REQUEST_QUERY, "");
+  assert_int_equal (world->response[call].pending, JOBS);
+  call = world_request (world, planner, MUX_REQUEST_QUERY, "");
   world_run (world, 4000);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_REFUSED);
   world_free (world);
 }
 
@@ -315,12 +315,12 @@
   world_cell_start (world, entry);
   world_run (world, 500);
   world->cell[planner].store = WORLD_SILENT;
-  world->next_question = call - 1;
+  world->next_request = call - 1;
   assert_int_equal (
       world_submit (world, entry, world_job (1, 1, 1000), "job-b"), call);
   world_run (world, 600);
   if (world->answered[call]
-      && world->answer[call].outcome == MUX_RESPONSE_ACCEPTED)
+      && world->response[call].outcome == MUX_RESPONSE_ACCEPTED)
     assert_true (is_stored (world, "job-b"));
   world_free (world);
 }
--- a/test/unit/test_cell_backlog.c
+++ b/test/unit/test_cell_backlog.c
@@ -135,7 +135,7 @@
     }
   world_run (world, SETTLE_MS);
   for (uint32_t i = 0; i < BACKLOG_JOBS; i++)
-    assert_int_equal (world->answer[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
+    assert_int_equal (world->response[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
   world_cell_start (world, planner);
   world_set_priority (world, SMALL_PRIORITY);
   world_run (world, SETTLE_MS);
@@ -204,7 +204,7 @@
   World *world = full_world ();
 
   (void) state;
-  world_approve_unasked (world);
+  world_skip_approval (world);
   (void) work_of_backlog (world, true);
   world_run (world, TURN_MS);
   assert_int_equal (world->start_count, WORKERS + SMALL_JOBS);
@@ -263,7 +263,7 @@
   uint64_t before;
 
   (void) state;
-  world_approve_unasked (world);
+  world_skip_approval (world);
   add_backlog (world);
   before = looks (world);
   for (uint32_t i = 0; i < OFTEN_JOBS; i++)
@@ -292,7 +292,7 @@
   int64_t begin_ms;
 
   (void) state;
-  world_approve_unasked (world);
+  world_skip_approval (world);
   world_run (world, 1000);
   world->task_ms = FOREVER_MS;
   begin_ms = world->now_ms;
@@ -313,11 +313,11 @@
 count_of_queue (World *world)
 {
   uint64_t call
-      = world_ask (world, world_planner (world), MUX_REQUEST_QUERY, "");
+      = world_request (world, world_planner (world), MUX_REQUEST_QUERY, "");
 
   world_run (world, ANSWER_MS);
   assert_true (world->answered[call]);
-  return world->answer[call].pending;
+  return world->response[call].pending;
 }
 
 /* Guards against questions for the length of a queue that go through it. */
@@ -358,7 +358,8 @@
     }
   world_run (world, 1000);
   assert_int_equal (count_of_queue (world), COUNTS);
-  (void) world_ask (world, world_planner (world), MUX_REQUEST_CANCEL, "job-0");
+  (void) world_request (world, world_planner (world), MUX_REQUEST_CANCEL,
+                        "job-0");
   world_run (world, 1000);
   assert_int_equal (count_of_queue (world), COUNTS - 1);
   world_cell_kill (world, world_planner (world));
--- a/test/unit/test_cell_burst.c
+++ b/test/unit/test_cell_burst.c
@@ -82,7 +82,7 @@
 static void
 take_answer (Play *play, Job *job)
 {
-  const MuxResponse *answer = &play->world->answer[job->call];
+  const MuxResponse *answer = &play->world->response[job->call];
 
   if (!job->waits || !play->world->answered[job->call])
     return;
@@ -271,7 +271,7 @@
   expect_burst (&burst);
   assert_true (after * 10 >= usual_tasks (after_ms, end_ms) * 9);
   assert_true (lost || slow_refusals (play) == 0);
-  assert_false (world_twice (play->world));
+  assert_false (world_double_run (play->world));
   finish (play);
 }
 
@@ -351,12 +351,12 @@
   call = world_submit (world, other, world_job (1, TASKS, CPU_MILLI), "job-x");
   world_run (world, AT_ONCE_MS);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_REFUSED);
   assert_int_equal (world->own_commits[other], commits);
   world_run (world, AFTER_MS);
   call = world_submit (world, other, world_job (1, TASKS, CPU_MILLI), "job-x");
   world_run (world, IN_TIME_MS);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_ACCEPTED);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_ACCEPTED);
   assert_int_equal (world_starts (world, "job-x"), TASKS);
   finish (play);
 }
--- a/test/unit/test_cell_crash.c
+++ b/test/unit/test_cell_crash.c
@@ -22,7 +22,7 @@
   (void) state;
   (void) world_submit (world, 0, world_crashing_job (1, 2000, 0), "job-a");
   world_run (world, DAY_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_FAILED);
   assert_true (world_may_fail (world, "job-a", ATTEMPTS));
   world_free (world);
@@ -76,7 +76,7 @@
 
       (void) world_submit (world, 0, world_crashing_job (1, 2000, 0), "job-a");
       play_with_planners_killed (world, phase_ms[i]);
-      assert_false (world_over_budget (world));
+      assert_false (world_over_crash_budget (world));
       if (phase_ms[i] >= known_ms)
         assert_int_equal (world_state (world, world_planner (world), "job-a"),
                           MUX_JOB_FAILED);
@@ -113,13 +113,13 @@
     {
       uint32_t worker = wait_for_run (world, "job-a");
 
-      world->worker[worker].cut = true;
+      world->worker[worker].unreachable = true;
       world_run (world, 6000);
-      world->worker[worker].cut = false;
+      world->worker[worker].unreachable = false;
     }
   world_run (world, DAY_MS);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_COMPLETED);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   world_free (world);
 }
 
@@ -135,7 +135,7 @@
   world->down_ms = 9000;
   (void) world_submit (world, 0, world_crashing_job (1, 2000, 0), "job-a");
   world_run (world, 3 * DAY_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_FAILED);
   world_free (world);
 }
@@ -151,7 +151,7 @@
   world->down_ms = 100 * DAY_MS;
   (void) world_submit (world, 0, world_crashing_job (1, 2000, 0), "job-a");
   world_run (world, 6 * DAY_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_FAILED);
   world_free (world);
 }
@@ -169,7 +169,7 @@
   world->task_ms = 5000;
   (void) world_submit (world, 0, job, "job-a");
   world_run (world, DAY_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_FAILED);
   world_free (world);
 }
@@ -212,7 +212,7 @@
   job->step[0].long_running = true;
   (void) world_submit (world, 0, job, "job-a");
   world_run (world, DAY_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_FAILED);
   world_free (world);
 }
@@ -427,7 +427,7 @@
       world_run (world, NEAR_EVERY_MS);
     }
   world_run (world, DAY_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   for (uint32_t i = 0; i < NEAR_JOBS; i++)
     {
       snprintf (id, sizeof id, "job-%u", i);
--- a/test/unit/test_cell_evacuate.c
+++ b/test/unit/test_cell_evacuate.c
@@ -69,7 +69,7 @@
                    >= leaving.gone_ms - 2 * STOP_MS);
       assert_int_equal (leaving.world->start_count, 2);
       assert_int_not_equal (leaving.world->start[1].worker, leaving.worker);
-      assert_false (world_twice (leaving.world));
+      assert_false (world_double_run (leaving.world));
       world_free (leaving.world);
     }
 }
@@ -89,7 +89,7 @@
   world_run (leaving.world, MOVE_MS);
   assert_int_equal (leaving.world->start_count, 2);
   assert_true (leaving.world->start[1].at_ms < leaving.gone_ms - STOP_MS);
-  assert_false (world_twice (leaving.world));
+  assert_false (world_double_run (leaving.world));
   world_free (leaving.world);
 }
 
@@ -121,10 +121,10 @@
   World *world = leaving.world;
 
   (void) state;
-  world->worker[leaving.worker].cut = true;
+  world->worker[leaving.worker].unreachable = true;
   world_run (world, 30000);
   assert_int_equal (world->start_count, 2);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
--- a/test/unit/test_cell_failure_domain.c
+++ b/test/unit/test_cell_failure_domain.c
@@ -121,7 +121,7 @@
   for (uint32_t i = 0; i < load.count; i++)
     assert_true (load.sent[i].id[0] == 0
                  || has_ended (load.world, load.sent[i].id));
-  assert_false (world_twice (load.world));
+  assert_false (world_double_run (load.world));
   world_free (load.world);
 }
 
@@ -210,7 +210,7 @@
   world_run (world, 1000);
   for (uint32_t i = 0; i < WORKERS; i++)
     if (i % DATA_CENTRES == lost)
-      world->worker[i].cut = true;
+      world->worker[i].unreachable = true;
   world_run (world, 2500);
   (void) world_submit (world, lost, world_job (1, TASKS, CPU_MILLI), "job-a");
   world_run (world, 500);
--- a/test/unit/test_cell_feeds.c
+++ b/test/unit/test_cell_feeds.c
@@ -109,14 +109,15 @@
       world_run (world, SETTLE_MS);
       job = world_submit (world, 0, world_job (1, 4, 1000), "job");
       world_run (world, 600 + phase_ms);
-      assert_int_equal (world->answer[job].outcome, MUX_RESPONSE_ACCEPTED);
+      assert_int_equal (world->response[job].outcome, MUX_RESPONSE_ACCEPTED);
       assert_int_equal (running (world), 4);
       silent_for (world, OUTAGE_MS);
       world_run (world, NEXT_MS);
-      cancel = world_ask (world, (world_planner (world) + 1) % CELLS,
-                          MUX_REQUEST_CANCEL, "job");
+      cancel = world_request (world, (world_planner (world) + 1) % CELLS,
+                              MUX_REQUEST_CANCEL, "job");
       world_run (world, CANCEL_MS);
-      assert_int_equal (world->answer[cancel].outcome, MUX_RESPONSE_CANCELLED);
+      assert_int_equal (world->response[cancel].outcome,
+                        MUX_RESPONSE_CANCELLED);
       assert_int_equal (running (world), 0);
       world_free (world);
     }
@@ -168,7 +169,7 @@
 
       snprintf (id, sizeof id, "job-%u", i);
       (void) world_submit (world, i, world_job (1, 1, 1000), id);
-      (void) world_ask (world, i, MUX_REQUEST_QUERY, "other");
+      (void) world_request (world, i, MUX_REQUEST_QUERY, "other");
     }
   world_run (world, 100);
   all_stores (world, WORLD_SERVES);
@@ -192,7 +193,7 @@
       world->cell[0].cell,
       (MuxCellTime){ world->now_ms, world->now_ms, world->now_ms }, question);
   assert_true (world->answered[call]);
-  return world->answer[call].outcome;
+  return world->response[call].outcome;
 }
 
 /*
--- a/test/unit/test_cell_foreign.c
+++ b/test/unit/test_cell_foreign.c
@@ -31,7 +31,7 @@
 
   world_run (world, 400);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_ACCEPTED);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_ACCEPTED);
 }
 
 static void
@@ -107,7 +107,7 @@
   submit (world, 1, 100, "after");
   world_run (world, 1000);
   assert_true (starts_at (world, 0, "after") > 0);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -218,7 +218,7 @@
   world_list_as (world, "", info.id, &info);
   world_run (world, LONG_MS + 2000);
   assert_int_equal (world_starts (world, "job"), 64);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   assert_int_equal (world_state (world, 0, "job"), MUX_JOB_COMPLETED);
   world_free (world);
 }
@@ -257,7 +257,7 @@
   world_remove_row (world, MUX_TABLE_WORKERS, "", "i-0-1");
   take_over (world);
   world_run (world, LEASES_OVER_MS + LONG_MS);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   assert_int_equal (world_state (world, world_planner (world), "job"),
                     MUX_JOB_COMPLETED);
   world_free (world);
@@ -304,12 +304,12 @@
   overwrite (world, MUX_TABLE_ROSTER, "i-0-1",
              "{\"addr\":\"10.1.0.1:8000\",\"over_ms\":9223372036854775807}");
   world_remove_row (world, MUX_TABLE_WORKERS, "", "i-0-1");
-  world->worker[0].cut = true;
+  world->worker[0].unreachable = true;
   take_over (world);
   world_run (world, LEASES_OVER_MS + LONG_MS);
   assert_int_equal (world_state (world, world_planner (world), "job"),
                     MUX_JOB_COMPLETED);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -338,7 +338,7 @@
                     MUX_JOB_COMPLETED);
   assert_int_equal (world_state (world, world_planner (world), "after"),
                     MUX_JOB_COMPLETED);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -477,7 +477,7 @@
   world_run (world, TAKEOVER_MS);
   assert_int_equal (world_state (world, world_planner (world), "job"),
                     MUX_JOB_COMPLETED);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   assert_int_equal (world_logged (world, "row_unreadable"), 0);
   world_free (world);
 }
@@ -504,7 +504,7 @@
   assert_int_equal (world_state (world, world_planner (world), "job"),
                     MUX_JOB_ACTIVE);
   assert_int_equal (world_starts (world, "job"), 8);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -525,7 +525,7 @@
   world_run (world, 3000);
   assert_int_equal (world_state (world, world_planner (world), "after"),
                     MUX_JOB_COMPLETED);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -750,13 +750,14 @@
       world_run (world, 3000);
       overwrite (world, MUX_TABLE_ENDED, "job", values[i]);
       take_over (world);
-      call = world_ask (world, world_planner (world), MUX_REQUEST_QUERY, "job");
+      call = world_request (world, world_planner (world), MUX_REQUEST_QUERY,
+                            "job");
       world_run (world, 4000);
-      assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
-      call
-          = world_ask (world, world_planner (world), MUX_REQUEST_CANCEL, "job");
+      assert_int_equal (world->response[call].outcome, MUX_RESPONSE_REFUSED);
+      call = world_request (world, world_planner (world), MUX_REQUEST_CANCEL,
+                            "job");
       world_run (world, 4000);
-      assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_NO_JOB);
+      assert_int_equal (world->response[call].outcome, MUX_RESPONSE_NO_JOB);
       world_free (world);
     }
 }
@@ -802,7 +803,7 @@
   for (uint32_t i = 0; i < 5; i++)
     {
       world_run (world, 1000);
-      world->forgotten = world->version;
+      world->compacted_version = world->version;
       world_put_row (world, MUX_TABLE_ENDED, "elsewhere", "tick", "{}");
     }
   submit (world, 1, 4, "job");
@@ -882,7 +883,7 @@
           snprintf (id, sizeof id, "job-%u", i);
           assert_true (has_completed (world, id));
         }
-      assert_false (world_twice (world));
+      assert_false (world_double_run (world));
       world_free (world);
     }
 }
--- a/test/unit/test_cell_gang_faults.c
+++ b/test/unit/test_cell_gang_faults.c
@@ -205,7 +205,7 @@
         continue;
       if (fault == FAULT_ORDERS)
         worker->fault = (WorldFault) (1 + draw (play, 3));
-      worker->cut = worker->cut || fault == FAULT_WORKERS_CUT;
+      worker->unreachable = worker->unreachable || fault == FAULT_WORKERS_CUT;
       worker->fails = worker->fails || fault == FAULT_WORKERS_FAIL;
       if (fault == FAULT_WORKERS_RESTART)
         world_worker_restart (play->world, number);
@@ -241,7 +241,7 @@
     }
   else if (fault == FAULT_DAEMON_CUT)
     {
-      world->cell[cell].cut = true;
+      world->cell[cell].isolated = true;
       play->uncut_ms[cell] = until (play, 1500);
     }
   else if (fault == FAULT_PEERS_CUT)
@@ -260,7 +260,8 @@
       play->answers_ms = until (play, 1000);
     }
   else if (fault == FAULT_ANSWERS_SLOW && play->more)
-    world_ask_slowly (world, 1 + draw (play, QUESTION_MS), QUESTION_WORKER_US);
+    world_slow_approvals (world, 1 + draw (play, QUESTION_MS),
+                          QUESTION_WORKER_US);
   else if (fault == FAULT_ANSWERS_SLOW)
     world->approval_ms = 1 + draw (play, ANSWER_MAX_MS);
   else
@@ -277,7 +278,7 @@
   if (now >= play->thaw_ms[i])
     cell->frozen = false;
   if (now >= play->uncut_ms[i])
-    cell->cut = false;
+    cell->isolated = false;
   if (now >= play->serves_ms[i])
     cell->store = WORLD_SERVES;
 }
@@ -301,7 +302,7 @@
         if (play->world->worker[i].info.draining)
           world_worker_drains (play->world, i, false);
         play->world->worker[i].fault = WORLD_SERVES;
-        play->world->worker[i].cut = false;
+        play->world->worker[i].unreachable = false;
         play->world->worker[i].fails = false;
       }
 }
@@ -332,7 +333,7 @@
 is_accepted (const Play *play, uint32_t job)
 {
   return play->world->answered[play->call[job]]
-         && play->world->answer[play->call[job]].outcome
+         && play->world->response[play->call[job]].outcome
                 == MUX_RESPONSE_ACCEPTED;
 }
 
@@ -410,7 +411,7 @@
   world->approval_ms = 1 + draw (play, ANSWER_MAX_MS);
   world->approve_by_job = true;
   if (more)
-    world_ask_slowly (world, QUESTION_MS, QUESTION_WORKER_US);
+    world_slow_approvals (world, QUESTION_MS, QUESTION_WORKER_US);
   world->task_ms = 300 + draw (play, 1000);
   world_run (world, 1000);
   for (uint32_t i = 0; i < 3; i++)
--- a/test/unit/test_cell_gangs.c
+++ b/test/unit/test_cell_gangs.c
@@ -49,11 +49,11 @@
 static void
 wait_for_question (World *world)
 {
-  uint32_t before = world->approvals_asked;
+  uint32_t before = world->approval_queries;
 
-  for (uint32_t i = 0; i < 1000 && world->approvals_asked == before; i++)
+  for (uint32_t i = 0; i < 1000 && world->approval_queries == before; i++)
     world_run (world, 1);
-  assert_int_not_equal (world->approvals_asked, before);
+  assert_int_not_equal (world->approval_queries, before);
 }
 
 /*
@@ -101,10 +101,10 @@
   world->approve_one_in = WORKERS;
   (void) world_submit (world, planner, gang_of (GANG, 30000), "job-a");
   world_run (world, TOLD_AFTER_MS - 500);
-  assert_int_equal (world->waits_told, 0);
+  assert_int_equal (world->blocked_logged, 0);
   world_run (world, 2000);
-  assert_int_equal (world->waits_told, 1);
-  assert_string_equal (world->wait_lacks, "approvals");
+  assert_int_equal (world->blocked_logged, 1);
+  assert_string_equal (world->blocked_on, "approvals");
   for (uint32_t i = 0; i < MANY_JOBS; i++)
     {
       char id[MUX_JOB_ID_LEN];
@@ -113,7 +113,7 @@
       (void) world_submit (world, planner, world_job (1, 2, 40000), id);
     }
   world_run (world, TOLD_AFTER_MS + 10000);
-  assert_in_range (world->waits_told, 10, 17);
+  assert_in_range (world->blocked_logged, 10, 17);
   world_free (world);
 }
 
@@ -133,10 +133,10 @@
   world_run (world, 500);
   assert_int_equal (world_starts (world, "job-a"), GANG);
   world->worker[world->start[0].worker].fault = WORLD_SILENT;
-  (void) world_ask (world, planner, MUX_REQUEST_CANCEL, "job-a");
+  (void) world_request (world, planner, MUX_REQUEST_CANCEL, "job-a");
   world_run (world, TOLD_AFTER_MS + 2000);
-  assert_in_range (world->waits_told, 1, 2);
-  assert_string_equal (world->wait_lacks, "ends");
+  assert_in_range (world->blocked_logged, 1, 2);
+  assert_string_equal (world->blocked_on, "ends");
   world_free (world);
 }
 
@@ -167,7 +167,7 @@
     }
   world_run (world, 2000);
   assert_int_equal (world->start_count, LARGE_CELL);
-  world_ask_slowly (world, QUESTION_MS, QUESTION_WORKER_US);
+  world_slow_approvals (world, QUESTION_MS, QUESTION_WORKER_US);
   world_run (world, 200);
   (void) world_submit (world, planner, gang_of (WIDE_GANG, 30000), "job-a");
   world_run (world, BUSY_MS + WIDE_STARTS_WITHIN_MS);
@@ -198,7 +198,7 @@
   world->worker[world->start[0].worker].fault = WORLD_LOSES_ANSWER;
   world_worker_restart (world, world->start[1].worker);
   world_run (world, ENDS_WITHOUT_IT_MS);
-  assert_int_equal (world_ends (world), 1);
+  assert_int_equal (world_ended_rows (world), 1);
   world_free (world);
 }
 
--- a/test/unit/test_cell_handover.c
+++ b/test/unit/test_cell_handover.c
@@ -62,7 +62,7 @@
   assert_int_equal (world_starts (world, "lasting"), GONE);
   drain_others (world, false);
   for (uint32_t i = 0; i < GONE; i++)
-    world->worker[i].cut = true;
+    world->worker[i].unreachable = true;
   return world;
 }
 
@@ -87,7 +87,7 @@
   world_run (world, gone_ms + BACK_MS - world->now_ms);
   starts = world_starts (world, "lasting");
   world_run (world, SETTLED_MS);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   assert_int_equal (world_starts (world, "lasting"), 2 * GONE);
   print_message ("%u of %u back in time, the last after %lld ms\n",
                  starts - GONE, GONE,
@@ -115,7 +115,7 @@
 static void
 set_cut (World *world, uint32_t planner, bool cut)
 {
-  world->cell[planner].cut = cut;
+  world->cell[planner].isolated = cut;
   world->cell[planner].store = cut ? WORLD_SILENT : WORLD_SERVES;
 }
 
@@ -267,10 +267,10 @@
 
   *planner = world_planner (world);
   for (uint32_t i = 0; i < GONE; i++)
-    world->worker[i].cut = false;
+    world->worker[i].unreachable = false;
   for (uint32_t i = 0; i < CELLS; i++)
-    world->cell[i].far_workers = i != *planner ? GONE : 0;
-  world->cell[*planner].near_workers = GONE;
+    world->cell[i].unreachable_workers = i != *planner ? GONE : 0;
+  world->cell[*planner].reachable_workers = GONE;
   set_cut (world, *planner, true);
   return world;
 }
@@ -284,7 +284,7 @@
   world_run (world, cut_ms);
   assert_int_not_equal (world_planner (world), planner);
   for (uint32_t i = 0; i < GONE; i++)
-    world->worker[i].cut = true;
+    world->worker[i].unreachable = true;
   set_cut (world, planner, false);
   (void) are_back (world, world->now_ms);
 }
@@ -315,7 +315,7 @@
                      "{\"name\":\"\",\"addr\":\"\",\"incarnation\":0,"
                      "\"gave_up\":1,\"former_ms\":0}");
       world_run (world, SETTLED_MS);
-      assert_false (world_twice (world));
+      assert_false (world_double_run (world));
       world_free (world);
     }
 }
@@ -331,7 +331,7 @@
   bool twice;
 
   for (uint32_t i = 0; i < GONE; i++)
-    world->worker[i].cut = false;
+    world->worker[i].unreachable = false;
   for (uint32_t i = 0; i < CELLS; i++)
     world->cell[i].store = WORLD_SILENT;
   world_run (world, out_ms);
@@ -340,10 +340,10 @@
   world_run (world, after_ms);
   assert_int_equal (world_planner (world), planner);
   for (uint32_t i = 0; i < GONE; i++)
-    world->worker[i].cut = true;
+    world->worker[i].unreachable = true;
   world_cell_kill (world, planner);
   world_run (world, SETTLED_MS);
-  twice = world_twice (world);
+  twice = world_double_run (world);
   if (twice)
     print_message ("twice: outage of %lld ms, killed %lld ms later\n",
                    (long long) out_ms, (long long) after_ms);
@@ -397,9 +397,9 @@
   world_cell_start (world, 1);
   world_run (world, in_ms);
   world->cell[0].commits[MUX_TABLE_CLAIM] = WORLD_LOSES_ANSWER;
-  world->cell[0].deaf
+  world->cell[0].hanging_feeds
       = WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS);
-  world->cell[0].cut = true;
+  world->cell[0].isolated = true;
   version = world_claim_version (world);
   mux_cell_stop (world->cell[0].cell,
                  (MuxCellTime){ world->now_ms, WORLD_WALL_MS + world->now_ms,
--- a/test/unit/test_cell_handover_random.c
+++ b/test/unit/test_cell_handover_random.c
@@ -52,7 +52,7 @@
             = at_ms >= from_ms[i] && at_ms < to_ms[i] ? drawn : WORLD_SERVES;
       if (at_ms == end_ms / 50 * 50)
         for (uint32_t j = 0; j < TASKS; j++)
-          world->worker[j].cut = true;
+          world->worker[j].unreachable = true;
       if (planner < CELLS
           && (at_ms == end_ms / 50 * 50
               || (ends_twice && at_ms == next_end_ms / 50 * 50)))
@@ -62,13 +62,13 @@
           else if (how == 1)
             world->cell[planner].frozen = true;
           else
-            world->cell[planner].cut = true;
+            world->cell[planner].isolated = true;
         }
       if (at_ms == (next_end_ms + 1500) / 50 * 50)
         for (uint32_t i = 0; i < CELLS; i++)
           {
             world->cell[i].frozen = false;
-            world->cell[i].cut = false;
+            world->cell[i].isolated = false;
             if (world->cell[i].dead)
               world_cell_start (world, i);
           }
@@ -98,7 +98,7 @@
   for (uint32_t i = TASKS; i < WORKERS; i++)
     world_worker_drains (world, i, false);
   play (world, &state);
-  twice = world_twice (world);
+  twice = world_double_run (world);
   if (twice)
     print_message ("twice: seed %u\n", seed);
   world_free (world);
--- a/test/unit/test_cell_keys.c
+++ b/test/unit/test_cell_keys.c
@@ -38,7 +38,7 @@
 {
   world_run (world, 600);
   assert_true (world->answered[call]);
-  return world->answer[call].outcome;
+  return world->response[call].outcome;
 }
 
 static MuxResponseOutcome
@@ -51,7 +51,7 @@
 static MuxResponseOutcome
 ask (World *world, uint32_t cell, MuxRequestVerb verb, const char *id)
 {
-  return outcome (world, world_ask (world, cell, verb, id));
+  return outcome (world, world_request (world, cell, verb, id));
 }
 
 static void
@@ -154,7 +154,7 @@
 separate (World *world, uint32_t cell, Way way)
 {
   if (way == DEAF_FEED)
-    world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
+    world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
   else if (way == STORE_SILENT)
     world->cell[cell].store = WORLD_SILENT;
   else if (way == STORE_REFUSES)
@@ -178,14 +178,15 @@
       separate (world, cell, (Way) way);
       world_set_workspaces (world, world_workspaces (one, 1, (MuxQuota){ 0 }));
       world_run (world, REVOKE_MS + 1);
-      call = world_ask (world, cell, MUX_REQUEST_QUERY, "");
+      call = world_request (world, cell, MUX_REQUEST_QUERY, "");
       world->cell[cell].frozen = false;
       world_run (world, 3000);
       assert_true (world->answered[call]);
-      assert_true (world->answer[call].outcome == MUX_RESPONSE_REFUSED
-                   || world->answer[call].outcome == MUX_RESPONSE_UNAUTHORIZED);
-      if (world->answer[call].outcome == MUX_RESPONSE_REFUSED)
-        assert_true (world->answer[call].retry_ms > 0);
+      assert_true (world->response[call].outcome == MUX_RESPONSE_REFUSED
+                   || world->response[call].outcome
+                          == MUX_RESPONSE_UNAUTHORIZED);
+      if (world->response[call].outcome == MUX_RESPONSE_REFUSED)
+        assert_true (world->response[call].retry_ms > 0);
       world_free (world);
     }
 }
@@ -198,7 +199,7 @@
   uint32_t cell = follower (world);
 
   (void) state;
-  world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
+  world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
   world_run (world, REVOKE_MS / 2);
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
                     MUX_RESPONSE_PENDING);
@@ -214,12 +215,12 @@
 
   (void) state;
   assert_true (mux_cell_ready (world->cell[cell].cell));
-  world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
+  world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
   world_run (world, REVOKE_MS / 2);
   assert_false (mux_cell_ready (world->cell[cell].cell));
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
                     MUX_RESPONSE_PENDING);
-  world->cell[cell].deaf = 0;
+  world->cell[cell].hanging_feeds = 0;
   world_run (world, 3000);
   assert_true (mux_cell_ready (world->cell[cell].cell));
   world_free (world);
@@ -232,7 +233,7 @@
   uint32_t cell = follower (world);
 
   (void) state;
-  world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
+  world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
   world_run (world, 3 * REVOKE_MS);
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
                     MUX_RESPONSE_PENDING);
@@ -248,7 +249,7 @@
   uint32_t cell = follower (world);
 
   (void) state;
-  world->cell[cell].deaf = WORLD_DEAF (MUX_TABLE_CONFIG);
+  world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
   world_run (world, 4000);
   world_show_key (world, "later");
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
--- a/test/unit/test_cell_large.c
+++ b/test/unit/test_cell_large.c
@@ -37,7 +37,7 @@
   World *world = played.world;
 
   if (!is_asked)
-    world_approve_unasked (world);
+    world_skip_approval (world);
   world_run (world, 3000);
   world->task_ms = TASK_MS;
   played.looks = looks (world);
@@ -73,7 +73,7 @@
                  (unsigned) (many.looks / JOBS), MANY);
   assert_int_equal (few.begun, JOBS);
   assert_int_equal (many.begun, JOBS);
-  assert_false (world_twice (many.world));
+  assert_false (world_double_run (many.world));
   assert_true (many.looks <= few.looks * 3 / 2);
   world_free (few.world);
   world_free (many.world);
--- a/test/unit/test_cell_lasting.c
+++ b/test/unit/test_cell_lasting.c
@@ -153,7 +153,7 @@
   World *world = world_with_a_lasting_task ();
   uint32_t n = 0;
 
-  world_ask_slowly (world, question_ms, 1000);
+  world_slow_approvals (world, question_ms, 1000);
   world_set_priority (world, 1);
   world_run (world, 100);
   world->task_ms = STREAM_TASK_MS;
--- a/test/unit/test_cell_late.c
+++ b/test/unit/test_cell_late.c
@@ -32,9 +32,9 @@
 static void
 fall_behind (World *world, uint32_t cell)
 {
-  while (world->cell[cell].late_ms < LATE_MS)
+  while (world->cell[cell].input_delay_ms < LATE_MS)
     {
-      world->cell[cell].late_ms += 50;
+      world->cell[cell].input_delay_ms += 50;
       world_run (world, 100);
     }
 }
@@ -70,7 +70,7 @@
                  world_logged (world, "worker_dead"), world->start_count);
   assert_int_equal (world_logged (world, "worker_lost"), 0);
   assert_int_equal (world->start_count, 2 * JOBS);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -84,7 +84,7 @@
 
   world_run (world, AT_ONCE_MS);
   assert_true (world->answered[question]);
-  return world->answer[question].outcome;
+  return world->response[question].outcome;
 }
 
 /*
@@ -109,7 +109,7 @@
                     MUX_RESPONSE_REFUSED);
   assert_int_equal (outcome_at_once (world, other, "job-b"),
                     MUX_RESPONSE_REFUSED);
-  world->cell[planner].late_ms = 0;
+  world->cell[planner].input_delay_ms = 0;
   world_run (world, LATE_MS + 1000);
   assert_int_equal (outcome_at_once (world, planner, "job-a"),
                     MUX_RESPONSE_ACCEPTED);
--- a/test/unit/test_cell_lives.c
+++ b/test/unit/test_cell_lives.c
@@ -22,9 +22,9 @@
     {
       World *world = world_with_ids_kept (1, 4);
 
-      world_approve_unasked (world);
+      world_skip_approval (world);
       world->silent_crashes = true;
-      world->list_late_ms = LIST_LATE_MS;
+      world->relist_delay_ms = LIST_LATE_MS;
       world->task_ms = 3000;
       world_run (world, 300);
       for (uint32_t i = 0; i < 4; i++)
@@ -32,7 +32,7 @@
       world_run (world, after_ms);
       (void) world_submit (world, 0, world_job (1, TASKS, 16000), "job-a");
       world_run (world, 15000);
-      assert_false (world_twice_told (world));
+      assert_false (world_double_run_acked (world));
       assert_int_equal (world_starts (world, "job-a"), TASKS);
       assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_COMPLETED);
       world_free (world);
@@ -49,9 +49,9 @@
     {
       World *world = world_with_ids_kept (1, 1);
 
-      world_approve_unasked (world);
+      world_skip_approval (world);
       world->silent_crashes = true;
-      world->list_late_ms = LIST_LATE_MS;
+      world->relist_delay_ms = LIST_LATE_MS;
       world->task_ms = 100;
       (void) world_submit (world, 0, world_job (1, 40, 1000), "job-a");
       world_run (world, 3000);
@@ -60,7 +60,7 @@
       world_run (world, after_ms);
       (void) world_submit (world, 0, world_job (1, TASKS, 1000), "job-c");
       world_run (world, 15000);
-      assert_false (world_twice_told (world));
+      assert_false (world_double_run_acked (world));
       assert_int_equal (world_state (world, 0, "job-b"), MUX_JOB_COMPLETED);
       assert_int_equal (world_state (world, 0, "job-c"), MUX_JOB_COMPLETED);
       world_free (world);
@@ -82,7 +82,7 @@
   World *world = world_with_ids_kept (2, 1);
   uint32_t planner = world_planner (world);
 
-  world_approve_unasked (world);
+  world_skip_approval (world);
   world->silent_crashes = true;
   world->task_ms = 50;
   for (int64_t at_ms = 0; at_ms < LATE_UNTIL_MS; at_ms += JOB_EACH_MS)
@@ -90,7 +90,7 @@
       char id[MUX_JOB_ID_LEN];
 
       if (at_ms == LATE_FROM_MS)
-        world->cell[planner].late_ms = late_ms;
+        world->cell[planner].input_delay_ms = late_ms;
       if (at_ms == restart_ms)
         world_worker_restart (world, 0);
       snprintf (id, sizeof id, "job-%lld", (long long) at_ms);
@@ -98,9 +98,9 @@
         (void) world_submit (world, 1 - planner, world_job (1, 1, 1000), id);
       world_run (world, JOB_EACH_MS);
     }
-  world->cell[planner].late_ms = 0;
+  world->cell[planner].input_delay_ms = 0;
   world_run (world, 10000);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   world_free (world);
 }
 
@@ -125,11 +125,11 @@
 {
   World *world = world_with_ids_kept (1, 2);
 
-  world_approve_unasked (world);
+  world_skip_approval (world);
   world->task_ms = LONG_UP_MS;
   world->down_ms = 200;
   world->late_ms = late_ms;
-  world->worker[1].cut = true;
+  world->worker[1].unreachable = true;
   world_run (world, LONG_UP_MS);
   world->worker[0].fault = WORLD_LATE;
   (void) world_submit (world, 0, world_job (1, 1, 2000), "job-a");
@@ -139,10 +139,10 @@
   world_worker_crash (world, 0);
   world_run (world, cut_ms);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  world->worker[0].cut = true;
-  world->worker[1].cut = false;
+  world->worker[0].unreachable = true;
+  world->worker[1].unreachable = false;
   world_run (world, 3 * LONG_UP_MS);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   assert_int_equal (world_starts (world, "job-a"), 2);
   world_free (world);
 }
@@ -219,11 +219,11 @@
   World *world = world_with_ids_kept (cells, WORKERS);
 
   if (!asked)
-    world_approve_unasked (world);
+    world_skip_approval (world);
   world->task_ms = LONG_UP_MS;
   world->down_ms = 200;
   world->late_ms = late_ms;
-  world->worker[1].cut = true;
+  world->worker[1].unreachable = true;
   world_run (world, LONG_UP_MS);
   world->worker[0].fault = WORLD_LATE;
   (void) world_submit (world, world_planner (world), world_job (1, 1, 2000),
@@ -231,8 +231,8 @@
   world_run (world, 200);
   world->worker[0].fault = WORLD_SERVES;
   world_worker_crash (world, 0);
-  world->worker[0].cut = true;
-  world->worker[1].cut = false;
+  world->worker[0].unreachable = true;
+  world->worker[1].unreachable = false;
   if (takeover)
     world_cell_kill (world, world_planner (world));
   return world;
@@ -245,7 +245,7 @@
   bool twice;
 
   world_run (world, 3 * LONG_UP_MS);
-  twice = world_twice_told (world);
+  twice = world_double_run_acked (world);
   world_free (world);
   return twice;
 }
--- a/test/unit/test_cell_load.c
+++ b/test/unit/test_cell_load.c
@@ -115,7 +115,8 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < BURST; i++)
-    n += world->answered[call[i]] && world->answer[call[i]].outcome == outcome;
+    n += world->answered[call[i]]
+         && world->response[call[i]].outcome == outcome;
   return n;
 }
 
@@ -195,7 +196,7 @@
     }
   world_run (world, 3000);
   for (uint32_t i = 0; i < 4; i++)
-    assert_int_equal (world->answer[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
+    assert_int_equal (world->response[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
   world_free (world);
 }
 
@@ -239,7 +240,7 @@
     }
   looks = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS) - looks;
   for (uint32_t i = 0; i + 1 < NEW_JOBS; i++)
-    assert_int_equal (world->answer[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
+    assert_int_equal (world->response[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
   assert_in_range (looks, 1, LOOKS_A_SECOND_MAX);
   world->task_ms = 50;
   world_run (world, 30000);
@@ -292,10 +293,10 @@
   for (uint32_t i = 0; i < OLD_JOBS; i++)
     (void) submit_numbered (world, planner, world_job (1, 1, 1000), "old", i);
   world_run (world, KEEP_S * 500);
-  assert_int_equal (world_ends (world), OLD_JOBS);
+  assert_int_equal (world_ended_rows (world), OLD_JOBS);
   (void) world_submit (world, planner, world_job (1, 1, 10), "young");
   world_run (world, KEEP_S * 800);
-  assert_int_equal (world_ends (world), 1);
+  assert_int_equal (world_ended_rows (world), 1);
   assert_int_equal (world_state (world, planner, "young"), MUX_JOB_COMPLETED);
   assert_int_equal (world_state (world, (planner + 1) % CELLS, "old-0"),
                     MUX_JOB_ABSENT);
--- a/test/unit/test_cell_named.c
+++ b/test/unit/test_cell_named.c
@@ -146,12 +146,12 @@
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "job-a"), TASKS);
   assert_true (names_workers (world, "job-a"));
-  world->worker[world->start[world->start_count - 1].worker].cut = true;
+  world->worker[world->start[world->start_count - 1].worker].unreachable = true;
   world_set_commits (world, MUX_TABLE_PROGRESS, WORLD_SERVES);
   (void) take_over_fast (world, planner);
   assert_int_equal (world_starts (world, "job-a"), TASKS);
   world_run (world, 40000);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   assert_true (world_starts (world, "job-a") > TASKS);
   world_free (world);
 }
@@ -194,7 +194,7 @@
     if (i % DATA_CENTRES == planner % DATA_CENTRES)
       {
         world_worker_unlist (world, i, true);
-        world->worker[i].cut = true;
+        world->worker[i].unreachable = true;
       }
   world_run (world, 12000);
   assert_int_equal (world_starts (world, "job-a"), TASKS);
@@ -202,7 +202,7 @@
     if (strcmp (world->start[i].task.job, "job-a") == 0)
       assert_int_not_equal (world->start[i].worker % DATA_CENTRES,
                             planner % DATA_CENTRES);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -223,7 +223,7 @@
   world_run (world, 10000);
   assert_int_equal (world_starts (world, "job-a"), 2 * TASKS);
   assert_non_null (world_row (world, MUX_TABLE_ENDED, "job-a"));
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
--- a/test/unit/test_cell_outage.c
+++ b/test/unit/test_cell_outage.c
@@ -136,7 +136,7 @@
 
   (void) state;
   world->down_ms = DOWN_MS;
-  world->list_late_ms = LIST_LATE_MS;
+  world->relist_delay_ms = LIST_LATE_MS;
   (void) world_submit (world, planner, world_crashing_job (1, 2000, 0),
                        "crash");
   while (world_crashes (world, "crash") == 0)
@@ -151,7 +151,7 @@
   world_cell_kill (world, planner);
   world_set_commits (world, MUX_TABLE_PROGRESS, WORLD_SERVES);
   crash_others_with (world, "crash");
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_state (world, world_planner (world), "crash"),
                     MUX_JOB_FAILED);
   world_free (world);
@@ -168,7 +168,7 @@
       world, 0, world_crashing_job (OUTAGE_WORKERS, 20000, OUTAGE_WORKERS),
       "crash");
   world_run (world, OUTAGE_SETTLE_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_state (world, 0, "crash"), MUX_JOB_FAILED);
   world_free (world);
 }
@@ -239,7 +239,7 @@
       uint32_t lost = world_logged (world, "run_lost");
       uint32_t worker = wait_for_start (world, "job-0", i);
 
-      world->worker[worker].cut = true;
+      world->worker[worker].unreachable = true;
       while (world_logged (world, "run_lost") == lost)
         world_run (world, STEP_MS);
     }
@@ -309,7 +309,7 @@
   world_put_row (world, MUX_TABLE_PROGRESS, part, "crash", text);
   free (text);
   world_run (world, OUTAGE_SETTLE_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_crashes (world, "crash"), 3);
   assert_int_equal (world_state (world, world_planner (world), "crash"),
                     MUX_JOB_FAILED);
--- a/test/unit/test_cell_outage_crash.c
+++ b/test/unit/test_cell_outage_crash.c
@@ -28,7 +28,7 @@
   (void) world_submit (world, 0, crashing_job (kind), "crash");
   outages (world);
   world_run (world, OUTAGE_SETTLE_MS);
-  assert_false (world_over_budget (world));
+  assert_false (world_over_crash_budget (world));
   assert_int_equal (world_state (world, world_planner (world), "crash"),
                     MUX_JOB_FAILED);
   assert_int_equal (outage_failed_jobs (world, OUTAGE_JOBS), 0);
--- a/test/unit/test_cell_overload.c
+++ b/test/unit/test_cell_overload.c
@@ -103,7 +103,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < count; i++)
-    n += load->world->answer[call[i]].outcome == MUX_RESPONSE_ACCEPTED;
+    n += load->world->response[call[i]].outcome == MUX_RESPONSE_ACCEPTED;
   return n;
 }
 
@@ -140,10 +140,10 @@
   assert_true (in_time * 10 >= load.gangs * 9);
   world_run (load.world, DRAIN_MS);
   assert_int_equal (accepted (&load, load.gang_call, load.gangs), load.gangs);
-  assert_int_equal (world_ends (load.world),
+  assert_int_equal (world_ended_rows (load.world),
                     load.gangs
                         + accepted (&load, load.patient_call, load.patient));
-  assert_false (world_twice (load.world));
+  assert_false (world_double_run (load.world));
   world_free (load.world);
 }
 
@@ -162,13 +162,13 @@
       MuxJobSpec *job = world_job (1, GANG_TASKS, GANG_CPU_MILLI);
 
       job->step[0].gang = gang != 0;
-      world_ask_slowly (world, QUESTION_MS, QUESTION_US_PER_WORKER);
+      world_slow_approvals (world, QUESTION_MS, QUESTION_US_PER_WORKER);
       world_run (world, 1000);
       world->task_ms = TASK_MS;
       (void) world_submit (world, world_planner (world), job, "job-a");
       world_run (world, 2 * QUESTION_MS);
       assert_int_equal (world_starts (world, "job-a"), GANG_TASKS);
-      assert_int_equal (world->approvals_asked, 1);
+      assert_int_equal (world->approval_queries, 1);
       world_free (world);
     }
 }
@@ -203,7 +203,7 @@
   world_run (world, 4000);
   bytes = (mallinfo2 ().uordblks - before) / WAITING_STEPS;
   print_message ("%zu bytes a step\n", bytes);
-  assert_int_equal (world_ends (world), 0);
+  assert_int_equal (world_ended_rows (world), 0);
   assert_true (bytes < STEP_BYTES_MAX);
   world_free (world);
 }
@@ -225,7 +225,7 @@
   uint64_t looks;
 
   (void) state;
-  world_ask_slowly (world, BUSY_MS, 0);
+  world_slow_approvals (world, BUSY_MS, 0);
   world_run (world, 1000);
   for (uint32_t i = 0; i < WAITING_GANGS; i++)
     {
--- a/test/unit/test_cell_planner.c
+++ b/test/unit/test_cell_planner.c
@@ -30,13 +30,13 @@
 
       world_run (world, 1000);
       version = world_claim_version (world);
-      world->cell[other].cut = true;
+      world->cell[other].isolated = true;
       world->cell[other].store = WORLD_SILENT;
       world_run (world, cut_ms);
       world->cell[other].store = WORLD_SERVES;
       (void) world_submit (world, other, world_job (1, 1, 1000), "job-a");
       world_run (world, 300);
-      world->cell[other].cut = false;
+      world->cell[other].isolated = false;
       world_run (world, 3000);
       assert_int_equal (world_claim_version (world), version);
       assert_int_equal (world_planner (world), planner);
@@ -102,7 +102,7 @@
   world_run (world, 5000);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_COMPLETED);
   assert_int_equal (world_starts (world, "job-a"), 3);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -184,7 +184,7 @@
   for (uint32_t i = 0; i < CELLS; i++)
     {
       world->cell[i].commits[MUX_TABLE_CLAIM] = WORLD_LOSES_ANSWER;
-      world->cell[i].deaf = WORLD_DEAF (MUX_TABLE_CLAIM);
+      world->cell[i].hanging_feeds = WORLD_DEAF (MUX_TABLE_CLAIM);
     }
   world_cell_kill (world, planner);
   while (world_claim_version (world) == version)
--- a/test/unit/test_cell_quota.c
+++ b/test/unit/test_cell_quota.c
@@ -76,7 +76,7 @@
   (void) world_submit (world, 0, world_job (1, 2 * QUOTA_TASKS, CPU_MILLI),
                        "job-a");
   world_run (world, 15000);
-  assert_string_equal (world->wait_lacks, "quota");
+  assert_string_equal (world->blocked_on, "quota");
   world_free (world);
 }
 
@@ -157,11 +157,11 @@
   (void) state;
   call = world_submit (world, 1, gang (QUOTA_TASKS + 1), "gang");
   world_run (world, 500);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_OVER_QUOTA);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_OVER_QUOTA);
   call = world_submit (world, 1,
                        world_job (1, 1, (QUOTA_TASKS + 1) * CPU_MILLI), "big");
   world_run (world, 500);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_OVER_QUOTA);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_OVER_QUOTA);
   assert_null (world_row (world, MUX_TABLE_JOBS, "gang"));
   assert_null (world_row (world, MUX_TABLE_JOBS, "big"));
   world_free (world);
@@ -246,7 +246,7 @@
   world_run (world, 1000);
   planner = world_planner (world);
   for (uint32_t i = 0; i < WORKERS / 2; i++)
-    world->worker[i].cut = true;
+    world->worker[i].unreachable = true;
   world_cell_kill (world, planner);
   world_run (world, 2500);
   planner = world_planner (world);
@@ -270,12 +270,12 @@
   uint32_t planner;
 
   (void) state;
-  world_approve_unasked (world);
+  world_skip_approval (world);
   world->task_ms = 12000;
   (void) world_submit (world, 0, world_job (1, 2, CPU_MILLI), "job-a");
   world_run (world, 3000);
   planner = world_planner (world);
-  world->worker[0].cut = true;
+  world->worker[0].unreachable = true;
   world_cell_kill (world, planner);
   world_run (world, 2500);
   planner = world_planner (world);
--- a/test/unit/test_cell_quota_random.c
+++ b/test/unit/test_cell_quota_random.c
@@ -100,14 +100,14 @@
 
   if (play->cut < WORKERS)
     {
-      world->worker[play->cut].cut = false;
+      world->worker[play->cut].unreachable = false;
       world->worker[play->cut].fault = WORLD_SERVES;
       play->cut = WORKERS;
       return;
     }
   play->cut = below (play, WORKERS);
   if (chance (play, 50))
-    world->worker[play->cut].cut = true;
+    world->worker[play->cut].unreachable = true;
   else
     world->worker[play->cut].fault = WORLD_LATE;
 }
@@ -147,7 +147,7 @@
     }
   for (uint32_t i = 0; i < WORKERS; i++)
     {
-      play->world->worker[i].cut = false;
+      play->world->worker[i].unreachable = false;
       play->world->worker[i].fault = WORLD_SERVES;
     }
   world_set_workspaces (
@@ -169,7 +169,7 @@
 
       snprintf (id, sizeof id, "job-%u", i);
       left += play->world->answered[play->call[i]]
-              && play->world->answer[play->call[i]].outcome
+              && play->world->response[play->call[i]].outcome
                      == MUX_RESPONSE_ACCEPTED
               && world_row (play->world, MUX_TABLE_JOBS, id) != NULL;
     }
@@ -200,7 +200,7 @@
                      play.world->over_quota, not_ended (&play));
       assert_int_equal (play.world->over_quota, 0);
       assert_int_equal (play.world->over_room, 0);
-      assert_false (world_twice_told (play.world));
+      assert_false (world_double_run_acked (play.world));
       assert_int_equal (not_ended (&play), 0);
       world_free (play.world);
     }
--- a/test/unit/test_cell_random_cut.c
+++ b/test/unit/test_cell_random_cut.c
@@ -62,7 +62,7 @@
 static void
 set_cut_off (WorldCell *cell, bool cut)
 {
-  cell->cut = cut;
+  cell->isolated = cut;
   cell->store = cut ? WORLD_SILENT : WORLD_SERVES;
 }
 
@@ -83,7 +83,7 @@
 {
   set_cut_off (cell, true);
   if (cuts->gone < cuts->going && chaos_below (cuts->c, 3) > 0)
-    cell->near_workers = cuts->going;
+    cell->reachable_workers = cuts->going;
 }
 
 /* Other faults may have brought them back into reach. */
@@ -93,11 +93,11 @@
   World *world = cuts->c->world;
 
   for (uint32_t i = 0; i < cuts->gone; i++)
-    world->worker[i].cut = true;
+    world->worker[i].unreachable = true;
   if (cuts->until_ms != 0)
     for (uint32_t i = 0; i < CHAOS_CELLS; i++)
       if (i != cuts->planner)
-        world->cell[i].far_workers = cuts->going;
+        world->cell[i].unreachable_workers = cuts->going;
 }
 
 static void
@@ -133,9 +133,9 @@
   cuts->next_ms = world->now_ms + NEXT_LEAST_MS
                   + (int64_t) chaos_below (cuts->c, NEXT_MORE_MS);
   cuts->gone = cuts->going;
-  cell->near_workers = 0;
+  cell->reachable_workers = 0;
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
-    world->cell[i].far_workers = 0;
+    world->cell[i].unreachable_workers = 0;
   if (cuts->way == CUT_OFF)
     set_cut_off (cell, false);
   else if (cuts->way == FROZEN)
@@ -183,8 +183,8 @@
     {
       step_of_cuts (&cuts);
       if (other_faults && chaos_below (&c, FAULT_ONE_IN) == 0)
-        chaos_fail_something (&c);
-      chaos_serve_replaced (&c);
+        chaos_toggle_fault (&c);
+      chaos_end_refusal (&c);
       keep_gone (&cuts);
       if (chaos_below (&c, JOB_ONE_IN) == 0)
         chaos_submit (&c);
@@ -193,7 +193,7 @@
   world->task_ms = TASK_MS;
   if (cuts.until_ms != 0)
     end_cut (&cuts);
-  chaos_mend (world);
+  chaos_heal (world);
   keep_gone (&cuts);
   world_run (world, CHAOS_SETTLE_MS);
   print_message ("%u jobs; planner cut off %u, frozen %u, stopped %u times; %u"
--- a/test/unit/test_cell_replaced.c
+++ b/test/unit/test_cell_replaced.c
@@ -298,9 +298,9 @@
   assert_int_not_equal (second, first);
   assert_int_equal (world_starts (world, "job-a"), 3);
   world_cell_kill (world, second);
-  world->worker[world->start[1].worker].cut = true;
+  world->worker[world->start[1].worker].unreachable = true;
   world_run (world, 8000);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -324,7 +324,7 @@
   world->approval_ms = SLOW_QUESTION_MS;
   (void) world_submit (world, planner, world_job (1, 1, 1000), "job-a");
   world_run (world, SLOW_QUESTION_MS / 2);
-  world->worker[0].cut = true;
+  world->worker[0].unreachable = true;
   take_over (world);
   assert_int_equal (world_starts (world, "job-a"), 1);
   world_run (world, 30000);
@@ -380,11 +380,12 @@
   world->store_ms = SLOW_STORE_MS;
   wait_for_fences_of_a_successor (world, planner);
   for (uint32_t i = 0; i < CELLS; i++)
-    world->cell[i].deaf = WORLD_DEAF (MUX_TABLE_JOBS);
-  cancel = world_ask (world, (planner + 1) % CELLS, MUX_REQUEST_CANCEL, "zz");
+    world->cell[i].hanging_feeds = WORLD_DEAF (MUX_TABLE_JOBS);
+  cancel
+      = world_request (world, (planner + 1) % CELLS, MUX_REQUEST_CANCEL, "zz");
   while (!world->answered[cancel])
     world_run (world, 1);
-  assert_int_equal (world->answer[cancel].outcome, MUX_RESPONSE_CANCELLED);
+  assert_int_equal (world->response[cancel].outcome, MUX_RESPONSE_CANCELLED);
   acked_ms = world->now_ms;
   set_workers (world, WORLD_SERVES);
   for (uint32_t i = 0; i < WORKERS; i++)
@@ -396,7 +397,7 @@
   world->store_ms = USUAL_ANSWER_MS;
   world_run (world, LOST_CALL_MS);
   for (uint32_t i = 0; i < CELLS; i++)
-    world->cell[i].deaf = 0;
+    world->cell[i].hanging_feeds = 0;
   world_run (world, 5000);
   for (uint32_t i = 0; i < world->start_count; i++)
     if (strcmp (world->start[i].task.job, "zz") == 0)
@@ -448,7 +449,7 @@
         world_run (world, 20);
     }
   world_run (world, 2000);
-  world->worker[99].cut = true;
+  world->worker[99].unreachable = true;
   wait_for_successor (world, planner);
   world_run (world, 1500);
 }
@@ -499,7 +500,7 @@
   World *world = world_new (CELLS, LARGE_WORKERS);
 
   (void) state;
-  world_approve_unasked (world);
+  world_skip_approval (world);
   wait_without_a_worker (world);
   check_looks_of_a_second (world);
   world_free (world);
@@ -579,7 +580,7 @@
   world_put_row (world, MUX_TABLE_JOBS, part, "job-a", text);
   free (text);
   take_over (world);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   world_free (world);
 }
 
--- a/test/unit/test_cell_reserve.c
+++ b/test/unit/test_cell_reserve.c
@@ -37,8 +37,8 @@
 {
   World *world = world_new (CELLS, workers);
 
-  world->times_by_job = true;
-  world_ask_slowly (world, QUESTION_MS, QUESTION_US_PER_WORKER);
+  world->times_at_submit = true;
+  world_slow_approvals (world, QUESTION_MS, QUESTION_US_PER_WORKER);
   world_run (world, WARM_MS);
   return world;
 }
@@ -179,7 +179,7 @@
 
   (void) state;
   fill (world, gang.tasks);
-  world_approve_unasked (world);
+  world_skip_approval (world);
   questions = mux_counter_value (world->counters, MUX_COUNT_APPROVALS);
   submit (world, &gang);
   world_run (world, 2 * FILL_MS);
@@ -209,7 +209,7 @@
   assert_int_equal (started (world, "gang"), gang.tasks);
   names = mux_counter_value (world->counters, MUX_COUNT_APPROVAL_NAMES) - names;
   assert_in_range (names, gang.tasks, 2 * (gang.tasks + 1));
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
--- a/test/unit/test_cell_room.c
+++ b/test/unit/test_cell_room.c
@@ -46,7 +46,7 @@
 
   (void) state;
   world_run (world, 1000);
-  world->cell[0].deaf = WORLD_DEAF (MUX_TABLE_WORKERS);
+  world->cell[0].hanging_feeds = WORLD_DEAF (MUX_TABLE_WORKERS);
   for (uint32_t i = 0; i < WORKERS; i++)
     world_worker_room (world, i, FULL_MILLI / 4);
   for (uint32_t i = 0; i < 24; i++)
@@ -55,7 +55,7 @@
       world_run (world, 500);
     }
   assert_int_equal (world->over_room, 0);
-  world->cell[0].deaf = 0;
+  world->cell[0].hanging_feeds = 0;
   world_run (world, 60000);
   assert_int_equal (world->over_room, 0);
   assert_int_equal (world_state (world, 0, "job-0"), MUX_JOB_COMPLETED);
@@ -80,7 +80,7 @@
       World *world = world_new (1, WORKERS);
       MuxJobSpec *job = world_job (1, GANG_TASKS, GANG_MILLI);
 
-      world_ask_slowly (world, 400, 1000);
+      world_slow_approvals (world, 400, 1000);
       world_run (world, 200);
       world->store_ms = SLOW_STORE_MS;
       job->step[0].gang = true;
--- a/test/unit/test_cell_roster.c
+++ b/test/unit/test_cell_roster.c
@@ -66,11 +66,11 @@
 
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
-      world->cell[i].far_workers = LOST + 1;
+      world->cell[i].unreachable_workers = LOST + 1;
   world_cell_kill (world, planner);
   world_run (world, SETTLE_MS);
   assert_int_not_equal (world_planner (world), planner);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -87,9 +87,9 @@
   World *world = world_with_long_runs ();
 
   *roster_commits (world) = WORLD_LOSES_ANSWER;
-  world->worker[LOST].cut = true;
+  world->worker[LOST].unreachable = true;
   world_run (world, cut_ms);
-  world->worker[LOST].cut = false;
+  world->worker[LOST].unreachable = false;
   world_run (world, 3000);
   *roster_commits (world) = WORLD_SERVES;
   world_run (world, 2000);
@@ -108,9 +108,9 @@
   World *world = world_with_long_runs ();
 
   world->store_ms = SLOW_STORE_MS;
-  world->worker[LOST].cut = true;
+  world->worker[LOST].unreachable = true;
   world_run (world, cut_ms);
-  world->worker[LOST].cut = false;
+  world->worker[LOST].unreachable = false;
   world_run (world, back_ms);
   world->store_ms = USUAL_STORE_MS;
   end_behind_the_planner_s_death (world);
@@ -127,9 +127,9 @@
 
   world->late_ms = 3000;
   *roster_commits (world) = WORLD_LATE;
-  world->worker[LOST].cut = true;
+  world->worker[LOST].unreachable = true;
   world_run (world, cut_ms);
-  world->worker[LOST].cut = false;
+  world->worker[LOST].unreachable = false;
   world_run (world, 500);
   *roster_commits (world) = WORLD_SERVES;
   world_run (world, 4000);
@@ -147,13 +147,13 @@
 {
   World *world = world_with_long_runs ();
 
-  world->worker[LOST].cut = true;
+  world->worker[LOST].unreachable = true;
   world_run (world, 3000);
   world->late_ms = late_ms;
   *roster_commits (world) = WORLD_LATE;
   world_run (world, 2500);
   *roster_commits (world) = WORLD_SERVES;
-  world->worker[LOST].cut = false;
+  world->worker[LOST].unreachable = false;
   world_run (world, 2000);
   fill_all_workers (world);
   world_run (world, late_ms);
@@ -195,12 +195,12 @@
 
       gang->step[0].gang = true;
       world_run (world, 1000);
-      world->worker[LOST].cut = true;
+      world->worker[LOST].unreachable = true;
       world_run (world, 3500);
       *roster_commits (world) = WORLD_REFUSES;
       world_run (world, refused_ms);
       *roster_commits (world) = WORLD_SERVES;
-      world->worker[LOST].cut = false;
+      world->worker[LOST].unreachable = false;
       world_run (world, 2000);
       (void) world_submit (world, world_planner (world), gang, "job-a");
       world_run (world, 2000);
@@ -258,10 +258,10 @@
   assert_int_not_equal (second, first);
   all_progress (world, WORLD_SERVES);
   world_cell_kill (world, second);
-  world->worker[world->start[world->start_count - 1].worker].cut = true;
+  world->worker[world->start[world->start_count - 1].worker].unreachable = true;
   world_run (world, SETTLE_MS);
   assert_true (world_starts (world, "job-a") > 2);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -280,12 +280,12 @@
 {
   uint32_t planner = world_planner (world);
 
-  world->cell[planner].deaf = true;
-  world->cell[planner].cut = true;
-  world->cell[planner].near_workers = LOST + 1;
+  world->cell[planner].hanging_feeds = true;
+  world->cell[planner].isolated = true;
+  world->cell[planner].reachable_workers = LOST + 1;
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
-      world->cell[i].far_workers = LOST + 1;
+      world->cell[i].unreachable_workers = LOST + 1;
 }
 
 /*
@@ -310,7 +310,7 @@
       world->cell[planner].store = WORLD_SILENT;
       world_run (world, SETTLE_MS);
       assert_int_not_equal (world_planner (world), planner);
-      assert_false (world_twice (world));
+      assert_false (world_double_run (world));
       world_free (world);
     }
 }
@@ -354,11 +354,11 @@
   world_run (world, 1000);
   start_one (world, "job-c", LONG_TASK_MS);
   assert_true (first_run (world, "job-c") < first_run (world, "job-b"));
-  world->worker[0].cut = true;
+  world->worker[0].unreachable = true;
   first_run (world, "job-b")->ends_ms = world->now_ms + 10;
   first_run (world, "job-c")->ends_ms = world->now_ms + 20;
   world_run (world, 300);
-  world->worker[0].cut = false;
+  world->worker[0].unreachable = false;
   world_run (world, 6000);
   assert_int_equal (world_starts (world, "job-b"), 1);
   assert_int_equal (world_starts (world, "job-c"), 1);
@@ -494,7 +494,7 @@
   world_run (world, 3000);
   fill_all_workers (world);
   assert_int_not_equal (world_planner (world), planner);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -523,7 +523,7 @@
         while (world->start_count == 0)
           world_run (world, 1);
         assert_int_equal (world->start[0].worker, LOST);
-        world->worker[LOST].cut = true;
+        world->worker[LOST].unreachable = true;
         world_run (world, dies_ms);
         world->store_ms = USUAL_STORE_MS;
         end_behind_the_planner_s_death (world);
@@ -552,22 +552,22 @@
   uint32_t lost = 0;
 
   (void) state;
-  world->worker[LOST].cut = true;
+  world->worker[LOST].unreachable = true;
   world_run (world, 1800);
   world_cell_kill (world, planner);
-  world->worker[LOST].cut = false;
+  world->worker[LOST].unreachable = false;
   for (uint32_t i = 0; i < CELLS; i++)
     world->cell[i].commits[MUX_TABLE_ROSTER] = WORLD_REFUSES;
   wait_for_planner_other_than (world, planner);
   world_run (world, 100);
-  world->worker[LOST].cut = true;
+  world->worker[LOST].unreachable = true;
   for (uint32_t i = 0; i < CELLS; i++)
     world->cell[i].commits[MUX_TABLE_ROSTER] = WORLD_SERVES;
   world_run (world, SETTLE_MS);
   for (uint32_t i = 0; i < WORKERS; i++)
     lost += world->start[i].worker == LOST;
   assert_int_equal (world_starts (world, "job-a"), WORKERS + lost);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -588,7 +588,7 @@
     world_worker_restart (world, i);
   world_run (world, 4000);
   assert_int_equal (world_starts (world, "job-a"), 2 * WORKERS);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
--- a/test/unit/test_cell_run_times.c
+++ b/test/unit/test_cell_run_times.c
@@ -57,7 +57,7 @@
   bool too_short[JOBS];
   char id[MUX_JOB_ID_LEN];
 
-  world_approve_unasked (world);
+  world_skip_approval (world);
   world_set_slack (world, SLACK_MILLI);
   world->task_ms = TASK_MS;
   world_run (world, 3000);
--- a/test/unit/test_cell_same_id.c
+++ b/test/unit/test_cell_same_id.c
@@ -21,7 +21,7 @@
   world_run (world, 1000);
   (void) world_submit (world, 0, world_job (1, TASKS, 1000), "job-b");
   world_run (world, 10000);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   assert_int_equal (world_starts (world, "job-b"), TASKS);
   assert_int_equal (world_state (world, 0, "job-b"), MUX_JOB_COMPLETED);
   world_free (world);
@@ -46,7 +46,7 @@
   assert_int_equal (world_starts (world, "gang"), 2 * TASKS);
   world_run (world, 5000);
   assert_int_equal (world_state (world, 0, "gang"), MUX_JOB_COMPLETED);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   world_free (world);
 }
 
@@ -61,7 +61,7 @@
     {
       World *world = world_with_ids_kept (1, 4);
 
-      world_approve_unasked (world);
+      world_skip_approval (world);
       world_run (world, 200);
       world->late_ms = 3500;
       world->down_ms = down_ms;
@@ -77,7 +77,7 @@
             world_worker_crash (world, i);
         }
       world_run (world, 30000);
-      assert_false (world_twice_told (world));
+      assert_false (world_double_run_acked (world));
       assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_COMPLETED);
       world_free (world);
     }
@@ -100,7 +100,7 @@
       world_cell_kill (world, planner);
       world_run (world, 30000);
       planner = world_planner (world);
-      assert_false (world_twice_told (world));
+      assert_false (world_double_run_acked (world));
       assert_int_equal (world_state (world, planner, "job-a"),
                         MUX_JOB_COMPLETED);
       world_free (world);
--- a/test/unit/test_cell_step_wait.c
+++ b/test/unit/test_cell_step_wait.c
@@ -25,7 +25,7 @@
   World *world = world_new (CELLS, WORKERS);
 
   world->task_ms = TASK_MS;
-  world_ask_slowly (world, QUESTION_MS, QUESTION_US_PER_WORKER);
+  world_slow_approvals (world, QUESTION_MS, QUESTION_US_PER_WORKER);
   world_run (world, WARM_MS);
   return world;
 }
--- a/test/unit/test_cell_takeovers.c
+++ b/test/unit/test_cell_takeovers.c
@@ -44,7 +44,7 @@
   world_run (world, 500);
   assert_int_equal (world_starts (world, "job-a"), GONE);
   for (uint32_t i = 0; i < GONE; i++)
-    world->worker[i].cut = true;
+    world->worker[i].unreachable = true;
   for (uint32_t i = GONE; i < WORKERS; i++)
     world_worker_drains (world, i, false);
   return world;
@@ -86,7 +86,7 @@
 
   world_run (world, gone_ms + RESTART_MS - world->now_ms);
   assert_int_equal (world_starts (world, "job-a"), 2 * GONE);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -120,7 +120,7 @@
       lose_planner (world);
       world_run (world, TAKEOVER_MS + LEASE_MS + PLACE_MS);
       assert_int_equal (world_starts (world, "job-a"), 2 * GONE);
-      assert_false (world_twice (world));
+      assert_false (world_double_run (world));
       world_free (world);
     }
 }
@@ -150,7 +150,7 @@
 set_reach (World *world, bool reached)
 {
   for (uint32_t i = 0; i < CELLS; i++)
-    world->cell[i].far_workers = reached ? 0 : LOST + 1;
+    world->cell[i].unreachable_workers = reached ? 0 : LOST + 1;
 }
 
 /* One long task, which runs on the worker that will be unreachable. */
@@ -176,7 +176,7 @@
 end_behind_the_last_loss (World *world)
 {
   world_run (world, TAKEOVER_MS + TRUST_AND_LEASE_MS + PLACE_MS);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -265,10 +265,10 @@
 
   world_run (world, phase_ms);
   set_reach (world, false);
-  world->cell[first].far_workers = 0;
-  world->cell[first].near_workers = LOST + 1;
-  world->cell[first].cut = true;
-  world->cell[first].deaf
+  world->cell[first].unreachable_workers = 0;
+  world->cell[first].reachable_workers = LOST + 1;
+  world->cell[first].isolated = true;
+  world->cell[first].hanging_feeds
       = WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS);
   world->cell[first].store = WORLD_SILENT;
   second = wait_for_planner_other_than (world, first);
--- a/test/unit/test_cell_terms.c
+++ b/test/unit/test_cell_terms.c
@@ -38,11 +38,11 @@
   uint64_t version = world_claim_version (world);
 
   world->cell[planner].store = WORLD_REFUSES;
-  world->cell[planner].deaf
+  world->cell[planner].hanging_feeds
       = WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS);
   wait_for_another_claim (world, version);
   world->cell[planner].store = WORLD_SERVES;
-  world->cell[world_planner (world)].far_workers = FAR_WORKERS;
+  world->cell[world_planner (world)].unreachable_workers = FAR_WORKERS;
   return planner;
 }
 
@@ -72,9 +72,9 @@
   planner = planner_with_a_successor (world);
   world->store_ms = store_ms;
   submit_burst (world, planner);
-  world->cell[planner].deaf = 0;
+  world->cell[planner].hanging_feeds = 0;
   world_run (world, SETTLE_MS);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -127,12 +127,12 @@
       world_run (world, 1000 + phase_ms);
       planner = planner_with_a_successor (world);
       world->store_ms = BUSY_STORE_MS;
-      world->forgotten = world->version;
-      world->cell[planner].deaf = WORLD_DEAF (MUX_TABLE_CLAIM);
+      world->compacted_version = world->version;
+      world->cell[planner].hanging_feeds = WORLD_DEAF (MUX_TABLE_CLAIM);
       submit_burst (world, world_planner (world));
-      world->cell[planner].deaf = 0;
+      world->cell[planner].hanging_feeds = 0;
       world_run (world, SETTLE_MS);
-      assert_false (world_twice (world));
+      assert_false (world_double_run (world));
       world_free (world);
     }
 }
--- a/test/unit/test_cell_throttle.c
+++ b/test/unit/test_cell_throttle.c
@@ -67,7 +67,7 @@
       Job *job = &play->job[i];
 
       if (job->refused_ms == 0 && play->world->answered[job->call]
-          && play->world->answer[job->call].outcome == MUX_RESPONSE_REFUSED)
+          && play->world->response[job->call].outcome == MUX_RESPONSE_REFUSED)
         job->refused_ms = play->world->now_ms;
     }
 }
@@ -102,7 +102,7 @@
         continue;
       sum.refused++;
       sum.slow += job->refused_ms - job->sent_ms > AT_ONCE_MS;
-      sum.untold += play->world->answer[job->call].retry_ms == 0;
+      sum.untold += play->world->response[job->call].retry_ms == 0;
     }
   print_message ("%u sent, %u refused\n", sum.sent, sum.refused);
   return sum;
@@ -140,14 +140,14 @@
   play_for (play, WARM_UP_MS);
   sum = sum_since (play, 0);
   assert_int_equal (sum.refused, 0);
-  play->world->cell[play->planner].unread_ms = BEHIND_MS;
+  play->world->cell[play->planner].unseen_delay_ms = BEHIND_MS;
   play_for (play, PLAY_MS);
   sum = sum_since (play, play->world->now_ms - PLAY_MS / 2);
   assert_true (sum.refused * 2 > sum.sent);
   assert_true (sum.refused < sum.sent);
   assert_int_equal (sum.slow, 0);
   assert_int_equal (sum.untold, 0);
-  play->world->cell[play->planner].unread_ms = 0;
+  play->world->cell[play->planner].unseen_delay_ms = 0;
   play_for (play, PLAY_MS);
   sum = sum_since (play, play->world->now_ms - 1000);
   assert_int_equal (sum.refused, 0);
@@ -167,14 +167,14 @@
   play_for (play, WARM_UP_MS);
   for (int64_t ms = 0; ms < LOST_BEHIND_MS; ms += BEHIND_MS / 4)
     {
-      world->cell[play->planner].unread_ms = ms;
+      world->cell[play->planner].unseen_delay_ms = ms;
       world_run (world, BEHIND_MS);
     }
   world_run (world, PLAY_MS);
   assert_int_equal (world_logged (world, "worker_lost"), 0);
   assert_int_equal (world_logged (world, "worker_dead"), 0);
   assert_int_equal (world->start_count, play->count);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   finish (play);
 }
 
@@ -191,21 +191,21 @@
 
   (void) state;
   world->peers_cut = true;
-  world->cell[play->planner].late_ms = 800;
+  world->cell[play->planner].input_delay_ms = 800;
   world_run (world, 4000);
   assert_int_equal (world_planner (world), play->planner);
   commits = world->own_commits[other];
   call = world_submit (world, other, world_job (1, 1, CPU_MILLI), "job-a");
   world_run (world, AT_ONCE_MS);
   assert_true (world->answered[call]);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_REFUSED);
-  assert_true (world->answer[call].retry_ms > 0);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_REFUSED);
+  assert_true (world->response[call].retry_ms > 0);
   assert_int_equal (world->own_commits[other], commits);
-  world->cell[play->planner].late_ms = 0;
+  world->cell[play->planner].input_delay_ms = 0;
   world_run (world, 4000);
   call = world_submit (world, other, world_job (1, 1, CPU_MILLI), "job-a");
   world_run (world, 1000);
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_ACCEPTED);
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_ACCEPTED);
   finish (play);
 }
 
--- a/test/unit/test_cell_time_of_day.c
+++ b/test/unit/test_cell_time_of_day.c
@@ -64,9 +64,9 @@
   (void) world_submit (world, planner, timed_job (world, first_ms, 6, 1000),
                        "timed");
   world_run (world, jump_in_ms);
-  world->cell[planner].wall_ms = jump_ms;
+  world->cell[planner].clock_ahead_ms = jump_ms;
   world_run (world, 3000);
-  world->cell[planner].wall_ms = 0;
+  world->cell[planner].clock_ahead_ms = 0;
   world_run (world, 6000);
   assert_int_equal (world_starts (world, "timed"), 6);
   check_times (world, due_ms, 1000);
@@ -117,11 +117,11 @@
   world_run (world, 3000);
   world_cell_kill (world, planner);
   for (uint32_t i = 0; i < CELLS; i++)
-    world->cell[i].wall_ms = JUMP_MS;
+    world->cell[i].clock_ahead_ms = JUMP_MS;
   while (world_planner (world) == planner)
     world_run (world, 1);
   for (uint32_t i = 0; i < CELLS; i++)
-    world->cell[i].wall_ms = i == world_planner (world) ? JUMP_MS : 0;
+    world->cell[i].clock_ahead_ms = i == world_planner (world) ? JUMP_MS : 0;
   world_run (world, 6000);
   assert_int_equal (world_starts (world, "timed"), 1);
   check_times (world, first_ms, 1000);
@@ -143,7 +143,7 @@
   (void) state;
   world_run (world, 1000);
   world->task_ms = 400;
-  world->cell[other].wall_ms = -60000;
+  world->cell[other].clock_ahead_ms = -60000;
   (void) world_submit (world, other, world_job (1, 1, ALL_CPU_MILLI), "first");
   for (uint32_t i = 0; i < FOLLOWING_JOBS; i++)
     {
@@ -180,10 +180,10 @@
   world->task_ms = 200;
   (void) world_submit (world, planner, world_job (1, 1, 1000), "job-a");
   world_run (world, 2000);
-  assert_int_equal (world_ends (world), 1);
-  world->cell[planner].wall_ms = 2 * KEEP_S * MS_PER_S;
+  assert_int_equal (world_ended_rows (world), 1);
+  world->cell[planner].clock_ahead_ms = 2 * KEEP_S * MS_PER_S;
   world_run (world, KEEP_S * MS_PER_S / 2);
-  assert_int_equal (world_ends (world), 1);
+  assert_int_equal (world_ended_rows (world), 1);
   world_free (world);
 }
 
@@ -205,7 +205,7 @@
   world_make_urgent (world);
   world_run (world, 6000);
   world->task_ms = 300;
-  world->cell[planner].wall_ms = JUMP_MS;
+  world->cell[planner].clock_ahead_ms = JUMP_MS;
   (void) world_submit (world, planner,
                        timed_job (world, JUMP_MS + 500, 2, 60000), "timed");
   while (world_starts (world, "timed") == 0)
@@ -215,7 +215,7 @@
   world_cell_start (world, (planner + 1) % CELLS);
   world_run (world, 8000);
   assert_int_equal (world_starts (world, "timed"), 1);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -238,10 +238,10 @@
       world_cell_kill (world, i);
   world_make_urgent (world);
   world_run (world, 6000);
-  world->worker[1].cut = true;
+  world->worker[1].unreachable = true;
   world_run (world, 2000);
   world->task_ms = 300;
-  world->cell[planner].wall_ms = LONG_JUMP_MS;
+  world->cell[planner].clock_ahead_ms = LONG_JUMP_MS;
   job = timed_job (world, LONG_JUMP_MS + 500, 2, 60000);
   job->step[0].count = 2;
   job->step[0].size.cpu_milli = ALL_CPU_MILLI;
@@ -250,13 +250,13 @@
   while (world_starts (world, "timed") == 0)
     world_run (world, 1);
   world_cell_kill (world, planner);
-  world->worker[1].cut = false;
+  world->worker[1].unreachable = false;
   world_cell_start (world, (planner + 1) % CELLS);
   world_run (world, due_ms - world->now_ms - 1);
   assert_int_equal (world_starts (world, "timed"), 1);
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "timed"), 2);
-  assert_false (world_twice (world));
+  assert_false (world_double_run (world));
   world_free (world);
 }
 
@@ -314,7 +314,7 @@
   print_message ("%u starts\n", world_starts (world, "many"));
   assert_int_equal (world_state (world, (planner + 1) % CELLS, "many"),
                     MUX_JOB_COMPLETED);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   world_free (world);
 }
 
--- a/test/unit/test_cell_unread.c
+++ b/test/unit/test_cell_unread.c
@@ -108,7 +108,7 @@
   (void) state;
   mend (&spoilt);
   world_run (spoilt.world, 2000);
-  assert_false (world_twice_told (spoilt.world));
+  assert_false (world_double_run_acked (spoilt.world));
   assert_int_equal (world_starts (spoilt.world, "job-a"), 2);
   assert_int_equal (
       world_state (spoilt.world, world_planner (spoilt.world), "job-a"),
@@ -157,7 +157,7 @@
   (void) state;
   mend (&spoilt);
   world_run (spoilt.world, 4000);
-  assert_false (world_twice_told (spoilt.world));
+  assert_false (world_double_run_acked (spoilt.world));
   assert_int_equal (
       world_state (spoilt.world, world_planner (spoilt.world), "job-a"),
       MUX_JOB_FAILED);
@@ -182,7 +182,7 @@
   assert_int_equal (world_state (world, world_planner (world), "job-b"),
                     MUX_JOB_COMPLETED);
   for (uint32_t i = 0; i < world->start_count; i++)
-    assert_true (world->start[i].told);
+    assert_true (world->start[i].acknowledged);
   spoilt_free (&spoilt);
 }
 
@@ -274,7 +274,7 @@
   mend (&spoilt);
   take_over (world);
   world_run (world, 2000);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   assert_int_equal (world_starts (world, "job-a"), 1);
   spoilt_free (&spoilt);
 }
@@ -293,7 +293,7 @@
   (void) state;
   mend (&spoilt);
   world_run (world, 2000);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_int_equal (world_state (world, world_planner (world), "job-a"),
                     MUX_JOB_COMPLETED);
@@ -312,7 +312,7 @@
   uint32_t n = 0;
 
   for (uint32_t i = 0; i < world->start_count; i++)
-    n += world->start[i].told;
+    n += world->start[i].acknowledged;
   return n;
 }
 
@@ -365,7 +365,7 @@
   assert_int_equal (world->start_count, ENDED_JOBS);
   take_over (world);
   world_run (world, 2000);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   assert_int_equal (world->start_count, ENDED_JOBS);
   assert_int_equal (told (world), ENDED_JOBS);
   world_free (world);
@@ -401,7 +401,7 @@
   take_over (world);
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  assert_false (world_twice_told (world));
+  assert_false (world_double_run_acked (world));
   spoilt_free (&spoilt);
 }
 
--- a/test/unit/test_cell_wide_gangs.c
+++ b/test/unit/test_cell_wide_gangs.c
@@ -103,7 +103,7 @@
   load.world->approve_one_in = APPROVE_ONE_IN;
   load.world->approve_by_job = true;
   load.world->task_ms = TASK_MS;
-  world_ask_slowly (load.world, QUESTION_MS, QUESTION_US_PER_WORKER);
+  world_slow_approvals (load.world, QUESTION_MS, QUESTION_US_PER_WORKER);
   world_run (load.world, WARM_MS);
   begin_ms = load.world->now_ms;
   while (load.world->now_ms < begin_ms + LOAD_MS)
@@ -157,7 +157,7 @@
   print_message ("%u of %u gangs in time, %u of the %u widest\n", all.in_time,
                  all.all, widest.in_time, widest.all);
   assert_true (2 * widest.in_time * all.all >= all.in_time * widest.all);
-  assert_false (world_twice (load.world));
+  assert_false (world_double_run (load.world));
   world_free (load.world);
 }
 
--- a/test/unit/test_config.c
+++ b/test/unit/test_config.c
@@ -527,7 +527,7 @@
           = { .verb = MUX_CORE_DRAIN, .drain = true, .call_id = i };
 
       snprintf (it.name, sizeof it.name, "worker-%u", i);
-      fake_net_ask (cell->net, 0, &it);
+      fake_net_request (cell->net, 0, &it);
     }
   assert_int_equal (tally.full, 36);
   fake_net_run (cell->net, 100);
--- a/test/unit/test_config_race.c
+++ b/test/unit/test_config_race.c
@@ -206,7 +206,7 @@
   ask.call_id = op->call = (uint64_t) (index + 1) << 32 | ++op->asks;
   config_cell_class (value, index * CHANGES + op->number + 1);
   ask.body = mux_blob_new (value, strlen (value));
-  fake_net_ask (race->cell.net, (index + op->asks) % NODES, &ask);
+  fake_net_request (race->cell.net, (index + op->asks) % NODES, &ask);
   mux_blob_unref (ask.body);
 }
 
@@ -220,7 +220,7 @@
   for (uint32_t node = 0; node < NODES; node++)
     {
       ask.call_id = PROBE + node;
-      fake_net_ask (race->cell.net, node, &ask);
+      fake_net_request (race->cell.net, node, &ask);
     }
 }
 
--- a/test/unit/test_golden_core.c
+++ b/test/unit/test_golden_core.c
@@ -81,7 +81,7 @@
   core_record_note (session.record, "a keyed booking at entry-0");
   call = scenario_request (s, 0, SCENARIO_ONCE, 50, GIVE_UP_MS);
   scenario_run (s, 300);
-  assert_true (scenario_told (s, call, MUX_OUTCOME_DONE));
+  assert_true (scenario_has_outcome (s, call, MUX_OUTCOME_DONE));
   return end (&session);
 }
 
@@ -100,8 +100,8 @@
   call = scenario_submit (s, 0, tag, GIVE_UP_MS);
   scenario_submit (s, 1, tag, GIVE_UP_MS);
   scenario_run (s, 300);
-  assert_true (scenario_told (s, call, MUX_OUTCOME_DONE));
-  assert_true (scenario_told (s, call + 1, MUX_OUTCOME_DONE));
+  assert_true (scenario_has_outcome (s, call, MUX_OUTCOME_DONE));
+  assert_true (scenario_has_outcome (s, call + 1, MUX_OUTCOME_DONE));
   assert_int_equal (s->works[tag].runs, 1);
   return end (&session);
 }
@@ -121,7 +121,7 @@
   s->workers[0].lose_starts = s->workers[1].lose_starts = 1;
   call = scenario_submit (s, 0, tag, GIVE_UP_MS);
   scenario_run (s, 1000);
-  assert_true (scenario_told (s, call, MUX_OUTCOME_DONE));
+  assert_true (scenario_has_outcome (s, call, MUX_OUTCOME_DONE));
   assert_int_equal (s->works[tag].runs, 1);
   return end (&session);
 }
@@ -236,8 +236,8 @@
   core_record_note (session.record, "a caller who comes too late");
   late = scenario_request (s, 0, SCENARIO_ONCE, 50, GIVE_UP_MS);
   scenario_run (s, 2000);
-  assert_true (scenario_told (s, call, MUX_OUTCOME_DONE));
-  assert_true (scenario_told (s, late, MUX_OUTCOME_UNKNOWN));
+  assert_true (scenario_has_outcome (s, call, MUX_OUTCOME_DONE));
+  assert_true (scenario_has_outcome (s, late, MUX_OUTCOME_UNKNOWN));
   assert_true (mux_core_stopped (s->net->nodes[0].core));
   assert_int_equal (s->owner[0], 1);
   assert_int_equal (s->owner[1], 1);
--- a/test/unit/test_golden_door.c
+++ b/test/unit/test_golden_door.c
@@ -135,7 +135,7 @@
   MuxCoreRequest *ask;
 
   assert_int_equal (read (session->asks[0], &ask, sizeof ask), sizeof ask);
-  fake_net_ask (session->s->net, 0, ask);
+  fake_net_request (session->s->net, 0, ask);
   mux_blob_unref (ask->body);
   free (ask);
   while (session->answered < want)
