--- a/test/support/cell_chaos.c
+++ b/test/support/cell_chaos.c
@@ -7,14 +7,14 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One step in so many brings a fault. */
+/* On average, one step in so many draws a fault. */
 #define FAULT_ONE_IN 8
 #define TAKEOVER_ONE_IN 50
-/* In which the planner's own troubles of before are over. */
+/* Least time for the planner to recover from earlier faults. */
 #define CALM_MS 500
-/* Longer than a takeover from a planner that the store turns away. */
-#define TURNED_AWAY_MS 2500
-/* One step in so many hands in a job that crashes its workers. */
+/* Longer than a takeover from a planner that the store refuses. */
+#define REFUSED_MS 2500
+/* One job in so many crashes its workers. */
 #define CRASHING_JOB_ONE_IN 12
 
 uint32_t
@@ -75,7 +75,7 @@
     c->world->compacted_version = c->world->version;
 }
 
-/* Commits of one table alone. */
+/* Affects the commits that change one table. */
 static void
 fail_commits (Chaos *c)
 {
@@ -90,16 +90,16 @@
 static void
 fail_feeds (Chaos *c)
 {
-  static const uint32_t deaf[]
+  static const uint32_t feeds[]
       = { 0,
           0,
-          WORLD_DEAF (MUX_TABLE_CLAIM),
-          WORLD_DEAF (MUX_TABLE_JOBS),
-          WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS),
-          WORLD_DEAF (MUX_TABLE_WORKERS) };
+          WORLD_FEED_BIT (MUX_TABLE_CLAIM),
+          WORLD_FEED_BIT (MUX_TABLE_JOBS),
+          WORLD_FEED_BIT (MUX_TABLE_CLAIM) | WORLD_FEED_BIT (MUX_TABLE_JOBS),
+          WORLD_FEED_BIT (MUX_TABLE_WORKERS) };
 
   c->world->cell[chaos_below (c, CHAOS_CELLS)].hanging_feeds
-      = deaf[chaos_below (c, 6)];
+      = feeds[chaos_below (c, 6)];
 }
 
 static void
@@ -145,8 +145,8 @@
   worker->fails = chaos_below (c, 10) == 0;
 }
 
-/* The store turns the planner away until another has claimed, and serves it
- * again while its feeds still hang; the other does not reach all workers. */
+/* The store refuses the planner until another daemon has claimed, then serves
+ * it again while its feeds still hang.  The other can't reach all workers. */
 static void
 replace_planner (Chaos *c)
 {
@@ -157,12 +157,12 @@
     return;
   world->cell[planner].store = WORLD_REFUSES;
   world->cell[planner].hanging_feeds
-      = WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS);
+      = WORLD_FEED_BIT (MUX_TABLE_CLAIM) | WORLD_FEED_BIT (MUX_TABLE_JOBS);
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
     world->cell[i].unreachable_workers = i != planner ? CHAOS_WORKERS / 2 : 0;
   c->refused_planner = planner;
   c->claim = world_claim_version (world);
-  c->refused_until_ms = world->now_ms + TURNED_AWAY_MS;
+  c->refused_until_ms = world->now_ms + REFUSED_MS;
 }
 
 void
@@ -179,7 +179,7 @@
     world->compacted_version = world->version;
   if (chaos_below (c, 2) == 0)
     world->cell[c->refused_planner].hanging_feeds
-        = WORLD_DEAF (MUX_TABLE_CLAIM);
+        = WORLD_FEED_BIT (MUX_TABLE_CLAIM);
   c->refused_until_ms = 0;
 }
 
@@ -238,22 +238,22 @@
 }
 
 static uint32_t
-lost_jobs (Chaos *c)
+count_lost_jobs (Chaos *c)
 {
   uint32_t lost = 0;
 
   for (uint32_t i = 0; i < c->jobs; i++)
     {
       char id[MUX_JOB_ID_LEN];
-      uint64_t question = c->request[i];
+      uint64_t request = c->request[i];
       MuxJobState state;
 
-      if (!c->world->answered[question]
-          || c->world->response[question].outcome != MUX_RESPONSE_ACCEPTED)
+      if (!c->world->answered[request]
+          || c->world->response[request].outcome != MUX_RESPONSE_ACCEPTED)
         continue;
       job_name (id, i);
       state = world_state (c->world, 0, id);
-      /* Nobody misses a job that crashes its workers, so that it may wait. */
+      /* A job that crashes its workers may still be waiting. */
       if (state == MUX_JOB_COMPLETED
           || (state != MUX_JOB_ABSENT && world_is_crashing (c->world, id))
           || (state == MUX_JOB_FAILED
@@ -270,7 +270,7 @@
 {
   bool twice = world_double_run_acked (c->world);
   bool over = world_over_crash_budget (c->world) || c->world->over_room > 0;
-  uint32_t lost = lost_jobs (c);
+  uint32_t lost = count_lost_jobs (c);
 
   if (twice || over || lost > 0)
     fail_msg ("seed %" PRIu64 ": twice %d, over %d, lost %u of %u jobs", seed,
--- a/test/support/cell_chaos.h
+++ b/test/support/cell_chaos.h
@@ -6,57 +6,61 @@
 #include "support/world_callers.h"
 
 /*
- * A world of stepped jobs in which anything fails at any moment while callers
- * hand in jobs, drawn from a seed.
+ * Random fault injection into a simulated cluster (cell_world.h): faults and
+ * submissions of jobs are drawn from a seed.
  */
 
 #define CHAOS_CELLS 3
 #define CHAOS_WORKERS 8
-/* Steps between two looks at what could fail next. */
+/* Time between two draws of a fault. */
 #define CHAOS_STEP_MS 20
-/* One step in so many brings a job. */
+/* On average, one step in so many submits a job. */
 #define CHAOS_JOB_ONE_IN 3
 #define CHAOS_JOBS_MAX 300
-/* Longer than the wait for a worker that no planner has heard (16.5 s with the
- * leases of these daemons), with the jobs that ran there behind it. */
+/* Longer than a planner waits for a worker not heard from (16.5 s with these
+ * daemons' leases), and the jobs that had runs there after it. */
 #define CHAOS_SETTLE_MS 40000
-/* Of the world's queue. */
+/* attempts_max of the world's queue. */
 #define CHAOS_ATTEMPTS 3
 
 typedef struct
 {
   World *world;
   MuxRandom random;
-  uint32_t refused_planner; /* planner that the store refuses */
-  uint64_t claim;           /* then known */
-  int64_t refused_until_ms; /* it is served again by then; 0: none is refused */
-  bool crashes;             /* workers crash, some jobs crash theirs */
-  uint32_t jobs;
+  uint32_t refused_planner; /* whose calls the store refuses */
+  uint64_t claim;           /* version of the claim row when that began */
+  int64_t refused_until_ms; /* at the latest; 0: none is refused */
+  bool crashes;             /* some jobs crash their workers */
+  uint32_t jobs;            /* submitted, but for those of bursts */
   uint64_t request[CHAOS_JOBS_MAX];
-  WorldCallers callers; /* of bursts */
+  WorldCallers callers; /* of the jobs of bursts */
   uint32_t burst_factor;
   int64_t burst_until_ms;
 } Chaos;
 
+/** chaos_below() - draws a number below @bound */
 uint32_t chaos_below (Chaos *c, uint32_t bound);
-/** chaos_submit() - hand a job in at any daemon that is up */
+/** chaos_submit() - submits a job at a random daemon, if that is up */
 void chaos_submit (Chaos *c);
-/** chaos_fail_something() - or let it work again */
+/** chaos_toggle_fault() - injects or ends a random fault */
 void chaos_toggle_fault (Chaos *c);
-/** chaos_serve_replaced() - end what replaced a planner, when it is due */
+/** chaos_end_refusal() - lets the store serve the refused planner again once
+ * another daemon has claimed, or the time is over */
 void chaos_end_refusal (Chaos *c);
-/** chaos_step() - any fault at any time: few takeovers, much that is away at
- * once */
+/** chaos_step() - runs one step with any fault at any time: few takeovers, many
+ * faults at once */
 void chaos_step (Chaos *c);
-/** chaos_step_of_takeovers() - one takeover after the other, at any moment of
- * what goes on besides */
+/** chaos_step_of_takeovers() - runs one step with few faults other than
+ * takeovers, one after the other at random moments */
 void chaos_step_of_takeovers (Chaos *c);
-/** chaos_mend() - all is well */
+/** chaos_heal() - ends the faults that chaos_toggle_fault() injects */
 void chaos_heal (World *world);
-/** chaos_check() - fail the test if a task ran twice, too often or where it had
- * no room, or if an accepted job neither ended well nor may fail */
+/** chaos_check() - fails the test if a task ran twice, too often after crashes
+ * or beyond its worker's capacity, or if an accepted job neither completed nor
+ * may have failed */
 void chaos_check (Chaos *c, uint64_t seed);
-/** chaos_setting() - number in the environment */
+/** chaos_setting() - reads a number from the environment; @otherwise if unset
+ */
 uint64_t chaos_setting (const char *name, uint64_t otherwise);
 
 #endif
--- a/test/support/cell_world.c
+++ b/test/support/cell_world.c
@@ -7,15 +7,16 @@
 #define STORE_MS 5
 #define APPROVAL_MS 10
 #define PEER_MS 1
-/* Of daemons that are given no other; a deployed one asks for 8 s. */
+/* Default of the simulated daemons; a deployed one uses 8 s. */
 #define LEASE_MS 4000
-/* Between the incarnations of two processes: more calls than one makes. */
-#define LIFE_BITS 32
-/* Places of workers that a test may fill by itself. */
-#define PLACED_WORKERS 352
-/* Of daemons that are given no other. */
-#define STRENGTH_MILLI 1000
-#define KEEP_S 86400
+/* A process numbers its calls from its incarnation on, so that incarnations are
+ * further apart than one process makes calls. */
+#define INCARNATION_SHIFT 32
+/* Entries of @worker that a test may fill in directly. */
+#define TEST_WORKERS 352
+/* Defaults of the simulated daemons and workers. */
+#define CPU_SHARE_MILLI 1000
+#define ENDED_RETENTION_S 86400
 #define DEAD_MS 1200
 #define CRASH_MS 10
 #define DOWN_MS 1300
@@ -62,8 +63,8 @@
 event_free (WorldEvent *event)
 {
   mux_cell_reply_free (event->reply);
-  mux_cell_call_free (event->waiting);
-  mux_cell_call_free (event->late);
+  mux_cell_call_free (event->pending_call);
+  mux_cell_call_free (event->late_call);
   if (event->is_peer)
     mux_blob_unref (event->peer.body);
   free (event);
@@ -85,7 +86,10 @@
 }
 
 static WorldRow *
-row_make (World *world, MuxCellTable table, const char *part, const char *key)
+row_find_or_add (World *world,
+                 MuxCellTable table,
+                 const char *part,
+                 const char *key)
 {
   WorldRow *row = world_row_find (world, table, part, key);
 
@@ -108,8 +112,8 @@
   return row != NULL && !row->removed ? row->version : 0;
 }
 
-/* The list of workers holds a MuxWorkerInfo, or "{}" for a worker of the world;
- * anything else can't be read. */
+/* A row of the list of workers holds a MuxWorkerInfo, or "{}" for the worker of
+ * the world with that id; anything else is unreadable. */
 static MuxWorkerInfo *
 worker_of (const World *world, const WorldRow *row)
 {
@@ -130,8 +134,8 @@
   return copy;
 }
 
-/* The row holds a configuration as it is in memory; its workspaces are the
- * world's. */
+/* The row holds a configuration as it is in memory.  Its workspaces are owned
+ * by the world. */
 static MuxQueueConfig *
 config_of (const WorldRow *row)
 {
@@ -198,7 +202,7 @@
 
       if (change->kind == MUX_CHANGE_EXPECT)
         continue;
-      row = row_make (world, change->table, call->part, change->key);
+      row = row_find_or_add (world, change->table, call->part, change->key);
       mux_blob_unref (row->value);
       row->value = change->kind == MUX_CHANGE_PUT ? mux_blob_ref (change->value)
                                                   : NULL;
@@ -247,9 +251,9 @@
   reply->version = world->version;
 }
 
-/* Rows of one commit have the same version and stay together. */
+/* Rows of one commit have the same version and are not split. */
 static void
-cut_answer (const World *world, MuxCellReply *reply)
+cut_feed (const World *world, MuxCellReply *reply)
 {
   uint32_t rows = world->feed_rows;
 
@@ -271,9 +275,9 @@
   return a->version < b->version ? -1 : a->version > b->version;
 }
 
-/* False: nothing new yet. */
+/* Return: false if there is no change yet. */
 static bool
-do_follow (World *world, const MuxCellCall *call, MuxCellReply *reply)
+do_feed (World *world, const MuxCellCall *call, MuxCellReply *reply)
 {
   uint32_t news = 0;
 
@@ -294,7 +298,7 @@
   if (reply->row_count > 0)
     qsort (reply->row, reply->row_count, sizeof *reply->row, by_version);
   reply->version = world->version;
-  cut_answer (world, reply);
+  cut_feed (world, reply);
   return reply->row_count > 0;
 }
 
@@ -322,7 +326,7 @@
   return NULL;
 }
 
-/* What an answer takes. */
+/* Time that an approval query takes; it is added to the job's total. */
 static int64_t
 approval_ms (const World *world, const MuxCellCall *call)
 {
@@ -402,16 +406,16 @@
   mux_cell_call_free (call);
 }
 
-/* Its call hangs on a connection that went silent. */
+/* The feed hangs as if its connection were lost without notice. */
 static bool
-is_deaf (const World *world, uint32_t cell, const MuxCellCall *call)
+feed_hangs (const World *world, uint32_t cell, const MuxCellCall *call)
 {
-  return (world->cell[cell].hanging_feeds & WORLD_DEAF (call->table)) != 0;
+  return (world->cell[cell].hanging_feeds & WORLD_FEED_BIT (call->table)) != 0;
 }
 
-/* Its calls to the part where the claim stands are lost. */
+/* The claim row is in the part with the empty name. */
 static bool
-misses_claim (const World *world, uint32_t cell, const MuxCellCall *call)
+claim_call_is_lost (const World *world, uint32_t cell, const MuxCellCall *call)
 {
   return world->cell[cell].claim_unreachable && call->part[0] == 0
          && call->verb != MUX_CELL_FEED;
@@ -429,17 +433,17 @@
   return WORLD_SERVES;
 }
 
-/* The caller stops waiting; the commit is on its way all the same. */
+/* The caller's time-out expires before the commit takes effect. */
 static void
 commit_late (World *world, uint32_t cell, MuxCellCall *call)
 {
   world_answer_call (world, cell, mux_cell_reply_new (call, MUX_CELL_UNKNOWN),
                      call->timeout_ms);
-  world_event_new (world, cell, world->late_ms)->late = call;
+  world_event_new (world, cell, world->late_ms)->late_call = call;
 }
 
 static void
-carry_out (World *world, const MuxCellCall *call)
+execute_late_call (World *world, const MuxCellCall *call)
 {
   WorldWorker *worker = world_worker_at (world, call->addr);
   MuxCellReply *reply;
@@ -460,7 +464,7 @@
 static void
 store_call (World *world, uint32_t cell, MuxCellCall *call)
 {
-  WorldFault fault = misses_claim (world, cell, call)
+  WorldFault fault = claim_call_is_lost (world, cell, call)
                          ? WORLD_SILENT
                          : store_fault (&world->cell[cell], call);
   MuxCellReply *reply;
@@ -484,14 +488,14 @@
   else if (call->verb == MUX_CELL_SCAN)
     do_scan (world, call, reply);
   else
-    served = !is_deaf (world, cell, call) && do_follow (world, call, reply);
+    served = !feed_hangs (world, cell, call) && do_feed (world, call, reply);
   reply->store_clock_ms = world->now_ms;
   if (fault == WORLD_LOSES_ANSWER && call->verb == MUX_CELL_COMMIT)
     reply->status = MUX_CELL_UNKNOWN;
   if (!served)
     {
       mux_cell_reply_free (reply);
-      world_event_new (world, cell, call->wait_ms)->waiting = call;
+      world_event_new (world, cell, call->wait_ms)->pending_call = call;
       return;
     }
   world_answer_call (world, cell, reply,
@@ -500,7 +504,7 @@
   mux_cell_call_free (call);
 }
 
-/* The sink. */
+/* The cores' sink. */
 
 static bool
 sink_call (MuxCellSink *sink, MuxCellCall *call)
@@ -624,14 +628,14 @@
 static void
 end_wait (World *world, WorldEvent *event, bool overdue)
 {
-  MuxCellCall *call = event->waiting;
+  MuxCellCall *call = event->pending_call;
   WorldWorker *worker;
   MuxCellReply *reply;
 
   if (call->verb == MUX_CELL_RENEW)
     {
       worker = world_worker_at (world, call->addr);
-      if (worker != NULL && event->life != worker->incarnation)
+      if (worker != NULL && event->worker_incarnation != worker->incarnation)
         overdue = overdue || !world->silent_crashes;
       else if (world_in_reach (world, event->cell, worker)
                && (overdue || world_has_unacked_ends (worker, call->acked)))
@@ -640,7 +644,7 @@
         event->reply = mux_cell_reply_new (call, MUX_CELL_UNKNOWN);
       return;
     }
-  if (is_deaf (world, event->cell, call))
+  if (feed_hangs (world, event->cell, call))
     return;
   if (!event->lost && world->cell[event->cell].store == WORLD_SILENT)
     {
@@ -661,13 +665,14 @@
     }
   reply = mux_cell_reply_new (call, MUX_CELL_OK);
   reply->store_clock_ms = world->now_ms;
-  if (do_follow (world, call, reply) || overdue)
+  if (do_feed (world, call, reply) || overdue)
     event->reply = reply;
   else
     mux_cell_reply_free (reply);
 }
 
-/* It has arrived; a cell that is late takes it later.  False: now. */
+/* Delays a delivery that is due at a daemon with delayed input.
+ * Return: false if it is to be delivered now. */
 static bool
 queue_event (World *world, WorldEvent *event)
 {
@@ -676,8 +681,8 @@
 
   if (late_ms == 0 || event->waited)
     return false;
-  mux_cell_call_free (event->waiting);
-  event->waiting = NULL;
+  mux_cell_call_free (event->pending_call);
+  event->pending_call = NULL;
   event->waited = true;
   event->due_ms = world->now_ms + late_ms;
   return true;
@@ -693,27 +698,27 @@
   {
     bool due = event->due_ms <= world->now_ms;
 
-    if (event->late != NULL)
+    if (event->late_call != NULL)
       {
         if (!due)
           continue;
         DL_DELETE (world->events, event);
-        carry_out (world, event->late);
+        execute_late_call (world, event->late_call);
         event_free (event);
         continue;
       }
-    if (event->waiting != NULL && event->reply == NULL)
+    if (event->pending_call != NULL && event->reply == NULL)
       end_wait (world, event, due);
     if (world->cell[event->cell].frozen && !world->cell[event->cell].dead)
       continue;
-    if (event->waiting != NULL ? event->reply == NULL : !due)
+    if (event->pending_call != NULL ? event->reply == NULL : !due)
       continue;
     if (queue_event (world, event))
       continue;
     DL_DELETE (world->events, event);
     deliver (world, event);
     event_free (event);
-    /* What was delivered may have removed or added others. */
+    /* The delivery may have removed or added others. */
     next = world->events;
   }
 }
@@ -749,16 +754,16 @@
     .name = name,
     .data_centre = world_data_centre (world, number),
     .peer_addr = cell->addr,
-    .incarnation = ++world->incarnation << LIFE_BITS,
+    .incarnation = ++world->incarnation << INCARNATION_SHIFT,
     .seed = number,
     .lease_ms = world->lease_ms != 0 ? world->lease_ms : LEASE_MS,
     .dead_ms = DEAD_MS,
-    .ended_retention_s = world->keep_s != 0 ? world->keep_s : KEEP_S,
+    .ended_retention_s = world->keep_s != 0 ? world->keep_s : ENDED_RETENTION_S,
     .unreadable_max = world->unread_max,
     .revoke_timeout_ms = world->revoke_timeout_ms,
     .quota_overrun_milli = world->quota_overrun_milli,
     .cpu_share_milli
-    = cell->strength_milli != 0 ? cell->strength_milli : STRENGTH_MILLI,
+    = cell->strength_milli != 0 ? cell->strength_milli : CPU_SHARE_MILLI,
   };
   static char names[WORLD_CELLS_MAX][MUX_NAME_LEN];
 
@@ -787,7 +792,7 @@
 static void
 add_config (World *world)
 {
-  WorldRow *row = row_make (world, MUX_TABLE_CONFIG, "", "config");
+  WorldRow *row = row_find_or_add (world, MUX_TABLE_CONFIG, "", "config");
   MuxQueueConfig *config = calloc (1, sizeof *config + sizeof config->item[0]);
   MuxQueueSpec *queue = &config->item[0];
 
@@ -808,7 +813,8 @@
   free (config);
 }
 
-/* A newer configuration, alike but for what the caller changes in it. */
+/* Return: a copy of the configuration with the next version, for the caller to
+ * change. */
 static MuxQueueConfig *
 change_config (World *world)
 {
@@ -914,7 +920,7 @@
           const char *key,
           MuxBlob *value)
 {
-  WorldRow *row = row_make (world, table, part, key);
+  WorldRow *row = row_find_or_add (world, table, part, key);
 
   mux_blob_unref (row->value);
   row->value = value;
@@ -960,7 +966,7 @@
                   const char *part,
                   const char *key)
 {
-  WorldRow *row = row_make (world, table, part, key);
+  WorldRow *row = row_find_or_add (world, table, part, key);
 
   row->removed = true;
   row->version = ++world->version;
@@ -1020,7 +1026,7 @@
   assert_non_null (world);
   world->data_centres = data_centres;
   world->now_ms = 1000;
-  world->worker_end = PLACED_WORKERS;
+  world->worker_end = TEST_WORKERS;
   world->task_ms = 1000;
   world->crash_ms = CRASH_MS;
   world->down_ms = DOWN_MS;
@@ -1084,21 +1090,21 @@
 }
 
 static MuxRequest *
-question_new (World *world, MuxRequestVerb verb, const char *id)
+request_new (World *world, MuxRequestVerb verb, const char *id)
 {
-  MuxRequest *question = calloc (1, sizeof *question);
+  MuxRequest *request = calloc (1, sizeof *request);
 
-  question->verb = verb;
-  question->call_id = ++world->next_request;
-  question->timeout_ms = 3000;
-  snprintf (question->host, sizeof question->host, "cell.example");
-  snprintf (question->path, sizeof question->path, "/batch/%s", id);
-  world_copy_key (world, question);
-  return question;
+  request->verb = verb;
+  request->call_id = ++world->next_request;
+  request->timeout_ms = 3000;
+  snprintf (request->host, sizeof request->host, "cell.example");
+  snprintf (request->path, sizeof request->path, "/batch/%s", id);
+  world_copy_key (world, request);
+  return request;
 }
 
 static void
-note_job (World *world, const MuxJobSpec *spec, const char *id)
+record_job (World *world, const MuxJobSpec *spec, const char *id)
 {
   WorldJob *job;
 
@@ -1133,22 +1139,22 @@
 uint64_t
 world_submit (World *world, uint32_t cell, MuxJobSpec *job, const char *id)
 {
-  MuxRequest *question = question_new (world, MUX_REQUEST_SUBMIT, id);
-  uint64_t number = question->call_id;
+  MuxRequest *request = request_new (world, MUX_REQUEST_SUBMIT, id);
+  uint64_t number = request->call_id;
 
-  note_job (world, job, id);
-  question->job = job;
-  mux_cell_request (world->cell[cell].cell, time_of (world, cell), question);
+  record_job (world, job, id);
+  request->job = job;
+  mux_cell_request (world->cell[cell].cell, time_of (world, cell), request);
   return number;
 }
 
 uint64_t
 world_request (World *world, uint32_t cell, MuxRequestVerb verb, const char *id)
 {
-  MuxRequest *question = question_new (world, verb, id);
-  uint64_t number = question->call_id;
+  MuxRequest *request = request_new (world, verb, id);
+  uint64_t number = request->call_id;
 
-  mux_cell_request (world->cell[cell].cell, time_of (world, cell), question);
+  mux_cell_request (world->cell[cell].cell, time_of (world, cell), request);
   return number;
 }
 
--- a/test/support/cell_world_check.c
+++ b/test/support/cell_world_check.c
@@ -2,14 +2,14 @@
 
 #include "support/test.h"
 
-/* A task that crashes its workers may be started so often after so many have
- * crashed under it. */
+/* Once a task has crashed CRASHES_ALLOWED workers, it may be started
+ * STARTS_AFTER_MAX times more. */
 #define CRASHES_ALLOWED 3
 #define STARTS_AFTER_MAX 2
-/* Of its workers after which a task may be given up. */
+/* Crashes of its workers after which a task may fail. */
 #define CRASHES_TO_FAIL 2
 
-/* What the workers of a fake cell saw, held against what is promised. */
+/* Checks the record of all starts against the scheduler's guarantees. */
 
 uint32_t
 world_starts (const World *world, const char *id)
@@ -77,7 +77,7 @@
   return memcmp (&a->task, &b->task, sizeof a->task) == 0;
 }
 
-/* Of workers under the task of start @i, before it. */
+/* Counts the crashes of workers during earlier runs of the task of start @i. */
 static uint32_t
 crashes_before (const World *world, uint32_t i)
 {
--- a/test/support/cell_world_private.h
+++ b/test/support/cell_world_private.h
@@ -3,30 +3,32 @@
 
 #include "support/cell_world.h"
 
-/* What the parts of a fake cell share. */
+/* Internals shared by the files of the simulated cluster (cell_world*.c). */
 
-/* Something that arrives at a cell, or an order that arrives at a worker,
- * later. */
+/* A delivery that is due later: a reply or a message to a daemon, or a delayed
+ * call to a worker or the store. */
 struct WorldEvent
 {
   int64_t due_ms;
   uint32_t cell;
-  uint64_t incarnation; /* of the cell meant */
+  uint64_t incarnation; /* of the daemon, which alone receives it */
   MuxCellReply *reply;
-  MuxCellCall *waiting; /* a FOLLOW or RENEW that waits for something new */
-  MuxCellCall *late;    /* an order or a COMMIT that is carried out then */
-  uint32_t life;        /* RENEW: of the worker that it waits at */
-  bool lost;            /* a FOLLOW at a store that went silent */
-  bool waited;          /* in the queue of a cell that is late */
+  MuxCellCall *pending_call; /* a FEED or RENEW that waits for something new */
+  MuxCellCall *late_call;    /* a START, STOP or COMMIT carried out then */
+  uint32_t
+      worker_incarnation; /* RENEW: incarnation of the worker that was called */
+  bool lost;              /* a FEED at a store that went silent */
+  bool waited;            /* has been through the daemon's input queue */
   bool is_peer;
   MuxPeerMsg peer;
   WorldEvent *prev;
   WorldEvent *next;
 };
 
-/** world_event_new() - at a cell, or at a worker, in @in_ms */
+/** world_event_new() - adds an empty delivery for daemon @cell, due in @in_ms
+ */
 WorldEvent *world_event_new (World *world, uint32_t cell, int64_t in_ms);
-/** world_answer_call() - takes @reply over */
+/** world_answer_call() - delivers @reply, which it takes over, in @in_ms */
 void world_answer_call (World *world,
                         uint32_t cell,
                         MuxCellReply *reply,
@@ -36,42 +38,47 @@
                           const char *part,
                           const char *key);
 
-/** world_size_of() - what a task needs; nothing for one of a job that was not
- * handed in here */
+/** world_size_of() - returns what a task needs; 0 for a job that was not
+ * submitted by world_submit() */
 MuxSize world_size_of (const World *world, const MuxTaskRef *task);
 
 /* cell_world_workspaces.c */
-/** world_key() - that callers show */
-void world_copy_key (const World *world, MuxRequest *question);
-/** world_workspace_of() - of the key that callers show; "": of none */
+/** world_copy_key() - sets the key of @request to the one that callers show */
+void world_copy_key (const World *world, MuxRequest *request);
+/** world_workspace_of() - returns the workspace of the callers' key; "": none
+ */
 const char *world_workspace_of (const World *world);
-/** world_check_quota() - a start that brings a workspace over what it may have
- * running is counted */
+/** world_check_quota() - counts a start in @over_quota if it brings the
+ * workspace over its quota */
 void world_check_quota (World *world, const MuxTaskRef *task);
 void world_workspaces_free (World *world);
 
-/** world_task_ms() - how long a run of the task takes */
+/** world_task_ms() - returns the run time of a task */
 int64_t world_task_ms (const World *world, const MuxTaskRef *task);
 
 /* cell_world_worker.c */
 void world_add_worker (World *world, uint32_t number);
-/** world_list_worker() - its entry stands in the list, or is renewed */
+/** world_list_worker() - writes or renews its entry in the list of workers */
 void world_list_worker (World *world, uint32_t number);
 WorldWorker *world_worker_at (World *world, const char *addr);
-/** world_in_reach() - of the calls of @cell; false for NULL */
+/** world_in_reach() - whether daemon @cell can call @worker; false for NULL */
 bool
 world_in_reach (const World *world, uint32_t cell, const WorldWorker *worker);
+/** world_has_unacked_ends() - whether the worker has a run whose end has a
+ * number above @acked */
 bool world_has_unacked_ends (const WorldWorker *worker, uint64_t acked);
-/** world_worker_serves() - carry @call out; Return: its answer */
+/** world_worker_execute() - carries @call out; Return: the reply */
 MuxCellReply *world_worker_execute (World *world,
                                     WorldWorker *worker,
                                     const MuxCellCall *call);
-/** world_worker_call() - takes @call over, which @cell sends */
+/** world_worker_call() - sends a call of daemon @cell to its worker; takes
+ * @call over */
 void world_worker_call (World *world, uint32_t cell, MuxCellCall *call);
-/** world_proof() - that the present life of the worker takes */
+/** world_proof() - the policy service's proof that the worker's present
+ * incarnation accepts */
 void
 world_proof (const World *world, const char *id, char proof[MUX_TOKEN_LEN]);
-/** world_step_workers() - end what ends now */
+/** world_step_workers() - ends the runs and starts the workers that are due */
 void world_step_workers (World *world);
 
 #endif
--- a/test/support/cell_world_worker.c
+++ b/test/support/cell_world_worker.c
@@ -4,21 +4,23 @@
 
 #include "port/incarnation.h"
 
-/* The workers of a fake cell. */
+/* The workers of the simulated cluster. */
 
 #define WORKER_MS 1
-/* A new cell has its planner and has heard its workers. */
-#define SETTLE_MS 1000
-/* Workers' addresses, by their number from 1 on: 256 in each /24. */
+/* The planner of a new world has contacted all workers by then. */
+#define FIRST_CONTACT_MS 1000
+/* Prefix of workers' addresses; the rest encodes the number + 1, 256 to a /24.
+ */
 #define WORKER_NET "10.1."
 #define WORKERS_PER_NET 256
-/* A room that shrinks is held against who starts something there so much later:
- * the time in which its word is heard, and between two of them. */
+/* A start counts as beyond a reduced capacity so long after the change: the
+ * planner may learn of it only from the next report of the worker. */
 #define ROOM_GRACE_MS 4500
-/* A longer lease is shortened to this. */
+/* Workers shorten a longer lease to this. */
 #define LEASE_MAX_MS 10000
 
-/* The worker that an address counts; 0: none.  Each call to a worker asks. */
+/* Return: the worker's number + 1 as encoded in its address; 0: none.  Saves a
+ * search at each call to a worker. */
 static uint32_t
 number_in (const char *addr)
 {
@@ -39,7 +41,7 @@
 {
   uint32_t hint = number_in (addr);
 
-  /* Nearly always it is the one that its address counts. */
+  /* A test may have changed the address of a worker. */
   if (hint > 0 && hint <= WORLD_WORKERS_MAX && world->worker[hint - 1].used
       && strcmp (world->worker[hint - 1].info.addr, addr) == 0)
     return &world->worker[hint - 1];
@@ -60,11 +62,11 @@
 }
 
 static WorldEndedRun *
-past_find (const World *world,
-           const WorldWorker *worker,
-           const MuxTaskRef *task)
+ended_run_find (const World *world,
+                const WorldWorker *worker,
+                const MuxTaskRef *task)
 {
-  for (uint32_t i = 0; i < world->past_count; i++)
+  for (uint32_t i = 0; i < world->ended_run_count; i++)
     if (memcmp (&world->ended_run[i].task, task, sizeof *task) == 0
         && world->ended_run[i].incarnation == worker->incarnation
         && strcmp (world->ended_run[i].worker, worker->info.id) == 0)
@@ -72,27 +74,28 @@
   return NULL;
 }
 
-/* No run of the task that is not higher is taken there any more. */
+/* From now on the worker refuses runs of the task up to @run. */
 static void
-past_add (World *world,
-          const WorldWorker *worker,
-          const MuxTaskRef *task,
-          uint32_t run)
+ended_run_raise (World *world,
+                 const WorldWorker *worker,
+                 const MuxTaskRef *task,
+                 uint32_t run)
 {
-  WorldEndedRun *past = past_find (world, worker, task);
+  WorldEndedRun *ended = ended_run_find (world, worker, task);
 
-  if (past == NULL)
+  if (ended == NULL)
     {
-      world->ended_run = realloc (
-          world->ended_run, (world->past_count + 1) * sizeof *world->ended_run);
+      world->ended_run
+          = realloc (world->ended_run,
+                     (world->ended_run_count + 1) * sizeof *world->ended_run);
       assert_non_null (world->ended_run);
-      past = &world->ended_run[world->past_count++];
-      *past = (WorldEndedRun){ .task = *task,
-                               .incarnation = worker->incarnation };
-      memcpy (past->worker, worker->info.id, sizeof past->worker);
+      ended = &world->ended_run[world->ended_run_count++];
+      *ended = (WorldEndedRun){ .task = *task,
+                                .incarnation = worker->incarnation };
+      memcpy (ended->worker, worker->info.id, sizeof ended->worker);
     }
-  if (run > past->run)
-    past->run = run;
+  if (run > ended->run)
+    ended->run = run;
 }
 
 static void
@@ -100,7 +103,7 @@
 {
   WorldStart *start = start_of (world, run);
 
-  past_add (world, worker, &run->task, run->run);
+  ended_run_raise (world, worker, &run->task, run->run);
   run->number = ++worker->next_end;
   run->end = end;
   if (start == NULL)
@@ -139,18 +142,18 @@
              const char *candidate,
              char proof[MUX_TOKEN_LEN])
 {
-  uint32_t life = 0;
+  uint32_t incarnation = 0;
   char id[MUX_NAME_LEN];
 
   mux_incarnation_worker (id, candidate);
 
   for (uint32_t i = 0; i < world->worker_end; i++)
     if (world->worker[i].used && strcmp (world->worker[i].info.id, id) == 0)
-      life = world->worker[i].incarnation;
-  snprintf (proof, MUX_TOKEN_LEN, "yes %u", life);
+      incarnation = world->worker[i].incarnation;
+  snprintf (proof, MUX_TOKEN_LEN, "yes %u", incarnation);
 }
 
-/* It was given for this life, or none is needed. */
+/* The proof was issued for this incarnation, or none is needed. */
 static bool
 is_proven (const World *world, const WorldWorker *worker, const char *shown)
 {
@@ -160,7 +163,7 @@
   return shown[0] == 0 || strcmp (shown, proof) == 0;
 }
 
-/* As its payload says, of all tasks of the job or of that number. */
+/* The payload is "crash" (all tasks) or "crash N" (the task of that index). */
 static bool
 is_crashing (const MuxCellCall *call)
 {
@@ -181,7 +184,7 @@
   return booked.cpu_milli > room.cpu_milli || booked.mem_mib > room.mem_mib;
 }
 
-/* What it had lately counts, too. */
+/* Capacities that it had within ROOM_GRACE_MS are allowed, too. */
 static bool
 is_over (const World *world, const WorldWorker *worker, MuxSize booked)
 {
@@ -195,7 +198,7 @@
   return true;
 }
 
-/* A start that brings the worker over its room is carried out and counted. */
+/* Counts a start that exceeds the worker's capacity. */
 static void
 check_room (World *world, const WorldWorker *worker, const WorldStart *start)
 {
@@ -221,12 +224,12 @@
           MuxCellReply *reply)
 {
   WorldRun *run = run_find (worker, &call->task, call->run);
-  const WorldEndedRun *past = past_find (world, worker, &call->task);
+  const WorldEndedRun *ended = ended_run_find (world, worker, &call->task);
   WorldStart *start;
 
   if (run != NULL && run->number == 0)
     return;
-  if (past != NULL && call->run <= past->run)
+  if (ended != NULL && call->run <= ended->run)
     {
       reply->status = MUX_CELL_OLD_RUN;
       return;
@@ -257,7 +260,7 @@
   world_check_quota (world, &call->task);
 }
 
-/* A run that is not there yet is refused when it comes. */
+/* A START that arrives after the STOP of its run is refused. */
 static void
 do_stop (World *world, WorldWorker *worker, const MuxCellCall *call)
 {
@@ -265,7 +268,7 @@
 
   if (run != NULL && run->number == 0)
     end_run (world, worker, run, MUX_RUN_STOPPED);
-  past_add (world, worker, &call->task, call->run);
+  ended_run_raise (world, worker, &call->task, call->run);
 }
 
 static void
@@ -315,9 +318,9 @@
   return false;
 }
 
-/* All lives of a worker have its id. */
+/* All incarnations of a worker have the same id. */
 static bool
-is_meant (const WorldWorker *worker, const MuxCellCall *call)
+is_addressed (const WorldWorker *worker, const MuxCellCall *call)
 {
   char id[MUX_NAME_LEN];
 
@@ -325,22 +328,23 @@
   return strcmp (id, worker->info.id) == 0;
 }
 
-/* By the worker's own clock. */
+/* Return: the time on the worker's own clock. */
 static int64_t
 clock_of (const World *world, const WorldWorker *worker)
 {
   return world->now_ms - worker->clock_ms;
 }
 
-/* What a call changes when it arrives; a renewal's answer may wait for news. */
+/* Checks a call and applies its fence and lease on arrival.  The reply to a
+ * renewal may be sent later. */
 static MuxCellStatus
-worker_hears (WorldWorker *worker, const MuxCellCall *call, int64_t clock_ms)
+accept_call (WorldWorker *worker, const MuxCellCall *call, int64_t clock_ms)
 {
   int64_t lease_ms = call->lease_expires_ms;
 
   if (lease_ms > clock_ms + LEASE_MAX_MS)
     lease_ms = clock_ms + LEASE_MAX_MS;
-  if (!is_meant (worker, call))
+  if (!is_addressed (worker, call))
     return MUX_CELL_OTHER_INCARNATION;
   if (call->fence < worker->fence)
     return MUX_CELL_FENCED;
@@ -358,7 +362,7 @@
                       const MuxCellCall *call)
 {
   MuxCellReply *reply = mux_cell_reply_new (
-      call, worker_hears (worker, call, clock_of (world, worker)));
+      call, accept_call (worker, call, clock_of (world, worker)));
 
   reply->worker_clock_ms = clock_of (world, worker);
   if (reply->status != MUX_CELL_OK)
@@ -418,16 +422,16 @@
       world_answer_call (world, cell,
                          mux_cell_reply_new (call, MUX_CELL_UNKNOWN),
                          call->timeout_ms);
-      world_event_new (world, cell, world->late_ms)->late = call;
+      world_event_new (world, cell, world->late_ms)->late_call = call;
       return;
     }
   else if (call->verb == MUX_CELL_RENEW && call->wait_ms > 0
            && !world_has_unacked_ends (worker, call->acked))
     {
-      (void) worker_hears (worker, call, clock_of (world, worker));
+      (void) accept_call (worker, call, clock_of (world, worker));
       event = world_event_new (world, cell, call->wait_ms);
-      event->waiting = call;
-      event->life = worker->incarnation;
+      event->pending_call = call;
+      event->worker_incarnation = worker->incarnation;
       return;
     }
   else
@@ -537,9 +541,9 @@
   world_list_worker (world, number);
 }
 
-/* All that runs there ends with it, and nobody is told. */
+/* Ends all its runs without a report. */
 static void
-end_life (World *world, WorldWorker *worker)
+end_incarnation (World *world, WorldWorker *worker)
 {
   for (uint32_t i = 0; i < worker->run_end; i++)
     {
@@ -566,12 +570,12 @@
 
   if (worker->down_until_ms != 0)
     return;
-  end_life (world, worker);
+  end_incarnation (world, worker);
   worker->down_until_ms = world->now_ms + world->down_ms;
 }
 
 static void
-begin_life (WorldWorker *worker)
+reset_worker (WorldWorker *worker)
 {
   worker->down_until_ms = 0;
   worker->fence = 0;
@@ -579,7 +583,7 @@
   worker->lease_until_ms = 0;
 }
 
-/* The same entry tells of another life. */
+/* Its entry shows the new incarnation by the time of its start. */
 static void
 restart_under_its_id (World *world, uint32_t number)
 {
@@ -610,8 +614,8 @@
   WorldWorker *worker = &world->worker[number];
 
   if (worker->down_until_ms == 0)
-    end_life (world, worker);
-  begin_life (worker);
+    end_incarnation (world, worker);
+  reset_worker (worker);
   if (world->same_ids)
     restart_under_its_id (world, number);
   else
@@ -636,6 +640,6 @@
   World *world = world_new (cells, workers);
 
   world_keep_ids (world);
-  world_run (world, SETTLE_MS);
+  world_run (world, FIRST_CONTACT_MS);
   return world;
 }
--- a/test/support/cell_world_workspaces.c
+++ b/test/support/cell_world_workspaces.c
@@ -2,10 +2,11 @@
 
 #include "support/test.h"
 
-/* Workspaces of a fake cell, their keys and what they have running. */
+/* Workspaces of the simulated cluster, their keys and what they have running.
+ */
 
 #define MILLI 1000
-/* What was configured before still counts for so long: a daemon hears of a
+/* The previous quota is allowed so long after a change: a daemon learns of the
  * change within that time. */
 #define CHANGE_MS 3000
 
@@ -44,10 +45,10 @@
 }
 
 void
-world_copy_key (const World *world, MuxRequest *question)
+world_copy_key (const World *world, MuxRequest *request)
 {
-  question->has_key = world->key[0] != 0;
-  question->key = digest_of (world->key);
+  request->has_key = world->key[0] != 0;
+  request->key = digest_of (world->key);
 }
 
 const char *
@@ -113,7 +114,7 @@
   return limit == 0 || running <= limit;
 }
 
-/* One task more than the limit does no harm. */
+/* The quota may be exceeded by one task. */
 static bool
 is_within (const World *world,
            const MuxWorkspaceSpec *spec,
--- a/test/support/chaos_variants.c
+++ b/test/support/chaos_variants.c
@@ -4,66 +4,64 @@
 
 #include <inttypes.h>
 
-/* Daemons, store, links and workers of stepped jobs fail at any moment,
- * together and again and again, while callers hand in jobs.  A user would see a
- * task run twice, or an accepted job that never ends.  Each seed is one such
- * quarter of a minute of bad luck; RANDOM_SEED and RANDOM_SEEDS choose others
- * by hand. */
+/* Daemons, store, links and workers fail at random moments, several at once and
+ * repeatedly, while callers submit jobs.  Guards against tasks that run twice
+ * and accepted jobs that never end.  Each seed plays BUSY_MS of faults;
+ * RANDOM_SEED and RANDOM_SEEDS in the environment select other seeds. */
 
 #define SEED 1
 #define SEEDS 4
 #define BUSY_MS 14000
-/* One step in so many makes a daemon late, or in time again. */
+/* On average, one step in so many changes the input delay of a daemon. */
 #define LATE_ONE_IN 60
 #define LATE_MAX_MS 3000
-/* The same of a slow store, and of a data centre that is cut off. */
+/* Likewise the latency of the store, and whether a data centre is cut off. */
 #define SLOW_ONE_IN 60
 #define SLOW_LEAST_MS 50
 #define SLOW_MORE_MS 350
 #define CUT_ONE_IN 80
 #define DATA_CENTRES 3
-/* The same of a worker that crashes, and of jobs that crash their workers. */
+/* Likewise of crashes of workers. */
 #define CRASH_ONE_IN 20
 #define DOWN_LEAST_MS 200
 #define DOWN_MORE_MS 6000
-/* The same of half of them at once. */
+/* Likewise of a crash of half of the workers at once. */
 #define OUTAGE_ONE_IN 150
-/* A task under which several workers may have crashed waits for up to 30 s
- * before it starts again, twice. */
+/* A task that may have crashed several workers waits up to 30 s before it is
+ * started again, twice. */
 #define CRASH_SETTLE_MS 60000
-/* The same of a worker's room, in shares of what it has at first. */
+/* Likewise of a change of a worker's capacity, in quarters of its first one. */
 #define ROOM_ONE_IN 25
 #define ROOM_SHARES 4
 #define ROOM_SHARE_MILLI 8000
-/* After which a worker that started again under its id is listed so. */
+/* Delay of the list entry of a worker that restarted under its id. */
 #define LIST_LATE_MS 1500
-/* The same of a burst, at so many times the rate at which jobs come. */
+/* Likewise of a burst, at this multiple of the usual rate of jobs. */
 #define BURST_ONE_IN 70
 #define BURST_LEAST_MS 200
 #define BURST_MORE_MS 1800
 #define BURST_TIMES_MIN 2
 #define BURST_TIMES_MAX 10
-/* The users' bounds: the usual service is back so long after the last fault,
- * when a job is served up to three times the objective of the world's queue
- * and answered within a quarter of it. */
+/* Service is normal again RECOVERY_MS after the last fault: jobs are done
+ * within three times the objective of the world's queue, and requests are
+ * answered within a quarter of it. */
 #define RECOVERY_MS 12000
 #define WATCH_MS 2000
 #define OBJECTIVE_MS INT64_C (5000)
 #define SERVED_MS (3 * OBJECTIVE_MS)
 #define ANSWERED_MS (OBJECTIVE_MS / 4)
 #define SERVED_ONE_IN 4
-/* The same of a planner that is lost, and of a daemon that is back; of workers
- * that are out of reach from the start, and of one that is back. */
+/* Likewise of the loss of the planner and the restart of a daemon; of workers
+ * unreachable from the start, and of a change for one of them. */
 #define LOSE_ONE_IN 150
-#define BACK_ONE_IN 25
-#define GONE (CHAOS_WORKERS / 2)
-#define GONE_BACK_ONE_IN 200
-#define GONE_AT_MS 1000
+#define RESTART_ONE_IN 25
+#define UNREACHABLE_WORKERS (CHAOS_WORKERS / 2)
+#define UNREACHABLE_TOGGLE_ONE_IN 200
+#define UNREACHABLE_AT_MS 1000
 
-/* Some daemon takes what arrives later than before, up to a few seconds, or in
- * time again. */
+/* Sets or ends the input delay of a daemon. */
 static void
-make_late (Chaos *c)
+toggle_input_delay (Chaos *c)
 {
   WorldCell *cell = &c->world->cell[chaos_below (c, CHAOS_CELLS)];
 
@@ -72,10 +70,10 @@
         = chaos_below (c, 2) == 0 ? 0 : chaos_below (c, LATE_MAX_MS);
 }
 
-/* Commits take long, so that jobs name the workers that they may run on, and
- * data centres are cut off in turn. */
+/* Slows the store down, so that jobs' rows name the workers that they may run
+ * on in advance, and cuts data centres off. */
 static void
-make_slow (Chaos *c)
+toggle_slowness (Chaos *c)
 {
   World *world = c->world;
 
@@ -89,8 +87,7 @@
                            chaos_below (c, 2) == 0);
 }
 
-/* A worker crashes, and is silent or refuses what is sent to it until it is
- * back. */
+/* Until a crashed worker restarts, calls to it hang or are refused. */
 static void
 crash_worker (Chaos *c)
 {
@@ -132,7 +129,7 @@
     world_worker_room (world, i, ROOM_SHARES * ROOM_SHARE_MILLI);
 }
 
-/* Callers beyond the usual ones hand in jobs for a while. */
+/* Further callers submit jobs for a while. */
 static void
 burst (Chaos *c)
 {
@@ -150,10 +147,10 @@
     world_callers_hand_in (&c->callers, c->burst_factor - 1, CHAOS_STEP_MS);
 }
 
-/* Return: the usual service is not back in time, or a job of a burst was lost,
- * or refused and has run. */
+/* Return: whether service is not normal again in time, or a job of a burst was
+ * lost, or was refused but has run. */
 static bool
-burst_left_something (Chaos *c, int64_t watched_ms)
+burst_had_lasting_effect (Chaos *c, int64_t watched_ms)
 {
   WorldServed back
       = world_served (&c->callers, watched_ms, ANSWERED_MS, SERVED_MS);
@@ -169,16 +166,16 @@
 }
 
 static void
-lose_workers (World *world)
+make_workers_unreachable (World *world)
 {
-  for (uint32_t i = 0; i < GONE; i++)
+  for (uint32_t i = 0; i < UNREACHABLE_WORKERS; i++)
     world->worker[i].unreachable = true;
 }
 
-/* One planner after the other is lost, while workers are gone that only some of
- * them, or none, will hear. */
+/* Planners are lost one after the other, while some workers are reachable for
+ * only some of them, or for none. */
 static void
-lose_planners (Chaos *c)
+toggle_lost_planner (Chaos *c)
 {
   World *world = c->world;
   uint32_t planner = world_planner (world);
@@ -186,10 +183,11 @@
   if (chaos_below (c, LOSE_ONE_IN) == 0 && planner != WORLD_CELLS_MAX)
     world_cell_kill (world, planner);
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
-    if (world->cell[i].dead && chaos_below (c, BACK_ONE_IN) == 0)
+    if (world->cell[i].dead && chaos_below (c, RESTART_ONE_IN) == 0)
       world_cell_start (world, i);
-  if (chaos_below (c, GONE_BACK_ONE_IN) == 0)
-    world->worker[chaos_below (c, GONE)].unreachable = chaos_below (c, 2) == 0;
+  if (chaos_below (c, UNREACHABLE_TOGGLE_ONE_IN) == 0)
+    world->worker[chaos_below (c, UNREACHABLE_WORKERS)].unreachable
+        = chaos_below (c, 2) == 0;
 }
 
 static void
@@ -210,8 +208,8 @@
   if (variant->same_ids)
     world_keep_ids (world);
   world->relist_delay_ms = variant->same_ids ? LIST_LATE_MS : 0;
-  /* Without a proof that is of one life nothing else keeps a late start from
-   * the next one. */
+  /* Without a proof, which is valid for one incarnation only, a delayed START
+   * must be kept from the next incarnation by other means. */
   if (variant->same_ids && seed % 3 == 0)
     world_skip_approval (world);
   if (seed % 2 == 1)
@@ -219,14 +217,14 @@
   world_run (world, 1000);
   for (uint32_t at_ms = 0; at_ms < BUSY_MS; at_ms += CHAOS_STEP_MS)
     {
-      if (variant->gone && at_ms == GONE_AT_MS)
-        lose_workers (world);
+      if (variant->gone && at_ms == UNREACHABLE_AT_MS)
+        make_workers_unreachable (world);
       if (variant->gone)
-        lose_planners (&c);
+        toggle_lost_planner (&c);
       if (variant->late)
-        make_late (&c);
+        toggle_input_delay (&c);
       if (variant->slow)
-        make_slow (&c);
+        toggle_slowness (&c);
       if (variant->crashes)
         crash_worker (&c);
       if (variant->outages)
@@ -252,7 +250,7 @@
     world_burst (&c.callers, 1, WATCH_MS);
   world_run (world, CHAOS_SETTLE_MS + (variant->crashes ? CRASH_SETTLE_MS : 0));
   chaos_check (&c, seed);
-  if (variant->bursts && burst_left_something (&c, watched_ms))
+  if (variant->bursts && burst_had_lasting_effect (&c, watched_ms))
     fail_msg ("seed %" PRIu64 ": a burst left something", seed);
   world_free (world);
 }
--- a/test/support/chaos_variants.h
+++ b/test/support/chaos_variants.h
@@ -3,9 +3,20 @@
 
 #include "support/cell_chaos.h"
 
-/* Random schedules of faults and takeovers, each variant with a fault more. */
+/* Random schedules of faults and takeovers, with further kinds of faults. */
 
-/* What is different from the usual world. */
+/**
+ * struct ChaosVariant - faults added to those of cell_chaos.h
+ * @follow_rows: most rows in a feed's reply; 0: unlimited
+ * @late: daemons process their input late
+ * @slow: the store is slow, and data centres are cut off
+ * @crashes: workers crash, and some jobs crash their workers
+ * @outages: half of the workers crash at once
+ * @rooms: workers' capacities change
+ * @same_ids: restarted workers keep their ids
+ * @bursts: callers submit at a multiple of the usual rate at times
+ * @gone: planners are lost while half of the workers are unreachable
+ */
 typedef struct
 {
   uint32_t follow_rows;
@@ -19,8 +30,8 @@
   bool gone;
 } ChaosVariant;
 
-/** chaos_play_seeds() - RANDOM_SEEDS schedules from RANDOM_SEED on, with the
- * usual checks */
+/** chaos_play_seeds() - plays RANDOM_SEEDS schedules, from seed RANDOM_SEED on
+ * (environment), and checks each with chaos_check() */
 void chaos_play_seeds (const ChaosVariant *variant);
 
 #endif
--- a/test/support/outages.h
+++ b/test/support/outages.h
@@ -3,11 +3,11 @@
 
 #include "support/cell_world.h"
 
-/* Many workers crash by themselves, again and again, under jobs of one kind. */
+/* Repeated crashes of many workers, which the jobs on them did not cause. */
 
 #define OUTAGE_WORKERS 24
 #define OUTAGE_CELLS 3
-#define OUTAGE_RACK 4
+#define OUTAGE_RACK 4 /* workers in a rack */
 #define OUTAGE_JOBS 24
 #define OUTAGE_TASKS 3
 #define OUTAGE_SETTLE_MS 40000
@@ -15,28 +15,30 @@
 
 typedef enum
 {
-  OUTAGE_SHORT,
-  OUTAGE_GANG,
-  OUTAGE_LASTING,
+  OUTAGE_SHORT,   /* tasks of 1 s */
+  OUTAGE_GANG,    /* gangs of tasks of 4 s */
+  OUTAGE_LASTING, /* long-running tasks that do not end */
   OUTAGE_COUNT
 } OutageKind;
 
 typedef void (*OutageWaves) (World *world);
 
-/** outage_world() - with jobs of that kind that run; @silent: workers do not
- * say that they have started again */
+/** outage_world() - creates a world with running jobs of @kind; @silent: calls
+ * to a crashed worker hang instead of being refused */
 World *outage_world (uint32_t cells, OutageKind kind, bool silent);
-/** outage_halves() - half of the workers, each time others */
+/** outage_halves() - crashes half of the workers, a different half each time */
 void outage_halves (World *world);
-/** outage_same_half() - half of the workers, the same each time */
+/** outage_same_half() - crashes the same half of the workers each time */
 void outage_same_half (World *world);
-/** outage_halves_and_planners() - and the planner with them */
+/** outage_halves_and_planners() - crashes alternate halves, and the planner
+ * with each */
 void outage_halves_and_planners (World *world);
-/** outage_racks() - one rack after the other, each again and again */
+/** outage_racks() - crashes two racks in turn, repeatedly */
 void outage_racks (World *world);
-/** outage_singly_in_a_rack() - the workers of one rack, one at a time */
+/** outage_singly_in_a_rack() - crashes the workers of one rack one at a time,
+ * repeatedly */
 void outage_singly_in_a_rack (World *world);
-/** outage_failed_jobs() - of the first @jobs */
+/** outage_failed_jobs() - counts the failed ones of the first @jobs jobs */
 uint32_t outage_failed_jobs (World *world, uint32_t jobs);
 
 #endif
--- a/test/support/world_callers.c
+++ b/test/support/world_callers.c
@@ -12,7 +12,7 @@
   snprintf (id, MUX_JOB_ID_LEN, "call-%u", number);
 }
 
-/* Return: a daemon that takes calls; WORLD_CELLS_MAX: none. */
+/* Return: the next daemon that is up; WORLD_CELLS_MAX: none. */
 static uint32_t
 daemon_for (const WorldCallers *callers)
 {
@@ -78,7 +78,7 @@
   note_answers (callers);
 }
 
-/* Return: how many of its tasks were done by then. */
+/* Return: the number of tasks of the job that were done by @by_ms. */
 static uint32_t
 done_by (const World *world, const char *id, int64_t by_ms)
 {
--- a/test/support/world_callers.h
+++ b/test/support/world_callers.h
@@ -4,17 +4,16 @@
 #include "support/cell_world.h"
 
 /*
- * Callers of a fake world that hand in jobs of one step at a steady rate, or at
- * a multiple of it, at the daemons in turn, and keep what becomes of them.
+ * Callers of a simulated cluster: submit jobs of one step at a steady rate, or
+ * a multiple of it, at the daemons in turn, and record the outcomes.
  */
 
 #define WORLD_CALLS_MAX 4096
 
 /**
- * struct WorldCall - a job that was handed in
- * @question: number of the question
- * @sent_ms: when
- * @answered_ms: seen then; 0: not yet
+ * struct WorldCall - a submitted job
+ * @request: call_id of the request
+ * @answered_ms: when the response was first seen; 0: not yet
  */
 typedef struct
 {
@@ -24,11 +23,11 @@
 } WorldCall;
 
 /**
- * struct WorldCallers - set up by the test as far as the tasks of a job
- * @every_ms: between two jobs at the usual rate
- * @tasks: of each job, each of @cpu_milli
- * @attempts: that the queue's tasks have
- * @due_ms: time that has passed since the last job, times the rate
+ * struct WorldCallers - the test sets the fields up to @attempts
+ * @every_ms: time between two jobs at the usual rate
+ * @tasks: tasks of each job, each of @cpu_milli
+ * @attempts: attempts_max of the queue
+ * @due_ms: time since the last job, times the multiple of the rate
  */
 typedef struct
 {
@@ -43,12 +42,12 @@
 } WorldCallers;
 
 /**
- * struct WorldServed - what became of calls
- * @refused: told that they will not run
- * @refused_and_run: of these, those that ran all the same
- * @late_answers: answered later than the bound asked for, or not at all
- * @in_time: all tasks were done within the bound asked for
- * @open: accepted, not all tasks are done, and none has used up its attempts
+ * struct WorldServed - outcomes of the calls
+ * @refused_and_run: refused, but some task was started
+ * @late_answers: answered after more than answer_ms, or not at all
+ * @in_time: all tasks were done within done_ms
+ * @open: accepted, not all tasks are done, and none may have failed
+ *   (world_may_fail())
  */
 typedef struct
 {
@@ -61,12 +60,14 @@
   uint32_t open;
 } WorldServed;
 
-/** world_callers_hand_in() - what @times the usual rate brings in @ms, now */
+/** world_callers_hand_in() - submits at once what @times the usual rate brings
+ * in @ms */
 void world_callers_hand_in (WorldCallers *callers, uint32_t times, uint32_t ms);
-/** world_burst() - let @ms pass at @times the usual rate */
+/** world_burst() - runs the world for @ms while callers submit at @times the
+ * usual rate */
 void world_burst (WorldCallers *callers, uint32_t times, int64_t ms);
-/** world_served() - of the calls from @from_ms on: answers within @answer_ms,
- * work done within @done_ms */
+/** world_served() - counts the outcomes of calls sent from @from_ms on, with
+ * @answer_ms and @done_ms as bounds */
 WorldServed world_served (const WorldCallers *callers,
                           int64_t from_ms,
                           int64_t answer_ms,
--- a/test/unit/test_cell_audit.c
+++ b/test/unit/test_cell_audit.c
@@ -12,7 +12,8 @@
 #define HALF 4
 #define PARTS 4
 /* What tells a planner of another claim. */
-#define DEAF (WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS))
+#define DEAF \
+  (WORLD_FEED_BIT (MUX_TABLE_CLAIM) | WORLD_FEED_BIT (MUX_TABLE_JOBS))
 #define JOBS 8
 /* Until a claim that is due must have been made. */
 #define CLAIM_WITHIN_MS 5000
--- a/test/unit/test_cell_handover.c
+++ b/test/unit/test_cell_handover.c
@@ -398,7 +398,7 @@
   world_run (world, in_ms);
   world->cell[0].commits[MUX_TABLE_CLAIM] = WORLD_LOSES_ANSWER;
   world->cell[0].hanging_feeds
-      = WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS);
+      = WORLD_FEED_BIT (MUX_TABLE_CLAIM) | WORLD_FEED_BIT (MUX_TABLE_JOBS);
   world->cell[0].isolated = true;
   version = world_claim_version (world);
   mux_cell_stop (world->cell[0].cell,
--- a/test/unit/test_cell_keys.c
+++ b/test/unit/test_cell_keys.c
@@ -154,7 +154,7 @@
 separate (World *world, uint32_t cell, Way way)
 {
   if (way == DEAF_FEED)
-    world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
+    world->cell[cell].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_CONFIG);
   else if (way == STORE_SILENT)
     world->cell[cell].store = WORLD_SILENT;
   else if (way == STORE_REFUSES)
@@ -199,7 +199,7 @@
   uint32_t cell = follower (world);
 
   (void) state;
-  world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
+  world->cell[cell].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_CONFIG);
   world_run (world, REVOKE_MS / 2);
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
                     MUX_RESPONSE_PENDING);
@@ -215,7 +215,7 @@
 
   (void) state;
   assert_true (mux_cell_ready (world->cell[cell].cell));
-  world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
+  world->cell[cell].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_CONFIG);
   world_run (world, REVOKE_MS / 2);
   assert_false (mux_cell_ready (world->cell[cell].cell));
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
@@ -233,7 +233,7 @@
   uint32_t cell = follower (world);
 
   (void) state;
-  world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
+  world->cell[cell].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_CONFIG);
   world_run (world, 3 * REVOKE_MS);
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
                     MUX_RESPONSE_PENDING);
@@ -249,7 +249,7 @@
   uint32_t cell = follower (world);
 
   (void) state;
-  world->cell[cell].hanging_feeds = WORLD_DEAF (MUX_TABLE_CONFIG);
+  world->cell[cell].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_CONFIG);
   world_run (world, 4000);
   world_show_key (world, "later");
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
--- a/test/unit/test_cell_planner.c
+++ b/test/unit/test_cell_planner.c
@@ -184,7 +184,7 @@
   for (uint32_t i = 0; i < CELLS; i++)
     {
       world->cell[i].commits[MUX_TABLE_CLAIM] = WORLD_LOSES_ANSWER;
-      world->cell[i].hanging_feeds = WORLD_DEAF (MUX_TABLE_CLAIM);
+      world->cell[i].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_CLAIM);
     }
   world_cell_kill (world, planner);
   while (world_claim_version (world) == version)
--- a/test/unit/test_cell_replaced.c
+++ b/test/unit/test_cell_replaced.c
@@ -380,7 +380,7 @@
   world->store_ms = SLOW_STORE_MS;
   wait_for_fences_of_a_successor (world, planner);
   for (uint32_t i = 0; i < CELLS; i++)
-    world->cell[i].hanging_feeds = WORLD_DEAF (MUX_TABLE_JOBS);
+    world->cell[i].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_JOBS);
   cancel
       = world_request (world, (planner + 1) % CELLS, MUX_REQUEST_CANCEL, "zz");
   while (!world->answered[cancel])
--- a/test/unit/test_cell_room.c
+++ b/test/unit/test_cell_room.c
@@ -46,7 +46,7 @@
 
   (void) state;
   world_run (world, 1000);
-  world->cell[0].hanging_feeds = WORLD_DEAF (MUX_TABLE_WORKERS);
+  world->cell[0].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_WORKERS);
   for (uint32_t i = 0; i < WORKERS; i++)
     world_worker_room (world, i, FULL_MILLI / 4);
   for (uint32_t i = 0; i < 24; i++)
--- a/test/unit/test_cell_takeovers.c
+++ b/test/unit/test_cell_takeovers.c
@@ -269,7 +269,7 @@
   world->cell[first].reachable_workers = LOST + 1;
   world->cell[first].isolated = true;
   world->cell[first].hanging_feeds
-      = WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS);
+      = WORLD_FEED_BIT (MUX_TABLE_CLAIM) | WORLD_FEED_BIT (MUX_TABLE_JOBS);
   world->cell[first].store = WORLD_SILENT;
   second = wait_for_planner_other_than (world, first);
   world_run (world, second_ms);
--- a/test/unit/test_cell_terms.c
+++ b/test/unit/test_cell_terms.c
@@ -39,7 +39,7 @@
 
   world->cell[planner].store = WORLD_REFUSES;
   world->cell[planner].hanging_feeds
-      = WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS);
+      = WORLD_FEED_BIT (MUX_TABLE_CLAIM) | WORLD_FEED_BIT (MUX_TABLE_JOBS);
   wait_for_another_claim (world, version);
   world->cell[planner].store = WORLD_SERVES;
   world->cell[world_planner (world)].unreachable_workers = FAR_WORKERS;
@@ -128,7 +128,7 @@
       planner = planner_with_a_successor (world);
       world->store_ms = BUSY_STORE_MS;
       world->compacted_version = world->version;
-      world->cell[planner].hanging_feeds = WORLD_DEAF (MUX_TABLE_CLAIM);
+      world->cell[planner].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_CLAIM);
       submit_burst (world, world_planner (world));
       world->cell[planner].hanging_feeds = 0;
       world_run (world, SETTLE_MS);
