--- a/test/support/config_cell.c
+++ b/test/support/config_cell.c
@@ -2,7 +2,7 @@
 
 #include "support/test.h"
 
-/* Data centres of the cell, in turn. */
+/* Data centres, assigned round robin. */
 static const char *const centres[]
     = { "nizwa-hall", "bahla-hall", "izki-hall" };
 
--- a/test/support/fake_net.c
+++ b/test/support/fake_net.c
@@ -8,23 +8,23 @@
 #define START_MS 1000000
 #define TABLE_DELAY_MS 3
 #define PEER_DELAY_MS 2
-/* How long after its loss was told a late write takes effect at most. */
-#define LATE_MS 500
+/* Longest time from the caller's time-out to the effect of a delayed write. */
+#define DELAYED_WRITE_MS 500
 #define PPM 1000000
 
-/* Something on its way: one of the pointers is set, or else @msg is meant. */
+/* A delivery: one of the pointers is set, or else it is @msg. */
 typedef struct FakeDelivery FakeDelivery;
 struct FakeDelivery
 {
   int64_t at_ms;
   uint32_t node;
-  uint64_t incarnation;    /* life of the node that is meant */
-  MuxTableCall *call;      /* on its way to the table */
-  bool answered;           /* of @call: its loss was told already */
+  uint64_t incarnation;    /* of the node, which alone receives it */
+  MuxTableCall *call;      /* to the table */
+  bool answered;           /* the caller of @call has timed out */
   MuxTableReply *reply;    /* from the table */
   MuxWorkerReply *worker;  /* from a worker */
   MuxPeerMsg msg;          /* from a peer */
-  void (*act) (void *arg); /* of a stand-in beside the net */
+  void (*act) (void *arg); /* scheduled by fake_net_schedule() */
   void *arg;
   FakeDelivery *prev, *next;
 };
@@ -59,10 +59,10 @@
   return call->verb == MUX_TABLE_TXN || call->verb == MUX_TABLE_OBJECT_PUT;
 }
 
-/* The caller is told that the answer was lost; the write itself comes to
- * nothing, takes effect now, or does so only later. */
+/* The caller times out; the write has no effect, takes effect now, or takes
+ * effect after the time-out. */
 static void
-lose_answer (FakeNet *net, FakeDelivery *item)
+lose_reply (FakeNet *net, FakeDelivery *item)
 {
   uint32_t fate = mux_random_below (&net->random, 3);
   FakeDelivery *late;
@@ -78,7 +78,7 @@
     }
   late = deliver (net, item->node,
                   item->call->timeout_ms
-                      + mux_random_below (&net->random, LATE_MS));
+                      + mux_random_below (&net->random, DELAYED_WRITE_MS));
   late->call = item->call;
   late->answered = true;
   item->call = NULL;
@@ -92,7 +92,7 @@
 }
 
 static void
-reach_table (FakeNet *net, FakeDelivery *item)
+table_call (FakeNet *net, FakeDelivery *item)
 {
   MuxTableReply *reply;
 
@@ -103,7 +103,7 @@
         = mux_table_reply_new (item->call, MUX_TABLE_DOWN, 0);
   else if (is_write (item->call) && !net->table.down
            && mux_random_below (&net->random, PPM) < net->lost_ppm)
-    lose_answer (net, item);
+    lose_reply (net, item);
   else
     {
       reply = fake_table_call (&net->table, item->call);
@@ -131,7 +131,7 @@
 }
 
 static void
-meet_worker (FakeNet *net, uint32_t node, const MuxWorkerCall *call)
+worker_call (FakeNet *net, uint32_t node, const MuxWorkerCall *call)
 {
   if (net->hooks.worker_call != NULL)
     net->hooks.worker_call (net->hooks.user, node, call);
@@ -140,8 +140,8 @@
                     mux_worker_reply_new (call, MUX_WORKER_NOT_SENT, 0), 0);
 }
 
-/* Hooks may step the same core again, so what is taken leaves the sink
- * first. */
+/* Empties the sink before it handles what was in it, since hooks may step the
+ * same core again. */
 static void
 drain_sink (FakeNet *net, uint32_t node)
 {
@@ -156,7 +156,7 @@
   for (uint32_t i = 0; i < taken.sent_count; i++)
     send_to_peer (net, node, &taken.sent[i]);
   for (uint32_t i = 0; i < taken.worker_count; i++)
-    meet_worker (net, node, &taken.worker_calls[i]);
+    worker_call (net, node, &taken.worker_calls[i]);
   for (uint32_t i = 0; i < taken.answer_count; i++)
     if (net->hooks.answer != NULL)
       net->hooks.answer (net->hooks.user, node, &taken.answers[i]);
@@ -294,14 +294,14 @@
 }
 
 static void
-arrive (FakeNet *net, FakeDelivery *item)
+carry_out_delivery (FakeNet *net, FakeDelivery *item)
 {
   MuxEvent event = { .kind = MUX_EVENT_PEER, .u.peer = &item->msg };
   const FakeNode *node = &net->nodes[item->node];
 
   if (item->call != NULL)
     {
-      reach_table (net, item);
+      table_call (net, item);
       return;
     }
   if (item->reply != NULL)
@@ -314,8 +314,8 @@
     fake_net_deliver (net, item->node, &event);
 }
 
-/* A wake-up asked for at once comes 1 ms after the last one, so that a core
- * which always asks can't stop the clock. */
+/* Ticks of a core are at least 1 ms apart, so that one which always requests an
+ * immediate tick can't stop the clock. */
 static int64_t
 wake_ms (const FakeNode *node)
 {
@@ -380,7 +380,7 @@
           return;
         }
       else
-        arrive (net, item);
+        carry_out_delivery (net, item);
       delivery_free (item);
       return;
     }
--- a/test/support/fake_sink.h
+++ b/test/support/fake_sink.h
@@ -3,15 +3,15 @@
 
 #include "core/core.h"
 
-/* One message to a peer, as sent. */
+/* A message sent to a peer. */
 typedef struct
 {
   char addr[MUX_ADDR_LEN];
   MuxPeerMsg msg;
 } FakeSent;
 
-/* Sees a core's events, and as a sink its actions, in the order in which they
- * come; what its calls return is not used. */
+/* Observes a core: its events, and as a sink its actions, in order.  What the
+ * sink's functions return is ignored. */
 typedef struct FakeTap FakeTap;
 struct FakeTap
 {
@@ -20,18 +20,18 @@
 };
 
 /**
- * struct FakeSink - records the actions of a core in the order of their sort
- * @sink: give its address to the core
- * @tap: sees everything first, or NULL
- * @full: every call to an adapter is refused, as by a full ring
- * @answers: answers, each with its own reference of the body
+ * struct FakeSink - records the actions of a core, each kind in order
+ * @sink: to be passed to the core
+ * @tap: observer that is called first, or NULL
+ * @full: refuse every call to an adapter, as a full ring does
+ * @answers: responses, each with its own reference to the body
  * @worker_calls: calls to workers, likewise
  * @table_calls: calls to the platform, owned
  * @sent: messages to peers
- * @logs: changes of state told so far
+ * @logs: number of changes of state logged
  *
- * A test takes what it wants: it answers calls in whatever order, then sets
- * the count to 0, or lets fake_sink_clear() drop everything.
+ * A test may reply to the recorded calls in any order; it then sets the count
+ * to 0, or drops all records by fake_sink_clear().
  */
 typedef struct
 {
@@ -47,9 +47,10 @@
   uint32_t logs;
 } FakeSink;
 
-/** fake_sink_grow() - @items with room for one more than @count */
+/** fake_sink_grow() - reallocates @items if needed, for one more than @count */
 void *fake_sink_grow (void *items, uint32_t count, uint32_t *cap, size_t size);
 void fake_sink_init (FakeSink *sink);
+/** fake_sink_clear() - drops all records */
 void fake_sink_clear (FakeSink *sink);
 
 #endif
--- a/test/support/fake_worker.c
+++ b/test/support/fake_worker.c
@@ -7,7 +7,7 @@
 #define NET_DELAY_MS 2
 #define PPM 1000000
 
-/* A call until its reply is on the way. */
+/* A call that has no reply yet. */
 typedef struct FakeWorkerCall FakeWorkerCall;
 struct FakeWorkerCall
 {
@@ -16,8 +16,8 @@
   uint32_t node;
   uint64_t node_incarnation;
   uint64_t worker_incarnation;
-  int64_t deadline_ms; /* the caller hears NO_ANSWER then */
-  int64_t wait_ms;     /* the answer need not come before the task's end */
+  int64_t deadline_ms; /* the caller gets NO_ANSWER then */
+  int64_t wait_ms;     /* the reply may wait until then for the task's end */
   bool answered;
   bool waiting;
   FakeWorkerCall *prev, *next;
@@ -38,16 +38,16 @@
 }
 
 static void
-drop (FakeWorkerCall *item)
+call_free (FakeWorkerCall *item)
 {
   DL_DELETE (item->worker->calls, item);
   mux_blob_unref (item->call.body);
   free (item);
 }
 
-/* Takes @reply over; a caller that has been restarted hears nothing. */
+/* Takes @reply over, and drops it if the caller has been restarted. */
 static void
-give_reply (FakeWorkerCall *item, MuxWorkerReply *reply, int64_t at_ms)
+send_reply (FakeWorkerCall *item, MuxWorkerReply *reply, int64_t at_ms)
 {
   FakeNet *net = item->worker->net;
 
@@ -60,18 +60,18 @@
 }
 
 static void
-give_nothing (FakeWorkerCall *item)
+time_out (FakeWorkerCall *item)
 {
-  give_reply (item, mux_worker_reply_new (&item->call, MUX_WORKER_NO_ANSWER, 0),
+  send_reply (item, mux_worker_reply_new (&item->call, MUX_WORKER_NO_ANSWER, 0),
               item->deadline_ms);
 }
 
 static bool
-answer_lost (FakeWorkerCall *item)
+reply_is_lost (FakeWorkerCall *item)
 {
   FakeWorker *worker = item->worker;
 
-  /* The process that took the call has ended, and its connections with it. */
+  /* The worker has restarted since the call arrived. */
   if (item->worker_incarnation != worker->options.incarnation)
     return true;
   if (item->call.verb == MUX_WORKER_START && worker->lose_starts > 0)
@@ -88,24 +88,24 @@
 {
   int64_t at_ms = item->worker->net->now_ms + delay_ms (item->worker);
 
-  if (answer_lost (item) || at_ms > item->deadline_ms)
+  if (reply_is_lost (item) || at_ms > item->deadline_ms)
     {
       mux_worker_reply_free (reply);
-      give_nothing (item);
+      time_out (item);
     }
   else
-    give_reply (item, reply, at_ms);
-  drop (item);
+    send_reply (item, reply, at_ms);
+  call_free (item);
 }
 
 static MuxWorkerReply *
-look (FakeWorkerCall *item)
+fetch (FakeWorkerCall *item)
 {
-  MuxWorkerCall fetch = item->call;
+  MuxWorkerCall call = item->call;
 
-  fetch.verb = MUX_WORKER_FETCH;
-  fetch.epoch = 0;
-  return standin_worker_call (item->worker->logic, &fetch,
+  call.verb = MUX_WORKER_FETCH;
+  call.epoch = 0;
+  return standin_worker_call (item->worker->logic, &call,
                               clock_ms (item->worker), NULL);
 }
 
@@ -131,14 +131,14 @@
   tick_again (arg);
 }
 
-/* The logic's on_end; the answers leave in the next event, since it may be in
- * the midst of a call. */
+/* Scheduled by task_ended(), since the logic may be in the middle of a call
+ * then. */
 static void
-release (void *arg)
+reply_after_end (void *arg)
 {
   FakeWorkerCall *item = arg;
 
-  answer (item, look (item));
+  answer (item, fetch (item));
 }
 
 static void
@@ -152,12 +152,12 @@
     if (!item->waiting || !mux_id_equal (item->call.task, task))
       continue;
     item->waiting = false;
-    fake_net_schedule (worker->net, 0, release, item);
+    fake_net_schedule (worker->net, 0, reply_after_end, item);
   }
 }
 
 static void
-wait_over (void *arg)
+reply_after_wait (void *arg)
 {
   FakeWorker *worker = arg;
   FakeWorkerCall *item, *next;
@@ -167,13 +167,13 @@
     if (!item->waiting || item->wait_ms > worker->net->now_ms)
       continue;
     item->waiting = false;
-    answer (item, look (item));
+    answer (item, fetch (item));
   }
 }
 
-/* What a worker that lacks a mechanism makes of a call. */
+/* Passes a call to the logic, without the mechanisms that are disabled. */
 static MuxWorkerReply *
-carry_out (FakeWorkerCall *item)
+execute (FakeWorkerCall *item)
 {
   FakeWorker *worker = item->worker;
   MuxWorkerCall call = item->call;
@@ -185,14 +185,14 @@
     call.not_after_ms = 0;
   if (worker->ignores_forget && call.verb == MUX_WORKER_FORGET)
     {
-      reply = look (item);
+      reply = fetch (item);
       if (reply->status == MUX_WORKER_OK && reply->state == MUX_TASK_ABSENT)
         reply->state = MUX_TASK_FORGOTTEN;
       return reply;
     }
   if (worker->ignores_epoch && call.verb == MUX_WORKER_START)
     {
-      reply = look (item);
+      reply = fetch (item);
       call.epoch = reply->epoch;
       mux_worker_reply_free (reply);
     }
@@ -209,13 +209,13 @@
 
   if (worker->silent || worker->cut[item->node])
     {
-      give_nothing (item);
-      drop (item);
+      time_out (item);
+      call_free (item);
       return;
     }
   worker->starts_seen += item->call.verb == MUX_WORKER_START;
   item->worker_incarnation = worker->options.incarnation;
-  reply = carry_out (item);
+  reply = execute (item);
   tick_again (worker);
   may_wait = item->call.verb == MUX_WORKER_START
              || item->call.verb == MUX_WORKER_FETCH;
@@ -225,7 +225,8 @@
       mux_worker_reply_free (reply);
       item->waiting = true;
       item->wait_ms = worker->net->now_ms + item->call.wait_ms;
-      fake_net_schedule (worker->net, item->call.wait_ms, wait_over, worker);
+      fake_net_schedule (worker->net, item->call.wait_ms, reply_after_wait,
+                         worker);
       return;
     }
   answer (item, reply);
@@ -251,13 +252,13 @@
       worker->late_starts--;
       arrive_ms = worker->late_ms;
       if (arrive_ms >= (int64_t) call->timeout_ms)
-        give_nothing (item);
+        time_out (item);
     }
   fake_net_schedule (worker->net, arrive_ms, arrive, item);
 }
 
 static void
-begin_life (FakeWorker *worker)
+start_incarnation (FakeWorker *worker)
 {
   worker->logic = standin_worker_new (&worker->options);
   worker->tick_ms = 0;
@@ -274,14 +275,14 @@
   worker->options.name = worker->name;
   worker->options.ctx = worker;
   worker->options.on_end = task_ended;
-  begin_life (worker);
+  start_incarnation (worker);
 }
 
 void
 fake_worker_clear (FakeWorker *worker)
 {
   while (worker->calls != NULL)
-    drop (worker->calls);
+    call_free (worker->calls);
   standin_worker_free (worker->logic);
 }
 
@@ -294,10 +295,10 @@
   {
     if (!item->waiting)
       continue;
-    give_nothing (item);
-    drop (item);
+    time_out (item);
+    call_free (item);
   }
   standin_worker_free (worker->logic);
   worker->options.incarnation++;
-  begin_life (worker);
+  start_incarnation (worker);
 }
--- a/test/support/fake_worker.h
+++ b/test/support/fake_worker.h
@@ -5,20 +5,23 @@
 #include "support/fake_net.h"
 
 /**
- * struct FakeWorker - the worker stand-in's logic behind a core's worker calls
- * @user: for whoever gave the options' on_event, whose ctx is the worker
- * @clock_ahead_ms: its clock less the net's
- * @silent: calls come to nothing and get no answer
- * @cut: the same for calls of one node
- * @lost_ppm: share of answers that are lost, after the effect
- * @lose_starts: so many answers of START are lost, after the effect
- * @late_starts: so many STARTs arrive only after @late_ms
- * @slow_ms: calls and answers take up to so much longer, so that they overtake
- *   one another
+ * struct FakeWorker - a worker on a simulated network, with the logic of the
+ *   worker stand-in (standin/worker_logic.h)
+ * @user: for the options' on_event, whose ctx is the worker
+ * @clock_ahead_ms: its clock minus the network's
+ * @silent: calls are lost
+ * @cut: calls of one node are lost
+ * @lost_ppm: share of replies that are lost, after the effect
+ * @lose_starts: number of replies to START still to be lost, after the effect
+ * @late_starts: number of STARTs still to be delayed by @late_ms
+ * @slow_ms: maximum additional latency of calls and replies, which may
+ *   overtake one another
  * @ignores_epoch, @ignores_incarnation, @ignores_not_after, @ignores_forget:
- *   a worker without the mechanism of that name; shows that a proof which
- *   relies on it fails without
+ *   disables that mechanism, to show that a proof which relies on it fails
+ *   without it
  * @starts_seen: START calls that arrived
+ * @tick_ms: time of the next scheduled tick
+ * @calls: calls without a reply
  */
 typedef struct
 {
@@ -47,14 +50,16 @@
   struct FakeWorkerCall *calls;
 } FakeWorker;
 
-/** fake_worker_init() - @options as of its first life */
+/** fake_worker_init() - starts a worker; @options are those of its first
+ * incarnation */
 void fake_worker_init (FakeWorker *worker,
                        FakeNet *net,
                        const StandinWorkerOptions *options);
 void fake_worker_clear (FakeWorker *worker);
-/** fake_worker_restart() - a new life that knows nothing */
+/** fake_worker_restart() - restarts it as a new incarnation without state */
 void fake_worker_restart (FakeWorker *worker);
-/** fake_worker_call() - a call of @node; its reply comes later */
+/** fake_worker_call() - receives a call of @node; the reply is delivered later
+ */
 void
 fake_worker_call (FakeWorker *worker, uint32_t node, const MuxWorkerCall *call);
 
--- a/test/support/peer_inbox.h
+++ b/test/support/peer_inbox.h
@@ -6,14 +6,15 @@
 #include <pthread.h>
 
 #define PEER_INBOX_MAX 4096
-/* Generous bound of every wait; a test that reaches it fails. */
+/* Time-out of every wait; a test that reaches it fails. */
 #define PEER_WAIT_MS 30000
 
 /**
- * struct PeerInbox - remembers the messages that a peer adapter delivers
- * @inbox: its table
- * @gate_closed: a delivery waits until the gate opens
- * @at_gate: deliveries that wait there
+ * struct PeerInbox - records the messages that a peer adapter delivers
+ * @inbox: its function table
+ * @changed: signalled at each change of the fields below
+ * @gate_closed: deliveries block until the gate opens
+ * @at_gate: number of blocked deliveries
  * @count: used entries of @msgs
  * @msgs: messages in the order of delivery, without their bodies
  */
@@ -30,16 +31,18 @@
 
 PeerInbox *peer_inbox_new (void);
 void peer_inbox_free (PeerInbox *inbox);
-/** peer_inbox_wait() - until a message of @from has at least @revision
+/** peer_inbox_wait() - waits for a message of @from with at least @revision
  * Return: false after @wait_ms. */
 bool peer_inbox_wait (PeerInbox *inbox,
                       const char *from,
                       uint64_t revision,
                       uint32_t wait_ms);
-/** peer_inbox_seen() - messages of @from so far */
+/** peer_inbox_seen() - counts the messages of @from so far */
 uint32_t peer_inbox_seen (PeerInbox *inbox, const char *from);
+/** peer_inbox_close_gate() - blocks deliveries until peer_inbox_open_gate() */
 void peer_inbox_close_gate (PeerInbox *inbox);
-/** peer_inbox_wait_at_gate() - until a delivery waits at the gate */
+/** peer_inbox_wait_at_gate() - waits until a delivery is blocked
+ * Return: false after PEER_WAIT_MS. */
 bool peer_inbox_wait_at_gate (PeerInbox *inbox);
 void peer_inbox_open_gate (PeerInbox *inbox);
 
--- a/test/support/proof.c
+++ b/test/support/proof.c
@@ -41,7 +41,7 @@
                           mux_outcome_name (outcome));
 }
 
-/* Seeds in which it broke. */
+/* Return: the number of seeds with which the guarantee was violated. */
 static uint32_t
 play (const Proof *proof, bool without)
 {
--- a/test/support/scenario.c
+++ b/test/support/scenario.c
@@ -6,11 +6,11 @@
 #define LIST_EVERY_MS 1000
 #define LEASE_GRACE_MS 2000
 #define RETAIN_MS 600000
-/* Daemons wait this long before their first claim. */
-#define SETTLE_MS 9000
+/* Longer than daemons wait before their first claim. */
+#define FIRST_CLAIM_MS 9000
 #define JOB_GIVE_UP_MS 60000
-/* Between looks for daemons that have stopped. */
-#define STOPPED_MS 1000
+/* Interval of checks for daemons that have stopped. */
+#define STOP_CHECK_MS 1000
 
 static const char *const centres[] = { "hall-a", "hall-b", "hall-c" };
 static const char *const class_names[SCENARIO_CLASSES]
@@ -51,16 +51,16 @@
 }
 
 static void
-give_lists (void *arg)
+deliver_lists (void *arg)
 {
   Scenario *s = arg;
 
   scenario_lists (s);
-  fake_net_schedule (s->net, LIST_EVERY_MS, give_lists, s);
+  fake_net_schedule (s->net, LIST_EVERY_MS, deliver_lists, s);
 }
 
 static void
-to_worker (void *user, uint32_t node, const MuxWorkerCall *call)
+route_worker_call (void *user, uint32_t node, const MuxWorkerCall *call)
 {
   Scenario *s = user;
 
@@ -86,7 +86,8 @@
   snprintf (worker->addr, sizeof worker->addr, "127.0.0.2:%u", 8000 + index);
   mux_name_copy (worker->data_centre, centre);
   worker->user = s;
-  /* No two clocks agree, and a daemon's tells nothing about a worker's. */
+  /* Workers' clocks differ by 100 s, so that code which compares clocks of two
+   * machines fails. */
   worker->clock_ahead_ms = 100000 * ((int64_t) index % 3 - 1);
   s->owner[index] = UINT32_MAX;
   fake_worker_init (worker, s->net, &options);
@@ -148,8 +149,9 @@
 scenario_new (uint64_t seed, uint32_t nodes, uint32_t workers, uint32_t spread)
 {
   Scenario *s = calloc (1, sizeof *s);
-  FakeHooks hooks
-      = { .user = s, .answer = scenario_answered, .worker_call = to_worker };
+  FakeHooks hooks = { .user = s,
+                      .answer = scenario_answered,
+                      .worker_call = route_worker_call };
   char name[MUX_NAME_LEN];
 
   if (s == NULL)
@@ -163,10 +165,10 @@
       snprintf (name, sizeof name, "entry-%u", i);
       fake_net_add (s->net, name, centres[i % spread]);
     }
-  give_lists (s);
+  deliver_lists (s);
   scenario_run (s, 500);
   configure_all (s);
-  scenario_run (s, SETTLE_MS);
+  scenario_run (s, FIRST_CLAIM_MS);
   return s;
 }
 
@@ -311,9 +313,9 @@
   return 0;
 }
 
-/* A daemon that has stopped is a process that ends. */
+/* Ends the process of each daemon whose core has stopped. */
 static void
-end_stopped (Scenario *s)
+kill_stopped (Scenario *s)
 {
   for (uint32_t i = 0; i < s->net->node_count; i++)
     if (s->net->nodes[i].core != NULL
@@ -348,10 +350,10 @@
       standin_worker_set_leaving (worker->logic, false);
       standin_worker_set_fail_all (worker->logic, false);
     }
-  for (int64_t left_ms = ms; left_ms > 0; left_ms -= STOPPED_MS)
+  for (int64_t left_ms = ms; left_ms > 0; left_ms -= STOP_CHECK_MS)
     {
-      scenario_run (s, left_ms < STOPPED_MS ? left_ms : STOPPED_MS);
-      end_stopped (s);
+      scenario_run (s, left_ms < STOP_CHECK_MS ? left_ms : STOP_CHECK_MS);
+      kill_stopped (s);
     }
   scenario_check_ended (s);
 }
--- a/test/support/scenario_check.c
+++ b/test/support/scenario_check.c
@@ -4,9 +4,9 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Attempts of a job's task that an execution's id is compared with. */
+/* Most attempts of a job's task that part_of() tries to match an id with. */
 #define ATTEMPTS_MAX 64
-/* A call is answered at the latest so long after its caller's time. */
+/* A response must arrive at the latest so long after the caller's time-out. */
 #define ANSWER_SLACK_MS 12000
 
 void
@@ -24,7 +24,7 @@
     memcpy (s->first_wrong, text, sizeof text);
 }
 
-/* The tag that a body ends with; SCENARIO_NO_TAG: none. */
+/* Return: the tag at the end of a body, "#TAG"; SCENARIO_NO_TAG: none. */
 static uint32_t
 tag_of (const Scenario *s, const MuxBlob *body)
 {
@@ -57,7 +57,7 @@
 }
 
 static void
-check_twice (Scenario *s, const ScenarioRun *run)
+check_double_run (Scenario *s, const ScenarioRun *run)
 {
   const ScenarioWork *work = &s->works[run->tag];
 
@@ -80,7 +80,7 @@
 }
 
 static void
-began (Scenario *s, uint32_t worker, const StandinWorkerEvent *event)
+record_start (Scenario *s, uint32_t worker, const StandinWorkerEvent *event)
 {
   FakeWorker *at = &s->workers[worker];
   ScenarioRun run = { .id = event->task,
@@ -97,7 +97,7 @@
     }
   run.part = part_of (&s->works[run.tag], run.id);
   mux_name_copy (run.home, event->home);
-  check_twice (s, &run);
+  check_double_run (s, &run);
   s->booked[worker] = mux_size_add (s->booked[worker], run.size);
   if (!mux_size_fits (s->booked[worker], at->options.capacity))
     scenario_violation (s, "worker %u holds more than it can", worker);
@@ -109,7 +109,7 @@
 }
 
 static void
-ended (Scenario *s, ScenarioRun *run)
+record_end (Scenario *s, ScenarioRun *run)
 {
   run->end_ms = s->net->now_ms;
   s->works[run->tag].running--;
@@ -121,7 +121,7 @@
 {
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].worker == worker && s->runs[i].end_ms == 0)
-      ended (s, &s->runs[i]);
+      record_end (s, &s->runs[i]);
 }
 
 static uint32_t
@@ -157,7 +157,7 @@
   if (s->verbose)
     trace (s, worker, event);
   if (strcmp (event->event, "start") == 0)
-    began (s, worker, event);
+    record_start (s, worker, event);
   else if (strcmp (event->event, "claim") == 0)
     {
       s->owner[worker] = node_of (s, event->owner);
@@ -170,14 +170,14 @@
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].worker == worker && s->runs[i].end_ms == 0
         && mux_id_equal (s->runs[i].id, event->task))
-      ended (s, &s->runs[i]);
+      record_end (s, &s->runs[i]);
 }
 
-/* The stand-in answers WORD:ID:BODY. */
+/* The simulated worker's result is "answer:ID:BODY". */
 static bool
-is_whole (const ScenarioCall *call,
-          const ScenarioWork *work,
-          const MuxCoreResponse *answer)
+body_is_intact (const ScenarioCall *call,
+                const ScenarioWork *work,
+                const MuxCoreResponse *answer)
 {
   char id[MUX_ID_HEX_LEN];
   char want[160];
@@ -192,20 +192,20 @@
 static void
 check_done (Scenario *s, ScenarioCall *call, const MuxCoreResponse *answer)
 {
-  call->body_intact = is_whole (call, &s->works[call->tag], answer);
+  call->body_intact = body_is_intact (call, &s->works[call->tag], answer);
   if (!call->body_intact && answer->reason != MUX_REASON_ALREADY_RAN)
     scenario_violation (s, "#%u was not given its own whole answer", call->tag);
   if (s->works[call->tag].runs == 0)
     scenario_violation (s, "#%u was told done and never ran", call->tag);
 }
 
-/* A caller who asks again after a lost answer takes "not run" for the truth
- * about the work, not only about its last submission. */
+/* NOT_RUN must hold for all submissions of the work so far, since a caller may
+ * submit again after a lost response. */
 static void
 check_not_run (Scenario *s, const ScenarioCall *call)
 {
   s->works[call->tag].not_run++;
-  /* Idempotent work runs without its row while the table is away. */
+  /* Idempotent requests run without a row while the table is down. */
   if (s->store_fails && s->works[call->tag].class_id == SCENARIO_MANY)
     return;
   for (uint32_t i = 0; i < s->run_count; i++)
@@ -224,7 +224,7 @@
   ScenarioWork *work
       = call->tag == SCENARIO_NO_TAG ? NULL : &s->works[call->tag];
 
-  /* What a process says while it is being killed reaches nobody. */
+  /* Responses of a process that is being killed are lost. */
   if (s->net->nodes[node].core == NULL)
     return;
   if (s->verbose)
