--- a/test/standin/listen.c
+++ b/test/standin/listen.c
@@ -12,8 +12,7 @@
 #define CONNECTIONS_MAX 8192
 #define STACK_BYTES ((intptr_t) 256 * 1024)
 
-/* Each connection has a thread, so this belongs to the connection whose
- * request is being handled. */
+/* Socket of the connection that this thread serves. */
 static _Thread_local int connection_fd = -1;
 
 static bool
--- a/test/standin/listen.h
+++ b/test/standin/listen.h
@@ -7,9 +7,9 @@
 #include <ulfius.h>
 
 /**
- * standin_listen() - a listening socket
- * @listen: "ip:port"; port 0 lets the kernel pick
- * @addr: receives the "ip:port" it got
+ * standin_listen() - opens a listening socket
+ * @address: "ip:port"; port 0 lets the kernel pick
+ * @addr: receives the "ip:port" that it is bound to
  * @port: receives its port
  * Return: the descriptor, or -1 with @err set.
  */
@@ -17,11 +17,11 @@
                     char addr[MUX_ADDR_LEN],
                     uint16_t *port,
                     MuxError *err);
-/** standin_serve() - start @http on the listening socket @fd, a thread for each
- *  connection */
+/** standin_serve() - starts @http on the listening socket @fd, with a thread
+ * per connection */
 bool standin_serve (struct _u_instance *http, int fd);
-/** standin_cut_connection() - end the connection whose request the calling
- *  thread handles; its caller gets no answer */
+/** standin_cut_connection() - closes the connection whose request the calling
+ * thread handles, without a response */
 void standin_cut_connection (void);
 
 #endif
--- a/test/standin/platform_codec.c
+++ b/test/standin/platform_codec.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-/* What a transaction does with a row, as a number on the wire. */
+/* Actions of a transaction on a row, as encoded on the wire. */
 enum
 {
   ACTION_CHECK,
@@ -13,7 +13,7 @@
 #define TXN_ROW_FIELDS 4
 #define SCAN_FIELDS 3
 
-/* The body's one array; NULL when it is anything else. */
+/* Return: the body's array; NULL if the body is not exactly one array. */
 static const msgpack_object_array *
 unpack_array (msgpack_unpacked *unpacked, const void *bytes, size_t len)
 {
--- a/test/standin/platform_codec.h
+++ b/test/standin/platform_codec.h
@@ -5,8 +5,10 @@
 
 #include <msgpack.h>
 
+/* The MessagePack bodies of the platform's table calls. */
+
 /**
- * struct StandinScan - a scan as asked for
+ * struct StandinScan - parameters of a scan
  */
 typedef struct
 {
@@ -15,8 +17,8 @@
   uint32_t limit;
 } StandinScan;
 
-/** standin_platform_read_txn() - false when @bytes is no transaction;
- * @rows is to be released in both cases */
+/** standin_platform_read_txn() - parses a transaction; false if @bytes is none.
+ * @rows must be released in both cases. */
 bool
 standin_platform_read_txn (const void *bytes, size_t len, StandinRowSet *rows);
 bool
--- a/test/standin/platform_ctl.h
+++ b/test/standin/platform_ctl.h
@@ -9,13 +9,15 @@
 
 /* JSON of the control calls and of the instance list. */
 
-/** standin_platform_ctl_plan() - change the fields of @plan that @json names
- * @silence: set when open connections are to go silent
- * Return: false, with @findings filled, when a field is not understood. */
+/** standin_platform_ctl_plan() - changes the fields of @plan that @json names
+ * @silence: set if the open connections are to become silent
+ * Return: false, with @findings filled, if a field is unknown or invalid. */
 bool standin_platform_ctl_plan (const json_t *json,
                                 StandinFaultPlan *plan,
                                 bool *silence,
                                 MuxFindings *findings);
+/** standin_platform_ctl_instance() - parses an instance
+ * Return: false, with @findings filled, if a field is unknown or invalid. */
 bool standin_platform_ctl_instance (const json_t *json,
                                     MuxInstance *instance,
                                     MuxFindings *findings);
--- a/test/standin/platform_faults.c
+++ b/test/standin/platform_faults.c
@@ -18,7 +18,7 @@
   bool stopping;
   uint32_t held;
   uint64_t connections;
-  uint64_t silent_to; /* connections up to this number are silent */
+  uint64_t silent_to; /* connections up to this number get no response */
   MuxRandom random;
   uint64_t refused;
   uint64_t cut;
@@ -77,7 +77,7 @@
 }
 
 void
-standin_platform_faults_silence (StandinFaults *faults)
+standin_platform_faults_silence_connections (StandinFaults *faults)
 {
   pthread_mutex_lock (&faults->lock);
   faults->silent_to = faults->connections;
@@ -151,7 +151,7 @@
                                uint32_t latency_ms)
 {
   const StandinFaultPlan *plan = &faults->plan;
-  StandinVerdict verdict = STANDIN_LET_IN;
+  StandinVerdict verdict = STANDIN_ADMIT;
 
   pthread_mutex_lock (&faults->lock);
   while (connection <= faults->silent_to && !faults->stopping)
@@ -182,7 +182,7 @@
 }
 
 bool
-standin_platform_faults_loses (StandinFaults *faults)
+standin_platform_faults_lose_reply (StandinFaults *faults)
 {
   bool loses;
 
--- a/test/standin/platform_list.c
+++ b/test/standin/platform_list.c
@@ -3,12 +3,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* One change; an instance that shows is the newest change that is due. */
+/* A change; the visible state of an instance is its newest change that is due.
+ */
 typedef struct
 {
   MuxInstance instance;
   uint64_t due_ms;
-  uint64_t rev; /* since when it shows; 0: not yet */
+  uint64_t rev; /* at which it became visible; 0: not yet */
 } Change;
 
 struct StandinList
@@ -17,7 +18,7 @@
   uint32_t count;
   uint32_t capacity;
   uint64_t rev;
-  Change *changes; /* in the order they came */
+  Change *changes; /* in the order they were made */
 };
 
 StandinList *
@@ -82,7 +83,7 @@
   return true;
 }
 
-/* Puts due changes in the place of the older ones of the same instance. */
+/* Replaces older changes of an instance by those that are due. */
 static void
 apply_due (StandinList *list, uint64_t now_ms)
 {
--- a/test/standin/platform_list.h
+++ b/test/standin/platform_list.h
@@ -3,20 +3,22 @@
 
 #include "port/instances.h"
 
-/* The instance list and the changes that do not show yet; not locked. */
+/* The instance list, with changes that become visible after a lag.  Not
+ * thread-safe. */
 typedef struct StandinList StandinList;
 
 StandinList *standin_platform_list_new (uint32_t lag_ms);
 void standin_platform_list_free (StandinList *list);
-/** standin_platform_list_set() - a change made at @now_ms
- * Return: false when the instance is gone for good or memory is out. */
+/** standin_platform_list_set() - adds or changes an instance at @now_ms
+ * Return: false if the instance is already gone or memory is exhausted. */
 bool standin_platform_list_set (StandinList *list,
                                 const MuxInstance *instance,
                                 uint64_t now_ms);
-/** standin_platform_list_show() - copy of what shows at @now_ms, or NULL
- * @after: only what changed since that number was given; 0: all; one that was
- *   never given: all
- * @rev: number of this list, 0 while it is empty; may be NULL */
+/** standin_platform_list_show() - copies what is visible at @now_ms; NULL if
+ * out of memory
+ * @after: revision of an earlier list, to get only later changes; 0 or unknown:
+ *   all
+ * @rev: receives the revision of this list, 0 while it is empty; may be NULL */
 MuxInstanceList *standin_platform_list_show (StandinList *list,
                                              uint64_t now_ms,
                                              uint64_t after,
--- a/test/standin/platform_routes.c
+++ b/test/standin/platform_routes.c
@@ -16,11 +16,10 @@
 typedef struct _u_request Request;
 typedef struct _u_response Response;
 
-/* The server runs a thread for each connection, so this belongs to the
- * connection whose request is being handled. */
+/* Number of the connection that this thread serves. */
 static _Thread_local uint64_t connection_number;
 
-/* The caller sees the connection end without an answer. */
+/* Closes the connection without a response. */
 static int
 close_connection (Response *response)
 {
@@ -123,13 +122,14 @@
   uint64_t rev = 0;
   int end;
 
-  if (verdict != STANDIN_LET_IN)
+  if (verdict != STANDIN_ADMIT)
     return answer_not_admitted (response, verdict);
   if (standin_platform_read_txn (request->binary_body,
                                  request->binary_body_length, &rows))
     status = standin_platform_txn (server->platform, rows.row, rows.count, &rev,
                                    &failed);
-  if (status != MUX_TABLE_BAD && standin_platform_faults_loses (server->faults))
+  if (status != MUX_TABLE_BAD
+      && standin_platform_faults_lose_reply (server->faults))
     end = close_connection (response);
   else
     end = answer_txn (response, status, rev, &failed);
@@ -147,7 +147,7 @@
   msgpack_packer out;
   StandinRowSet rows;
 
-  if (verdict != STANDIN_LET_IN)
+  if (verdict != STANDIN_ADMIT)
     return answer_not_admitted (response, verdict);
   if (!standin_platform_read_keys (request->binary_body,
                                    request->binary_body_length, &rows))
@@ -170,7 +170,7 @@
   StandinRowSet rows;
   StandinScan scan;
 
-  if (verdict != STANDIN_LET_IN)
+  if (verdict != STANDIN_ADMIT)
     return answer_not_admitted (response, verdict);
   if (!standin_platform_read_scan (request->binary_body,
                                    request->binary_body_length, &scan))
@@ -217,7 +217,7 @@
   uint64_t rev = 0;
   MuxBlob *value;
 
-  if (verdict != STANDIN_LET_IN)
+  if (verdict != STANDIN_ADMIT)
     return answer_not_admitted (response, verdict);
   if (name == NULL)
     return answer_empty (response, 400);
@@ -241,7 +241,7 @@
   MuxBlob *value = NULL;
   uint64_t rev = 0;
 
-  if (verdict != STANDIN_LET_IN)
+  if (verdict != STANDIN_ADMIT)
     return answer_not_admitted (response, verdict);
   if (name == NULL)
     return answer_empty (response, 400);
@@ -255,7 +255,7 @@
   mux_blob_unref (value);
   if (rev == 0)
     return answer_refused (response);
-  if (standin_platform_faults_loses (server->faults))
+  if (standin_platform_faults_lose_reply (server->faults))
     return close_connection (response);
   add_revision (response, rev);
   return answer_empty (response, 200);
@@ -271,7 +271,7 @@
   MuxInstanceList *list;
   json_t *json;
 
-  if (verdict != STANDIN_LET_IN)
+  if (verdict != STANDIN_ADMIT)
     return answer_not_admitted (response, verdict);
   list = standin_platform_instances (
       server->platform, after != NULL ? strtoull (after, NULL, 10) : 0, &rev);
@@ -282,7 +282,7 @@
   return answer_json (response, 200, json);
 }
 
-/* Whatever its content type, so that `curl -d` will do. */
+/* Accepts any content type, for the sake of `curl -d`. */
 static json_t *
 read_json (const Request *request)
 {
@@ -306,7 +306,7 @@
     {
       standin_platform_faults_set (server->faults, &plan);
       if (silence)
-        standin_platform_faults_silence (server->faults);
+        standin_platform_faults_silence_connections (server->faults);
     }
   json_decref (json);
   return answer_json (response, findings.count == 0 ? 200 : 400,
--- a/test/standin/platform_routes.h
+++ b/test/standin/platform_routes.h
@@ -5,9 +5,10 @@
 
 #include <ulfius.h>
 
-/* The calls that the server answers. */
+/* The HTTP interface of the platform stand-in. */
 
-/** standin_platform_add_routes() - @server outlives @http's run */
+/** standin_platform_add_routes() - adds the routes to @http; @server must
+ * outlive it */
 bool standin_platform_add_routes (struct _u_instance *http,
                                   StandinPlatformServerOptions *server);
 
--- a/test/standin/platform_rows.c
+++ b/test/standin/platform_rows.c
@@ -3,13 +3,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Levels for some millions of rows when one in four goes a level up. */
+/* Enough for some millions of rows if one node in four is on the next level. */
 #define ROWS_LEVELS 12
 
 typedef struct Node Node;
 struct Node
 {
-  MuxRow row; /* first, so that a row leads back to its node */
+  MuxRow row; /* first member, so that a row can be cast to its node */
   Node *next[];
 };
 
--- a/test/standin/platform_server.h
+++ b/test/standin/platform_server.h
@@ -6,9 +6,9 @@
 #include "standin/platform_state.h"
 
 /**
- * struct StandinPlatformServerOptions - construction of the server
- * @platform: state, stays the caller's
- * @faults: stays the caller's
+ * struct StandinPlatformServerOptions - options of the server
+ * @platform: state, borrowed
+ * @faults: borrowed
  * @listen: "ip:port"; port 0 lets the kernel pick
  * @read_ms: latency of each read
  * @write_ms: latency of each write
@@ -24,11 +24,12 @@
 
 typedef struct StandinPlatformServer StandinPlatformServer;
 
-/** standin_platform_server_new() - listens and serves; NULL with @err set */
+/** standin_platform_server_new() - starts serving; NULL on failure, with @err
+ * set */
 StandinPlatformServer *
 standin_platform_server_new (const StandinPlatformServerOptions *options,
                              MuxError *err);
-/** standin_platform_server_free() - also stops the faults' waits */
+/** standin_platform_server_free() - ends the faults' waits and stops serving */
 void standin_platform_server_free (StandinPlatformServer *server);
 /** standin_platform_server_addr() - "ip:port" that it listens on */
 const char *standin_platform_server_addr (const StandinPlatformServer *server);
--- a/test/standin/platform_state.c
+++ b/test/standin/platform_state.c
@@ -105,8 +105,8 @@
     }
 }
 
-/* Makes room for every new row first, so that running out of memory half way
- * through leaves nothing behind. */
+/* Allocates every new row first, so that a transaction that runs out of memory
+ * has no effect. */
 static bool
 reserve_rows (StandinRows *table, const MuxRow *rows, uint32_t count)
 {
@@ -129,7 +129,7 @@
   return true;
 }
 
-/* Return: rows written. */
+/* Return: number of rows written. */
 static uint32_t
 write_rows (StandinRows *table,
             const MuxRow *rows,
--- a/test/standin/platform_state.h
+++ b/test/standin/platform_state.h
@@ -4,14 +4,14 @@
 #include "port/instances.h"
 #include "port/table.h"
 
-/* State of the platform stand-in: table, object store and instance list, all
- * in memory, without HTTP.  Every function may be called from any thread. */
+/* State of the platform stand-in: table, object store and instance list in
+ * memory, without HTTP.  All functions are thread-safe. */
 typedef struct StandinPlatform StandinPlatform;
 
 /**
- * struct StandinPlatformOptions - construction of the state
- * @list_lag_ms: a change of the instance list shows after this
- * @now_ms: clock that the lag is counted on; NULL: the monotonic clock
+ * struct StandinPlatformOptions - options of the state
+ * @list_lag_ms: time until a change of the instance list is visible
+ * @now_ms: clock for that lag; NULL: the monotonic clock
  * @clock: passed to @now_ms
  */
 typedef struct
@@ -23,16 +23,16 @@
 
 /**
  * struct StandinPlatformStats - counts since the start
- * @txns: transactions that came in, committed or not
- * @conflicts: of them, those whose condition failed
+ * @txns: transactions received
+ * @conflicts: transactions with a failed condition
  * @rows_written: rows put or deleted
  * @reads: GETs of rows
- * @rows_read: rows given by GETs and scans
+ * @rows_read: rows returned by GETs and scans
  * @scans: scan pages
  * @object_puts: objects put or deleted
  * @object_gets: objects read
- * @lists: readings of the instance list
- * @rows: rows that stand now
+ * @lists: reads of the instance list
+ * @rows: current number of rows
  * @rev: the newest revision
  */
 typedef struct
@@ -51,7 +51,7 @@
 } StandinPlatformStats;
 
 /**
- * struct StandinRowSet - rows as found; holds a reference of each value
+ * struct StandinRowSet - rows found, with a reference to each value
  */
 typedef struct
 {
@@ -60,25 +60,27 @@
   MuxRow row[MUX_ROWS_MAX];
 } StandinRowSet;
 
-/** standin_platform_new() - NULL when memory is out */
+/** standin_platform_new() - NULL if out of memory */
 StandinPlatform *standin_platform_new (const StandinPlatformOptions *options);
 void standin_platform_free (StandinPlatform *platform);
 
 /**
- * standin_platform_txn() - all of @rows, or nothing
- * @rev: revision of the rows written, or the newest if none was
- * @failed: rows whose condition failed, as found
- * Return: MUX_TABLE_OK, _CONFLICT, _BAD (rows or keys out of bounds, a key
- *   twice) or _DOWN (memory is out; nothing was written).
+ * standin_platform_txn() - applies all of @rows or none
+ * @rev: receives the revision of the rows written, or the newest if none was
+ * @failed: receives the rows whose condition failed, as they are
+ * Return: MUX_TABLE_OK, _CONFLICT, _BAD (rows or keys out of bounds, a
+ * duplicate key) or _DOWN (out of memory; nothing was written).
  */
 MuxTableStatus standin_platform_txn (StandinPlatform *platform,
                                      const MuxRow *rows,
                                      uint32_t count,
                                      uint64_t *rev,
                                      StandinRowSet *failed);
-/** standin_platform_get() - the rows that @found names, in its order */
+/** standin_platform_get() - reads the rows whose keys are in @found, in place
+ */
 void standin_platform_get (StandinPlatform *platform, StandinRowSet *found);
-/** standin_platform_scan() - a page of at most @limit rows */
+/** standin_platform_scan() - reads a page of at most @limit rows with @prefix,
+ * from the first key above @after on */
 void standin_platform_scan (StandinPlatform *platform,
                             const char *prefix,
                             const char *after,
@@ -86,21 +88,24 @@
                             StandinRowSet *found);
 void standin_platform_rows_release (StandinRowSet *set);
 
-/** standin_platform_object_put() - NULL @value deletes
- * Return: its revision, or 0 when memory is out. */
+/** standin_platform_object_put() - writes an object; a NULL @value deletes it
+ * Return: its revision, or 0 if out of memory. */
 uint64_t standin_platform_object_put (StandinPlatform *platform,
                                       const char *name,
                                       MuxBlob *value);
-/** standin_platform_object_get() - NULL when there is none; else unref it */
+/** standin_platform_object_get() - reads an object, to be unreferenced by the
+ * caller; NULL: none */
 MuxBlob *standin_platform_object_get (StandinPlatform *platform,
                                       const char *name,
                                       uint64_t *rev);
 
-/** standin_platform_instance_set() - register or change, shown after the lag
- * Return: false when the instance is gone for good or memory is out. */
+/** standin_platform_instance_set() - registers or changes an instance, visible
+ * after the lag
+ * Return: false if the instance is already gone or memory is exhausted. */
 bool standin_platform_instance_set (StandinPlatform *platform,
                                     const MuxInstance *instance);
-/** standin_platform_instances() - the list as it shows now, to be freed
+/** standin_platform_instances() - returns the list as visible now, to be freed
+ * by the caller
  * @after, @rev: see standin_platform_list_show() */
 MuxInstanceList *standin_platform_instances (StandinPlatform *platform,
                                              uint64_t after,
--- a/test/standin/worker_fault.c
+++ b/test/standin/worker_fault.c
@@ -19,12 +19,12 @@
 }
 
 static bool
-read_field (const char *name, const json_t *value, StandinFaults *faults)
+read_field (const char *name, const json_t *value, StandinWorkerFaults *faults)
 {
   if (strcmp (name, "hang") == 0)
     return read_bool (value, &faults->hang);
   if (strcmp (name, "deaf") == 0)
-    return read_bool (value, &faults->deaf);
+    return read_bool (value, &faults->cut_calls);
   if (strcmp (name, "fail_all") == 0)
     return read_bool (value, &faults->fail_all);
   if (strcmp (name, "leaving") == 0)
@@ -37,9 +37,9 @@
 }
 
 bool
-standin_worker_faults_read (const json_t *json, StandinFaults *faults)
+standin_worker_faults_read (const json_t *json, StandinWorkerFaults *faults)
 {
-  StandinFaults changed = *faults;
+  StandinWorkerFaults changed = *faults;
   const char *name;
   json_t *value;
 
--- a/test/standin/worker_fault.h
+++ b/test/standin/worker_fault.h
@@ -7,25 +7,26 @@
 
 /**
  * struct StandinFaults - faults set by POST /ctl
- * @hang: calls are held, without effect, until cleared or for 60 s
- * @deaf: calls are cut without effect
+ * @hang: calls are held, without effect, until this is cleared or for 60 s
+ * @cut_calls: connections are closed without effect ("deaf" in JSON)
  * @fail_all: every task fails within 10 ms
  * @leaving: starts are refused
- * @slow_ms: each answer is held so long, after its effect
- * @lose_answers: so many START answers are cut, after their effect
+ * @slow_ms: delay of each response, after the effect
+ * @lose_answers: number of STARTs still to take effect without a response
  */
 typedef struct
 {
   bool hang;
-  bool deaf;
+  bool cut_calls;
   bool fail_all;
   bool leaving;
   uint32_t slow_ms;
   uint32_t lose_answers;
-} StandinFaults;
+} StandinWorkerFaults;
 
-/** standin_worker_faults_read() - change what @json names
- * Return: false when a field is unknown or wrong; @faults is untouched. */
-bool standin_worker_faults_read (const json_t *json, StandinFaults *faults);
+/** standin_worker_faults_read() - changes the fields that @json names
+ * Return: false if a field is unknown or invalid; @faults is unchanged then. */
+bool standin_worker_faults_read (const json_t *json,
+                                 StandinWorkerFaults *faults);
 
 #endif
--- a/test/standin/worker_log.c
+++ b/test/standin/worker_log.c
@@ -11,7 +11,7 @@
   size_t len;
 } Line;
 
-/* Names and fixed words alone are printed, so nothing needs an escape. */
+/* Only names and fixed words are printed, which need no escapes. */
 static void __attribute__ ((format (printf, 2, 3)))
 print (Line *line, const char *format, ...)
 {
--- a/test/standin/worker_log.h
+++ b/test/standin/worker_log.h
@@ -5,12 +5,12 @@
 
 #include <stddef.h>
 
-/* Bytes that hold any line with its newline. */
+/* Size of the longest line, with its newline. */
 #define STANDIN_WORKER_LINE_MAX 1024
 
 /**
- * standin_worker_log_line() - an event as a line of JSON
- * @t_ms: wall clock
+ * standin_worker_log_line() - formats an event as a line of JSON
+ * @t_ms: time of day
  * Return: bytes written to @out, with the newline.
  */
 size_t standin_worker_log_line (const StandinWorkerEvent *event,
--- a/test/standin/worker_logic.c
+++ b/test/standin/worker_logic.c
@@ -6,7 +6,7 @@
 #include <string.h>
 #include <utlist.h>
 
-/* Most changes listed by one renewal; the next one lists the rest. */
+/* Most changes in the reply to one renewal; the next reply has the rest. */
 #define CHANGES_MAX 512
 #define FAIL_ALL_MS 5
 
@@ -111,7 +111,7 @@
         const char *reason,
         int64_t now_ms)
 {
-  standin_worker_tell_call (worker, "refuse", reason, call, now_ms);
+  standin_worker_log_call (worker, "refuse", reason, call, now_ms);
   return reply_new (worker, call, status, 0, now_ms);
 }
 
@@ -128,7 +128,7 @@
   worker->claimed = true;
   worker->lease_until_ms = now_ms + call->lease_ms;
   mux_name_copy (worker->owner, call->owner);
-  standin_worker_tell_call (worker, "claim", NULL, call, now_ms);
+  standin_worker_log_call (worker, "claim", NULL, call, now_ms);
   reply
       = reply_new (worker, call, MUX_WORKER_OK, worker->running_count, now_ms);
   if (reply == NULL)
@@ -140,7 +140,7 @@
   return reply;
 }
 
-/* The first task changed after @cursor; NULL: none. */
+/* Return: the first task changed after @cursor; NULL: none. */
 static const StandinTask *
 first_change (const StandinWorker *worker, uint64_t cursor)
 {
@@ -193,7 +193,7 @@
   worker->running_count++;
   DL_APPEND2 (worker->running, task, run_prev, run_next);
   standin_worker_add (worker, task);
-  standin_worker_tell_task (worker, "start", NULL, task, now_ms);
+  standin_worker_log_task (worker, "start", NULL, task, now_ms);
   standin_worker_end_due (worker, now_ms);
   return reply_task (worker, call, task, now_ms);
 }
@@ -228,8 +228,8 @@
     return refuse (worker, call, MUX_WORKER_IS_LEAVING, "leaving", now_ms);
   if (!mux_size_fits (need, free))
     {
-      standin_worker_tell_call (worker, "overcommit_attempt", NULL, call,
-                                now_ms);
+      standin_worker_log_call (worker, "overcommit_attempt", NULL, call,
+                               now_ms);
       return refuse (worker, call, MUX_WORKER_NO_ROOM, "no_room", now_ms);
     }
   return start_new (worker, call, now_ms);
@@ -250,7 +250,7 @@
   task->ended_ms = now_ms;
   DL_APPEND2 (worker->ended, task, end_prev, end_next);
   standin_worker_add (worker, task);
-  standin_worker_tell_task (worker, "forget", NULL, task, now_ms);
+  standin_worker_log_task (worker, "forget", NULL, task, now_ms);
   return reply_task (worker, call, task, now_ms);
 }
 
@@ -273,7 +273,7 @@
   const StandinTask *task = standin_worker_find (worker, call->task);
 
   if (task != NULL && task->state == MUX_TASK_RUNNING)
-    standin_worker_tell_task (worker, event, NULL, task, now_ms);
+    standin_worker_log_task (worker, event, NULL, task, now_ms);
   return reply_task (worker, call, task, now_ms);
 }
 
@@ -281,11 +281,11 @@
 do_release (StandinWorker *worker, const MuxWorkerCall *call, int64_t now_ms)
 {
   worker->claimed = false;
-  standin_worker_tell_call (worker, "release", NULL, call, now_ms);
+  standin_worker_log_call (worker, "release", NULL, call, now_ms);
   return reply_new (worker, call, MUX_WORKER_OK, 0, now_ms);
 }
 
-/* CLAIM and START judge the epoch themselves; 0 is not checked. */
+/* CLAIM and START check the epoch themselves; an epoch of 0 is not checked. */
 static MuxWorkerStatus
 check_epoch (const StandinWorker *worker, const MuxWorkerCall *call)
 {
--- a/test/standin/worker_logic.h
+++ b/test/standin/worker_logic.h
@@ -7,20 +7,20 @@
 #include <stdint.h>
 
 /**
- * struct StandinWorkerEvent - one line of the execution log
+ * struct StandinWorkerEvent - an event of the worker's log
  * @event: start, end, refuse, claim, release, forget, stop, checkpoint,
  *   throttle or overcommit_attempt
- * @mono_ms: the worker's clock
+ * @mono_ms: time on the worker's clock
  * @task: none for events of the whole worker
- * @class_name: label; "" when none
- * @home: label; "" when none
- * @owner: who asked or holds the claim; "" when none
+ * @class_name: class of the task; "": none
+ * @home: daemon that handles the task; "": none
+ * @owner: daemon that made the call, or else holds the claim; "": none
  * @epoch: of the call that caused it, else the current one
- * @size: booked
- * @state: the task's state after it; NULL when none
- * @reason: why; NULL when none
- * @body: input; NULL when none
- * @answer: NULL when none
+ * @size: size of the task
+ * @state: the task's state after the event; NULL: none
+ * @reason: cause; NULL: none
+ * @body: input of the task; NULL: none
+ * @answer: result of the task; NULL: none
  * @ran_ms: run time so far
  */
 typedef struct
@@ -41,17 +41,17 @@
 } StandinWorkerEvent;
 
 /**
- * struct StandinWorkerOptions - construction of a worker without its HTTP
+ * struct StandinWorkerOptions - options of a worker without HTTP
  * @name: its name
- * @incarnation: this life, not 0
- * @capacity: what it holds
- * @grace_ms: tasks outlive a lapsed lease by this
- * @retain_ms: answers and tombstones are kept so long
- * @run_ms: run time of a task whose body names none
- * @usage_lag_ms: usage of a task shows this long after its start
+ * @incarnation: its incarnation, not 0
+ * @capacity: its capacity
+ * @grace_ms: tasks are ended so long after the lease has expired
+ * @retain_ms: retention of results and tombstones
+ * @run_ms: run time of a task whose body gives none
+ * @usage_lag_ms: time from a task's start until its usage is reported
  * @ctx: first argument of the functions below
- * @on_event: receives log lines; may be NULL
- * @on_end: a task is not running any more; may be NULL
+ * @on_event: called for each event of the log; may be NULL
+ * @on_end: called when a task has ended; may be NULL
  */
 typedef struct
 {
@@ -67,29 +67,30 @@
   void (*on_end) (void *ctx, MuxId task);
 } StandinWorkerOptions;
 
-/* A simulated worker: no threads, no locks, no clock of its own. */
+/* A simulated worker, without threads, locks or a clock of its own. */
 typedef struct StandinWorker StandinWorker;
 
-/** standin_worker_new() - copies @options but for what @ctx points to */
+/** standin_worker_new() - copies @options, but not what @ctx points to */
 StandinWorker *standin_worker_new (const StandinWorkerOptions *options);
 void standin_worker_free (StandinWorker *worker);
 
 /**
- * standin_worker_call() - do what @call asks, at once; wait_ms is not used
- * @now_ms: the worker's clock, never going back
- * @repeated: START: set when the id had been started before; may be NULL
- * Return: the reply, to be freed; NULL: memory is out.
+ * standin_worker_call() - carries @call out at once, ignoring its wait_ms
+ * @now_ms: the worker's clock; must not go back
+ * @repeated: START: set if the id had been started before; may be NULL
+ * Return: the reply, to be freed by the caller; NULL if out of memory.
  */
 MuxWorkerReply *standin_worker_call (StandinWorker *worker,
                                      const MuxWorkerCall *call,
                                      int64_t now_ms,
                                      bool *repeated);
-/** standin_worker_tick() - end what has run long enough or lost its lease
- * Return: when it is to be called next on the worker's clock. */
+/** standin_worker_tick() - ends tasks whose run time is over or whose lease has
+ * expired
+ * Return: time of the next call, on the worker's clock. */
 int64_t standin_worker_tick (StandinWorker *worker, int64_t now_ms);
-/** standin_worker_set_leaving() - leaving workers refuse starts */
+/** standin_worker_set_leaving() - a leaving worker refuses starts */
 void standin_worker_set_leaving (StandinWorker *worker, bool leaving);
-/** standin_worker_set_fail_all() - later starts fail within 10 ms */
+/** standin_worker_set_fail_all() - tasks started later fail within 10 ms */
 void standin_worker_set_fail_all (StandinWorker *worker, bool fail_all);
 
 #endif
--- a/test/standin/worker_register.h
+++ b/test/standin/worker_register.h
@@ -6,10 +6,10 @@
 /**
  * struct StandinRegistration - a worker's entry in the platform's list
  * @platform: "http://ip:port" of the platform stand-in
- * @name: the worker
- * @data_centre: where it is
- * @rack: where it is
- * @addr: its "ip:port"
+ * @name: of the worker
+ * @data_centre: of the worker
+ * @rack: of the worker
+ * @addr: "ip:port" of the worker
  */
 typedef struct
 {
@@ -20,8 +20,9 @@
   const char *addr;
 } StandinRegistration;
 
-/** standin_worker_register() - POST /ctl/instance, tried a few times
- * @state: "live" or "leaving" */
+/** standin_worker_register() - sends POST /ctl/instance, with a few retries
+ * @state: "live" or "leaving"
+ * Return: false if all failed. */
 bool standin_worker_register (const StandinRegistration *registration,
                               const char *state);
 
--- a/test/standin/worker_server.c
+++ b/test/standin/worker_server.c
@@ -39,7 +39,7 @@
   pthread_cond_t faults_changed;
   pthread_cond_t waits_changed;
   StandinWorker *worker;
-  StandinFaults faults;
+  StandinWorkerFaults faults;
   Waiter *waiters;
   uint32_t waits;
   int64_t due_ms;
@@ -66,7 +66,7 @@
   len = standin_worker_log_line (event, server->options.worker.name,
                                  server->options.worker.incarnation,
                                  standin_clock_ms (CLOCK_REALTIME), line);
-  /* History checking relies on the log: without it there is no truth. */
+  /* A lost line would make the check of the history invalid. */
   if (write (server->options.log_fd, line, len) != (ssize_t) len)
     abort ();
 }
@@ -116,9 +116,9 @@
   return NULL;
 }
 
-/* Holds a call while the worker hangs. */
+/* Delays a call while the fault "hang" is set. */
 static void
-pass_gate (StandinWorkerServer *server)
+wait_while_hung (StandinWorkerServer *server)
 {
   struct timespec deadline = standin_deadline_in (HANG_MAX_MS);
 
@@ -161,7 +161,7 @@
   pthread_cond_destroy (&waiter.ended);
 }
 
-/* START and FETCH of a running task wait for its end, then look again. */
+/* START and FETCH of a running task wait for its end, then fetch its result. */
 static MuxWorkerReply *
 call_and_wait (StandinWorkerServer *server,
                const MuxWorkerCall *call,
@@ -203,8 +203,8 @@
   uint32_t slow_ms;
 
   pthread_mutex_lock (&server->lock);
-  pass_gate (server);
-  cut = server->faults.deaf;
+  wait_while_hung (server);
+  cut = server->faults.cut_calls;
   if (!cut)
     {
       bool lost = loses_answer (server, call);
@@ -373,7 +373,7 @@
 }
 
 void
-standin_worker_server_poke (StandinWorkerServer *server)
+standin_worker_server_clock_jumped (StandinWorkerServer *server)
 {
   pthread_mutex_lock (&server->lock);
   tick (server);
--- a/test/standin/worker_server.h
+++ b/test/standin/worker_server.h
@@ -5,12 +5,12 @@
 #include "standin/worker_logic.h"
 
 /**
- * struct StandinWorkerServerOptions - construction of a worker with its HTTP
- * @worker: its logic; ctx, on_event and on_end are set by the server
+ * struct StandinWorkerServerOptions - options of a worker with HTTP
+ * @worker: of its logic; ctx, on_event and on_end are set by the server
  * @listen: "ip:port"; port 0 lets the kernel pick
- * @log_fd: execution log, opened with O_APPEND; -1: none
+ * @log_fd: log of its events, opened with O_APPEND; -1: none
  * @now_ms: the worker's clock; NULL: CLOCK_BOOTTIME
- * @on_leaving: told when POST /ctl changed it; may be NULL
+ * @on_leaving: called when POST /ctl has changed "leaving"; may be NULL
  * @ctx: first argument of the functions above
  */
 typedef struct
@@ -25,18 +25,20 @@
 
 typedef struct StandinWorkerServer StandinWorkerServer;
 
-/** standin_worker_server_new() - serves at once; NULL with @err set */
+/** standin_worker_server_new() - starts serving; NULL on failure, with @err set
+ */
 StandinWorkerServer *
 standin_worker_server_new (const StandinWorkerServerOptions *options,
                            MuxError *err);
-/** standin_worker_server_free() - ends waits, then closes */
+/** standin_worker_server_free() - ends pending waits and stops serving */
 void standin_worker_server_free (StandinWorkerServer *server);
-/** standin_worker_server_addr() - "ip:port" it listens at */
+/** standin_worker_server_addr() - "ip:port" that it listens on */
 const char *standin_worker_server_addr (const StandinWorkerServer *server);
-/** standin_worker_server_poke() - the clock given by now_ms has jumped */
-void standin_worker_server_poke (StandinWorkerServer *server);
-/** standin_worker_server_wait() - until @waits calls wait for a task's end
- *  or, at 0, until none does */
+/** standin_worker_server_clock_jumped() - to be called after the clock of
+ * @now_ms has jumped */
+void standin_worker_server_clock_jumped (StandinWorkerServer *server);
+/** standin_worker_server_wait() - blocks until at least @waits calls wait for a
+ * task's end or, if 0, until none does */
 void standin_worker_server_wait (StandinWorkerServer *server, uint32_t waits);
 
 #endif
--- a/test/standin/worker_state.c
+++ b/test/standin/worker_state.c
@@ -10,11 +10,11 @@
 }
 
 void
-standin_worker_tell_task (StandinWorker *worker,
-                          const char *name,
-                          const char *reason,
-                          const StandinTask *task,
-                          int64_t now_ms)
+standin_worker_log_task (StandinWorker *worker,
+                         const char *name,
+                         const char *reason,
+                         const StandinTask *task,
+                         int64_t now_ms)
 {
   StandinWorkerEvent event = {
     .event = name,
@@ -36,11 +36,11 @@
 }
 
 void
-standin_worker_tell_call (StandinWorker *worker,
-                          const char *name,
-                          const char *reason,
-                          const MuxWorkerCall *call,
-                          int64_t now_ms)
+standin_worker_log_call (StandinWorker *worker,
+                         const char *name,
+                         const char *reason,
+                         const MuxWorkerCall *call,
+                         int64_t now_ms)
 {
   StandinWorkerEvent event = {
     .event = name,
@@ -102,8 +102,8 @@
   DL_APPEND2 (worker->ended, task, end_prev, end_next);
   touch (worker, task);
   if (state == MUX_TASK_STOPPED)
-    standin_worker_tell_task (worker, "stop", reason, task, now_ms);
-  standin_worker_tell_task (worker, "end", reason, task, now_ms);
+    standin_worker_log_task (worker, "stop", reason, task, now_ms);
+  standin_worker_log_task (worker, "end", reason, task, now_ms);
   mux_blob_unref (task->body);
   task->body = NULL;
   if (worker->options.on_end != NULL)
@@ -159,8 +159,8 @@
   standin_worker_task_free (task);
 }
 
-/* A tombstone goes after retain_ms.  An ended task loses its answer then, and
- * stays known for as long again, so that a repeated start is not run. */
+/* Removes tombstones and results after retain_ms.  The task itself is kept for
+ * as long again, so that a repeated START does not run it. */
 static void
 expire (StandinWorker *worker, int64_t now_ms)
 {
--- a/test/standin/worker_task.c
+++ b/test/standin/worker_task.c
@@ -5,7 +5,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Larger bodies are taken as plain bytes. */
+/* Larger bodies are not parsed as JSON. */
 #define JSON_BODY_MAX 65536
 #define RUN_MS_LINE "run_ms="
 
--- a/test/standin/worker_wire.c
+++ b/test/standin/worker_wire.c
@@ -30,7 +30,7 @@
         [MUX_WORKER_IS_LEAVING] = { "leaving", 503 },
         [MUX_WORKER_BAD] = { "bad", 400 } };
 
-/* An absent header counts as 0. */
+/* An absent header is read as 0. */
 static bool
 read_number (const struct _u_request *request,
              const char *header,
--- a/test/standin/worker_wire.h
+++ b/test/standin/worker_wire.h
@@ -5,16 +5,16 @@
 
 #include <ulfius.h>
 
-/** standin_worker_read_call() - a request of docs/platform/worker.md
- * Return: false when it is wrong; @call->body is the caller's to unref. */
+/** standin_worker_read_call() - parses a request as in docs/platform/worker.md
+ * Return: false if it is invalid.  The caller unrefs @call->body. */
 bool standin_worker_read_call (const struct _u_request *request,
                                MuxWorkerCall *call);
-/** standin_worker_write_reply() - the answer to such a request */
+/** standin_worker_write_reply() - fills the response to such a request */
 void standin_worker_write_reply (const MuxWorkerReply *reply,
                                  const MuxWorkerCall *call,
                                  bool repeated,
                                  struct _u_response *response);
-/** standin_worker_write_status() - an answer without any content */
+/** standin_worker_write_status() - fills a response without content */
 void standin_worker_write_status (struct _u_response *response,
                                   unsigned int http_status,
                                   const char *word);
--- a/test/support/canned_server.c
+++ b/test/support/canned_server.c
@@ -32,7 +32,7 @@
     }
 }
 
-/* Closing with bytes unread would reset the connection, and the answer could
+/* Closing with unread bytes would reset the connection, and the response could
  * be lost before it is read. */
 static void
 close_after_answer (int fd)
--- a/test/support/cli_door.h
+++ b/test/support/cli_door.h
@@ -11,13 +11,13 @@
 #define CLI_DOOR_SEEN_LEN 65536
 
 /**
- * struct CliDoorAnswer - one answer that the stand-in gives
- * @status: HTTP status; 0: the answer breaks off in the middle
+ * struct CliDoorAnswer - a response of the scripted server
+ * @status: HTTP status; 0: the connection is closed in mid-response
  * @outcome: header Cuminmux-Outcome, or NULL
  * @reason: header Cuminmux-Reason, or NULL
  * @retry_ms: header Cuminmux-Retry-Ms, or NULL
- * @body: its bytes
- * @body_len: their number; 0: up to the NUL
+ * @body: content
+ * @body_len: bytes of @body; 0: NUL-terminated
  */
 typedef struct
 {
@@ -30,9 +30,11 @@
 } CliDoorAnswer;
 
 /**
- * struct CliDoor - stand-in of a daemon's HTTP interface, following a script
- * @answers: given in this order, one to a call
- * @seen: what came in, a line to a call
+ * struct CliDoor - a HTTP server in the place of a daemon, with scripted
+ *   responses
+ * @next: index in @answers of the next response
+ * @answers: responses in the order of the requests
+ * @seen: log of the requests, a line each
  */
 typedef struct
 {
@@ -46,12 +48,13 @@
   uint16_t port;
 } CliDoor;
 
-/** cli_door_open() - listen on a port that the kernel picks */
+/** cli_door_open() - listens on a port that the kernel picks */
 bool cli_door_open (CliDoor *door);
 void cli_door_close (CliDoor *door);
+/** cli_door_will() - appends a response to the script */
 void cli_door_will (CliDoor *door, CliDoorAnswer answer);
-/** cli_port_refusing() - a bound port that takes no connections
- * @fd: keeps it bound until it is closed */
+/** cli_port_refusing() - returns a bound port that refuses connections
+ * @fd: receives the socket, which keeps the port bound until it is closed */
 uint16_t cli_port_refusing (int *fd);
 
 #endif
--- a/test/support/cli_session.c
+++ b/test/support/cli_session.c
@@ -98,8 +98,7 @@
     }
 }
 
-/* Runs @line, with @input as standard input, and logs what was printed, what
- * the daemon saw and the exit code. */
+/* Logs the command line, the requests, the output and the exit code. */
 int
 cli_session_run_with (CliSession *session, const char *line, const char *input)
 {
@@ -176,7 +175,6 @@
   cli_door_will (&session->door, (CliDoorAnswer){ .status = 0 });
 }
 
-/* The session must be the golden file, word for word. */
 void
 cli_session_assert_golden (CliSession *session, const char *name)
 {
--- a/test/support/core_record.c
+++ b/test/support/core_record.c
@@ -6,7 +6,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Calls under way at one node, and bytes of what is kept of each. */
+/* Most pending calls of a node, and size of the label kept for each. */
 #define CALLS_MAX 1024
 #define LABEL_LEN 192
 
@@ -67,8 +67,8 @@
   FakeTap tap;
   CoreRecord *record;
   uint32_t node;
-  bool tick; /* a wake-up whose line stands out until there is an action */
-  char label[CALLS_MAX][LABEL_LEN]; /* what a reply was asked for */
+  bool tick; /* in a tick whose line is not yet written */
+  char label[CALLS_MAX][LABEL_LEN]; /* of pending calls, for their replies */
 } NodeTap;
 
 struct CoreRecord
@@ -285,7 +285,7 @@
     }
 }
 
-/* Begins an action's line. */
+/* Starts the line of an action. */
 static FILE *
 action (MuxCoreSink *sink)
 {
--- a/test/support/golden.c
+++ b/test/support/golden.c
@@ -8,7 +8,7 @@
 #define ID_DIGITS 32
 #define IDS_MAX 256
 
-/* Lines of a text, without their ends. */
+/* Lines of a text, without their newlines. */
 typedef struct
 {
   uint32_t count;
@@ -42,8 +42,8 @@
     fprintf (stderr, "%s%s\n", mark, lines.line[i]);
 }
 
-/* What lies between the lines that both have at the beginning and those that
- * both have at the end, with some lines around it. */
+/* Prints what differs between the common first and last lines of the texts,
+ * with CONTEXT lines around it. */
 static void
 print_diff (Lines a, Lines b)
 {
--- a/test/support/peer_sample.h
+++ b/test/support/peer_sample.h
@@ -3,8 +3,8 @@
 
 #include "port/peer.h"
 
-/** peer_sample() - a message of @verb with every field that it uses
- * The padding is zero; @msg->body is the caller's to unref. */
+/** peer_sample() - fills a message of @verb, with a value in every field that
+ * the verb uses.  Padding is zero; the caller unrefs @msg->body. */
 void peer_sample (MuxPeerVerb verb, MuxPeerMsg *msg);
 
 #endif
--- a/test/support/random.h
+++ b/test/support/random.h
@@ -5,7 +5,7 @@
 
 /**
  * struct MuxRandom - seeded generator (SplitMix64); same seed, same numbers
- * @state: the seed at first
+ * @state: initially the seed
  */
 typedef struct
 {
@@ -13,7 +13,7 @@
 } MuxRandom;
 
 uint64_t mux_random_next (MuxRandom *random);
-/** mux_random_below() - 0 to @bound - 1; @bound is not 0 */
+/** mux_random_below() - returns a number below @bound, which is not 0 */
 uint32_t mux_random_below (MuxRandom *random, uint32_t bound);
 
 #endif
--- a/test/support/raw_http.c
+++ b/test/support/raw_http.c
@@ -96,7 +96,7 @@
       ssize_t n = recv (fd, reply.body + have, reply.body_len - have, 0);
 
       if (n <= 0)
-        return reply; /* cut: no status */
+        return reply; /* incomplete: no status */
       have += (size_t) n;
     }
   reply.status = atoi (reply.head + strlen ("HTTP/1.1 "));
--- a/test/support/raw_http.h
+++ b/test/support/raw_http.h
@@ -4,11 +4,14 @@
 #include <stdbool.h>
 #include <stddef.h>
 
+/* A HTTP client over a plain socket, for requests that a library would not
+ * send. */
+
 /**
- * struct RawReply - an HTTP answer, as bytes
- * @status: status code; 0: none came
- * @head: status line and headers, closed with a NUL
- * @body: content
+ * struct RawReply - a HTTP response
+ * @status: status code; 0: no complete response was received
+ * @head: status line and headers, NUL-terminated
+ * @body: content, NUL-terminated
  * @body_len: bytes of @body
  */
 typedef struct
@@ -19,17 +22,18 @@
   size_t body_len;
 } RawReply;
 
-/** raw_connect() - TCP to "ip:port"; fails the test when it can't */
+/** raw_connect() - connects to "ip:port"; fails the test if it can't */
 int raw_connect (const char *addr);
-/** raw_send() - all of it; false when the other side has closed */
+/** raw_send() - sends all of @bytes; false if the peer has closed */
 bool raw_send (int fd, const void *bytes, size_t len);
-/** raw_read_reply() - one answer with its Content-Length */
+/** raw_read_reply() - reads one response with a Content-Length, skipping "100
+ * Continue" */
 RawReply raw_read_reply (int fd);
-/** raw_exchange() - connect, send, read one answer, close */
+/** raw_exchange() - connects, sends, reads one response and closes */
 RawReply raw_exchange (const char *addr, const void *bytes, size_t len);
-/** raw_header() - value of a header, in a static buffer; "" when absent */
+/** raw_header() - value of a header, in a static buffer; "" if absent */
 const char *raw_header (const RawReply *reply, const char *name);
-/** raw_wait_closed() - until the other side closes */
+/** raw_wait_closed() - waits until the peer closes */
 void raw_wait_closed (int fd);
 void raw_reply_free (RawReply *reply);
 
--- a/test/support/tcp_forwarder.c
+++ b/test/support/tcp_forwarder.c
@@ -13,13 +13,14 @@
 #include <time.h>
 #include <unistd.h>
 
-/* Open connections at once; one more is refused. */
+/* Most open connections; one more is closed at once. */
 #define PAIRS_MAX 512
 #define WAIT_S 30
-/* Of a path over a slow link. */
+/* Delay of a slow link. */
 #define DELAY_NS 40000000
 
-/* Frozen ends stay open; they are closed with the forwarder. */
+/* A connection to the forwarder and the one to the target.  Frozen ones are
+ * closed with the forwarder. */
 typedef struct
 {
   int fd[2];
@@ -40,11 +41,11 @@
   Pair pairs[PAIRS_MAX];
   uint32_t count;
   uint32_t closed;
-  uint64_t bytes; /* passed on, both ways together */
+  uint64_t bytes; /* forwarded, in both directions */
 };
 
 static struct sockaddr_in
-parse (const char *addr)
+loopback_of (const char *addr)
 {
   struct sockaddr_in sa = { .sin_family = AF_INET };
 
@@ -53,7 +54,7 @@
   return sa;
 }
 
-/* A place for one more connection, or NULL. */
+/* Return: a free entry for a connection, or NULL. */
 static Pair *
 free_pair (TcpForwarder *fw)
 {
@@ -110,7 +111,7 @@
 }
 
 static void
-pump (TcpForwarder *fw, Pair *pair, int from)
+forward_chunk (TcpForwarder *fw, Pair *pair, int from)
 {
   char buf[16384];
   ssize_t n = recv (pair->fd[from], buf, sizeof buf, 0);
@@ -134,7 +135,7 @@
 }
 
 static void
-hold_up (TcpForwarder *fw)
+delay_chunk (TcpForwarder *fw)
 {
   static const struct timespec delay = { 0, DELAY_NS };
   bool delays;
@@ -166,14 +167,14 @@
                                POLLIN, 0 };
       pthread_mutex_unlock (&fw->mutex);
       poll (fds, 2 + 2 * count, -1);
-      hold_up (fw);
+      delay_chunk (fw);
       pthread_mutex_lock (&fw->mutex);
       if (fds[0].revents != 0)
         eventfd_read (fw->wake, &woken);
       for (uint32_t i = 0; i < 2 * count; i++)
         if (fds[2 + i].revents != 0
             && end_to_poll (fw, &fw->pairs[i / 2], i % 2) >= 0)
-          pump (fw, &fw->pairs[i / 2], i % 2);
+          forward_chunk (fw, &fw->pairs[i / 2], i % 2);
       if (fds[1].revents != 0)
         accept_pair (fw);
     }
@@ -190,7 +191,7 @@
   if (fw == NULL)
     abort ();
   if (target != NULL)
-    fw->target = parse (target);
+    fw->target = loopback_of (target);
   fw->targeted = target != NULL;
   fw->wake = eventfd (0, EFD_CLOEXEC);
   fw->listener = standin_listen ("127.0.0.1:0", addr, &port, NULL);
@@ -226,7 +227,7 @@
 {
   pthread_mutex_lock (&fw->mutex);
   if (target != NULL)
-    fw->target = parse (target);
+    fw->target = loopback_of (target);
   fw->targeted = target != NULL;
   pthread_mutex_unlock (&fw->mutex);
 }
--- a/test/support/test.h
+++ b/test/support/test.h
@@ -1,7 +1,7 @@
 #ifndef SUPPORT_TEST_H
 #define SUPPORT_TEST_H
 
-/* What cmocka wants before it, and what most tests use besides. */
+/* cmocka with the headers that it needs, and those that most tests use. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
--- a/test/unit/test_platform_faults.c
+++ b/test/unit/test_platform_faults.c
@@ -136,7 +136,7 @@
   fixture->port->free (fixture->port);
   platform_start_adapter (fixture, 2);
   ask_on_both_threads (fixture);
-  standin_platform_faults_silence (fixture->faults);
+  standin_platform_faults_silence_connections (fixture->faults);
   call = platform_get_new ("a");
   call->timeout_ms = SHORT_MS;
   assert_int_equal (platform_ask_status (fixture, call), MUX_TABLE_DOWN);
@@ -155,7 +155,7 @@
   fixture->port->free (fixture->port);
   platform_start_adapter (fixture, 2);
   ask_on_both_threads (fixture);
-  standin_platform_faults_silence (fixture->faults);
+  standin_platform_faults_silence_connections (fixture->faults);
   call = platform_get_new ("a");
   call->timeout_ms = SHORT_MS;
   assert_int_equal (platform_ask_status (fixture, call), MUX_TABLE_DOWN);
--- a/test/unit/test_platform_standin.c
+++ b/test/unit/test_platform_standin.c
@@ -380,13 +380,13 @@
   (void) state;
   standin_platform_faults_set (faults, &plan);
   for (uint32_t i = 0; i < 200; i++)
-    lost += first[i] = standin_platform_faults_loses (faults);
+    lost += first[i] = standin_platform_faults_lose_reply (faults);
   assert_in_range (lost, 25, 75);
   standin_platform_faults_set (faults, &none);
-  assert_false (standin_platform_faults_loses (faults));
+  assert_false (standin_platform_faults_lose_reply (faults));
   standin_platform_faults_set (faults, &plan);
   for (uint32_t i = 0; i < 200; i++)
-    assert_int_equal (standin_platform_faults_loses (faults), first[i]);
+    assert_int_equal (standin_platform_faults_lose_reply (faults), first[i]);
   standin_platform_faults_free (faults);
 }
 
@@ -407,7 +407,7 @@
       standin_platform_faults_admit (faults, cut_by_name, 1, true, 0),
       STANDIN_CLOSE);
   assert_int_equal (standin_platform_faults_admit (faults, other, 1, false, 0),
-                    STANDIN_LET_IN);
+                    STANDIN_ADMIT);
   standin_platform_faults_free (faults);
 }
 
