--- a/test/standin/platform_faults.h
+++ b/test/standin/platform_faults.h
@@ -55,7 +55,7 @@
                                   const StandinFaultPlan *plan);
 /** standin_platform_faults_stop() - ends all waits, before the server stops */
 void standin_platform_faults_stop (StandinFaults *faults);
-/** standin_platform_faults_silence() - requests on the connections open
+/** standin_platform_faults_silence_connections() - requests on connections open
  * now get no response any more */
 void standin_platform_faults_silence_connections (StandinFaults *faults);
 /**
--- a/test/support/cell_world_worker.c
+++ b/test/support/cell_world_worker.c
@@ -14,7 +14,8 @@
 #define WORKER_NET "10.1."
 #define WORKERS_PER_NET 256
 /* A start counts as beyond a reduced capacity so long after the change: the
- * planner may learn of it only from the next report of the worker. */
+ * interval of the worker's reports and the time to deliver one, after which the
+ * planner must know. */
 #define ROOM_GRACE_MS 4500
 /* Workers shorten a longer lease to this. */
 #define LEASE_MAX_MS 10000
