--- a/test/support/cell_world.h
+++ b/test/support/cell_world.h
@@ -314,9 +314,9 @@
 uint32_t world_fenced (const World *world);
 /** world_ended_rows() - counts the rows of ended jobs in the store */
 uint32_t world_ended_rows (const World *world);
-/** world_submit() - submits @job, which it takes over, at a daemon; the
- * response arrives during world_run() Return: call_id of the request, the index
- * of @response */
+/** world_submit() - submits @job, which it takes over, at a daemon.  The
+ * response arrives during world_run().
+ * Return: call_id of the request, the index in the world's @response. */
 uint64_t
 world_submit (World *world, uint32_t cell, MuxJobSpec *job, const char *id);
 /** world_request() - sends another request about job @id
--- a/test/support/chaos_variants.c
+++ b/test/support/chaos_variants.c
@@ -15,28 +15,29 @@
 /* On average, one step in so many changes the input delay of a daemon. */
 #define LATE_ONE_IN 60
 #define LATE_MAX_MS 3000
-/* Likewise the latency of the store, and whether a data centre is cut off. */
+/* One step in so many changes the store's latency; one cuts a data centre off
+ * or reconnects it. */
 #define SLOW_ONE_IN 60
 #define SLOW_LEAST_MS 50
 #define SLOW_MORE_MS 350
 #define CUT_ONE_IN 80
 #define DATA_CENTRES 3
-/* Likewise of crashes of workers. */
+/* One step in so many may crash a worker, and changes how crashes behave. */
 #define CRASH_ONE_IN 20
 #define DOWN_LEAST_MS 200
 #define DOWN_MORE_MS 6000
-/* Likewise of a crash of half of the workers at once. */
+/* One step in so many crashes half of the workers at once. */
 #define OUTAGE_ONE_IN 150
 /* A task that may have crashed several workers waits up to 30 s before it is
  * started again, twice. */
 #define CRASH_SETTLE_MS 60000
-/* Likewise of a change of a worker's capacity, in quarters of its first one. */
+/* One step in so many changes a worker's capacity, in quarters of the first. */
 #define ROOM_ONE_IN 25
 #define ROOM_SHARES 4
 #define ROOM_SHARE_MILLI 8000
 /* Delay of the list entry of a worker that restarted under its id. */
 #define LIST_LATE_MS 1500
-/* Likewise of a burst, at this multiple of the usual rate of jobs. */
+/* One step in so many starts a burst, at this multiple of the usual rate. */
 #define BURST_ONE_IN 70
 #define BURST_LEAST_MS 200
 #define BURST_MORE_MS 1800
@@ -51,8 +52,8 @@
 #define SERVED_MS (3 * OBJECTIVE_MS)
 #define ANSWERED_MS (OBJECTIVE_MS / 4)
 #define SERVED_ONE_IN 4
-/* Likewise of the loss of the planner and the restart of a daemon; of workers
- * unreachable from the start, and of a change for one of them. */
+/* One step in so many kills the planner, restarts a daemon that is down, or
+ * changes whether one of the UNREACHABLE_WORKERS is reachable. */
 #define LOSE_ONE_IN 150
 #define RESTART_ONE_IN 25
 #define UNREACHABLE_WORKERS (CHAOS_WORKERS / 2)
