--- a/test/support/cell_world.c
+++ b/test/support/cell_world.c
@@ -7,15 +7,16 @@
 #define STORE_MS 5
 #define APPROVAL_MS 10
 #define PEER_MS 1
-/* Of daemons that are given no other; a deployed one asks for 8 s. */
+/* Default of the simulated daemons; a deployed one uses 8 s. */
 #define LEASE_MS 4000
-/* Between the incarnations of two processes: more calls than one makes. */
-#define LIFE_BITS 32
-/* Places of workers that a test may fill by itself. */
-#define PLACED_WORKERS 352
-/* Of daemons that are given no other. */
-#define STRENGTH_MILLI 1000
-#define KEEP_S 86400
+/* A process numbers its calls from its incarnation on, so that incarnations are
+ * further apart than one process makes calls. */
+#define INCARNATION_SHIFT 32
+/* Entries of @worker that a test may fill in directly. */
+#define TEST_WORKERS 352
+/* Defaults of the simulated daemons and workers. */
+#define CPU_SHARE_MILLI 1000
+#define ENDED_RETENTION_S 86400
 #define DEAD_MS 1200
 #define CRASH_MS 10
 #define DOWN_MS 1300
@@ -25,15 +26,15 @@
 {
   return (MuxCellTime){
     .now_ms = world->now_ms,
-    .wall_ms = WORLD_WALL_MS + world->now_ms + world->cell[cell].wall_ms,
-    .processed_ms = world->now_ms - world->cell[cell].late_ms,
+    .wall_ms = WORLD_WALL_MS + world->now_ms + world->cell[cell].clock_ahead_ms,
+    .processed_ms = world->now_ms - world->cell[cell].input_delay_ms,
   };
 }
 
 static uint64_t
 incarnation_of (const World *world, uint32_t cell)
 {
-  return world->cell[cell].dead ? 0 : world->cell[cell].life;
+  return world->cell[cell].dead ? 0 : world->cell[cell].incarnation;
 }
 
 WorldEvent *
@@ -62,8 +63,8 @@
 event_free (WorldEvent *event)
 {
   mux_cell_reply_free (event->reply);
-  mux_cell_call_free (event->waiting);
-  mux_cell_call_free (event->late);
+  mux_cell_call_free (event->pending_call);
+  mux_cell_call_free (event->late_call);
   if (event->is_peer)
     mux_blob_unref (event->peer.body);
   free (event);
@@ -85,7 +86,10 @@
 }
 
 static WorldRow *
-row_make (World *world, MuxCellTable table, const char *part, const char *key)
+row_find_or_add (World *world,
+                 MuxCellTable table,
+                 const char *part,
+                 const char *key)
 {
   WorldRow *row = world_row_find (world, table, part, key);
 
@@ -108,8 +112,8 @@
   return row != NULL && !row->removed ? row->version : 0;
 }
 
-/* The list of workers holds a MuxWorkerInfo, or "{}" for a worker of the world;
- * anything else can't be read. */
+/* A row of the list of workers holds a MuxWorkerInfo, or "{}" for the worker of
+ * the world with that id; anything else is unreadable. */
 static MuxWorkerInfo *
 worker_of (const World *world, const WorldRow *row)
 {
@@ -130,8 +134,8 @@
   return copy;
 }
 
-/* The row holds a configuration as it is in memory; its workspaces are the
- * world's. */
+/* The row holds a configuration as it is in memory.  Its workspaces are owned
+ * by the world. */
 static MuxQueueConfig *
 config_of (const WorldRow *row)
 {
@@ -198,7 +202,7 @@
 
       if (change->kind == MUX_CHANGE_EXPECT)
         continue;
-      row = row_make (world, change->table, call->part, change->key);
+      row = row_find_or_add (world, change->table, call->part, change->key);
       mux_blob_unref (row->value);
       row->value = change->kind == MUX_CHANGE_PUT ? mux_blob_ref (change->value)
                                                   : NULL;
@@ -247,11 +251,11 @@
   reply->version = world->version;
 }
 
-/* Rows of one commit have the same version and stay together. */
+/* Rows of one commit have the same version and are not split. */
 static void
-cut_answer (const World *world, MuxCellReply *reply)
+cut_feed (const World *world, MuxCellReply *reply)
 {
-  uint32_t rows = world->follow_rows;
+  uint32_t rows = world->feed_rows;
 
   while (rows > 0 && rows < reply->row_count
          && reply->row[rows].version == reply->row[rows - 1].version)
@@ -271,13 +275,13 @@
   return a->version < b->version ? -1 : a->version > b->version;
 }
 
-/* False: nothing new yet. */
+/* Return: false if there is no change yet. */
 static bool
-do_follow (World *world, const MuxCellCall *call, MuxCellReply *reply)
+do_feed (World *world, const MuxCellCall *call, MuxCellReply *reply)
 {
   uint32_t news = 0;
 
-  if (call->after < world->forgotten)
+  if (call->after < world->compacted_version)
     {
       reply->status = MUX_CELL_HISTORY_GONE;
       return true;
@@ -294,7 +298,7 @@
   if (reply->row_count > 0)
     qsort (reply->row, reply->row_count, sizeof *reply->row, by_version);
   reply->version = world->version;
-  cut_answer (world, reply);
+  cut_feed (world, reply);
   return reply->row_count > 0;
 }
 
@@ -322,7 +326,7 @@
   return NULL;
 }
 
-/* What an answer takes. */
+/* Time that an approval query takes; it is added to the job's total. */
 static int64_t
 approval_ms (const World *world, const MuxCellCall *call)
 {
@@ -331,14 +335,14 @@
   uint32_t each_us = world->approval_us;
   int64_t took_ms;
 
-  if (job != NULL && world->times_by_job)
+  if (job != NULL && world->times_at_submit)
     {
       base_ms = job->approval_ms;
       each_us = job->approval_us;
     }
   took_ms = base_ms + call->candidate_count * each_us / 1000;
   if (job != NULL)
-    job->asked_ms += took_ms;
+    job->approval_spent_ms += took_ms;
   return took_ms;
 }
 
@@ -358,17 +362,18 @@
 int64_t
 world_task_ms (const World *world, const MuxTaskRef *task)
 {
-  const WorldJob *job = world->times_by_job ? job_of (world, task->job) : NULL;
+  const WorldJob *job
+      = world->times_at_submit ? job_of (world, task->job) : NULL;
 
   return job != NULL ? job->task_ms : world->task_ms;
 }
 
 int64_t
-world_asked_ms (const World *world, const char *id)
+world_approval_spent_ms (const World *world, const char *id)
 {
   const WorldJob *job = job_of (world, id);
 
-  return job != NULL ? job->asked_ms : 0;
+  return job != NULL ? job->approval_spent_ms : 0;
 }
 
 static void
@@ -376,7 +381,7 @@
 {
   MuxCellReply *reply = mux_cell_reply_new (call, MUX_CELL_OK);
 
-  world->approvals_asked++;
+  world->approval_queries++;
   if (world->lose_approvals)
     {
       reply->status = MUX_CELL_NOT_DONE;
@@ -401,18 +406,18 @@
   mux_cell_call_free (call);
 }
 
-/* Its call hangs on a connection that went silent. */
+/* The feed hangs as if its connection were lost without notice. */
 static bool
-is_deaf (const World *world, uint32_t cell, const MuxCellCall *call)
+feed_hangs (const World *world, uint32_t cell, const MuxCellCall *call)
 {
-  return (world->cell[cell].deaf & WORLD_DEAF (call->table)) != 0;
+  return (world->cell[cell].hanging_feeds & WORLD_FEED_BIT (call->table)) != 0;
 }
 
-/* Its calls to the part where the claim stands are lost. */
+/* The claim row is in the part with the empty name. */
 static bool
-misses_claim (const World *world, uint32_t cell, const MuxCellCall *call)
+claim_call_is_lost (const World *world, uint32_t cell, const MuxCellCall *call)
 {
-  return world->cell[cell].claim_away && call->part[0] == 0
+  return world->cell[cell].claim_unreachable && call->part[0] == 0
          && call->verb != MUX_CELL_FEED;
 }
 
@@ -428,17 +433,17 @@
   return WORLD_SERVES;
 }
 
-/* The caller stops waiting; the commit is on its way all the same. */
+/* The caller's time-out expires before the commit takes effect. */
 static void
 commit_late (World *world, uint32_t cell, MuxCellCall *call)
 {
   world_answer_call (world, cell, mux_cell_reply_new (call, MUX_CELL_UNKNOWN),
                      call->timeout_ms);
-  world_event_new (world, cell, world->late_ms)->late = call;
+  world_event_new (world, cell, world->late_ms)->late_call = call;
 }
 
 static void
-carry_out (World *world, const MuxCellCall *call)
+execute_late_call (World *world, const MuxCellCall *call)
 {
   WorldWorker *worker = world_worker_at (world, call->addr);
   MuxCellReply *reply;
@@ -447,7 +452,7 @@
     {
       world->late_order = true;
       if (worker != NULL && worker->down_until_ms == 0)
-        mux_cell_reply_free (world_worker_serves (world, worker, call));
+        mux_cell_reply_free (world_worker_execute (world, worker, call));
       world->late_order = false;
       return;
     }
@@ -459,7 +464,7 @@
 static void
 store_call (World *world, uint32_t cell, MuxCellCall *call)
 {
-  WorldFault fault = misses_claim (world, cell, call)
+  WorldFault fault = claim_call_is_lost (world, cell, call)
                          ? WORLD_SILENT
                          : store_fault (&world->cell[cell], call);
   MuxCellReply *reply;
@@ -483,14 +488,14 @@
   else if (call->verb == MUX_CELL_SCAN)
     do_scan (world, call, reply);
   else
-    served = !is_deaf (world, cell, call) && do_follow (world, call, reply);
+    served = !feed_hangs (world, cell, call) && do_feed (world, call, reply);
   reply->store_clock_ms = world->now_ms;
   if (fault == WORLD_LOSES_ANSWER && call->verb == MUX_CELL_COMMIT)
     reply->status = MUX_CELL_UNKNOWN;
   if (!served)
     {
       mux_cell_reply_free (reply);
-      world_event_new (world, cell, call->wait_ms)->waiting = call;
+      world_event_new (world, cell, call->wait_ms)->pending_call = call;
       return;
     }
   world_answer_call (world, cell, reply,
@@ -499,7 +504,7 @@
   mux_cell_call_free (call);
 }
 
-/* The sink. */
+/* The cores' sink. */
 
 static bool
 sink_call (MuxCellSink *sink, MuxCellCall *call)
@@ -522,7 +527,7 @@
 
   assert_true (reply->call_id < 8192);
   assert_false (world->answered[reply->call_id]);
-  world->answer[reply->call_id] = *reply;
+  world->response[reply->call_id] = *reply;
   world->answered[reply->call_id] = true;
 }
 
@@ -531,10 +536,10 @@
 {
   const WorldCell *cell = (const WorldCell *) sink;
   World *world = cell->world;
-  bool cut = world->peers_cut || cell->cut;
+  bool cut = world->peers_cut || cell->isolated;
 
   for (uint32_t i = 0; i < WORLD_CELLS_MAX && !cut; i++)
-    if (world->cell[i].cell != NULL && !world->cell[i].cut
+    if (world->cell[i].cell != NULL && !world->cell[i].isolated
         && strcmp (world->cell[i].addr, addr) == 0)
       {
         WorldEvent *event = world_event_new (world, i, PEER_MS);
@@ -583,8 +588,8 @@
   assert_non_null (fields);
   if (strcmp (event, "step_waits") == 0)
     {
-      cell->world->waits_told++;
-      snprintf (cell->world->wait_lacks, sizeof cell->world->wait_lacks, "%s",
+      cell->world->blocked_logged++;
+      snprintf (cell->world->blocked_on, sizeof cell->world->blocked_on, "%s",
                 json_string_value (json_object_get (fields, "lacks")));
     }
   if (strcmp (event, "config_in_force") == 0)
@@ -623,23 +628,23 @@
 static void
 end_wait (World *world, WorldEvent *event, bool overdue)
 {
-  MuxCellCall *call = event->waiting;
+  MuxCellCall *call = event->pending_call;
   WorldWorker *worker;
   MuxCellReply *reply;
 
   if (call->verb == MUX_CELL_RENEW)
     {
       worker = world_worker_at (world, call->addr);
-      if (worker != NULL && event->life != worker->life)
+      if (worker != NULL && event->worker_incarnation != worker->incarnation)
         overdue = overdue || !world->silent_crashes;
       else if (world_in_reach (world, event->cell, worker)
-               && (overdue || world_has_ends (worker, call->acked)))
-        event->reply = world_worker_serves (world, worker, call);
+               && (overdue || world_has_unacked_ends (worker, call->acked)))
+        event->reply = world_worker_execute (world, worker, call);
       if (event->reply == NULL && overdue)
         event->reply = mux_cell_reply_new (call, MUX_CELL_UNKNOWN);
       return;
     }
-  if (is_deaf (world, event->cell, call))
+  if (feed_hangs (world, event->cell, call))
     return;
   if (!event->lost && world->cell[event->cell].store == WORLD_SILENT)
     {
@@ -660,23 +665,24 @@
     }
   reply = mux_cell_reply_new (call, MUX_CELL_OK);
   reply->store_clock_ms = world->now_ms;
-  if (do_follow (world, call, reply) || overdue)
+  if (do_feed (world, call, reply) || overdue)
     event->reply = reply;
   else
     mux_cell_reply_free (reply);
 }
 
-/* It has arrived; a cell that is late takes it later.  False: now. */
+/* Delays a delivery that is due at a daemon with delayed input.
+ * Return: false if it is to be delivered now. */
 static bool
 queue_event (World *world, WorldEvent *event)
 {
   const WorldCell *cell = &world->cell[event->cell];
-  int64_t late_ms = cell->late_ms + cell->unread_ms;
+  int64_t late_ms = cell->input_delay_ms + cell->unseen_delay_ms;
 
   if (late_ms == 0 || event->waited)
     return false;
-  mux_cell_call_free (event->waiting);
-  event->waiting = NULL;
+  mux_cell_call_free (event->pending_call);
+  event->pending_call = NULL;
   event->waited = true;
   event->due_ms = world->now_ms + late_ms;
   return true;
@@ -692,27 +698,27 @@
   {
     bool due = event->due_ms <= world->now_ms;
 
-    if (event->late != NULL)
+    if (event->late_call != NULL)
       {
         if (!due)
           continue;
         DL_DELETE (world->events, event);
-        carry_out (world, event->late);
+        execute_late_call (world, event->late_call);
         event_free (event);
         continue;
       }
-    if (event->waiting != NULL && event->reply == NULL)
+    if (event->pending_call != NULL && event->reply == NULL)
       end_wait (world, event, due);
     if (world->cell[event->cell].frozen && !world->cell[event->cell].dead)
       continue;
-    if (event->waiting != NULL ? event->reply == NULL : !due)
+    if (event->pending_call != NULL ? event->reply == NULL : !due)
       continue;
     if (queue_event (world, event))
       continue;
     DL_DELETE (world->events, event);
     deliver (world, event);
     event_free (event);
-    /* What was delivered may have removed or added others. */
+    /* The delivery may have removed or added others. */
     next = world->events;
   }
 }
@@ -748,16 +754,16 @@
     .name = name,
     .data_centre = world_data_centre (world, number),
     .peer_addr = cell->addr,
-    .incarnation = ++world->incarnation << LIFE_BITS,
+    .incarnation = ++world->incarnation << INCARNATION_SHIFT,
     .seed = number,
     .lease_ms = world->lease_ms != 0 ? world->lease_ms : LEASE_MS,
     .dead_ms = DEAD_MS,
-    .ended_retention_s = world->keep_s != 0 ? world->keep_s : KEEP_S,
+    .ended_retention_s = world->keep_s != 0 ? world->keep_s : ENDED_RETENTION_S,
     .unreadable_max = world->unread_max,
     .revoke_timeout_ms = world->revoke_timeout_ms,
     .quota_overrun_milli = world->quota_overrun_milli,
     .cpu_share_milli
-    = cell->strength_milli != 0 ? cell->strength_milli : STRENGTH_MILLI,
+    = cell->strength_milli != 0 ? cell->strength_milli : CPU_SHARE_MILLI,
   };
   static char names[WORLD_CELLS_MAX][MUX_NAME_LEN];
 
@@ -770,7 +776,7 @@
   cell->world = world;
   cell->number = number;
   mux_cell_free (cell->cell);
-  cell->life = options.incarnation;
+  cell->incarnation = options.incarnation;
   cell->cell = mux_cell_new (&options, NULL);
   assert_non_null (cell->cell);
   cell->dead = false;
@@ -786,7 +792,7 @@
 static void
 add_config (World *world)
 {
-  WorldRow *row = row_make (world, MUX_TABLE_CONFIG, "", "config");
+  WorldRow *row = row_find_or_add (world, MUX_TABLE_CONFIG, "", "config");
   MuxQueueConfig *config = calloc (1, sizeof *config + sizeof config->item[0]);
   MuxQueueSpec *queue = &config->item[0];
 
@@ -807,7 +813,8 @@
   free (config);
 }
 
-/* A newer configuration, alike but for what the caller changes in it. */
+/* Return: a copy of the configuration with the next version, for the caller to
+ * change. */
 static MuxQueueConfig *
 change_config (World *world)
 {
@@ -838,8 +845,8 @@
 {
   MuxQueueConfig *config = change_config (world);
 
-  mux_workspaces_free (world->former_workspaces);
-  world->former_workspaces = world->workspaces;
+  mux_workspaces_free (world->previous_workspaces);
+  world->previous_workspaces = world->workspaces;
   world->workspaces = workspaces;
   world->workspaces_ms = world->now_ms;
   config->workspaces = workspaces;
@@ -886,7 +893,7 @@
 }
 
 void
-world_approve_unasked (World *world)
+world_skip_approval (World *world)
 {
   MuxQueueConfig *config = change_config (world);
 
@@ -895,7 +902,7 @@
 }
 
 void
-world_ask_slowly (World *world, uint32_t base_ms, uint32_t per_worker_us)
+world_slow_approvals (World *world, uint32_t base_ms, uint32_t per_worker_us)
 {
   MuxQueueConfig *config = change_config (world);
 
@@ -913,7 +920,7 @@
           const char *key,
           MuxBlob *value)
 {
-  WorldRow *row = row_make (world, table, part, key);
+  WorldRow *row = row_find_or_add (world, table, part, key);
 
   mux_blob_unref (row->value);
   row->value = value;
@@ -959,7 +966,7 @@
                   const char *part,
                   const char *key)
 {
-  WorldRow *row = row_make (world, table, part, key);
+  WorldRow *row = row_find_or_add (world, table, part, key);
 
   row->removed = true;
   row->version = ++world->version;
@@ -997,12 +1004,12 @@
   for (uint32_t i = 0; i < WORLD_CELLS_MAX; i++)
     if (i % world->data_centres == data_centre)
       {
-        world->cell[i].cut = cut;
+        world->cell[i].isolated = cut;
         world->cell[i].store = cut ? WORLD_SILENT : WORLD_SERVES;
       }
   for (uint32_t i = 0; i < world->worker_end; i++)
     if (i % world->data_centres == data_centre)
-      world->worker[i].cut = cut;
+      world->worker[i].unreachable = cut;
 }
 
 World *
@@ -1019,7 +1026,7 @@
   assert_non_null (world);
   world->data_centres = data_centres;
   world->now_ms = 1000;
-  world->worker_end = PLACED_WORKERS;
+  world->worker_end = TEST_WORKERS;
   world->task_ms = 1000;
   world->crash_ms = CRASH_MS;
   world->down_ms = DOWN_MS;
@@ -1052,7 +1059,7 @@
   for (uint32_t i = 0; i < world->row_count; i++)
     mux_blob_unref (world->row[i].value);
   world_workspaces_free (world);
-  free (world->past);
+  free (world->ended_run);
   for (uint32_t i = 0; i < world->job_count; i++)
     free (world->job[i].size);
   free (world->job);
@@ -1083,21 +1090,21 @@
 }
 
 static MuxRequest *
-question_new (World *world, MuxRequestVerb verb, const char *id)
+request_new (World *world, MuxRequestVerb verb, const char *id)
 {
-  MuxRequest *question = calloc (1, sizeof *question);
+  MuxRequest *request = calloc (1, sizeof *request);
 
-  question->verb = verb;
-  question->call_id = ++world->next_question;
-  question->timeout_ms = 3000;
-  snprintf (question->host, sizeof question->host, "cell.example");
-  snprintf (question->path, sizeof question->path, "/batch/%s", id);
-  world_key (world, question);
-  return question;
+  request->verb = verb;
+  request->call_id = ++world->next_request;
+  request->timeout_ms = 3000;
+  snprintf (request->host, sizeof request->host, "cell.example");
+  snprintf (request->path, sizeof request->path, "/batch/%s", id);
+  world_copy_key (world, request);
+  return request;
 }
 
 static void
-note_job (World *world, const MuxJobSpec *spec, const char *id)
+record_job (World *world, const MuxJobSpec *spec, const char *id)
 {
   WorldJob *job;
 
@@ -1111,7 +1118,7 @@
   job->task_ms = world->task_ms;
   job->approval_ms = world->approval_ms;
   job->approval_us = world->approval_us;
-  job->asked_ms = 0;
+  job->approval_spent_ms = 0;
   job->step_count = spec->step_count;
   job->size = calloc (spec->step_count, sizeof *job->size);
   assert_non_null (job->size);
@@ -1132,36 +1139,36 @@
 uint64_t
 world_submit (World *world, uint32_t cell, MuxJobSpec *job, const char *id)
 {
-  MuxRequest *question = question_new (world, MUX_REQUEST_SUBMIT, id);
-  uint64_t number = question->call_id;
+  MuxRequest *request = request_new (world, MUX_REQUEST_SUBMIT, id);
+  uint64_t number = request->call_id;
 
-  note_job (world, job, id);
-  question->job = job;
-  mux_cell_request (world->cell[cell].cell, time_of (world, cell), question);
+  record_job (world, job, id);
+  request->job = job;
+  mux_cell_request (world->cell[cell].cell, time_of (world, cell), request);
   return number;
 }
 
 uint64_t
-world_ask (World *world, uint32_t cell, MuxRequestVerb verb, const char *id)
+world_request (World *world, uint32_t cell, MuxRequestVerb verb, const char *id)
 {
-  MuxRequest *question = question_new (world, verb, id);
-  uint64_t number = question->call_id;
+  MuxRequest *request = request_new (world, verb, id);
+  uint64_t number = request->call_id;
 
-  mux_cell_request (world->cell[cell].cell, time_of (world, cell), question);
+  mux_cell_request (world->cell[cell].cell, time_of (world, cell), request);
   return number;
 }
 
 MuxJobState
 world_state (World *world, uint32_t cell, const char *id)
 {
-  uint64_t call = world_ask (world, cell, MUX_REQUEST_QUERY, id);
+  uint64_t call = world_request (world, cell, MUX_REQUEST_QUERY, id);
 
   world_run (world, 400);
   assert_true (world->answered[call]);
-  if (world->answer[call].outcome == MUX_RESPONSE_NO_JOB)
+  if (world->response[call].outcome == MUX_RESPONSE_NO_JOB)
     return MUX_JOB_ABSENT;
-  assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_STATE);
-  return world->answer[call].state;
+  assert_int_equal (world->response[call].outcome, MUX_RESPONSE_STATE);
+  return world->response[call].state;
 }
 
 uint64_t
@@ -1188,7 +1195,7 @@
 }
 
 uint32_t
-world_ends (const World *world)
+world_ended_rows (const World *world)
 {
   uint32_t n = 0;
 
--- a/test/support/cell_world_worker.c
+++ b/test/support/cell_world_worker.c
@@ -4,21 +4,24 @@
 
 #include "port/incarnation.h"
 
-/* The workers of a fake cell. */
+/* The workers of the simulated cluster. */
 
 #define WORKER_MS 1
-/* A new cell has its planner and has heard its workers. */
-#define SETTLE_MS 1000
-/* Workers' addresses, by their number from 1 on: 256 in each /24. */
+/* The planner of a new world has contacted all workers by then. */
+#define FIRST_CONTACT_MS 1000
+/* Prefix of workers' addresses; the rest encodes the number + 1, 256 to a /24.
+ */
 #define WORKER_NET "10.1."
 #define WORKERS_PER_NET 256
-/* A room that shrinks is held against who starts something there so much later:
- * the time in which its word is heard, and between two of them. */
+/* A start counts as beyond a reduced capacity so long after the change: the
+ * interval of the worker's reports and the time to deliver one, after which the
+ * planner must know. */
 #define ROOM_GRACE_MS 4500
-/* A longer lease is shortened to this. */
+/* Workers shorten a longer lease to this. */
 #define LEASE_MAX_MS 10000
 
-/* The worker that an address counts; 0: none.  Each call to a worker asks. */
+/* Return: the worker's number + 1 as encoded in its address; 0: none.  Saves a
+ * search at each call to a worker. */
 static uint32_t
 number_in (const char *addr)
 {
@@ -39,7 +42,7 @@
 {
   uint32_t hint = number_in (addr);
 
-  /* Nearly always it is the one that its address counts. */
+  /* A test may have changed the address of a worker. */
   if (hint > 0 && hint <= WORLD_WORKERS_MAX && world->worker[hint - 1].used
       && strcmp (world->worker[hint - 1].info.addr, addr) == 0)
     return &world->worker[hint - 1];
@@ -59,39 +62,41 @@
   return NULL;
 }
 
-static WorldPast *
-past_find (const World *world,
-           const WorldWorker *worker,
-           const MuxTaskRef *task)
+static WorldEndedRun *
+ended_run_find (const World *world,
+                const WorldWorker *worker,
+                const MuxTaskRef *task)
 {
-  for (uint32_t i = 0; i < world->past_count; i++)
-    if (memcmp (&world->past[i].task, task, sizeof *task) == 0
-        && world->past[i].life == worker->life
-        && strcmp (world->past[i].worker, worker->info.id) == 0)
-      return &world->past[i];
+  for (uint32_t i = 0; i < world->ended_run_count; i++)
+    if (memcmp (&world->ended_run[i].task, task, sizeof *task) == 0
+        && world->ended_run[i].incarnation == worker->incarnation
+        && strcmp (world->ended_run[i].worker, worker->info.id) == 0)
+      return &world->ended_run[i];
   return NULL;
 }
 
-/* No run of the task that is not higher is taken there any more. */
+/* From now on the worker refuses runs of the task up to @run. */
 static void
-past_add (World *world,
-          const WorldWorker *worker,
-          const MuxTaskRef *task,
-          uint32_t run)
+ended_run_raise (World *world,
+                 const WorldWorker *worker,
+                 const MuxTaskRef *task,
+                 uint32_t run)
 {
-  WorldPast *past = past_find (world, worker, task);
+  WorldEndedRun *ended = ended_run_find (world, worker, task);
 
-  if (past == NULL)
+  if (ended == NULL)
     {
-      world->past = realloc (world->past,
-                             (world->past_count + 1) * sizeof *world->past);
-      assert_non_null (world->past);
-      past = &world->past[world->past_count++];
-      *past = (WorldPast){ .task = *task, .life = worker->life };
-      memcpy (past->worker, worker->info.id, sizeof past->worker);
+      world->ended_run
+          = realloc (world->ended_run,
+                     (world->ended_run_count + 1) * sizeof *world->ended_run);
+      assert_non_null (world->ended_run);
+      ended = &world->ended_run[world->ended_run_count++];
+      *ended = (WorldEndedRun){ .task = *task,
+                                .incarnation = worker->incarnation };
+      memcpy (ended->worker, worker->info.id, sizeof ended->worker);
     }
-  if (run > past->run)
-    past->run = run;
+  if (run > ended->run)
+    ended->run = run;
 }
 
 static void
@@ -99,7 +104,7 @@
 {
   WorldStart *start = start_of (world, run);
 
-  past_add (world, worker, &run->task, run->run);
+  ended_run_raise (world, worker, &run->task, run->run);
   run->number = ++worker->next_end;
   run->end = end;
   if (start == NULL)
@@ -138,18 +143,18 @@
              const char *candidate,
              char proof[MUX_TOKEN_LEN])
 {
-  uint32_t life = 0;
+  uint32_t incarnation = 0;
   char id[MUX_NAME_LEN];
 
   mux_incarnation_worker (id, candidate);
 
   for (uint32_t i = 0; i < world->worker_end; i++)
     if (world->worker[i].used && strcmp (world->worker[i].info.id, id) == 0)
-      life = world->worker[i].life;
-  snprintf (proof, MUX_TOKEN_LEN, "yes %u", life);
+      incarnation = world->worker[i].incarnation;
+  snprintf (proof, MUX_TOKEN_LEN, "yes %u", incarnation);
 }
 
-/* It was given for this life, or none is needed. */
+/* The proof was issued for this incarnation, or none is needed. */
 static bool
 is_proven (const World *world, const WorldWorker *worker, const char *shown)
 {
@@ -159,7 +164,7 @@
   return shown[0] == 0 || strcmp (shown, proof) == 0;
 }
 
-/* As its payload says, of all tasks of the job or of that number. */
+/* The payload is "crash" (all tasks) or "crash N" (the task of that index). */
 static bool
 is_crashing (const MuxCellCall *call)
 {
@@ -180,7 +185,7 @@
   return booked.cpu_milli > room.cpu_milli || booked.mem_mib > room.mem_mib;
 }
 
-/* What it had lately counts, too. */
+/* Capacities that it had within ROOM_GRACE_MS are allowed, too. */
 static bool
 is_over (const World *world, const WorldWorker *worker, MuxSize booked)
 {
@@ -194,7 +199,7 @@
   return true;
 }
 
-/* A start that brings the worker over its room is carried out and counted. */
+/* Counts a start that exceeds the worker's capacity. */
 static void
 check_room (World *world, const WorldWorker *worker, const WorldStart *start)
 {
@@ -220,12 +225,12 @@
           MuxCellReply *reply)
 {
   WorldRun *run = run_find (worker, &call->task, call->run);
-  const WorldPast *past = past_find (world, worker, &call->task);
+  const WorldEndedRun *ended = ended_run_find (world, worker, &call->task);
   WorldStart *start;
 
   if (run != NULL && run->number == 0)
     return;
-  if (past != NULL && call->run <= past->run)
+  if (ended != NULL && call->run <= ended->run)
     {
       reply->status = MUX_CELL_OLD_RUN;
       return;
@@ -256,7 +261,7 @@
   world_check_quota (world, &call->task);
 }
 
-/* A run that is not there yet is refused when it comes. */
+/* A START that arrives after the STOP of its run is refused. */
 static void
 do_stop (World *world, WorldWorker *worker, const MuxCellCall *call)
 {
@@ -264,7 +269,7 @@
 
   if (run != NULL && run->number == 0)
     end_run (world, worker, run, MUX_RUN_STOPPED);
-  past_add (world, worker, &call->task, call->run);
+  ended_run_raise (world, worker, &call->task, call->run);
 }
 
 static void
@@ -286,7 +291,7 @@
           WorldStart *start = start_of (world, run);
 
           if (start != NULL)
-            start->told = !run->lapsed;
+            start->acknowledged = !run->lapsed;
           run->used = false;
         }
       if (!run->used)
@@ -294,7 +299,7 @@
       report->task = run->task;
       report->run = run->run;
       report->end_number = run->number;
-      run->heard = run->number != 0;
+      run->reported = run->number != 0;
       report->end = run->end;
       report->usage = worker->usage;
       report->percent
@@ -306,7 +311,7 @@
 }
 
 bool
-world_has_ends (const WorldWorker *worker, uint64_t acked)
+world_has_unacked_ends (const WorldWorker *worker, uint64_t acked)
 {
   for (uint32_t i = 0; i < worker->run_end; i++)
     if (worker->run[i].used && worker->run[i].number > acked)
@@ -314,9 +319,9 @@
   return false;
 }
 
-/* All lives of a worker have its id. */
+/* All incarnations of a worker have the same id. */
 static bool
-is_meant (const WorldWorker *worker, const MuxCellCall *call)
+is_addressed (const WorldWorker *worker, const MuxCellCall *call)
 {
   char id[MUX_NAME_LEN];
 
@@ -324,22 +329,23 @@
   return strcmp (id, worker->info.id) == 0;
 }
 
-/* By the worker's own clock. */
+/* Return: the time on the worker's own clock. */
 static int64_t
 clock_of (const World *world, const WorldWorker *worker)
 {
   return world->now_ms - worker->clock_ms;
 }
 
-/* What a call changes when it arrives; a renewal's answer may wait for news. */
+/* Checks a call and applies its fence and lease on arrival.  The reply to a
+ * renewal may be sent later. */
 static MuxCellStatus
-worker_hears (WorldWorker *worker, const MuxCellCall *call, int64_t clock_ms)
+accept_call (WorldWorker *worker, const MuxCellCall *call, int64_t clock_ms)
 {
   int64_t lease_ms = call->lease_expires_ms;
 
   if (lease_ms > clock_ms + LEASE_MAX_MS)
     lease_ms = clock_ms + LEASE_MAX_MS;
-  if (!is_meant (worker, call))
+  if (!is_addressed (worker, call))
     return MUX_CELL_OTHER_INCARNATION;
   if (call->fence < worker->fence)
     return MUX_CELL_FENCED;
@@ -352,10 +358,12 @@
 }
 
 MuxCellReply *
-world_worker_serves (World *world, WorldWorker *worker, const MuxCellCall *call)
+world_worker_execute (World *world,
+                      WorldWorker *worker,
+                      const MuxCellCall *call)
 {
   MuxCellReply *reply = mux_cell_reply_new (
-      call, worker_hears (worker, call, clock_of (world, worker)));
+      call, accept_call (worker, call, clock_of (world, worker)));
 
   reply->worker_clock_ms = clock_of (world, worker);
   if (reply->status != MUX_CELL_OK)
@@ -375,10 +383,10 @@
 bool
 world_in_reach (const World *world, uint32_t cell, const WorldWorker *worker)
 {
-  uint32_t near = world->cell[cell].near_workers;
+  uint32_t near = world->cell[cell].reachable_workers;
 
-  return worker != NULL && !worker->cut && worker->down_until_ms == 0
-         && worker >= world->worker + world->cell[cell].far_workers
+  return worker != NULL && !worker->unreachable && worker->down_until_ms == 0
+         && worker >= world->worker + world->cell[cell].unreachable_workers
          && (near == 0 || worker < world->worker + near);
 }
 
@@ -393,7 +401,7 @@
   world->worker_calls[cell]++;
   if (worker != NULL)
     worker->calls++;
-  if (worker != NULL && worker->down_until_ms != 0 && !worker->cut
+  if (worker != NULL && worker->down_until_ms != 0 && !worker->unreachable
       && !world->silent_crashes)
     world_answer_call (world, cell,
                        mux_cell_reply_new (call, MUX_CELL_NOT_DONE), WORKER_MS);
@@ -405,7 +413,7 @@
                        mux_cell_reply_new (call, MUX_CELL_NOT_DONE), WORKER_MS);
   else if (fault == WORLD_LOSES_ANSWER)
     {
-      mux_cell_reply_free (world_worker_serves (world, worker, call));
+      mux_cell_reply_free (world_worker_execute (world, worker, call));
       world_answer_call (world, cell,
                          mux_cell_reply_new (call, MUX_CELL_UNKNOWN),
                          call->timeout_ms);
@@ -415,20 +423,20 @@
       world_answer_call (world, cell,
                          mux_cell_reply_new (call, MUX_CELL_UNKNOWN),
                          call->timeout_ms);
-      world_event_new (world, cell, world->late_ms)->late = call;
+      world_event_new (world, cell, world->late_ms)->late_call = call;
       return;
     }
   else if (call->verb == MUX_CELL_RENEW && call->wait_ms > 0
-           && !world_has_ends (worker, call->acked))
+           && !world_has_unacked_ends (worker, call->acked))
     {
-      (void) worker_hears (worker, call, clock_of (world, worker));
+      (void) accept_call (worker, call, clock_of (world, worker));
       event = world_event_new (world, cell, call->wait_ms);
-      event->waiting = call;
-      event->life = worker->life;
+      event->pending_call = call;
+      event->worker_incarnation = worker->incarnation;
       return;
     }
   else
-    world_answer_call (world, cell, world_worker_serves (world, worker, call),
+    world_answer_call (world, cell, world_worker_execute (world, worker, call),
                        WORKER_MS);
   mux_cell_call_free (call);
 }
@@ -534,9 +542,9 @@
   world_list_worker (world, number);
 }
 
-/* All that runs there ends with it, and nobody is told. */
+/* Ends all its runs without a report. */
 static void
-end_life (World *world, WorldWorker *worker)
+end_incarnation (World *world, WorldWorker *worker)
 {
   for (uint32_t i = 0; i < worker->run_end; i++)
     {
@@ -545,7 +553,7 @@
 
       if (start == NULL)
         continue;
-      start->unheard = run->number != 0 && !run->heard;
+      start->end_lost = run->number != 0 && !run->reported;
       if (run->number != 0)
         continue;
       start->crashed = true;
@@ -553,7 +561,7 @@
       start->end = MUX_RUN_LEASE_EXPIRED;
     }
   memset (worker->run, 0, sizeof worker->run);
-  worker->life++;
+  worker->incarnation++;
 }
 
 void
@@ -563,12 +571,12 @@
 
   if (worker->down_until_ms != 0)
     return;
-  end_life (world, worker);
+  end_incarnation (world, worker);
   worker->down_until_ms = world->now_ms + world->down_ms;
 }
 
 static void
-begin_life (WorldWorker *worker)
+reset_worker (WorldWorker *worker)
 {
   worker->down_until_ms = 0;
   worker->fence = 0;
@@ -576,7 +584,7 @@
   worker->lease_until_ms = 0;
 }
 
-/* The same entry tells of another life. */
+/* Its entry shows the new incarnation by the time of its start. */
 static void
 restart_under_its_id (World *world, uint32_t number)
 {
@@ -584,7 +592,7 @@
 
   worker->clock_ms = world->now_ms;
   worker->info.started_ms = (uint64_t) (WORLD_WALL_MS + world->now_ms);
-  worker->list_ms = world->now_ms + world->list_late_ms;
+  worker->list_ms = world->now_ms + world->relist_delay_ms;
 }
 
 static void
@@ -607,8 +615,8 @@
   WorldWorker *worker = &world->worker[number];
 
   if (worker->down_until_ms == 0)
-    end_life (world, worker);
-  begin_life (worker);
+    end_incarnation (world, worker);
+  reset_worker (worker);
   if (world->same_ids)
     restart_under_its_id (world, number);
   else
@@ -633,6 +641,6 @@
   World *world = world_new (cells, workers);
 
   world_keep_ids (world);
-  world_run (world, SETTLE_MS);
+  world_run (world, FIRST_CONTACT_MS);
   return world;
 }
--- a/test/support/scenario.c
+++ b/test/support/scenario.c
@@ -6,11 +6,11 @@
 #define LIST_EVERY_MS 1000
 #define LEASE_GRACE_MS 2000
 #define RETAIN_MS 600000
-/* Daemons wait this long before their first claim. */
-#define SETTLE_MS 9000
+/* Longer than daemons wait before their first claim. */
+#define FIRST_CLAIM_MS 9000
 #define JOB_GIVE_UP_MS 60000
-/* Between looks for daemons that have stopped. */
-#define STOPPED_MS 1000
+/* Interval of checks for daemons that have stopped. */
+#define STOP_CHECK_MS 1000
 
 static const char *const centres[] = { "hall-a", "hall-b", "hall-c" };
 static const char *const class_names[SCENARIO_CLASSES]
@@ -46,21 +46,21 @@
   for (uint32_t i = 0; i < s->net->node_count && !s->lists_late; i++)
     if (s->net->nodes[i].core != NULL
         && s->net->nodes[i].thaw_ms <= s->net->now_ms)
-      fake_net_give (s->net, i, &event);
+      fake_net_deliver (s->net, i, &event);
   free (list);
 }
 
 static void
-give_lists (void *arg)
+deliver_lists (void *arg)
 {
   Scenario *s = arg;
 
   scenario_lists (s);
-  fake_net_later (s->net, LIST_EVERY_MS, give_lists, s);
+  fake_net_schedule (s->net, LIST_EVERY_MS, deliver_lists, s);
 }
 
 static void
-to_worker (void *user, uint32_t node, const MuxWorkerCall *call)
+route_worker_call (void *user, uint32_t node, const MuxWorkerCall *call)
 {
   Scenario *s = user;
 
@@ -86,7 +86,8 @@
   snprintf (worker->addr, sizeof worker->addr, "127.0.0.2:%u", 8000 + index);
   mux_name_copy (worker->data_centre, centre);
   worker->user = s;
-  /* No two clocks agree, and a daemon's tells nothing about a worker's. */
+  /* Workers' clocks differ by 100 s, so that code which compares clocks of two
+   * machines fails. */
   worker->clock_offset_ms = 100000 * ((int64_t) index % 3 - 1);
   s->owner[index] = UINT32_MAX;
   fake_worker_init (worker, s->net, &options);
@@ -119,9 +120,9 @@
   while (s->calls[call].answers == 0)
     fake_net_next (s->net);
   if (s->calls[call].answer.status != 200)
-    scenario_wrong (s, "configuration of %s was refused: %u %s", name,
-                    s->calls[call].answer.status,
-                    mux_reason_name (s->calls[call].answer.reason));
+    scenario_violation (s, "configuration of %s was refused: %u %s", name,
+                        s->calls[call].answer.status,
+                        mux_reason_name (s->calls[call].answer.reason));
 }
 
 static void
@@ -148,8 +149,9 @@
 scenario_new (uint64_t seed, uint32_t nodes, uint32_t workers, uint32_t spread)
 {
   Scenario *s = calloc (1, sizeof *s);
-  FakeHooks hooks
-      = { .user = s, .answer = scenario_answered, .worker_call = to_worker };
+  FakeHooks hooks = { .user = s,
+                      .answer = scenario_answered,
+                      .worker_call = route_worker_call };
   char name[MUX_NAME_LEN];
 
   if (s == NULL)
@@ -163,10 +165,10 @@
       snprintf (name, sizeof name, "entry-%u", i);
       fake_net_add (s->net, name, centres[i % spread]);
     }
-  give_lists (s);
+  deliver_lists (s);
   scenario_run (s, 500);
   configure_all (s);
-  scenario_run (s, SETTLE_MS);
+  scenario_run (s, FIRST_CLAIM_MS);
   return s;
 }
 
@@ -230,7 +232,7 @@
       = { .call_id = call + 1,
           .verb = work->parts > 0 ? MUX_CORE_JOB_SUBMIT : MUX_CORE_RUN_TASK,
           .timeout_ms = give_up_ms,
-          .wall_ms = s->dated ? s->net->now_ms : 0,
+          .wall_ms = s->sends_time ? s->net->now_ms : 0,
           .task_count = work->parts };
 
   work->calls++;
@@ -239,7 +241,7 @@
     key_of (tag, ask.key);
   snprintf (body, sizeof body, "run_ms=%u\n#%u", work->run_ms, tag);
   ask.body = mux_blob_new (body, strlen (body));
-  fake_net_ask (s->net, node, &ask);
+  fake_net_request (s->net, node, &ask);
   mux_blob_unref (ask.body);
   return call;
 }
@@ -262,8 +264,8 @@
   uint32_t call = add_call (s, node, SCENARIO_NO_TAG, ask->timeout_ms);
 
   ask->call_id = call + 1;
-  ask->wall_ms = s->dated ? s->net->now_ms : 0;
-  fake_net_ask (s->net, node, ask);
+  ask->wall_ms = s->sends_time ? s->net->now_ms : 0;
+  fake_net_request (s->net, node, ask);
   return call;
 }
 
@@ -274,19 +276,19 @@
 
   ask.call_id = add_call (s, node, SCENARIO_NO_TAG, JOB_GIVE_UP_MS) + 1;
   s->works[tag].cancelled = true;
-  fake_net_ask (s->net, node, &ask);
+  fake_net_request (s->net, node, &ask);
 }
 
 void
 scenario_stop (Scenario *s, uint32_t node)
 {
-  fake_net_give (s->net, node, &(MuxEvent){ .kind = MUX_EVENT_STOP });
+  fake_net_deliver (s->net, node, &(MuxEvent){ .kind = MUX_EVENT_STOP });
 }
 
 void
 scenario_restart_worker (Scenario *s, uint32_t worker)
 {
-  scenario_life_over (s, worker);
+  scenario_incarnation_ended (s, worker);
   s->owner[worker] = UINT32_MAX;
   fake_worker_restart (&s->workers[worker]);
 }
@@ -307,13 +309,13 @@
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].tag == tag && s->runs[i].end_ms == 0)
       return s->runs[i].worker;
-  scenario_wrong (s, "#%u did not start", tag);
+  scenario_violation (s, "#%u did not start", tag);
   return 0;
 }
 
-/* A daemon that has stopped is a process that ends. */
+/* Ends the process of each daemon whose core has stopped. */
 static void
-end_stopped (Scenario *s)
+kill_stopped (Scenario *s)
 {
   for (uint32_t i = 0; i < s->net->node_count; i++)
     if (s->net->nodes[i].core != NULL
@@ -322,7 +324,7 @@
 }
 
 void
-scenario_settle (Scenario *s, int64_t ms)
+scenario_heal_and_check (Scenario *s, int64_t ms)
 {
   memset (s->net->cut, 0, sizeof s->net->cut);
   s->net->lost_ppm = s->net->peer_lost_ppm = 0;
@@ -348,10 +350,10 @@
       standin_worker_set_leaving (worker->logic, false);
       standin_worker_set_fail_all (worker->logic, false);
     }
-  for (int64_t left_ms = ms; left_ms > 0; left_ms -= STOPPED_MS)
+  for (int64_t left_ms = ms; left_ms > 0; left_ms -= STOP_CHECK_MS)
     {
-      scenario_run (s, left_ms < STOPPED_MS ? left_ms : STOPPED_MS);
-      end_stopped (s);
+      scenario_run (s, left_ms < STOP_CHECK_MS ? left_ms : STOP_CHECK_MS);
+      kill_stopped (s);
     }
   scenario_check_ended (s);
 }
--- a/test/support/scenario_check.c
+++ b/test/support/scenario_check.c
@@ -4,13 +4,13 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Attempts of a job's task that an execution's id is compared with. */
+/* Most attempts of a job's task that part_of() tries to match an id with. */
 #define ATTEMPTS_MAX 64
-/* A call is answered at the latest so long after its caller's time. */
+/* A response must arrive at the latest so long after the caller's time-out. */
 #define ANSWER_SLACK_MS 12000
 
 void
-scenario_wrong (Scenario *s, const char *format, ...)
+scenario_violation (Scenario *s, const char *format, ...)
 {
   char text[256];
   va_list args;
@@ -24,7 +24,7 @@
     memcpy (s->first_wrong, text, sizeof text);
 }
 
-/* The tag that a body ends with; SCENARIO_NO_TAG: none. */
+/* Return: the tag at the end of a body, "#TAG"; SCENARIO_NO_TAG: none. */
 static uint32_t
 tag_of (const Scenario *s, const MuxBlob *body)
 {
@@ -57,7 +57,7 @@
 }
 
 static void
-check_twice (Scenario *s, const ScenarioRun *run)
+check_double_run (Scenario *s, const ScenarioRun *run)
 {
   const ScenarioWork *work = &s->works[run->tag];
 
@@ -69,17 +69,18 @@
         continue;
       if (other->end_ms == 0
           && !(s->store_fails && work->class_id == SCENARIO_MANY))
-        scenario_wrong (s, "#%u.%u (class %d) runs on workers %u and %u",
-                        run->tag, run->part, work->class_id, other->worker,
-                        run->worker);
+        scenario_violation (s, "#%u.%u (class %d) runs on workers %u and %u",
+                            run->tag, run->part, work->class_id, other->worker,
+                            run->worker);
       else if (runs_once (work->class_id))
-        scenario_wrong (s, "#%u.%u runs again: worker %u, before on worker %u",
-                        run->tag, run->part, run->worker, other->worker);
+        scenario_violation (s,
+                            "#%u.%u runs again: worker %u, before on worker %u",
+                            run->tag, run->part, run->worker, other->worker);
     }
 }
 
 static void
-began (Scenario *s, uint32_t worker, const StandinWorkerEvent *event)
+record_start (Scenario *s, uint32_t worker, const StandinWorkerEvent *event)
 {
   FakeWorker *at = &s->workers[worker];
   ScenarioRun run = { .id = event->task,
@@ -91,15 +92,15 @@
 
   if (run.tag == SCENARIO_NO_TAG)
     {
-      scenario_wrong (s, "worker %u runs what nobody submitted", worker);
+      scenario_violation (s, "worker %u runs what nobody submitted", worker);
       return;
     }
   run.part = part_of (&s->works[run.tag], run.id);
   mux_name_copy (run.home, event->home);
-  check_twice (s, &run);
+  check_double_run (s, &run);
   s->booked[worker] = mux_size_add (s->booked[worker], run.size);
   if (!mux_size_fits (s->booked[worker], at->options.capacity))
-    scenario_wrong (s, "worker %u holds more than it can", worker);
+    scenario_violation (s, "worker %u holds more than it can", worker);
   s->runs
       = fake_sink_grow (s->runs, s->run_count, &s->run_cap, sizeof *s->runs);
   s->runs[s->run_count++] = run;
@@ -108,7 +109,7 @@
 }
 
 static void
-ended (Scenario *s, ScenarioRun *run)
+record_end (Scenario *s, ScenarioRun *run)
 {
   run->end_ms = s->net->now_ms;
   s->works[run->tag].running--;
@@ -116,11 +117,11 @@
 }
 
 void
-scenario_life_over (Scenario *s, uint32_t worker)
+scenario_incarnation_ended (Scenario *s, uint32_t worker)
 {
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].worker == worker && s->runs[i].end_ms == 0)
-      ended (s, &s->runs[i]);
+      record_end (s, &s->runs[i]);
 }
 
 static uint32_t
@@ -156,27 +157,27 @@
   if (s->verbose)
     trace (s, worker, event);
   if (strcmp (event->event, "start") == 0)
-    began (s, worker, event);
+    record_start (s, worker, event);
   else if (strcmp (event->event, "claim") == 0)
     {
       s->owner[worker] = node_of (s, event->owner);
       s->claims[worker]++;
     }
   else if (strcmp (event->event, "overcommit_attempt") == 0)
-    scenario_wrong (s, "worker %u was to hold more than it can", worker);
+    scenario_violation (s, "worker %u was to hold more than it can", worker);
   if (strcmp (event->event, "end") != 0)
     return;
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].worker == worker && s->runs[i].end_ms == 0
         && mux_id_equal (s->runs[i].id, event->task))
-      ended (s, &s->runs[i]);
+      record_end (s, &s->runs[i]);
 }
 
-/* The stand-in answers WORD:ID:BODY. */
+/* The simulated worker's result is "answer:ID:BODY". */
 static bool
-is_whole (const ScenarioCall *call,
-          const ScenarioWork *work,
-          const MuxCoreResponse *answer)
+body_is_intact (const ScenarioCall *call,
+                const ScenarioWork *work,
+                const MuxCoreResponse *answer)
 {
   char id[MUX_ID_HEX_LEN];
   char want[160];
@@ -191,26 +192,26 @@
 static void
 check_done (Scenario *s, ScenarioCall *call, const MuxCoreResponse *answer)
 {
-  call->whole = is_whole (call, &s->works[call->tag], answer);
-  if (!call->whole && answer->reason != MUX_REASON_ALREADY_RAN)
-    scenario_wrong (s, "#%u was not given its own whole answer", call->tag);
+  call->body_intact = body_is_intact (call, &s->works[call->tag], answer);
+  if (!call->body_intact && answer->reason != MUX_REASON_ALREADY_RAN)
+    scenario_violation (s, "#%u was not given its own whole answer", call->tag);
   if (s->works[call->tag].runs == 0)
-    scenario_wrong (s, "#%u was told done and never ran", call->tag);
+    scenario_violation (s, "#%u was told done and never ran", call->tag);
 }
 
-/* A caller who asks again after a lost answer takes "not run" for the truth
- * about the work, not only about its last submission. */
+/* NOT_RUN must hold for all submissions of the work so far, since a caller may
+ * submit again after a lost response. */
 static void
 check_not_run (Scenario *s, const ScenarioCall *call)
 {
   s->works[call->tag].not_run++;
-  /* Idempotent work runs without its row while the table is away. */
+  /* Idempotent requests run without a row while the table is down. */
   if (s->store_fails && s->works[call->tag].class_id == SCENARIO_MANY)
     return;
   for (uint32_t i = 0; i < s->run_count; i++)
     if (s->runs[i].tag == call->tag && s->runs[i].start_ms < call->asked_ms)
       {
-        scenario_wrong (s, "#%u was told not run and had run", call->tag);
+        scenario_violation (s, "#%u was told not run and had run", call->tag);
         return;
       }
 }
@@ -223,7 +224,7 @@
   ScenarioWork *work
       = call->tag == SCENARIO_NO_TAG ? NULL : &s->works[call->tag];
 
-  /* What a process says while it is being killed reaches nobody. */
+  /* Responses of a process that is being killed are lost. */
   if (s->net->nodes[node].core == NULL)
     return;
   if (s->verbose)
@@ -232,8 +233,8 @@
             (int) call->tag, mux_outcome_name (answer->outcome),
             mux_reason_name (answer->reason));
   if (call->answers++ > 0)
-    scenario_wrong (s, "call %u was answered twice",
-                    (uint32_t) answer->call_id);
+    scenario_violation (s, "call %u was answered twice",
+                        (uint32_t) answer->call_id);
   call->answer = *answer;
   call->answer.body = NULL;
   call->answered_ms = s->net->now_ms;
@@ -248,7 +249,7 @@
 }
 
 bool
-scenario_told (const Scenario *s, uint32_t call, MuxOutcome outcome)
+scenario_has_outcome (const Scenario *s, uint32_t call, MuxOutcome outcome)
 {
   return s->calls[call].answers == 1
          && s->calls[call].answer.outcome == outcome;
@@ -274,7 +275,7 @@
       || node->incarnation != call->node_incarnation
       || call->asked_ms + call->give_up_ms + ANSWER_SLACK_MS > s->net->now_ms)
     return;
-  scenario_wrong (s, "call %u (#%d) has no answer", index, (int) call->tag);
+  scenario_violation (s, "call %u (#%d) has no answer", index, (int) call->tag);
 }
 
 static void
@@ -297,14 +298,14 @@
   snprintf (key, sizeof key, "job/done/%s", hex);
   if (fake_table_find (&s->net->table, key) == NULL)
     {
-      scenario_wrong (s, "job #%u was accepted and has not ended", tag);
+      scenario_violation (s, "job #%u was accepted and has not ended", tag);
       if (s->verbose)
         print_rows (s, hex);
     }
   else if (!runs_once (work->class_id) && !work->cancelled
            && work->runs < work->parts)
-    scenario_wrong (s, "job #%u ended with %u runs of %u tasks", tag,
-                    work->runs, work->parts);
+    scenario_violation (s, "job #%u ended with %u runs of %u tasks", tag,
+                        work->runs, work->parts);
 }
 
 void
@@ -317,7 +318,7 @@
       const ScenarioWork *work = &s->works[tag];
 
       if (work->calls > 0 && work->not_run == work->calls && work->runs > 0)
-        scenario_wrong (s, "#%u was told not run by all and ran", tag);
+        scenario_violation (s, "#%u was told not run by all and ran", tag);
       if (work->accepted)
         check_job (s, tag);
     }
