--- a/docs/design/handover.pml
+++ b/docs/design/handover.pml
@@ -1,5 +1,5 @@
 /* Model of the handover between planners: how long former planners may order, as
-   their successor knows it (trust.c, former.c, claim.c, leave.c).  Daemons take
+   their successor knows it (claim_lease.c, predecessor.c, claim.c, handover.c).  Daemons take
    the claim in turn, give it up, claim again and restart; a planner either hears
    the one worker and renews its lease whenever it may order, or hears it never and
    takes it as free when its wait is over: no lease may last then.  Commits may
