--- a/test/unit/test_admission.c
+++ b/test/unit/test_admission.c
@@ -17,7 +17,7 @@
   MuxAdmission admission;
   int64_t now_ms;
   int64_t free_milli;
-  int64_t later_milli; /* of a queue of lower priority */
+  int64_t lower_priority_milli; /* of a queue of lower priority */
 } Play;
 
 static Play
@@ -46,7 +46,7 @@
     mux_admission_add_waiting (admission, QUEUE, &step);
   step = (MuxAdmissionStep){ .priority = 1, .service = POOL, .slack_ms = 1 };
   mux_admission_add_waiting (admission, OTHER, &step);
-  mux_admission_add_running (admission, OTHER, play->later_milli);
+  mux_admission_add_running (admission, OTHER, play->lower_priority_milli);
   mux_admission_count_end (admission, play->now_ms);
   mux_admission_update_pool (admission, POOL, POOL_MILLI, play->free_milli);
 }
@@ -122,7 +122,7 @@
 /* Guards against refusing a burst of half a second that the pool can hold
  * whole. */
 static void
-test_short_gust_is_taken (void **state)
+test_short_burst_is_accepted (void **state)
 {
   Play play = begin ();
 
@@ -136,7 +136,7 @@
 /* Guards against accepting more than the whole pool can begin in time,
  * because it has not waited long yet. */
 static void
-test_gust_beyond_the_pool_is_refused (void **state)
+test_burst_beyond_the_pool_is_refused (void **state)
 {
   Play play = begin ();
 
@@ -149,7 +149,7 @@
 /* Guards against refusals while workers are idle, or busy with work of lower
  * priority: the backlog does not wait for room. */
 static void
-test_queue_with_room_is_taken_for_longer (void **state)
+test_queue_with_room_is_accepted_for_longer (void **state)
 {
   Play play = begin ();
 
@@ -160,7 +160,7 @@
   play.free_milli = 0;
   count (&play, 400, 1500, 10);
   assert_int_not_equal (retry_ms (&play, job (5000)), 0);
-  play.later_milli = POOL_MILLI / 4;
+  play.lower_priority_milli = POOL_MILLI / 4;
   count (&play, 400, 1500, 10);
   assert_int_equal (retry_ms (&play, job (5000)), 0);
 }
@@ -168,7 +168,7 @@
 /* Guards against refusals beside idle workers because of jobs that no worker
  * can hold. */
 static void
-test_jobs_that_nothing_holds_refuse_no_others (void **state)
+test_jobs_too_large_for_any_worker_refuse_no_others (void **state)
 {
   Play play = begin ();
 
@@ -186,7 +186,7 @@
 /* Guards against a queue of lower priority taking the room that one of
  * higher priority waits for. */
 static void
-test_later_queue_is_refused_behind_an_earlier_one (void **state)
+test_lower_priority_queue_is_refused_behind_a_higher_one (void **state)
 {
   MuxAdmissionStep late = { .priority = 1, .service = POOL, .slack_ms = 2000 };
   Play play = begin ();
@@ -209,7 +209,7 @@
 /* Guards against refusing gangs beside idle workers because few of them are
  * placed, while all else is placed as it arrives. */
 static void
-test_queue_that_alone_waits_beside_idle_workers_is_taken (void **state)
+test_queue_that_alone_waits_beside_idle_workers_is_accepted (void **state)
 {
   Play play = begin ();
 
@@ -246,7 +246,7 @@
 /* Guards against a planner accepting jobs without bound after its takeover,
  * until it has measured its rate of placing. */
 static void
-test_new_planner_is_cautious (void **state)
+test_planner_without_measured_rate_limits_jobs (void **state)
 {
   Play play = begin ();
 
@@ -261,7 +261,7 @@
 /* Guards against callers being told to retry at once in a queue of which
  * nothing is placed. */
 static void
-test_standstill_refuses (void **state)
+test_queue_without_placements_refuses (void **state)
 {
   Play play = begin ();
 
@@ -273,7 +273,7 @@
 
 /* Guards against all refused callers retrying at the same moment. */
 static void
-test_times_to_come_back_are_spread (void **state)
+test_retry_times_are_spread (void **state)
 {
   Play play = begin ();
   uint32_t least = UINT32_MAX;
@@ -320,7 +320,7 @@
 
 /* Guards against a write beyond the end of a full table of queues. */
 static void
-test_too_many_queues_are_not_refused (void **state)
+test_queues_beyond_the_table_are_not_refused (void **state)
 {
   MuxAdmission admission = { .count = 0 };
   MuxAdmissionStep step = { .work = 1, .slack_ms = 1 };
@@ -342,19 +342,20 @@
     cmocka_unit_test (test_job_behind_a_long_backlog_is_refused),
     cmocka_unit_test (test_other_queue_is_not_refused),
     cmocka_unit_test (test_idle_time_is_no_low_rate),
-    cmocka_unit_test (test_short_gust_is_taken),
-    cmocka_unit_test (test_gust_beyond_the_pool_is_refused),
-    cmocka_unit_test (test_queue_with_room_is_taken_for_longer),
-    cmocka_unit_test (test_jobs_that_nothing_holds_refuse_no_others),
-    cmocka_unit_test (test_later_queue_is_refused_behind_an_earlier_one),
-    cmocka_unit_test (test_queue_that_alone_waits_beside_idle_workers_is_taken),
+    cmocka_unit_test (test_short_burst_is_accepted),
+    cmocka_unit_test (test_burst_beyond_the_pool_is_refused),
+    cmocka_unit_test (test_queue_with_room_is_accepted_for_longer),
+    cmocka_unit_test (test_jobs_too_large_for_any_worker_refuse_no_others),
+    cmocka_unit_test (test_lower_priority_queue_is_refused_behind_a_higher_one),
+    cmocka_unit_test (
+        test_queue_that_alone_waits_beside_idle_workers_is_accepted),
     cmocka_unit_test (test_late_placing_beside_idle_workers_refuses),
-    cmocka_unit_test (test_new_planner_is_cautious),
-    cmocka_unit_test (test_standstill_refuses),
-    cmocka_unit_test (test_times_to_come_back_are_spread),
+    cmocka_unit_test (test_planner_without_measured_rate_limits_jobs),
+    cmocka_unit_test (test_queue_without_placements_refuses),
+    cmocka_unit_test (test_retry_times_are_spread),
     cmocka_unit_test (test_steps_wait_one_after_the_other),
     cmocka_unit_test (test_huge_step_counts_as_much),
-    cmocka_unit_test (test_too_many_queues_are_not_refused),
+    cmocka_unit_test (test_queues_beyond_the_table_are_not_refused),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell.c
+++ b/test/unit/test_cell.c
@@ -7,10 +7,10 @@
 #define TAKEOVER_MS 4000
 /* A successor waits so long for a worker it has not heard from: the time for
  * which its predecessor trusts its claim, and a lease. */
-#define UNHEARD_MS 13000
+#define UNCONFIRMED_WAIT_MS 13000
 
 static uint32_t
-other_than (uint32_t cell)
+daemon_other_than (uint32_t cell)
 {
   return (cell + 1) % CELLS;
 }
@@ -105,7 +105,7 @@
  * deadline can't use another daemon in time; it must be refused within a
  * fraction of a second, and the refusal must be true. */
 static void
-test_refusal_is_quick_and_true (void **state)
+test_refusal_without_store_is_early_and_true (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint64_t call;
@@ -136,8 +136,8 @@
 
   (void) state;
   world->task_ms = 6000;
-  call = world_submit (world, other_than (planner), world_job (1, 4, 1000),
-                       "job-a");
+  call = world_submit (world, daemon_other_than (planner),
+                       world_job (1, 4, 1000), "job-a");
   world_run (world, 500);
   assert_accepted (world, call);
   assert_int_equal (world_starts (world, "job-a"), 4);
@@ -145,7 +145,7 @@
   world_run (world, 10000);
   assert_int_not_equal (world_planner (world), planner);
   assert_int_equal (world_starts (world, "job-a"), 4);
-  assert_int_equal (world_state (world, other_than (planner), "job-a"),
+  assert_int_equal (world_state (world, daemon_other_than (planner), "job-a"),
                     MUX_JOB_COMPLETED);
   assert_false (world_twice (world));
   world_free (world);
@@ -161,13 +161,14 @@
   uint32_t planner = world_planner (world);
 
   (void) state;
-  (void) world_submit (world, other_than (planner), gang (6, 9000), "job-a");
+  (void) world_submit (world, daemon_other_than (planner), gang (6, 9000),
+                       "job-a");
   world_run (world, 900);
   assert_int_equal (world_starts (world, "job-a"), 6);
   world_cell_kill (world, planner);
   world_run (world, TAKEOVER_MS);
   assert_int_equal (world_starts (world, "job-a"), 6);
-  assert_int_equal (world_state (world, other_than (planner), "job-a"),
+  assert_int_equal (world_state (world, daemon_other_than (planner), "job-a"),
                     MUX_JOB_COMPLETED);
   world_free (world);
 }
@@ -176,15 +177,15 @@
  * state. Its next commands would start tasks that its successor runs
  * elsewhere; it must read the claim before it sends any command. */
 static void
-test_frozen_planner_orders_nothing (void **state)
+test_resumed_planner_sends_no_command (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
 
   (void) state;
   world->task_ms = 2000;
-  (void) world_submit (world, other_than (planner), world_job (2, 4, 9000),
-                       "job-a");
+  (void) world_submit (world, daemon_other_than (planner),
+                       world_job (2, 4, 9000), "job-a");
   world_run (world, 500);
   world->cell[planner].frozen = true;
   world_run (world, 5000);
@@ -227,11 +228,11 @@
  * on at once.
  */
 static void
-test_unheard_worker_blocks_its_own_jobs_alone (void **state)
+test_unconfirmed_worker_blocks_only_its_own_jobs (void **state)
 {
   World *world = world_new (CELLS, 1);
   uint32_t planner = world_planner (world);
-  uint32_t other = other_than (planner);
+  uint32_t other = daemon_other_than (planner);
 
   (void) state;
   world->task_ms = 30000;
@@ -251,7 +252,7 @@
   world_run (world, 1000);
   assert_int_equal (world_starts (world, "job-b"), 1);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  world_run (world, UNHEARD_MS);
+  world_run (world, UNCONFIRMED_WAIT_MS);
   assert_int_equal (world_starts (world, "job-a"), 2);
   world_free (world);
 }
@@ -259,7 +260,7 @@
 /* A start is carried out and its response is lost. It is unknown whether the
  * task runs; started elsewhere at once it might run twice. */
 static void
-test_lost_start_is_settled_first (void **state)
+test_start_of_unknown_fate_is_resolved_first (void **state)
 {
   World *world = world_new (1, 2);
   uint32_t first;
@@ -283,7 +284,7 @@
  * named must be queried again, else a gang waits for ever beside idle
  * workers. */
 static void
-test_lost_question_is_asked_again (void **state)
+test_lost_approval_query_is_retried (void **state)
 {
   World *world = world_new (1, WORKERS);
 
@@ -309,7 +310,7 @@
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
-  uint32_t other = other_than (planner);
+  uint32_t other = daemon_other_than (planner);
 
   (void) state;
   world->task_ms = 300;
@@ -331,11 +332,11 @@
  * ends, and a reread that missed the parts with these jobs would leave them
  * waiting for ever and report none of them as pending. */
 static void
-test_forgotten_history_is_read_again (void **state)
+test_trimmed_history_is_reread (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
-  uint32_t other = other_than (planner);
+  uint32_t other = daemon_other_than (planner);
 
   (void) state;
   world->cell[planner].store = WORLD_REFUSES;
@@ -358,7 +359,7 @@
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
-  uint32_t other = other_than (planner);
+  uint32_t other = daemon_other_than (planner);
   uint64_t cancel;
 
   (void) state;
@@ -409,7 +410,7 @@
 }
 
 static void
-test_member_at_its_end_waits (void **state)
+test_finished_gang_member_is_not_stopped (void **state)
 {
   World *world = world_new (1, 1);
 
@@ -426,7 +427,7 @@
  * of the previous incarnation are known to be gone: they are started again
  * at once rather than after the lease. */
 static void
-test_other_life_frees_tasks_at_once (void **state)
+test_new_incarnation_frees_tasks_at_once (void **state)
 {
   World *world = world_new (1, 1);
 
@@ -481,8 +482,8 @@
   uint32_t planner = world_planner (world);
 
   (void) state;
-  (void) world_submit (world, other_than (planner), world_job (2, 4, 1000),
-                       "job-a");
+  (void) world_submit (world, daemon_other_than (planner),
+                       world_job (2, 4, 1000), "job-a");
   world_run (world, 300);
   mux_cell_stop (world->cell[planner].cell,
                  (MuxCellTime){ world->now_ms, 1700000000000, world->now_ms });
@@ -491,7 +492,7 @@
   assert_int_not_equal (world_planner (world), planner);
   assert_true (world_planner (world) < WORLD_CELLS_MAX);
   world_run (world, 4000);
-  assert_int_equal (world_state (world, other_than (planner), "job-a"),
+  assert_int_equal (world_state (world, daemon_other_than (planner), "job-a"),
                     MUX_JOB_COMPLETED);
   assert_false (world_twice (world));
   world_free (world);
@@ -514,10 +515,10 @@
   world_run (world, 8000);
   assert_int_equal (world_planner (world), planner);
   assert_true (world_claim_version (world) < 40);
-  (void) world_submit (world, other_than (planner), world_job (1, 2, 1000),
-                       "job-a");
+  (void) world_submit (world, daemon_other_than (planner),
+                       world_job (1, 2, 1000), "job-a");
   world_run (world, 2000);
-  assert_int_equal (world_state (world, other_than (planner), "job-a"),
+  assert_int_equal (world_state (world, daemon_other_than (planner), "job-a"),
                     MUX_JOB_COMPLETED);
   world_free (world);
 }
@@ -552,10 +553,10 @@
  * stores jobs of that daemon's callers for it; refused, they would have to
  * find another daemon themselves. */
 static void
-test_turned_away_daemon_hands_jobs_to_the_planner (void **state)
+test_daemon_without_store_relays_jobs_to_the_planner (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  uint32_t other = other_than (world_planner (world));
+  uint32_t other = daemon_other_than (world_planner (world));
   uint64_t call;
 
   (void) state;
@@ -577,7 +578,7 @@
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
-  uint32_t other = other_than (planner);
+  uint32_t other = daemon_other_than (planner);
   uint64_t call;
 
   (void) state;
@@ -597,7 +598,7 @@
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
-  uint32_t other = other_than (planner);
+  uint32_t other = daemon_other_than (planner);
   MuxJobSpec *job = world_job (1, 1, 1000);
   int64_t first_ms = world->now_ms + 1000;
 
@@ -650,7 +651,7 @@
  * then exceed their target. The filling task must be stopped at once and
  * must not return to that worker soon. */
 static void
-test_filling_task_leaves_a_serving_one (void **state)
+test_filling_task_is_stopped_beside_a_slow_service (void **state)
 {
   World *world = world_new (1, 1);
   MuxJobSpec *serving = world_job (1, 1, 1000);
@@ -686,11 +687,11 @@
  * it must run once all the same, and the planner must go on without the proxy.
  */
 static void
-test_carrier_dies_with_its_calls (void **state)
+test_proxy_dies_with_calls_in_flight (void **state)
 {
   World *world = world_new (CELLS, 100);
   uint32_t planner = world_planner (world);
-  uint32_t carrier = other_than (planner);
+  uint32_t carrier = daemon_other_than (planner);
 
   (void) state;
   world_run (world, 1500);
@@ -745,7 +746,7 @@
  * never counted, and their tasks run again.
  */
 static void
-test_ends_are_taken_in_any_order (void **state)
+test_ends_are_processed_in_any_order (void **state)
 {
   World *world = world_new (CELLS, 1);
 
@@ -785,7 +786,7 @@
   MuxCellTime time
       = { world->now_ms, WORLD_WALL_MS + world->now_ms, world->now_ms };
 
-  snprintf (msg.from, sizeof msg.from, "entry-%u", other_than (planner));
+  snprintf (msg.from, sizeof msg.from, "entry-%u", daemon_other_than (planner));
   msg.body = mux_blob_new (bytes, len);
   mux_cell_peer (world->cell[planner].cell, time, &msg);
   mux_blob_unref (msg.body);
@@ -799,7 +800,7 @@
  * for which nine bytes asked for 128 GB; jobs go on.
  */
 static void
-test_carried_bytes_of_another_version_do_nothing (void **state)
+test_malformed_proxied_calls_have_no_effect (void **state)
 {
   static const struct
   {
@@ -842,7 +843,7 @@
 /* Guards against a caller that is told for ever that nothing waits in a
  * queue. */
 static void
-test_count_of_a_queue_is_young (void **state)
+test_count_of_a_queue_is_recent (void **state)
 {
   World *world = world_new (CELLS, 1);
   uint32_t planner = world_planner (world);
@@ -879,7 +880,7 @@
  * never learns of it. Its queue allows more attempts than failed runs are
  * told apart. */
 static void
-test_queue_of_many_attempts_ends (void **state)
+test_job_of_many_attempts_ends (void **state)
 {
   World *world = world_new (CELLS, 4);
   uint32_t planner = world_planner (world);
@@ -906,35 +907,35 @@
     cmocka_unit_test (test_steps_in_order),
     cmocka_unit_test (test_same_id_is_one_job),
     cmocka_unit_test (test_unanswered_commit_is_never_refused),
-    cmocka_unit_test (test_refusal_is_quick_and_true),
+    cmocka_unit_test (test_refusal_without_store_is_early_and_true),
     cmocka_unit_test (test_successor_adopts_running_tasks),
     cmocka_unit_test (test_ended_gang_is_not_started_again),
-    cmocka_unit_test (test_frozen_planner_orders_nothing),
+    cmocka_unit_test (test_resumed_planner_sends_no_command),
     cmocka_unit_test (test_lost_worker_runs_until_its_lease_ends),
-    cmocka_unit_test (test_unheard_worker_blocks_its_own_jobs_alone),
-    cmocka_unit_test (test_lost_start_is_settled_first),
-    cmocka_unit_test (test_lost_question_is_asked_again),
+    cmocka_unit_test (test_unconfirmed_worker_blocks_only_its_own_jobs),
+    cmocka_unit_test (test_start_of_unknown_fate_is_resolved_first),
+    cmocka_unit_test (test_lost_approval_query_is_retried),
     cmocka_unit_test (test_attempts_are_counted_over_a_takeover),
-    cmocka_unit_test (test_forgotten_history_is_read_again),
+    cmocka_unit_test (test_trimmed_history_is_reread),
     cmocka_unit_test (test_cancel_stops_what_runs),
     cmocka_unit_test (test_hung_tasks_run_elsewhere),
-    cmocka_unit_test (test_member_at_its_end_waits),
-    cmocka_unit_test (test_other_life_frees_tasks_at_once),
+    cmocka_unit_test (test_finished_gang_member_is_not_stopped),
+    cmocka_unit_test (test_new_incarnation_frees_tasks_at_once),
     cmocka_unit_test (test_room_is_never_exceeded),
     cmocka_unit_test (test_stopping_planner_hands_over),
     cmocka_unit_test (test_cut_between_daemons_keeps_the_planner),
     cmocka_unit_test (test_all_restarted_plan_at_once),
-    cmocka_unit_test (test_turned_away_daemon_hands_jobs_to_the_planner),
+    cmocka_unit_test (test_daemon_without_store_relays_jobs_to_the_planner),
     cmocka_unit_test (test_relayed_job_survives_the_planner),
     cmocka_unit_test (test_occurrences_at_their_times),
     cmocka_unit_test (test_long_running_is_restarted),
-    cmocka_unit_test (test_filling_task_leaves_a_serving_one),
-    cmocka_unit_test (test_carrier_dies_with_its_calls),
-    cmocka_unit_test (test_carried_bytes_of_another_version_do_nothing),
-    cmocka_unit_test (test_count_of_a_queue_is_young),
-    cmocka_unit_test (test_queue_of_many_attempts_ends),
+    cmocka_unit_test (test_filling_task_is_stopped_beside_a_slow_service),
+    cmocka_unit_test (test_proxy_dies_with_calls_in_flight),
+    cmocka_unit_test (test_malformed_proxied_calls_have_no_effect),
+    cmocka_unit_test (test_count_of_a_queue_is_recent),
+    cmocka_unit_test (test_job_of_many_attempts_ends),
     cmocka_unit_test (test_gang_starts_on_the_room_it_holds),
-    cmocka_unit_test (test_ends_are_taken_in_any_order),
+    cmocka_unit_test (test_ends_are_processed_in_any_order),
     cmocka_unit_test (test_unknown_queue),
   };
 
--- a/test/unit/test_cell_ask_ahead.c
+++ b/test/unit/test_cell_ask_ahead.c
@@ -9,7 +9,7 @@
 #define WORKERS 8
 #define TASKS 4
 #define CPU_MILLI 1000
-#define QUESTION_MS 60
+#define APPROVAL_QUERY_MS 60
 /* The response to a renewal, a planning pass and the call to a worker. */
 #define MARGIN_MS 40
 /* Longer than an approval of the test's policy service is valid. */
@@ -36,7 +36,7 @@
 
   (void) state;
   world_make_urgent (world);
-  world->approval_ms = QUESTION_MS;
+  world->approval_ms = APPROVAL_QUERY_MS;
   world_run (world, 1000);
   (void) world_submit (world, world_planner (world), job, "job-a");
   world_run (world, 6000);
@@ -51,7 +51,7 @@
 /* Guards against queries whose approvals expire unused: they take the policy
  * service's time from others. */
 static void
-test_nothing_is_asked_that_would_lapse (void **state)
+test_no_query_whose_approvals_would_expire (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   MuxJobSpec *job = world_job (2, TASKS, CPU_MILLI);
@@ -72,13 +72,13 @@
 /* Guards against a step that never runs because the query put ahead for it
  * was lost with the daemon that put it. */
 static void
-test_lost_question_is_asked_again (void **state)
+test_lost_early_query_is_retried (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
 
   (void) state;
   world_make_urgent (world);
-  world->approval_ms = QUESTION_MS;
+  world->approval_ms = APPROVAL_QUERY_MS;
   world_run (world, 1000);
   (void) world_submit (world, world_planner (world),
                        world_job (2, TASKS, CPU_MILLI), "job-a");
@@ -98,8 +98,8 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_next_step_starts_when_the_one_before_ends),
-    cmocka_unit_test (test_nothing_is_asked_that_would_lapse),
-    cmocka_unit_test (test_lost_question_is_asked_again),
+    cmocka_unit_test (test_no_query_whose_approvals_would_expire),
+    cmocka_unit_test (test_lost_early_query_is_retried),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_askers.c
+++ b/test/unit/test_cell_askers.c
@@ -25,8 +25,8 @@
 
 /**
  * struct Queue - a queue and the load submitted to it
- * @ask_ms: time that the policy service takes for an approval query, plus
- * @ask_us: for each worker named in it
+ * @query_ms: time that the policy service takes for an approval query, plus
+ * @query_us_per_worker: for each worker named in it
  * @cpu_milli: processor of a task; a worker has 32,000
  */
 typedef struct
@@ -36,15 +36,15 @@
   uint32_t slack_milli;
   uint32_t each_ms;
   uint32_t task_ms;
-  uint32_t ask_ms;
-  uint32_t ask_us;
+  uint32_t query_ms;
+  uint32_t query_us_per_worker;
   uint32_t cpu_milli[SIZES];
 } Queue;
 
 #define GANG_EACH_MS 145
 #define GANG_TASK_MS 4000
-#define GANG_ASK_MS 62
-#define GANG_ASK_US 900
+#define GANG_QUERY_MS 62
+#define GANG_QUERY_US_PER_WORKER 900
 #define GANGS (LOAD_MS / GANG_EACH_MS + 1)
 
 /* Half of the workers, and 2.1 of the three daemons with two queries of 100
@@ -55,8 +55,8 @@
   .slack_milli = 2200,
   .each_ms = GANG_EACH_MS,
   .task_ms = GANG_TASK_MS,
-  .ask_ms = GANG_ASK_MS,
-  .ask_us = GANG_ASK_US,
+  .query_ms = GANG_QUERY_MS,
+  .query_us_per_worker = GANG_QUERY_US_PER_WORKER,
   .cpu_milli = { 6000, 9000, 12000, 15000 },
 };
 /* A third of the workers, and half a daemon with a query of 36 workers. */
@@ -66,8 +66,8 @@
   .slack_milli = 4000,
   .each_ms = 78,
   .task_ms = 3400,
-  .ask_ms = 22,
-  .ask_us = 330,
+  .query_ms = 22,
+  .query_us_per_worker = 330,
   .cpu_milli = { 2500, 3500, 3500, 4500 },
 };
 /* An eighth of the workers. */
@@ -77,8 +77,8 @@
   .slack_milli = 1500,
   .each_ms = 28,
   .task_ms = 640,
-  .ask_ms = 1,
-  .ask_us = 20,
+  .query_ms = 1,
+  .query_us_per_worker = 20,
   .cpu_milli = { 4000, 5000, 5000, 6000 },
 };
 
@@ -90,11 +90,14 @@
 
 /* The queue's target: 2.2 times a run with a query of 30 workers, and a
  * second. */
-#define PROMISED_MS \
-  (22 * (GANG_TASK_MS + GANG_ASK_MS + 30 * GANG_ASK_US / 1000) / 10 + 1000)
+#define TARGET_MS                                                             \
+  (22 * (GANG_TASK_MS + GANG_QUERY_MS + 30 * GANG_QUERY_US_PER_WORKER / 1000) \
+       / 10                                                                   \
+   + 1000)
 /* Two full queries find 66 workers that may run the gang, and one renews the
  * approvals of those it takes. */
-#define WIDEST_ASKED_MS (3 * (GANG_ASK_MS + NAMES_MAX * GANG_ASK_US / 1000))
+#define WIDEST_QUERY_MS \
+  (3 * (GANG_QUERY_MS + NAMES_MAX * GANG_QUERY_US_PER_WORKER / 1000))
 
 typedef struct
 {
@@ -107,13 +110,13 @@
 
 /**
  * struct Served - outcome of some of the gangs
- * @asked_ms: time of the policy service that their approval queries took
+ * @query_time_ms: time of the policy service that their approval queries took
  */
 typedef struct
 {
   uint32_t all;
   uint32_t in_time;
-  int64_t asked_ms;
+  int64_t query_time_ms;
 } Served;
 
 static void
@@ -127,7 +130,7 @@
   job->step[0].gang = queue == &gang;
   job->step[0].estimate_ms = queue->task_ms;
   world->task_ms = queue->task_ms;
-  world_ask_slowly (world, queue->ask_ms, queue->ask_us);
+  world_ask_slowly (world, queue->query_ms, queue->query_us_per_worker);
   world_set_priority (world, queue->priority);
   world_set_slack (world, queue->slack_milli);
   world_run (world, CONFIG_MS);
@@ -193,9 +196,9 @@
       snprintf (id, sizeof id, "gang-%u", i);
       served.all++;
       served.in_time
-          += world_done_by (load->world, id, load->sent_ms[i] + PROMISED_MS)
+          += world_done_by (load->world, id, load->sent_ms[i] + TARGET_MS)
              == tasks;
-      served.asked_ms += world_asked_ms (load->world, id);
+      served.query_time_ms += world_asked_ms (load->world, id);
     }
   return served;
 }
@@ -203,7 +206,7 @@
 /* Guards against the widest gangs not being served while queries for them
  * occupy all daemons. */
 static void
-test_widest_gangs_wait_for_daemons_that_ask (void **state)
+test_widest_gangs_starve_while_daemons_query (void **state)
 {
   Load load = play_load ();
   Served all = served_of (&load, 0);
@@ -213,10 +216,10 @@
   print_message ("%u of %u gangs in time, %u of the %u widest; asked for %d ms "
                  "each, for %d ms the widest\n",
                  all.in_time, all.all, widest.in_time, widest.all,
-                 (int) (all.asked_ms / all.all),
-                 (int) (widest.asked_ms / widest.all));
+                 (int) (all.query_time_ms / all.all),
+                 (int) (widest.query_time_ms / widest.all));
   assert_true (10 * widest.in_time * all.all >= 7 * all.in_time * widest.all);
-  assert_true (widest.asked_ms <= (int64_t) WIDEST_ASKED_MS * widest.all);
+  assert_true (widest.query_time_ms <= (int64_t) WIDEST_QUERY_MS * widest.all);
   assert_false (world_twice (load.world));
   world_free (load.world);
 }
@@ -225,7 +228,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_widest_gangs_wait_for_daemons_that_ask),
+    cmocka_unit_test (test_widest_gangs_starve_while_daemons_query),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_audit.c
+++ b/test/unit/test_cell_audit.c
@@ -9,10 +9,11 @@
 #define CELLS 3
 #define WORKERS 8
 /* Workers on either side of a network partition. */
-#define HALF 4
+#define WORKERS_PER_SIDE 4
 #define PARTS 4
 /* The feeds by which a planner learns of another claim. */
-#define DEAF (WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS))
+#define FEEDS_OF_CLAIMS_LOST \
+  (WORLD_DEAF (MUX_TABLE_CLAIM) | WORLD_DEAF (MUX_TABLE_JOBS))
 #define JOBS 8
 /* Time within which a due claim must have been made. */
 #define CLAIM_WITHIN_MS 5000
@@ -51,7 +52,7 @@
 /* The planner has died; its successor has fenced all parts, and the store
  * becomes unreachable for it before it has read them. Return: the successor. */
 static uint32_t
-successor_before_its_reading (World *world)
+successor_before_reading_parts (World *world)
 {
   uint64_t version = world_claim_version (world);
   uint32_t reader;
@@ -62,8 +63,8 @@
   while (world_fenced (world) < PARTS)
     world_run (world, 1);
   world->cell[reader].store = WORLD_REFUSES;
-  world->cell[reader].deaf = DEAF;
-  world->cell[reader].near_workers = HALF;
+  world->cell[reader].deaf = FEEDS_OF_CLAIMS_LOST;
+  world->cell[reader].near_workers = WORKERS_PER_SIDE;
   return reader;
 }
 
@@ -87,10 +88,10 @@
 
       world_make_urgent (world);
       world_run (world, 1000 + phase_ms);
-      reader = successor_before_its_reading (world);
+      reader = successor_before_reading_parts (world);
       for (uint32_t i = 0; i < CELLS; i++)
         if (i != reader)
-          world->cell[i].far_workers = HALF;
+          world->cell[i].far_workers = WORKERS_PER_SIDE;
       wait_for_another_claim (world, world_claim_version (world));
       other = world_planner (world);
       world_run (world, 100 + phase_ms);
@@ -107,7 +108,7 @@
 
 /* For so long the successor can't reach the store, and the old planner goes
  * on storing what ends. */
-#define BETWEEN_MS 4000
+#define SUCCESSOR_WITHOUT_STORE_MS 4000
 
 /* Submits a short job to the daemon each 100 ms. */
 static void
@@ -166,13 +167,13 @@
   submit_jobs (world, planner, "long", 2);
   world_run (world, 300);
   assert_int_equal (world_starts (world, "long-0"), 2);
-  world->cell[planner].deaf = DEAF;
+  world->cell[planner].deaf = FEEDS_OF_CLAIMS_LOST;
   world->cell[planner].cut = true;
   world->cell[planner].claim_away = true;
-  world->cell[planner].near_workers = HALF;
+  world->cell[planner].near_workers = WORKERS_PER_SIDE;
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
-      world->cell[i].far_workers = HALF;
+      world->cell[i].far_workers = WORKERS_PER_SIDE;
   for (uint32_t i = 0;
        i < CLAIM_WITHIN_MS && world_claim_version (world) == version; i++)
     run_with_short_jobs (world, planner, 1);
@@ -180,7 +181,7 @@
   assert_int_not_equal (other, planner);
   world_cell_kill (world, CELLS - planner - other);
   world->cell[other].store = WORLD_REFUSES;
-  run_with_short_jobs (world, planner, BETWEEN_MS);
+  run_with_short_jobs (world, planner, SUCCESSOR_WITHOUT_STORE_MS);
   world->cell[planner].store = WORLD_SILENT;
   world->cell[other].store = WORLD_SERVES;
   world_run (world, 20000);
@@ -197,7 +198,7 @@
  * same time.
  */
 static void
-test_leases_renewed_by_a_successor_are_not_over (void **state)
+test_leases_renewed_by_a_successor_have_not_expired (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
@@ -208,13 +209,13 @@
   world->task_ms = 60000;
   submit_jobs (world, planner, "long", 4);
   world_run (world, 1000);
-  world->cell[planner].deaf = DEAF;
+  world->cell[planner].deaf = FEEDS_OF_CLAIMS_LOST;
   world->cell[planner].cut = true;
   world->cell[planner].store = WORLD_SILENT;
-  world->cell[planner].far_workers = HALF;
+  world->cell[planner].far_workers = WORKERS_PER_SIDE;
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
-      world->cell[i].near_workers = HALF;
+      world->cell[i].near_workers = WORKERS_PER_SIDE;
   world_run (world, 10000);
   assert_int_not_equal (world_planner (world), planner);
   assert_false (overlaps (world));
@@ -222,7 +223,7 @@
 }
 
 /* The planner's wall clock is ahead of the others' by this. */
-#define AHEAD_MS 3000
+#define CLOCK_AHEAD_MS 3000
 
 /*
  * The planner's wall clock is ahead. It begins an occurrence of a timed job
@@ -242,9 +243,9 @@
   world_make_urgent (world);
   world_run (world, 1000);
   world->task_ms = 300;
-  world->cell[planner].wall_ms = AHEAD_MS;
+  world->cell[planner].wall_ms = CLOCK_AHEAD_MS;
   job->repetitions = 2;
-  job->first_due_ms = WORLD_WALL_MS + world->now_ms + AHEAD_MS + 500;
+  job->first_due_ms = WORLD_WALL_MS + world->now_ms + CLOCK_AHEAD_MS + 500;
   job->interval_ms = 60000;
   (void) world_submit (world, planner, job, "timed");
   while (world_starts (world, "timed") == 0)
@@ -263,7 +264,7 @@
  * before it.
  */
 static void
-test_count_is_told_only_while_the_claim_is_trusted (void **state)
+test_count_is_reported_only_while_the_claim_is_trusted (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
@@ -277,7 +278,7 @@
   assert_true (world->answered[call]);
   assert_int_equal (world->answer[call].outcome, MUX_RESPONSE_PENDING);
   world->cell[planner].store = WORLD_SILENT;
-  world->cell[planner].deaf = DEAF;
+  world->cell[planner].deaf = FEEDS_OF_CLAIMS_LOST;
   world->cell[planner].cut = true;
   world->cell[planner].far_workers = WORKERS;
   world_run (world, 7000);
@@ -300,7 +301,7 @@
  * another caller's job, which is reported as accepted and never stored.
  */
 static void
-test_word_for_a_former_process_accepts_nothing (void **state)
+test_response_to_a_previous_process_accepts_nothing (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
@@ -340,7 +341,7 @@
  * between.
  */
 static void
-test_answer_from_before_a_pause_proves_nothing (void **state)
+test_heartbeat_from_before_a_pause_proves_no_claim (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
@@ -374,11 +375,11 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_jobs_behind_another_claim_are_not_read_as_own),
     cmocka_unit_test (test_commit_to_a_part_proves_no_claim),
-    cmocka_unit_test (test_leases_renewed_by_a_successor_are_not_over),
+    cmocka_unit_test (test_leases_renewed_by_a_successor_have_not_expired),
     cmocka_unit_test (test_end_of_an_occurrence_not_due_here_counts),
-    cmocka_unit_test (test_count_is_told_only_while_the_claim_is_trusted),
-    cmocka_unit_test (test_word_for_a_former_process_accepts_nothing),
-    cmocka_unit_test (test_answer_from_before_a_pause_proves_nothing),
+    cmocka_unit_test (test_count_is_reported_only_while_the_claim_is_trusted),
+    cmocka_unit_test (test_response_to_a_previous_process_accepts_nothing),
+    cmocka_unit_test (test_heartbeat_from_before_a_pause_proves_no_claim),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_backlog.c
+++ b/test/unit/test_cell_backlog.c
@@ -9,7 +9,7 @@
 #define CELLS 3
 #define WORKERS 16
 #define WORKER_CPU_MILLI 32000
-#define FOREVER_MS 100000000
+#define ENDLESS_TASK_MS 100000000
 #define BACKLOG 10000
 #define STEPS_PER_JOB 20
 #define BACKLOG_JOBS (BACKLOG / STEPS_PER_JOB)
@@ -21,25 +21,25 @@
 #define BACKLOG_PRIORITY 2
 #define SMALL_PRIORITY 1
 #define CONFIG_MS 20
-#define SMALL_JOBS (LOOK_MS / SMALL_EVERY_MS)
-#define LOOK_S 10
-#define LOOK_MS 10000
+#define SMALL_JOBS (OBSERVED_MS / SMALL_EVERY_MS)
+#define OBSERVED_S 10
+#define OBSERVED_MS 10000
 /* Planning passes per second over all steps, and over the urgent ones. */
 #define PASSES_PER_S (1000 / 16 + 1)
 #define URGENT_PASSES_PER_S (1000 / 4 + 1)
 /* Scan budget of each kind of pass, in workers, and what a step itself
  * costs. */
-#define PASS_LOOKS 25000
-#define URGENT_PASS_LOOKS 6000
-#define STEP_LOOKS 10
-#define STEPS_MAX_PER_S                         \
-  (PASSES_PER_S * (PASS_LOOKS / STEP_LOOKS + 1) \
-   + URGENT_PASSES_PER_S * (URGENT_PASS_LOOKS / STEP_LOOKS + 1))
+#define PASS_SCAN_BUDGET 25000
+#define URGENT_PASS_SCAN_BUDGET 6000
+#define STEP_SCAN_COST 10
+#define STEPS_MAX_PER_S                                   \
+  (PASSES_PER_S * (PASS_SCAN_BUDGET / STEP_SCAN_COST + 1) \
+   + URGENT_PASSES_PER_S * (URGENT_PASS_SCAN_BUDGET / STEP_SCAN_COST + 1))
 #define TAKEOVER_MS 20000
 #define WIDE_WORKERS 350
 #define WIDE_CPU_MILLI 20000
 /* A commit, and the pause after a pass that used its whole budget in vain. */
-#define BEHIND_MS (100 + PASS_LOOKS / IDLE_LOOKS_PER_MS)
+#define BEHIND_MS (100 + PASS_SCAN_BUDGET / VAIN_SCANS_PER_MS)
 #define COUNTS 10
 #define ANSWER_MS 300
 /*
@@ -47,12 +47,12 @@
  * each kind of pass scans no more than so many workers in vain; a pass is not
  * interrupted within a step, and each job that starts has a budget of its own.
  */
-#define OFTEN_MS 8
-#define OFTEN_JOBS 250
-#define IDLE_LOOKS_PER_MS 500
-#define OFTEN_LOOKS_MAX                                       \
-  (2 * IDLE_LOOKS_PER_MS * OFTEN_JOBS * OFTEN_MS + PASS_LOOKS \
-   + URGENT_PASS_LOOKS + (OFTEN_JOBS + 2) * (STEP_LOOKS + WORKERS))
+#define EVENT_INTERVAL_MS 8
+#define EVENT_JOBS 250
+#define VAIN_SCANS_PER_MS 500
+#define EVENT_SCANS_MAX                                                      \
+  (2 * VAIN_SCANS_PER_MS * EVENT_JOBS * EVENT_INTERVAL_MS + PASS_SCAN_BUDGET \
+   + URGENT_PASS_SCAN_BUDGET + (EVENT_JOBS + 2) * (STEP_SCAN_COST + WORKERS))
 /* All steps have had their turn after this time. */
 #define TURN_MS 2000
 /* A waiting step changes its place when it becomes late, and when its end
@@ -92,7 +92,7 @@
 {
   MuxJobSpec *job = world_job (1, 1, WORKER_CPU_MILLI / 20 * 19);
 
-  job->step[0].estimate_ms = FOREVER_MS;
+  job->step[0].estimate_ms = ENDLESS_TASK_MS;
   return job;
 }
 
@@ -103,7 +103,7 @@
   World *world = world_new (CELLS, WORKERS);
 
   world_run (world, 1000);
-  world->task_ms = FOREVER_MS;
+  world->task_ms = ENDLESS_TASK_MS;
   for (uint32_t i = 0; i < WORKERS; i++)
     {
       char id[MUX_JOB_ID_LEN];
@@ -169,15 +169,15 @@
   if (small_jobs)
     submit_small_jobs (world);
   else
-    world_run (world, LOOK_MS);
+    world_run (world, OBSERVED_MS);
   after = work (world);
   after.steps -= before.steps;
   after.moves -= before.moves;
   after.jobs -= before.jobs;
   print_message ("%u steps wait; a second: %u looked at, %u moved, %u jobs\n",
-                 BACKLOG, (unsigned) after.steps / LOOK_S,
-                 (unsigned) after.moves / LOOK_S,
-                 (unsigned) after.jobs / LOOK_S);
+                 BACKLOG, (unsigned) after.steps / OBSERVED_S,
+                 (unsigned) after.moves / OBSERVED_S,
+                 (unsigned) after.jobs / OBSERVED_S);
   return after;
 }
 
@@ -195,7 +195,7 @@
       if (urgent != 0)
         world_make_urgent (world);
       done = work_of_backlog (world, true);
-      assert_true (done.steps <= (uint64_t) LOOK_S * STEPS_MAX_PER_S);
+      assert_true (done.steps <= (uint64_t) OBSERVED_S * STEPS_MAX_PER_S);
       assert_true (done.moves <= (uint64_t) MOVES_PER_STEP * BACKLOG);
       world_free (world);
     }
@@ -217,7 +217,7 @@
 
 /* Guards against scanning all jobs for the few that time alone changes. */
 static void
-test_waiting_jobs_need_no_looks (void **state)
+test_waiting_jobs_are_not_scanned (void **state)
 {
   World *world = full_world ();
 
@@ -230,12 +230,12 @@
 /* Guards against a takeover that takes longer the more jobs wait: for each
  * worker heard from or lost all jobs were searched for lost runs. */
 static void
-test_takeover_looks_at_no_waiting_job_for_each_worker (void **state)
+test_takeover_scans_no_waiting_jobs_per_worker (void **state)
 {
   World *world = full_world ();
   uint32_t planner;
   uint64_t before;
-  uint64_t looks;
+  uint64_t scanned_jobs;
 
   (void) state;
   add_backlog (world);
@@ -244,14 +244,14 @@
   world_cell_kill (world, planner);
   world_run (world, TAKEOVER_MS);
   assert_true (world_planner (world) < CELLS);
-  looks = work (world).jobs - before;
-  print_message ("%u jobs looked at in a takeover\n", (unsigned) looks);
-  assert_true (looks <= BACKLOG_JOBS + WORKERS);
+  scanned_jobs = work (world).jobs - before;
+  print_message ("%u jobs looked at in a takeover\n", (unsigned) scanned_jobs);
+  assert_true (scanned_jobs <= BACKLOG_JOBS + WORKERS);
   world_free (world);
 }
 
 static uint64_t
-looks (const World *world)
+scanned (const World *world)
 {
   return mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS);
 }
@@ -259,7 +259,7 @@
 /* Guards against a backlog whose scans in vain take the planner's processor
  * from steps that could start. */
 static void
-test_looks_in_vain_are_bounded_by_time (void **state)
+test_scans_in_vain_are_bounded_by_time (void **state)
 {
   World *world = full_world ();
   uint64_t before;
@@ -267,21 +267,21 @@
   (void) state;
   world_approve_unasked (world);
   add_backlog (world);
-  before = looks (world);
-  for (uint32_t i = 0; i < OFTEN_JOBS; i++)
+  before = scanned (world);
+  for (uint32_t i = 0; i < EVENT_JOBS; i++)
     {
       char id[MUX_JOB_ID_LEN];
 
       snprintf (id, sizeof id, "often-%u", i);
       (void) world_submit (world, world_planner (world),
                            world_job (1, 1, SMALL_CPU_MILLI), id);
-      world_run (world, OFTEN_MS);
+      world_run (world, EVENT_INTERVAL_MS);
     }
-  print_message ("%u looks in %u ms\n", (unsigned) (looks (world) - before),
-                 OFTEN_JOBS * OFTEN_MS);
-  assert_true (looks (world) - before <= OFTEN_LOOKS_MAX);
+  print_message ("%u looks in %u ms\n", (unsigned) (scanned (world) - before),
+                 EVENT_JOBS * EVENT_INTERVAL_MS);
+  assert_true (scanned (world) - before <= EVENT_SCANS_MAX);
   world_run (world, TURN_MS);
-  assert_int_equal (world->start_count, WORKERS + OFTEN_JOBS);
+  assert_int_equal (world->start_count, WORKERS + EVENT_JOBS);
   world_free (world);
 }
 
@@ -296,7 +296,7 @@
   (void) state;
   world_approve_unasked (world);
   world_run (world, 1000);
-  world->task_ms = FOREVER_MS;
+  world->task_ms = ENDLESS_TASK_MS;
   begin_ms = world->now_ms;
   (void) world_submit (world, world_planner (world),
                        world_job (1, WIDE_WORKERS + 1, WIDE_CPU_MILLI), "wide");
@@ -325,7 +325,7 @@
 /* Guards against requests for the length of a queue that iterate over the
  * queue. */
 static void
-test_count_of_a_queue_looks_at_no_job (void **state)
+test_count_of_a_queue_scans_no_job (void **state)
 {
   World *world = full_world ();
   uint64_t before;
@@ -380,12 +380,12 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_pass_costs_no_more_for_a_longer_backlog),
     cmocka_unit_test (test_steps_behind_a_backlog_have_their_turn),
-    cmocka_unit_test (test_waiting_jobs_need_no_looks),
-    cmocka_unit_test (test_looks_in_vain_are_bounded_by_time),
+    cmocka_unit_test (test_waiting_jobs_are_not_scanned),
+    cmocka_unit_test (test_scans_in_vain_are_bounded_by_time),
     cmocka_unit_test (test_wide_step_holds_up_nothing_behind_it),
-    cmocka_unit_test (test_count_of_a_queue_looks_at_no_job),
+    cmocka_unit_test (test_count_of_a_queue_scans_no_job),
     cmocka_unit_test (test_count_of_a_queue_follows_its_jobs),
-    cmocka_unit_test (test_takeover_looks_at_no_waiting_job_for_each_worker),
+    cmocka_unit_test (test_takeover_scans_no_waiting_jobs_per_worker),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_burst.c
+++ b/test/unit/test_cell_burst.c
@@ -23,21 +23,21 @@
 #define BURST_MS 10000
 #define AFTER_MS 24000
 #define SETTLED_MS 4000
-#define GUST_MS 500
+#define SHORT_BURST_MS 500
 /* A refused caller gives up after this many tries. */
 #define TRIES 4
 #define JOBS_MAX 2048
 #define AT_ONCE_MS 50
 /* A planner silent for this long gets no requests and is not yet replaced. */
-#define UNHEARD_MS 900
+#define SILENT_PLANNER_MS 900
 
 typedef struct
 {
   char id[MUX_JOB_ID_LEN];
   bool wide;
-  int64_t sent_ms;  /* first try */
-  int64_t asked_ms; /* last try */
-  int64_t next_ms;  /* next try; 0: none */
+  int64_t sent_ms;     /* first try */
+  int64_t last_try_ms; /* last try */
+  int64_t next_ms;     /* next try; 0: none */
   uint32_t tries;
   uint64_t call;
   bool waits;
@@ -73,14 +73,14 @@
   if (play->world->cell[cell].dead)
     cell = (cell + 1) % CELLS;
   spec->step[0].estimate_ms = TASK_MS;
-  job->asked_ms = play->world->now_ms;
+  job->last_try_ms = play->world->now_ms;
   job->next_ms = 0;
   job->waits = true;
   job->call = world_submit (play->world, cell, spec, job->id);
 }
 
 static void
-take_answer (Play *play, Job *job)
+receive_answer (Play *play, Job *job)
 {
   const MuxResponse *answer = &play->world->answer[job->call];
 
@@ -90,7 +90,7 @@
   job->accepted = answer->outcome == MUX_RESPONSE_ACCEPTED;
   if (answer->outcome != MUX_RESPONSE_REFUSED)
     return;
-  job->slow |= play->world->now_ms - job->asked_ms > AT_ONCE_MS;
+  job->slow |= play->world->now_ms - job->last_try_ms > AT_ONCE_MS;
   if (job->tries < TRIES)
     job->next_ms = play->world->now_ms + answer->retry_ms;
 }
@@ -126,7 +126,7 @@
         {
           Job *job = &play->job[i];
 
-          take_answer (play, job);
+          receive_answer (play, job);
           if (job->next_ms != 0 && play->world->now_ms >= job->next_ms)
             try_job (play, job);
         }
@@ -150,7 +150,7 @@
         continue;
       sum.sent++;
       sum.accepted += job->accepted;
-      sum.kept += job->accepted && start_ms <= job->asked_ms + IN_TIME_MS;
+      sum.kept += job->accepted && start_ms <= job->last_try_ms + IN_TIME_MS;
       sum.in_time += in_time;
       sum.wide += job->wide;
       sum.wide_in_time += job->wide && in_time;
@@ -168,10 +168,10 @@
   for (uint32_t i = 0; i < play->count; i++)
     {
       const Job *job = &play->job[i];
-      int64_t at_ms = job->asked_ms - play->began_ms;
+      int64_t at_ms = job->last_try_ms - play->began_ms;
       bool in_time = job->accepted
                      && world_first_start_ms (play->world, job->id)
-                            <= job->asked_ms + IN_TIME_MS;
+                            <= job->last_try_ms + IN_TIME_MS;
 
       if (in_time && at_ms >= from_ms && at_ms < to_ms)
         n += job->wide ? WIDE_TASKS : TASKS;
@@ -294,16 +294,16 @@
 /* Guards against refusing a burst of half a second though the backlog that
  * it leaves is worked off in time. */
 static void
-test_short_gust_is_not_refused (void **state)
+test_short_burst_is_not_refused (void **state)
 {
   Play *play = begin ();
   Sum sum;
 
   (void) state;
   play_for (play, BEFORE_MS, 8);
-  play_for (play, GUST_MS, 25);
+  play_for (play, SHORT_BURST_MS, 25);
   play_for (play, AFTER_MS, 8);
-  sum = sum_of (play, BEFORE_MS, BEFORE_MS + GUST_MS);
+  sum = sum_of (play, BEFORE_MS, BEFORE_MS + SHORT_BURST_MS);
   print ("gust", &sum);
   assert_int_equal (sum.in_time, sum.sent);
   finish (play);
@@ -312,7 +312,7 @@
 /* Guards against a cell that accepts all of a burst and, until long after,
  * begins fewer jobs in time than without a burst. */
 static void
-test_burst_leaves_what_is_served_in_time (void **state)
+test_burst_leaves_as_many_jobs_in_time (void **state)
 {
   (void) state;
   play_burst (25, false);
@@ -322,7 +322,7 @@
 
 /* The same, and a successor begins with no measured rates. */
 static void
-test_burst_with_a_takeover_leaves_service (void **state)
+test_burst_with_a_takeover_leaves_jobs_in_time (void **state)
 {
   (void) state;
   play_burst (50, true);
@@ -332,7 +332,7 @@
  * respond in time, and the daemons store for it what is submitted to them.
  * Until it counts as failed they refuse; then they serve as before. */
 static void
-test_planner_behind_its_load_gets_no_more (void **state)
+test_overloaded_planner_gets_no_more_jobs (void **state)
 {
   Play *play = begin ();
   World *world = play->world;
@@ -344,7 +344,7 @@
   (void) state;
   play_for (play, BEFORE_MS, 30);
   world->cell[planner].frozen = true;
-  world_run (world, UNHEARD_MS);
+  world_run (world, SILENT_PLANNER_MS);
   commits = world->own_commits[other];
   call = world_submit (world, other, world_job (1, TASKS, CPU_MILLI), "job-x");
   world_run (world, AT_ONCE_MS);
@@ -364,10 +364,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_usual_traffic_is_not_refused),
-    cmocka_unit_test (test_short_gust_is_not_refused),
-    cmocka_unit_test (test_burst_leaves_what_is_served_in_time),
-    cmocka_unit_test (test_burst_with_a_takeover_leaves_service),
-    cmocka_unit_test (test_planner_behind_its_load_gets_no_more),
+    cmocka_unit_test (test_short_burst_is_not_refused),
+    cmocka_unit_test (test_burst_leaves_as_many_jobs_in_time),
+    cmocka_unit_test (test_burst_with_a_takeover_leaves_jobs_in_time),
+    cmocka_unit_test (test_overloaded_planner_gets_no_more_jobs),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_failure_domain.c
+++ b/test/unit/test_cell_failure_domain.c
@@ -91,7 +91,7 @@
 
 /* Guards against a partition of one data centre that delays callers of all. */
 static void
-test_cut_delays_jobs_of_its_own_callers_alone (void **state)
+test_partition_delays_only_jobs_of_its_own_callers (void **state)
 {
   Load load = { .world = world_new_over (CELLS, WORKERS, DATA_CENTRES) };
   uint32_t cut = (world_planner (load.world) + 1) % DATA_CENTRES;
@@ -148,7 +148,7 @@
 /* Guards against a step that waits for its data centre while others have
  * room, and against one that is spread though another holds it. */
 static void
-test_full_data_centre_gives_way_to_another (void **state)
+test_full_data_centre_is_replaced_by_another (void **state)
 {
   World *world = world_new_over (CELLS, WORKERS, DATA_CENTRES);
 
@@ -183,7 +183,7 @@
 
 /* Guards against a service that is lost as a whole with one data centre. */
 static void
-test_service_is_in_several_data_centres (void **state)
+test_service_is_spread_over_data_centres (void **state)
 {
   World *world = world_new_over (CELLS, WORKERS, DATA_CENTRES);
   MuxJobSpec *job = world_job (1, WORKERS_EACH, WHOLE_CPU_MILLI);
@@ -223,11 +223,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_cut_delays_jobs_of_its_own_callers_alone),
+    cmocka_unit_test (test_partition_delays_only_jobs_of_its_own_callers),
     cmocka_unit_test (test_tasks_run_where_their_caller_is),
-    cmocka_unit_test (test_full_data_centre_gives_way_to_another),
+    cmocka_unit_test (test_full_data_centre_is_replaced_by_another),
     cmocka_unit_test (test_wide_step_is_spread),
-    cmocka_unit_test (test_service_is_in_several_data_centres),
+    cmocka_unit_test (test_service_is_spread_over_data_centres),
     cmocka_unit_test (test_lost_data_centre_takes_no_new_tasks),
   };
 
--- a/test/unit/test_cell_gang_faults.c
+++ b/test/unit/test_cell_gang_faults.c
@@ -22,23 +22,23 @@
 #define FAULTS_MS 7000
 #define STEP_MS 10
 /* Between two faults. */
-#define APART_MS 300
+#define FAULT_INTERVAL_MS 300
 /* A worker that the new planner never heard from counts as free after 8 s of
  * trust, 4 s of lease and a margin. */
-#define SETTLES_MS 14000
+#define RECOVERY_MS 14000
 /* After that something starts at least so often: two approval queries, the
  * longest task and a stop that is sent again. */
-#define STANDS_MS 6000
+#define IDLE_MAX_MS 6000
 /* All jobs end within this, however they compete. */
 #define ENDS_WITHIN_MS 60000
 #define JOBS_MAX 64
 #define LEAVE_MAX 6
 /* Of the policy service in a play with more faults: 0.7 s for 40 workers,
  * 1.1 s for a hundred. */
-#define QUESTION_MS 442
-#define QUESTION_WORKER_US 6370
+#define APPROVAL_QUERY_MS 442
+#define APPROVAL_QUERY_US_PER_WORKER 6370
 /* Longest response time of the policy service that is not a time-out. */
-#define ANSWER_MAX_MS 350
+#define APPROVAL_TIMEOUT_MS 350
 
 typedef enum
 {
@@ -50,7 +50,7 @@
   FAULT_STORE,
   FAULT_ANSWERS_LOST,
   FAULT_ANSWERS_SLOW,
-  FAULT_ORDERS,
+  FAULT_COMMANDS,
   FAULT_WORKERS_CUT,
   FAULT_WORKERS_FAIL,
   FAULT_WORKERS_RESTART,
@@ -93,13 +93,13 @@
 }
 
 static int64_t
-until (Play *play, uint32_t most_ms)
+fault_end_ms (Play *play, uint32_t most_ms)
 {
   return play->world->now_ms + 1 + draw (play, most_ms);
 }
 
 static uint32_t
-living (const Play *play, uint32_t from)
+first_running_daemon (const Play *play, uint32_t from)
 {
   for (uint32_t i = 0; i < CELLS; i++)
     {
@@ -137,7 +137,7 @@
   static const uint32_t width[] = { 20, 32, 56, 12 };
   static const uint32_t cpu_milli[] = { 30000, 30000, 15000, 10000 };
   uint32_t kind = draw (play, 4);
-  uint32_t cell = living (play, draw (play, CELLS));
+  uint32_t cell = first_running_daemon (play, draw (play, CELLS));
   MuxJobSpec *job;
 
   if (cell == CELLS || play->job_count == JOBS_MAX)
@@ -157,7 +157,7 @@
 static void
 submit_tasks (Play *play)
 {
-  uint32_t cell = living (play, draw (play, CELLS));
+  uint32_t cell = first_running_daemon (play, draw (play, CELLS));
 
   if (cell == CELLS || play->job_count == JOBS_MAX)
     return;
@@ -181,7 +181,7 @@
 
 /* Removes a worker for ever; few enough that the gangs still fit. */
 static void
-leave (Play *play, uint32_t number)
+remove_worker (Play *play, uint32_t number)
 {
   if (play->left++ >= LEAVE_MAX)
     return;
@@ -191,7 +191,7 @@
 }
 
 static void
-workers_do_ill (Play *play, Fault fault)
+make_workers_fail (Play *play, Fault fault)
 {
   uint32_t count = 1 + draw (play, 10);
 
@@ -202,7 +202,7 @@
 
       if (!worker->used)
         continue;
-      if (fault == FAULT_ORDERS)
+      if (fault == FAULT_COMMANDS)
         worker->fault = (WorldFault) (1 + draw (play, 3));
       worker->cut = worker->cut || fault == FAULT_WORKERS_CUT;
       worker->fails = worker->fails || fault == FAULT_WORKERS_FAIL;
@@ -216,8 +216,8 @@
           play->unlisted[number] = true;
         }
       if (fault == FAULT_WORKERS_LEAVE)
-        leave (play, number);
-      play->worker_ms[number] = until (play, 6000);
+        remove_worker (play, number);
+      play->worker_ms[number] = fault_end_ms (play, 6000);
     }
 }
 
@@ -232,42 +232,43 @@
   if (fault == FAULT_DAEMON_RESTARTS)
     daemon_dies (play, world->now_ms + 1);
   else if (fault == FAULT_DAEMON_DIES)
-    daemon_dies (play, until (play, 2500));
+    daemon_dies (play, fault_end_ms (play, 2500));
   else if (fault == FAULT_DAEMON_FREEZES)
     {
       world->cell[cell].frozen = true;
-      play->thaw_ms[cell] = until (play, 2000);
+      play->thaw_ms[cell] = fault_end_ms (play, 2000);
     }
   else if (fault == FAULT_DAEMON_CUT)
     {
       world->cell[cell].cut = true;
-      play->uncut_ms[cell] = until (play, 1500);
+      play->uncut_ms[cell] = fault_end_ms (play, 1500);
     }
   else if (fault == FAULT_PEERS_CUT)
     {
       world->peers_cut = true;
-      play->peers_ms = until (play, 800);
+      play->peers_ms = fault_end_ms (play, 800);
     }
   else if (fault == FAULT_STORE)
     {
       world->cell[cell].store = (WorldFault) (1 + draw (play, 3));
-      play->serves_ms[cell] = until (play, 1500);
+      play->serves_ms[cell] = fault_end_ms (play, 1500);
     }
   else if (fault == FAULT_ANSWERS_LOST)
     {
       world->lose_approvals = true;
-      play->answers_ms = until (play, 1000);
+      play->answers_ms = fault_end_ms (play, 1000);
     }
   else if (fault == FAULT_ANSWERS_SLOW && play->more)
-    world_ask_slowly (world, 1 + draw (play, QUESTION_MS), QUESTION_WORKER_US);
+    world_ask_slowly (world, 1 + draw (play, APPROVAL_QUERY_MS),
+                      APPROVAL_QUERY_US_PER_WORKER);
   else if (fault == FAULT_ANSWERS_SLOW)
-    world->approval_ms = 1 + draw (play, ANSWER_MAX_MS);
+    world->approval_ms = 1 + draw (play, APPROVAL_TIMEOUT_MS);
   else
-    workers_do_ill (play, fault);
+    make_workers_fail (play, fault);
 }
 
 static void
-mend_daemon (Play *play, uint32_t i, int64_t now)
+end_daemon_faults (Play *play, uint32_t i, int64_t now)
 {
   WorldCell *cell = &play->world->cell[i];
 
@@ -283,10 +284,10 @@
 
 /* Ends the faults that were to last until @now. */
 static void
-mend (Play *play, int64_t now)
+end_faults (Play *play, int64_t now)
 {
   for (uint32_t i = 0; i < CELLS; i++)
-    mend_daemon (play, i, now);
+    end_daemon_faults (play, i, now);
   if (now >= play->peers_ms)
     play->world->peers_cut = false;
   if (now >= play->answers_ms)
@@ -314,17 +315,17 @@
   while (world->now_ms < end_ms)
     {
       world_run (world, STEP_MS);
-      mend (play, world->now_ms);
+      end_faults (play, world->now_ms);
       if (world->now_ms < play->next_fault_ms)
         continue;
-      play->next_fault_ms = until (play, 2 * APART_MS);
+      play->next_fault_ms = fault_end_ms (play, 2 * FAULT_INTERVAL_MS);
       begin_fault (play);
       if (draw (play, 4) == 0)
         submit_gang (play);
       if (draw (play, 2) == 0)
         submit_tasks (play);
     }
-  mend (play, INT64_MAX);
+  end_faults (play, INT64_MAX);
 }
 
 static bool
@@ -347,7 +348,7 @@
 
 /* Return: the first accepted job that has not ended; NULL: none. */
 static const char *
-left_standing (const Play *play)
+first_unfinished_job (const Play *play)
 {
   for (uint32_t i = 0; i < play->job_count; i++)
     if (is_accepted (play, i) && !has_ended (play->world, play->job[i]))
@@ -360,11 +361,11 @@
 {
   World *world = play->world;
   uint32_t starts = world->start_count;
-  int64_t moved_ms = calm_ms + SETTLES_MS;
+  int64_t moved_ms = calm_ms + RECOVERY_MS;
 
   while (world->now_ms < calm_ms + ENDS_WITHIN_MS
-         && world->now_ms < moved_ms + STANDS_MS
-         && left_standing (play) != NULL)
+         && world->now_ms < moved_ms + IDLE_MAX_MS
+         && first_unfinished_job (play) != NULL)
     {
       world_run (world, 200);
       if (world->start_count != starts && world->now_ms > moved_ms)
@@ -406,10 +407,10 @@
   play->more = more;
   play->random = seed * UINT64_C (0x9e3779b97f4a7c15) + 1;
   world->approve_one_in = APPROVED_ONE_IN;
-  world->approval_ms = 1 + draw (play, ANSWER_MAX_MS);
+  world->approval_ms = 1 + draw (play, APPROVAL_TIMEOUT_MS);
   world->approve_by_job = true;
   if (more)
-    world_ask_slowly (world, QUESTION_MS, QUESTION_WORKER_US);
+    world_ask_slowly (world, APPROVAL_QUERY_MS, APPROVAL_QUERY_US_PER_WORKER);
   world->task_ms = 300 + draw (play, 1000);
   world_run (world, 1000);
   for (uint32_t i = 0; i < 3; i++)
@@ -417,7 +418,7 @@
   play_faults (play);
   calm_ms = world->now_ms;
   run_to_the_end (play, calm_ms);
-  job = left_standing (play);
+  job = first_unfinished_job (play);
   if (job != NULL)
     fail_msg ("seed %llu: %s has not ended %lld ms after the last fault",
               (unsigned long long) seed, job,
@@ -488,7 +489,7 @@
  * the task a second time while it runs.
  */
 static void
-test_answer_to_a_former_process_ends_no_call (void **state)
+test_response_to_a_previous_process_ends_no_call (void **state)
 {
   (void) state;
   play_seed (53);
@@ -503,7 +504,7 @@
  * twelve waits for 25 s with most of the cell free.
  */
 static void
-test_service_slower_than_told_holds_no_gang_up (void **state)
+test_policy_service_slower_than_configured_delays_no_gang (void **state)
 {
   (void) state;
   play_faults_of (353, WORKERS, true);
@@ -515,8 +516,9 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_gangs_end_after_any_faults),
     cmocka_unit_test (test_gangs_end_after_more_faults),
-    cmocka_unit_test (test_answer_to_a_former_process_ends_no_call),
-    cmocka_unit_test (test_service_slower_than_told_holds_no_gang_up),
+    cmocka_unit_test (test_response_to_a_previous_process_ends_no_call),
+    cmocka_unit_test (
+        test_policy_service_slower_than_configured_delays_no_gang),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_gangs.c
+++ b/test/unit/test_cell_gangs.c
@@ -12,7 +12,7 @@
 #define GANG 20
 /* A response of the policy service for a hundred workers, which wide gangs
  * query, takes half a second to a second. */
-#define LONG_ANSWER_MS 300
+#define LONG_QUERY_MS 300
 /* Two queries of that length, and as long again for the retries. */
 #define STARTS_WITHIN_MS 4000
 #define LARGE_CELL 350
@@ -23,16 +23,16 @@
 #define WIDE_GANG 120
 /* A query of a hundred workers takes 1.1 s; two to learn which are approved,
  * two for the approvals to start with, and as much again. */
-#define QUESTION_MS 442
-#define QUESTION_WORKER_US 6370
+#define APPROVAL_QUERY_MS 442
+#define APPROVAL_QUERY_US_PER_WORKER 6370
 #define WIDE_STARTS_WITHIN_MS 8000
 /* Over the 0.4 s by which a response may be late at first. */
-#define LATE_ANSWER_MS 1000
+#define LATE_RESPONSE_MS 1000
 #define LATE_STARTS_WITHIN_MS 12000
 /* Two unanswered starts, the time to stop what they started, and one run. */
 #define ENDS_WITHOUT_IT_MS 9000
 /* A step is logged once it has waited so long. */
-#define TOLD_AFTER_MS 5000
+#define LOGGED_AFTER_MS 5000
 /* More steps than log lines in the time observed. */
 #define MANY_JOBS 40
 
@@ -46,7 +46,7 @@
 }
 
 static void
-wait_for_question (World *world)
+wait_for_approval_query (World *world)
 {
   uint32_t before = world->approvals_asked;
 
@@ -63,7 +63,7 @@
  * never starts while the whole cell is idle.
  */
 static void
-test_question_ends_with_the_daemon_that_asked_it (void **state)
+test_approval_query_ends_with_its_daemon (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner;
@@ -72,9 +72,9 @@
   world_run (world, 1500);
   planner = world_planner (world);
   world->approve_one_in = 3;
-  world->approval_ms = LONG_ANSWER_MS;
+  world->approval_ms = LONG_QUERY_MS;
   (void) world_submit (world, planner, gang_of (GANG, 30000), "job-a");
-  wait_for_question (world);
+  wait_for_approval_query (world);
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
       world_cell_start (world, i);
@@ -90,7 +90,7 @@
  * steps.
  */
 static void
-test_log_says_what_a_waiting_step_lacks (void **state)
+test_log_says_what_a_step_is_blocked_on (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner;
@@ -100,7 +100,7 @@
   planner = world_planner (world);
   world->approve_one_in = WORKERS;
   (void) world_submit (world, planner, gang_of (GANG, 30000), "job-a");
-  world_run (world, TOLD_AFTER_MS - 500);
+  world_run (world, LOGGED_AFTER_MS - 500);
   assert_int_equal (world->waits_told, 0);
   world_run (world, 2000);
   assert_int_equal (world->waits_told, 1);
@@ -112,7 +112,7 @@
       snprintf (id, sizeof id, "wait-%u", i);
       (void) world_submit (world, planner, world_job (1, 2, 40000), id);
     }
-  world_run (world, TOLD_AFTER_MS + 10000);
+  world_run (world, LOGGED_AFTER_MS + 10000);
   assert_in_range (world->waits_told, 10, 17);
   world_free (world);
 }
@@ -134,7 +134,7 @@
   assert_int_equal (world_starts (world, "job-a"), GANG);
   world->worker[world->start[0].worker].fault = WORLD_SILENT;
   (void) world_ask (world, planner, MUX_REQUEST_CANCEL, "job-a");
-  world_run (world, TOLD_AFTER_MS + 2000);
+  world_run (world, LOGGED_AFTER_MS + 2000);
   assert_in_range (world->waits_told, 1, 2);
   assert_string_equal (world->wait_lacks, "ends");
   world_free (world);
@@ -148,7 +148,7 @@
  * would never have them, and wait for ever.
  */
 static void
-test_gang_wider_than_a_question_starts (void **state)
+test_gang_wider_than_a_query_starts (void **state)
 {
   World *world = world_new (CELLS, LARGE_CELL);
   uint32_t planner;
@@ -167,7 +167,7 @@
     }
   world_run (world, 2000);
   assert_int_equal (world->start_count, LARGE_CELL);
-  world_ask_slowly (world, QUESTION_MS, QUESTION_WORKER_US);
+  world_ask_slowly (world, APPROVAL_QUERY_MS, APPROVAL_QUERY_US_PER_WORKER);
   world_run (world, 200);
   (void) world_submit (world, planner, gang_of (WIDE_GANG, 30000), "job-a");
   world_run (world, BUSY_MS + WIDE_STARTS_WITHIN_MS);
@@ -183,7 +183,7 @@
  * workers.
  */
 static void
-test_gang_does_without_a_worker_that_answers_no_start (void **state)
+test_gang_avoids_a_worker_that_answers_no_start (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner;
@@ -210,7 +210,7 @@
  * query.
  */
 static void
-test_late_answers_are_waited_for_in_the_end (void **state)
+test_late_approvals_get_a_longer_timeout (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner;
@@ -218,7 +218,7 @@
   (void) state;
   world_run (world, 1500);
   planner = world_planner (world);
-  world->approval_ms = LATE_ANSWER_MS;
+  world->approval_ms = LATE_RESPONSE_MS;
   (void) world_submit (world, planner, gang_of (GANG, 30000), "job-a");
   world_run (world, LATE_STARTS_WITHIN_MS);
   assert_int_equal (world_starts (world, "job-a"), GANG);
@@ -229,12 +229,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_log_says_what_a_waiting_step_lacks),
+    cmocka_unit_test (test_log_says_what_a_step_is_blocked_on),
     cmocka_unit_test (test_log_names_a_run_that_does_not_end),
-    cmocka_unit_test (test_gang_does_without_a_worker_that_answers_no_start),
-    cmocka_unit_test (test_late_answers_are_waited_for_in_the_end),
-    cmocka_unit_test (test_gang_wider_than_a_question_starts),
-    cmocka_unit_test (test_question_ends_with_the_daemon_that_asked_it),
+    cmocka_unit_test (test_gang_avoids_a_worker_that_answers_no_start),
+    cmocka_unit_test (test_late_approvals_get_a_longer_timeout),
+    cmocka_unit_test (test_gang_wider_than_a_query_starts),
+    cmocka_unit_test (test_approval_query_ends_with_its_daemon),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_large.c
+++ b/test/unit/test_cell_large.c
@@ -20,27 +20,27 @@
 typedef struct
 {
   World *world;
-  uint64_t looks;
+  uint64_t scanned;
   uint32_t begun;
 } Played;
 
 static uint64_t
-looks (const World *world)
+scanned_workers (const World *world)
 {
   return mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS);
 }
 
 static Played
-play (uint32_t workers, bool is_asked)
+play (uint32_t workers, bool needs_approval)
 {
   Played played = { .world = world_new (CELLS, workers) };
   World *world = played.world;
 
-  if (!is_asked)
+  if (!needs_approval)
     world_approve_unasked (world);
   world_run (world, 3000);
   world->task_ms = TASK_MS;
-  played.looks = looks (world);
+  played.scanned = scanned_workers (world);
   for (uint32_t i = 0; i < JOBS; i++)
     {
       char id[MUX_JOB_ID_LEN];
@@ -51,7 +51,7 @@
       world_run (world, EACH_MS);
     }
   world_run (world, 2000);
-  played.looks = looks (world) - played.looks;
+  played.scanned = scanned_workers (world) - played.scanned;
   for (uint32_t i = 0; i < JOBS; i++)
     {
       char id[MUX_JOB_ID_LEN];
@@ -63,25 +63,25 @@
 }
 
 static void
-expect_no_growth (bool is_asked)
+expect_no_growth (bool needs_approval)
 {
-  Played few = play (FEW, is_asked);
-  Played many = play (MANY, is_asked);
+  Played few = play (FEW, needs_approval);
+  Played many = play (MANY, needs_approval);
 
   print_message ("looks for each step: %u at %d workers, %u at %d\n",
-                 (unsigned) (few.looks / JOBS), FEW,
-                 (unsigned) (many.looks / JOBS), MANY);
+                 (unsigned) (few.scanned / JOBS), FEW,
+                 (unsigned) (many.scanned / JOBS), MANY);
   assert_int_equal (few.begun, JOBS);
   assert_int_equal (many.begun, JOBS);
   assert_false (world_twice (many.world));
-  assert_true (many.looks <= few.looks * 3 / 2);
+  assert_true (many.scanned <= few.scanned * 3 / 2);
   world_free (few.world);
   world_free (many.world);
 }
 
 /* Guards against decisions that cost more the more workers there are. */
 static void
-test_step_looks_at_no_more_workers_of_a_larger_cell (void **state)
+test_step_scans_no_more_workers_of_a_larger_cell (void **state)
 {
   (void) state;
   expect_no_growth (true);
@@ -89,7 +89,8 @@
 
 /* Guards against the same where workers need no approval. */
 static void
-test_unasked_step_looks_at_no_more_workers_of_a_larger_cell (void **state)
+test_step_without_approvals_scans_no_more_workers_of_a_larger_cell (
+    void **state)
 {
   (void) state;
   expect_no_growth (false);
@@ -134,9 +135,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_step_looks_at_no_more_workers_of_a_larger_cell),
+    cmocka_unit_test (test_step_scans_no_more_workers_of_a_larger_cell),
     cmocka_unit_test (
-        test_unasked_step_looks_at_no_more_workers_of_a_larger_cell),
+        test_step_without_approvals_scans_no_more_workers_of_a_larger_cell),
     cmocka_unit_test (test_gang_finds_the_few_workers_approved_in_a_large_cell),
     cmocka_unit_test (test_step_finds_the_few_workers_approved_in_a_large_cell),
   };
--- a/test/unit/test_cell_lasting.c
+++ b/test/unit/test_cell_lasting.c
@@ -18,7 +18,7 @@
 #define GANG_CPU_MILLI 30000
 #define GANGS_APART_MS 1000
 /* From the end of its last run. */
-#define BACK_MS 6000
+#define RESTART_MS 6000
 
 static World *
 world_with_a_lasting_task (void)
@@ -76,7 +76,7 @@
   submit_gang (world, 0);
   world_run (world, 1000);
   end_its_run (world);
-  for (uint32_t i = 1; i <= BACK_MS / GANGS_APART_MS; i++)
+  for (uint32_t i = 1; i <= RESTART_MS / GANGS_APART_MS; i++)
     {
       submit_gang (world, i);
       world_run (world, GANGS_APART_MS);
@@ -121,7 +121,7 @@
   world_run (world, 100);
   (void) world_submit (world, planner, world_job (1, WORKERS, SMALL_CPU_MILLI),
                        "small");
-  world_run (world, BUSY_MS + BACK_MS);
+  world_run (world, BUSY_MS + RESTART_MS);
   assert_int_equal (world_starts (world, "gang"), 0);
   assert_int_equal (world_starts (world, "small"), WORKERS);
   world_free (world);
@@ -131,11 +131,11 @@
 #define STREAM_APART_MS 100
 #define STREAM_TASKS 8
 #define STREAM_TASK_MS 1000
-#define QUESTION_MIN_MS 100
-#define QUESTION_MAX_MS 600
-#define QUESTIONS_APART_MS 100
+#define QUERY_MIN_MS 100
+#define QUERY_MAX_MS 600
+#define QUERY_INCREMENT_MS 100
 /* Six seconds without a run, and three in which it is to run. */
-#define OWED_MS 9000
+#define RESTART_MAX_MS 9000
 
 static void
 submit_stream (World *world, uint32_t number)
@@ -163,7 +163,7 @@
   end_its_run (world);
   submit_stream (world, n++);
   world->worker[world->start[0].worker].fails = false;
-  while (n < (3000 + OWED_MS) / STREAM_APART_MS)
+  while (n < (3000 + RESTART_MAX_MS) / STREAM_APART_MS)
     submit_stream (world, n++);
   assert_true (world_starts (world, "lasting") > 1);
   world_free (world);
@@ -175,8 +175,7 @@
 test_lasting_task_runs_again_in_a_full_pool (void **state)
 {
   (void) state;
-  for (uint32_t ms = QUESTION_MIN_MS; ms <= QUESTION_MAX_MS;
-       ms += QUESTIONS_APART_MS)
+  for (uint32_t ms = QUERY_MIN_MS; ms <= QUERY_MAX_MS; ms += QUERY_INCREMENT_MS)
     play_full_pool (ms);
 }
 
--- a/test/unit/test_cell_late.c
+++ b/test/unit/test_cell_late.c
@@ -30,7 +30,7 @@
 
 /* In small steps, so that its responses to hellos are never missed. */
 static void
-fall_behind (World *world, uint32_t cell)
+make_late (World *world, uint32_t cell)
 {
   while (world->cell[cell].late_ms < LATE_MS)
     {
@@ -62,7 +62,7 @@
   submit_jobs (world);
   world_run (world, 3000);
   assert_int_equal (world->start_count, 2 * JOBS);
-  fall_behind (world, planner);
+  make_late (world, planner);
   world_run (world, TASK_MS + 10000);
   assert_int_equal (world_planner (world), planner);
   print_message ("%u workers lost, %u dead, %u starts\n",
@@ -103,7 +103,7 @@
 
   (void) state;
   world_run (world, 1000);
-  fall_behind (world, planner);
+  make_late (world, planner);
   world_run (world, LATE_MS);
   assert_int_equal (outcome_at_once (world, planner, "job-a"),
                     MUX_RESPONSE_REFUSED);
@@ -134,7 +134,7 @@
  * with 3000 workers it had 3508 connections and 512 MB.
  */
 static void
-test_late_carriers_do_not_cost_the_planner_its_memory (void **state)
+test_late_proxies_do_not_exhaust_the_planners_memory (void **state)
 {
   World *world = world_new (CELLS, MANY_WORKERS);
   uint32_t planner = world_planner (world);
@@ -144,7 +144,7 @@
   world_run (world, 1000);
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
-      fall_behind (world, i);
+      make_late (world, i);
   for (uint32_t i = 0; i < 20; i++)
     {
       uint32_t before = world->worker_calls[planner];
@@ -196,7 +196,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_late_planner_loses_no_worker),
     cmocka_unit_test (test_late_planner_refuses_new_jobs_at_once),
-    cmocka_unit_test (test_late_carriers_do_not_cost_the_planner_its_memory),
+    cmocka_unit_test (test_late_proxies_do_not_exhaust_the_planners_memory),
     cmocka_unit_test (test_idle_workers_cost_the_planner_little),
   };
 
--- a/test/unit/test_cell_load.c
+++ b/test/unit/test_cell_load.c
@@ -8,7 +8,7 @@
 #define MANY_WORKERS 200
 #define WORKERS 4
 /* So many that daemons proxy the planner's calls. */
-#define CARRIED_WORKERS 100
+#define PROXIED_WORKERS 100
 /* More than the store takes from one planner before callers time out. */
 #define BURST 500
 /* How long ends are kept, over the 30 s for which the planner remembers them
@@ -23,7 +23,7 @@
 /* Arrive within a second, each with a planning pass. */
 #define NEW_JOBS 100
 /* Under a tenth of a processor at some 40 ns each. */
-#define LOOKS_A_SECOND_MAX 2000000
+#define SCANS_PER_S_MAX 2000000
 /* A transaction of a store that is a hundred times slower than usual. */
 #define SLOW_STORE_MS 500
 #define SLOWEST_STORE_MS 900
@@ -52,7 +52,7 @@
 
 /* Sets the time that its tasks take while the cell is full. */
 static MuxJobSpec *
-lengthy (MuxJobSpec *job)
+set_full_task_time (MuxJobSpec *job)
 {
   job->step[0].estimate_ms = FULL_TASK_MS;
   return job;
@@ -74,7 +74,7 @@
  * until the first has ended while 180 workers are idle.
  */
 static void
-test_gangs_ask_about_different_workers (void **state)
+test_gangs_query_different_workers (void **state)
 {
   World *world = world_new (CELLS, MANY_WORKERS);
   uint32_t planner = world_planner (world);
@@ -101,7 +101,7 @@
 /* Submits one job in each part, so that the planner has measured how long a
  * commit takes. */
 static void
-let_it_measure (World *world, uint32_t cell)
+measure_commit_time (World *world, uint32_t cell)
 {
   for (uint32_t i = 0; i < 16; i++)
     (void) submit_numbered (world, cell, world_job (1, 1, 10), "first", i);
@@ -136,7 +136,7 @@
 
   (void) state;
   world->store_ms = SLOW_STORE_MS;
-  let_it_measure (world, planner);
+  measure_commit_time (world, planner);
   submit_burst (world, planner, call);
   world_run (world, 50);
   refused = count (world, call, MUX_RESPONSE_REFUSED);
@@ -164,7 +164,7 @@
   (void) state;
   world_run (world, 1000);
   world->store_ms = SLOW_STORE_MS;
-  let_it_measure (world, planner);
+  measure_commit_time (world, planner);
   submit_burst (world, other, call);
   world_run (world, 50);
   assert_in_range (count (world, call, MUX_RESPONSE_REFUSED), BURST / 10,
@@ -177,7 +177,7 @@
 /* The store answers each call after 0.9 s. A planner that takes this for an
  * outage refuses all callers while the store would still take their jobs. */
 static void
-test_slow_store_is_not_taken_as_away (void **state)
+test_slow_store_is_not_taken_as_unreachable (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
@@ -205,41 +205,43 @@
  * never shrink. Scans are bounded, and each waiting job still gets its turn.
  */
 static void
-test_backlog_leaves_processor_for_new_jobs (void **state)
+test_backlog_leaves_processor_time_for_new_jobs (void **state)
 {
   World *world = world_new (1, MANY_WORKERS);
   uint64_t call[BACKLOG];
-  uint64_t looks;
+  uint64_t scanned;
 
   (void) state;
   world->task_ms = FULL_TASK_MS;
   world_run (world, 1000);
   for (uint32_t i = 0; i < MANY_WORKERS; i++)
-    (void) submit_numbered (world, 0, lengthy (world_job (1, 1, 31000)), "full",
-                            i);
+    (void) submit_numbered (
+        world, 0, set_full_task_time (world_job (1, 1, 31000)), "full", i);
   world_run (world, 3000);
   /* Submitted while there is no planner, or most of them would be refused. */
   world_cell_start (world, 0);
   world_run (world, NO_PLANNER_MS);
   for (uint32_t i = 0; i < BACKLOG; i++)
     call[i] = submit_numbered (
-        world, 0, lengthy (i % 2 == 0 ? wide_gang () : world_job (1, 3, 31000)),
+        world, 0,
+        set_full_task_time (i % 2 == 0 ? wide_gang ()
+                                       : world_job (1, 3, 31000)),
         "wait", i);
   world_run (world, 3000);
   assert_int_equal (count (world, call, MUX_RESPONSE_ACCEPTED), BACKLOG);
   /* Of a queue without a backlog, or they would be refused. */
   world_set_priority (world, 2);
   world_run (world, 20);
-  looks = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS);
+  scanned = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS);
   for (uint32_t i = 0; i < NEW_JOBS; i++)
     {
       call[i] = submit_numbered (world, 0, world_job (1, 1, 10), "new", i);
       world_run (world, 1000 / NEW_JOBS);
     }
-  looks = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS) - looks;
+  scanned = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS) - scanned;
   for (uint32_t i = 0; i + 1 < NEW_JOBS; i++)
     assert_int_equal (world->answer[call[i]].outcome, MUX_RESPONSE_ACCEPTED);
-  assert_in_range (looks, 1, LOOKS_A_SECOND_MAX);
+  assert_in_range (scanned, 1, SCANS_PER_S_MAX);
   world->task_ms = 50;
   world_run (world, 30000);
   for (uint32_t i = 0; i < BACKLOG; i += 50)
@@ -254,17 +256,17 @@
  * would be noticed, and its caller notified, only five seconds later.
  */
 static void
-test_all_calls_of_a_dead_carrier_are_given_up (void **state)
+test_all_calls_of_a_dead_proxy_fail_at_once (void **state)
 {
-  World *world = world_new (CELLS, CARRIED_WORKERS);
+  World *world = world_new (CELLS, PROXIED_WORKERS);
   uint32_t planner = world_planner (world);
 
   (void) state;
   world_run (world, 1500);
-  (void) world_submit (world, planner, world_job (1, CARRIED_WORKERS, 31000),
+  (void) world_submit (world, planner, world_job (1, PROXIED_WORKERS, 31000),
                        "job-a");
   world_run (world, 500);
-  assert_int_equal (world_starts (world, "job-a"), CARRIED_WORKERS);
+  assert_int_equal (world_starts (world, "job-a"), PROXIED_WORKERS);
   world_cell_kill (world, (planner + 1) % CELLS);
   world_run (world, 3500);
   assert_int_equal (world_state (world, planner, "job-a"), MUX_JOB_COMPLETED);
@@ -275,7 +277,7 @@
  * would be full after some months and take no new job. Callers may query a
  * job's end for as long as the settings say; after that its row is removed. */
 static void
-test_ends_are_removed_when_their_time_is_over (void **state)
+test_ended_jobs_are_removed_after_their_retention (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner;
@@ -303,13 +305,13 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_gangs_ask_about_different_workers),
+    cmocka_unit_test (test_gangs_query_different_workers),
     cmocka_unit_test (test_jobs_beyond_a_slow_store_are_refused_at_once),
     cmocka_unit_test (test_refused_by_the_planner_is_final),
-    cmocka_unit_test (test_slow_store_is_not_taken_as_away),
-    cmocka_unit_test (test_backlog_leaves_processor_for_new_jobs),
-    cmocka_unit_test (test_all_calls_of_a_dead_carrier_are_given_up),
-    cmocka_unit_test (test_ends_are_removed_when_their_time_is_over),
+    cmocka_unit_test (test_slow_store_is_not_taken_as_unreachable),
+    cmocka_unit_test (test_backlog_leaves_processor_time_for_new_jobs),
+    cmocka_unit_test (test_all_calls_of_a_dead_proxy_fail_at_once),
+    cmocka_unit_test (test_ended_jobs_are_removed_after_their_retention),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_overload.c
+++ b/test/unit/test_cell_overload.c
@@ -25,8 +25,8 @@
  * runs for two, is in time. */
 #define IN_TIME_MS 3000
 /* Of a policy service that takes long for each worker. */
-#define QUESTION_MS 500
-#define QUESTION_US_PER_WORKER 7000
+#define APPROVAL_QUERY_MS 500
+#define APPROVAL_QUERY_US_PER_WORKER 7000
 #define MANY_WORKERS 350
 #define WAITING_STEPS 100
 /* With the rows of the store, which is in memory here. */
@@ -154,7 +154,7 @@
  * once.
  */
 static void
-test_answered_step_asks_no_second_question (void **state)
+test_answered_step_is_not_queried_again (void **state)
 {
   (void) state;
   for (uint32_t gang = 0; gang < 2; gang++)
@@ -163,11 +163,11 @@
       MuxJobSpec *job = world_job (1, GANG_TASKS, GANG_CPU_MILLI);
 
       job->step[0].gang = gang != 0;
-      world_ask_slowly (world, QUESTION_MS, QUESTION_US_PER_WORKER);
+      world_ask_slowly (world, APPROVAL_QUERY_MS, APPROVAL_QUERY_US_PER_WORKER);
       world_run (world, 1000);
       world->task_ms = TASK_MS;
       (void) world_submit (world, world_planner (world), job, "job-a");
-      world_run (world, 2 * QUESTION_MS);
+      world_run (world, 2 * APPROVAL_QUERY_MS);
       assert_int_equal (world_starts (world, "job-a"), GANG_TASKS);
       assert_int_equal (world->approvals_asked, 1);
       world_free (world);
@@ -213,17 +213,17 @@
 /* The policy service takes so many names in a query. */
 #define NAMES_MAX 100
 /* What a step costs by itself, in workers scanned. */
-#define STEP_LOOKS 10
+#define STEP_SCAN_COST 10
 #define BUSY_MS 60000
 
 /* Guards against gangs that wait for a daemon free to put a query, and
  * meanwhile have all workers scanned for them in each pass. */
 static void
-test_gang_that_can_ask_nobody_looks_at_approved_workers_alone (void **state)
+test_gang_that_can_not_query_scans_only_approved_workers (void **state)
 {
   World *world = world_new (CELLS, MANY_WORKERS);
   uint64_t steps;
-  uint64_t looks;
+  uint64_t scanned;
 
   (void) state;
   world_ask_slowly (world, BUSY_MS, 0);
@@ -239,14 +239,14 @@
     }
   world_run (world, 2000);
   steps = mux_counter_value (world->counters, MUX_COUNT_PLAN_STEPS);
-  looks = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS);
+  scanned = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS);
   world_run (world, 2000);
   steps = mux_counter_value (world->counters, MUX_COUNT_PLAN_STEPS) - steps;
-  looks = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS) - looks;
-  print_message ("%u looks at workers for %u at gangs\n", (unsigned) looks,
+  scanned = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS) - scanned;
+  print_message ("%u looks at workers for %u at gangs\n", (unsigned) scanned,
                  (unsigned) steps);
   assert_true (steps >= WAITING_GANGS - CELLS);
-  assert_true (looks <= steps * (STEP_LOOKS + NAMES_MAX));
+  assert_true (scanned <= steps * (STEP_SCAN_COST + NAMES_MAX));
   world_free (world);
 }
 
@@ -255,10 +255,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_gangs_of_the_first_queue_begin_in_time),
-    cmocka_unit_test (test_answered_step_asks_no_second_question),
+    cmocka_unit_test (test_answered_step_is_not_queried_again),
     cmocka_unit_test (test_waiting_step_takes_no_memory_for_each_worker),
-    cmocka_unit_test (
-        test_gang_that_can_ask_nobody_looks_at_approved_workers_alone),
+    cmocka_unit_test (test_gang_that_can_not_query_scans_only_approved_workers),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_quota.c
+++ b/test/unit/test_cell_quota.c
@@ -67,7 +67,7 @@
 }
 
 static void
-test_waiting_for_quota_is_told (void **state)
+test_waiting_for_quota_is_reported (void **state)
 {
   World *world = world_with_quota (QUOTA_TASKS);
 
@@ -81,7 +81,7 @@
 }
 
 static void
-test_full_workspace_holds_nobody_else_back (void **state)
+test_full_workspace_delays_no_other (void **state)
 {
   World *world = world_with_quota (QUOTA_TASKS);
 
@@ -125,7 +125,7 @@
 /* Guards against jobs that are accepted, because they fit into the overrun,
  * and wait for ever. */
 static void
-test_what_is_over_the_quota_starts_within_the_overrun (void **state)
+test_work_over_the_quota_starts_within_the_overrun (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
 
@@ -149,7 +149,7 @@
 
 /* Guards against a job that is accepted and never runs. */
 static void
-test_what_no_quota_can_hold_is_refused (void **state)
+test_job_larger_than_any_quota_is_refused (void **state)
 {
   World *world = world_with_quota (QUOTA_TASKS);
   uint64_t call;
@@ -207,7 +207,7 @@
 /* Guards against a successor that starts a workspace's other jobs before it
  * knows what the workspace has running. */
 static void
-test_next_planner_counts_what_runs (void **state)
+test_successor_counts_what_runs (void **state)
 {
   World *world = world_with_quota (QUOTA_TASKS);
 
@@ -234,7 +234,7 @@
 
 /* The same with an unreachable worker that may run tasks of the workspace. */
 static void
-test_next_planner_counts_workers_that_it_does_not_reach (void **state)
+test_successor_counts_unreachable_workers (void **state)
 {
   World *world = world_with_quota (QUOTA_TASKS);
   uint32_t planner;
@@ -263,7 +263,7 @@
 
 /* Guards against a pause for all workspaces after each change of planner. */
 static void
-test_workspace_far_below_its_quota_does_not_wait_for_unheard_workers (
+test_workspace_far_below_its_quota_does_not_wait_for_unconfirmed_workers (
     void **state)
 {
   World *world = world_with_quota (64 * QUOTA_TASKS);
@@ -291,17 +291,17 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_step_wider_than_the_quota_runs_in_waves),
-    cmocka_unit_test (test_waiting_for_quota_is_told),
-    cmocka_unit_test (test_full_workspace_holds_nobody_else_back),
+    cmocka_unit_test (test_waiting_for_quota_is_reported),
+    cmocka_unit_test (test_full_workspace_delays_no_other),
     cmocka_unit_test (test_gang_is_not_starved_by_tasks_of_its_workspace),
-    cmocka_unit_test (test_what_is_over_the_quota_starts_within_the_overrun),
-    cmocka_unit_test (test_what_no_quota_can_hold_is_refused),
+    cmocka_unit_test (test_work_over_the_quota_starts_within_the_overrun),
+    cmocka_unit_test (test_job_larger_than_any_quota_is_refused),
     cmocka_unit_test (test_lowered_quota_stops_nothing_that_runs),
     cmocka_unit_test (test_raised_quota_starts_what_waits),
-    cmocka_unit_test (test_next_planner_counts_what_runs),
-    cmocka_unit_test (test_next_planner_counts_workers_that_it_does_not_reach),
+    cmocka_unit_test (test_successor_counts_what_runs),
+    cmocka_unit_test (test_successor_counts_unreachable_workers),
     cmocka_unit_test (
-        test_workspace_far_below_its_quota_does_not_wait_for_unheard_workers),
+        test_workspace_far_below_its_quota_does_not_wait_for_unconfirmed_workers),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_quota_random.c
+++ b/test/unit/test_cell_quota_random.c
@@ -55,7 +55,7 @@
 }
 
 static void
-hand_in (Play *play)
+submit (Play *play)
 {
   uint32_t tasks = 1 + below (play, TASKS_MAX);
   MuxJobSpec *job = world_job (1 + below (play, 2), tasks, CPU_MILLI);
@@ -125,7 +125,7 @@
 step (Play *play)
 {
   if (chance (play, 45))
-    hand_in (play);
+    submit (play);
   if (chance (play, 2))
     change_quotas (play);
   if (chance (play, 3))
@@ -177,7 +177,7 @@
 }
 
 static void
-test_no_schedule_brings_a_workspace_over_its_quota (void **state)
+test_no_workspace_exceeds_its_quota (void **state)
 {
   (void) state;
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
@@ -210,7 +210,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_no_schedule_brings_a_workspace_over_its_quota),
+    cmocka_unit_test (test_no_workspace_exceeds_its_quota),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_random.c
+++ b/test/unit/test_cell_random.c
@@ -15,7 +15,7 @@
 /* The store ends a response to a feed after any commit: a planner learns of
  * a job before it learns of a claim that was committed after it. */
 static void
-test_nor_with_answers_that_end_early (void **state)
+test_nor_with_short_feed_responses (void **state)
 {
   ChaosVariant cut = { .follow_rows = 1 };
 
@@ -59,7 +59,7 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_no_task_runs_twice_and_no_job_is_lost),
-    cmocka_unit_test (test_nor_with_answers_that_end_early),
+    cmocka_unit_test (test_nor_with_short_feed_responses),
     cmocka_unit_test (test_nor_with_daemons_that_are_late),
     cmocka_unit_test (test_nor_with_a_slow_store_and_cuts),
     cmocka_unit_test (test_nor_with_workers_that_crash),
--- a/test/unit/test_cell_random_cut.c
+++ b/test/unit/test_cell_random_cut.c
@@ -12,8 +12,8 @@
 #define SEED 1
 #define SEEDS 12
 #define BUSY_MS 24000
-#define GONE_MAX (CHAOS_WORKERS / 2)
-#define GONE_AT_ONCE_MAX 2
+#define LOST_WORKERS_MAX (CHAOS_WORKERS / 2)
+#define LOST_AT_ONCE_MAX 2
 #define NEXT_LEAST_MS 200
 #define NEXT_MORE_MS 2000
 #define LASTS_LEAST_MS 1000
@@ -32,8 +32,8 @@
   CUT_OFF,
   FROZEN,
   STOPPED,
-  WAY_COUNT
-} Way;
+  CUT_KIND_COUNT
+} CutKind;
 
 /**
  * struct Cuts - how the planner is cut off now
@@ -46,12 +46,12 @@
 {
   Chaos *c;
   uint32_t planner;
-  Way way;
+  CutKind kind;
   int64_t until_ms;
   int64_t next_ms;
   uint32_t gone;
   uint32_t going;
-  uint32_t count[WAY_COUNT];
+  uint32_t count[CUT_KIND_COUNT];
 } Cuts;
 
 static MuxCellTime
@@ -69,11 +69,11 @@
 }
 
 static void
-let_workers_go (Cuts *cuts)
+lose_workers (Cuts *cuts)
 {
-  uint32_t gone = cuts->gone + 1 + chaos_below (cuts->c, GONE_AT_ONCE_MAX);
+  uint32_t gone = cuts->gone + 1 + chaos_below (cuts->c, LOST_AT_ONCE_MAX);
 
-  cuts->going = gone < GONE_MAX ? gone : GONE_MAX;
+  cuts->going = gone < LOST_WORKERS_MAX ? gone : LOST_WORKERS_MAX;
   if (chaos_below (cuts->c, 2) == 0)
     cuts->gone = cuts->going;
 }
@@ -91,7 +91,7 @@
 
 /* Other faults may have made them reachable again. */
 static void
-keep_gone (const Cuts *cuts)
+keep_workers_lost (const Cuts *cuts)
 {
   World *world = cuts->c->world;
 
@@ -113,14 +113,14 @@
   if (cuts->planner == WORLD_CELLS_MAX || world->cell[cuts->planner].frozen)
     return;
   cell = &world->cell[cuts->planner];
-  cuts->way = (Way) chaos_below (cuts->c, WAY_COUNT);
-  cuts->count[cuts->way]++;
+  cuts->kind = (CutKind) chaos_below (cuts->c, CUT_KIND_COUNT);
+  cuts->count[cuts->kind]++;
   cuts->until_ms = world->now_ms + LASTS_LEAST_MS
                    + (int64_t) chaos_below (cuts->c, LASTS_MORE_MS);
-  let_workers_go (cuts);
-  if (cuts->way == CUT_OFF)
+  lose_workers (cuts);
+  if (cuts->kind == CUT_OFF)
     cut_off (cuts, cell);
-  else if (cuts->way == FROZEN)
+  else if (cuts->kind == FROZEN)
     cell->frozen = true;
   else
     mux_cell_stop (cell->cell, time_of (world));
@@ -139,9 +139,9 @@
   cell->near_workers = 0;
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
     world->cell[i].far_workers = 0;
-  if (cuts->way == CUT_OFF)
+  if (cuts->kind == CUT_OFF)
     set_cut_off (cell, false);
-  else if (cuts->way == FROZEN)
+  else if (cuts->kind == FROZEN)
     cell->frozen = false;
   else
     world_cell_start (world, cuts->planner);
@@ -167,7 +167,7 @@
     begin_cut (cuts);
   else if (cuts->until_ms != 0 && world->now_ms >= cuts->until_ms)
     end_cut (cuts);
-  else if (cuts->until_ms != 0 && cuts->way == STOPPED && !cell->dead
+  else if (cuts->until_ms != 0 && cuts->kind == STOPPED && !cell->dead
            && mux_cell_stopped (cell->cell))
     world_cell_kill (world, cuts->planner);
 }
@@ -188,7 +188,7 @@
       if (other_faults && chaos_below (&c, FAULT_ONE_IN) == 0)
         chaos_fail_something (&c);
       chaos_serve_replaced (&c);
-      keep_gone (&cuts);
+      keep_workers_lost (&cuts);
       if (chaos_below (&c, JOB_ONE_IN) == 0)
         chaos_submit (&c);
       world_run (world, CHAOS_STEP_MS);
@@ -197,7 +197,7 @@
   if (cuts.until_ms != 0)
     end_cut (&cuts);
   chaos_mend (world);
-  keep_gone (&cuts);
+  keep_workers_lost (&cuts);
   world_run (world, CHAOS_SETTLE_MS);
   print_message ("%u jobs; planner cut off %u, frozen %u, stopped %u times; %u"
                  " workers gone\n",
--- a/test/unit/test_cell_random_faults.c
+++ b/test/unit/test_cell_random_faults.c
@@ -46,7 +46,7 @@
 
 /* Workers are lost, and planners one after the other. */
 static void
-test_nor_with_workers_gone_and_planners_lost_in_a_row (void **state)
+test_nor_with_lost_workers_and_successive_planner_failures (void **state)
 {
   ChaosVariant gone = { .gone = true };
 
@@ -62,7 +62,8 @@
     cmocka_unit_test (test_nor_with_room_that_changes),
     cmocka_unit_test (test_nor_with_workers_that_keep_their_ids),
     cmocka_unit_test (test_nor_with_bursts_of_callers),
-    cmocka_unit_test (test_nor_with_workers_gone_and_planners_lost_in_a_row),
+    cmocka_unit_test (
+        test_nor_with_lost_workers_and_successive_planner_failures),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_reserve.c
+++ b/test/unit/test_cell_reserve.c
@@ -12,8 +12,8 @@
 #define STEP_MS 20
 #define EACH_MS 200
 #define VALID_MS 2000
-#define QUESTION_MS 300
-#define QUESTION_US_PER_WORKER 1000
+#define APPROVAL_QUERY_MS 300
+#define APPROVAL_QUERY_US_PER_WORKER 1000
 
 #define FILL_MS 4000
 #define FILL_CPU_MILLI 20000
@@ -38,7 +38,7 @@
   World *world = world_new (CELLS, workers);
 
   world->times_by_job = true;
-  world_ask_slowly (world, QUESTION_MS, QUESTION_US_PER_WORKER);
+  world_ask_slowly (world, APPROVAL_QUERY_MS, APPROVAL_QUERY_US_PER_WORKER);
   world_run (world, WARM_MS);
   return world;
 }
@@ -61,7 +61,7 @@
 fill (World *world, uint32_t workers)
 {
   submit (world, &(Work){ "fill", 0, workers, FILL_CPU_MILLI, FILL_MS, false });
-  world_run (world, 2 * QUESTION_MS);
+  world_run (world, 2 * APPROVAL_QUERY_MS);
 }
 
 static uint32_t
@@ -115,7 +115,7 @@
 /* Guards against a gang that queries for approvals and finds its room taken
  * by patient tasks. */
 static void
-test_gang_keeps_its_room_while_it_asks (void **state)
+test_gang_keeps_its_room_during_approval_query (void **state)
 {
   static const Work gang = { "gang", 1, 6, GANG_CPU_MILLI, 1000, true };
   static const Work patient = { NULL, 2, 2, 10000, 20000, false };
@@ -133,7 +133,7 @@
 
 /* Guards against idle room that a gang will take only seconds later. */
 static void
-test_short_tasks_run_where_a_gang_will (void **state)
+test_short_tasks_use_room_reserved_for_later (void **state)
 {
   static const Work gang = { "gang", 1, 6, GANG_CPU_MILLI, 1000, true };
   static const Work patient = { NULL, 2, 2, 10000, 500, false };
@@ -174,7 +174,7 @@
 /* Guards against a gang that needs no approval and waits for responses to
  * queries for it. */
 static void
-test_gang_without_approval_asks_nobody (void **state)
+test_gang_without_approval_makes_no_query (void **state)
 {
   static const Work gang = { "gang", 1, 6, GANG_CPU_MILLI, 1000, true };
   World *world = new_world (gang.tasks);
@@ -195,7 +195,7 @@
 /* Guards against each new planner querying again which workers may run a
  * waiting gang. */
 static void
-test_next_planner_asks_for_proofs_alone (void **state)
+test_successor_queries_only_to_renew_approvals (void **state)
 {
   static const Work gang = { "gang", 1, 2, GANG_CPU_MILLI, 1000, true };
   World *world = new_world (24);
@@ -206,7 +206,7 @@
   world->approve_one_in = 2;
   world->approve_by_job = true;
   submit (world, &gang);
-  world_run (world, 2 * QUESTION_MS);
+  world_run (world, 2 * APPROVAL_QUERY_MS);
   names = mux_counter_value (world->counters, MUX_COUNT_APPROVAL_NAMES);
   world_cell_kill (world, world_planner (world));
   world_run (world, 3 * FILL_MS);
@@ -221,11 +221,11 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_gang_keeps_its_room_while_it_asks),
-    cmocka_unit_test (test_short_tasks_run_where_a_gang_will),
+    cmocka_unit_test (test_gang_keeps_its_room_during_approval_query),
+    cmocka_unit_test (test_short_tasks_use_room_reserved_for_later),
     cmocka_unit_test (test_late_gang_gets_room_among_patient_tasks),
-    cmocka_unit_test (test_gang_without_approval_asks_nobody),
-    cmocka_unit_test (test_next_planner_asks_for_proofs_alone),
+    cmocka_unit_test (test_gang_without_approval_makes_no_query),
+    cmocka_unit_test (test_successor_queries_only_to_renew_approvals),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_room.c
+++ b/test/unit/test_cell_room.c
@@ -19,7 +19,7 @@
 
 /* Guards against work on room that a worker no longer has. */
 static void
-test_room_that_shrinks_takes_less (void **state)
+test_no_start_on_room_that_has_shrunk (void **state)
 {
   World *world = world_new (1, WORKERS);
 
@@ -40,7 +40,7 @@
 /* Guards against starts on room that shrank while the planner did not
  * receive the list of workers. */
 static void
-test_nothing_starts_on_room_that_is_not_known (void **state)
+test_no_start_on_outdated_room (void **state)
 {
   World *world = world_new (1, WORKERS);
 
@@ -67,12 +67,12 @@
 #define GANG_MILLI 9000
 #define SLOW_STORE_MS 300
 /* By then the planner knows of the smaller room. */
-#define HEARD_MS 10
+#define KNOWN_AFTER_MS 10
 
 /* Guards against a gang that starts on room which was held for it while its
  * approvals were stored, and is gone. */
 static void
-test_held_room_that_shrinks_holds_less (void **state)
+test_hold_shrinks_with_its_room (void **state)
 {
   (void) state;
   for (int64_t after_ms = 0; after_ms < 2500; after_ms += 50)
@@ -91,7 +91,7 @@
           world_worker_room (world, i, GANG_MILLI);
           world->worker[i].room[0].until_ms = 0;
         }
-      world_run (world, HEARD_MS);
+      world_run (world, KNOWN_AFTER_MS);
       world->over_room = 0;
       world_run (world, 6000);
       assert_int_equal (world->over_room, 0);
@@ -103,9 +103,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_room_that_shrinks_takes_less),
-    cmocka_unit_test (test_nothing_starts_on_room_that_is_not_known),
-    cmocka_unit_test (test_held_room_that_shrinks_holds_less),
+    cmocka_unit_test (test_no_start_on_room_that_has_shrunk),
+    cmocka_unit_test (test_no_start_on_outdated_room),
+    cmocka_unit_test (test_hold_shrinks_with_its_room),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_run_times.c
+++ b/test/unit/test_cell_run_times.c
@@ -14,15 +14,15 @@
 #define SLACK_MILLI 2200
 #define TARGET_MS 1000
 /* The queue's target for its jobs, by the time that they really take. */
-#define PROMISED_MS (TASK_MS * SLACK_MILLI / 1000 + TARGET_MS)
+#define SERVED_WITHIN_MS (TASK_MS * SLACK_MILLI / 1000 + TARGET_MS)
 #define WARM_JOBS 40
 #define JOBS 140
 #define EACH_MS 290
-/* Of every GUST_EVERY jobs GUST_JOBS arrive at once. */
-#define GUST_EVERY 35
-#define GUST_JOBS 14
+/* Of every BURST_EVERY_JOBS jobs BURST_JOBS arrive at once. */
+#define BURST_EVERY_JOBS 35
+#define BURST_JOBS 14
 /* A declared time is off by up to this, as a logarithm. */
-#define OFF 1.6
+#define DECLARED_ERROR_LOG_MAX 1.6
 
 static double
 chance (uint64_t *state)
@@ -37,14 +37,15 @@
   MuxJobSpec *job = world_job (1, GANG_TASKS, CPU_MILLI);
 
   job->step[0].gang = true;
-  job->step[0].estimate_ms = (uint32_t) (TASK_MS * exp (OFF * chance (state)));
+  job->step[0].estimate_ms
+      = (uint32_t) (TASK_MS * exp (DECLARED_ERROR_LOG_MAX * chance (state)));
   return job;
 }
 
 /* Of jobs behind the first ones. */
 typedef struct
 {
-  uint32_t asked;
+  uint32_t submitted;
   uint32_t served; /* ended as promised */
 } Share;
 
@@ -70,8 +71,9 @@
       job = draw_job (&seed);
       too_short[i] = job->step[0].estimate_ms < TASK_MS / 2;
       (void) world_submit (world, i % CELLS, job, id);
-      if (i % GUST_EVERY >= GUST_JOBS)
-        world_run (world, EACH_MS * GUST_EVERY / (GUST_EVERY - GUST_JOBS));
+      if (i % BURST_EVERY_JOBS >= BURST_JOBS)
+        world_run (world, EACH_MS * BURST_EVERY_JOBS
+                              / (BURST_EVERY_JOBS - BURST_JOBS));
     }
   world_run (world, 30000);
   for (uint32_t i = WARM_JOBS; i < JOBS; i++)
@@ -79,9 +81,9 @@
       Share *of = &share[too_short[i] ? 0 : 1];
 
       snprintf (id, sizeof id, "job-%u", i);
-      of->asked++;
-      of->served
-          += world_done_by (world, id, sent_ms[i] + PROMISED_MS) == GANG_TASKS;
+      of->submitted++;
+      of->served += world_done_by (world, id, sent_ms[i] + SERVED_WITHIN_MS)
+                    == GANG_TASKS;
     }
   world_free (world);
 }
@@ -97,10 +99,10 @@
   for (uint64_t seed = 1; seed <= 8; seed++)
     play (seed, share);
   print_message ("in time: %u of %u declared too short, %u of %u others\n",
-                 share[0].served, share[0].asked, share[1].served,
-                 share[1].asked);
-  assert_true (share[0].served * share[1].asked * 10
-               >= share[1].served * share[0].asked * 9);
+                 share[0].served, share[0].submitted, share[1].served,
+                 share[1].submitted);
+  assert_true (share[0].served * share[1].submitted * 10
+               >= share[1].served * share[0].submitted * 9);
 }
 
 int
--- a/test/unit/test_cell_step_wait.c
+++ b/test/unit/test_cell_step_wait.c
@@ -7,8 +7,8 @@
 #define WORKERS 12
 #define WARM_MS 1000
 #define RUN_MS 3000
-#define QUESTION_MS 200
-#define QUESTION_US_PER_WORKER 1000
+#define APPROVAL_QUERY_MS 200
+#define APPROVAL_QUERY_US_PER_WORKER 1000
 #define GANG_TASKS 6
 #define TASK_CPU_MILLI 14000
 #define TASK_MS 10000
@@ -20,12 +20,12 @@
 }
 
 static World *
-asking_world (void)
+world_with_approvals (void)
 {
   World *world = world_new (CELLS, WORKERS);
 
   world->task_ms = TASK_MS;
-  world_ask_slowly (world, QUESTION_MS, QUESTION_US_PER_WORKER);
+  world_ask_slowly (world, APPROVAL_QUERY_MS, APPROVAL_QUERY_US_PER_WORKER);
   world_run (world, WARM_MS);
   return world;
 }
@@ -42,9 +42,9 @@
 
 /* Guards against approval queries that no metric counts. */
 static void
-test_questions_and_their_use_are_counted (void **state)
+test_approval_queries_and_their_use_are_counted (void **state)
 {
-  World *world = asking_world ();
+  World *world = world_with_approvals ();
 
   (void) state;
   submit_gang (world, "gang");
@@ -53,8 +53,8 @@
   assert_int_equal (counted (world, MUX_COUNT_APPROVAL_NAMES), WORKERS);
   assert_int_equal (counted (world, MUX_COUNT_APPROVALS_GIVEN), WORKERS);
   assert_in_range (counted (world, MUX_COUNT_APPROVALS_USED), 1, GANG_TASKS);
-  assert_in_range (counted (world, MUX_COUNT_APPROVAL_TIME), QUESTION_MS,
-                   2 * QUESTION_MS);
+  assert_in_range (counted (world, MUX_COUNT_APPROVAL_TIME), APPROVAL_QUERY_MS,
+                   2 * APPROVAL_QUERY_MS);
   world_free (world);
 }
 
@@ -63,7 +63,7 @@
 static void
 test_room_kept_for_gangs_is_counted (void **state)
 {
-  World *world = asking_world ();
+  World *world = world_with_approvals ();
 
   (void) state;
   for (uint32_t i = 0; i < WORKERS / 2; i++)
@@ -83,7 +83,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_questions_and_their_use_are_counted),
+    cmocka_unit_test (test_approval_queries_and_their_use_are_counted),
     cmocka_unit_test (test_room_kept_for_gangs_is_counted),
   };
 
--- a/test/unit/test_cell_throttle.c
+++ b/test/unit/test_cell_throttle.c
@@ -16,8 +16,8 @@
 #define STEP_MS 10
 #define WARM_UP_MS 3000
 #define PLAY_MS 6000
-#define BEHIND_MS 400
-#define LOST_BEHIND_MS 1200
+#define LATE_MS 400
+#define VERY_LATE_MS 1200
 #define AT_ONCE_MS 50
 #define JOBS_MAX 2048
 
@@ -41,8 +41,8 @@
 {
   uint32_t sent;
   uint32_t refused;
-  uint32_t slow;   /* refused after more than AT_ONCE_MS */
-  uint32_t untold; /* refused without a time to retry */
+  uint32_t slow;               /* refused after more than AT_ONCE_MS */
+  uint32_t without_retry_time; /* refused without a time to retry */
 } Sum;
 
 /* Submits to the daemons that do not plan. */
@@ -103,7 +103,7 @@
         continue;
       sum.refused++;
       sum.slow += job->refused_ms - job->sent_ms > AT_ONCE_MS;
-      sum.untold += play->world->answer[job->call].retry_ms == 0;
+      sum.without_retry_time += play->world->answer[job->call].retry_ms == 0;
     }
   print_message ("%u sent, %u refused\n", sum.sent, sum.refused);
   return sum;
@@ -132,7 +132,7 @@
 /* Guards against a planner that is late and accepts all that arrives, as
  * long as workers are free. */
 static void
-test_planner_behind_its_sockets_takes_a_part (void **state)
+test_planner_late_to_read_accepts_a_part (void **state)
 {
   Play *play = begin ();
   Sum sum;
@@ -141,13 +141,13 @@
   play_for (play, WARM_UP_MS);
   sum = sum_since (play, 0);
   assert_int_equal (sum.refused, 0);
-  play->world->cell[play->planner].unread_ms = BEHIND_MS;
+  play->world->cell[play->planner].unread_ms = LATE_MS;
   play_for (play, PLAY_MS);
   sum = sum_since (play, play->world->now_ms - PLAY_MS / 2);
   assert_true (sum.refused * 2 > sum.sent);
   assert_true (sum.refused < sum.sent);
   assert_int_equal (sum.slow, 0);
-  assert_int_equal (sum.untold, 0);
+  assert_int_equal (sum.without_retry_time, 0);
   play->world->cell[play->planner].unread_ms = 0;
   play_for (play, PLAY_MS);
   sum = sum_since (play, play->world->now_ms - 1000);
@@ -158,7 +158,7 @@
 /* Guards against workers that are taken for lost, and tasks run again,
  * because the planner reads their responses late. */
 static void
-test_planner_behind_its_sockets_loses_no_worker (void **state)
+test_planner_late_to_read_loses_no_worker (void **state)
 {
   Play *play = begin ();
   World *world = play->world;
@@ -166,10 +166,10 @@
   (void) state;
   world->task_ms = PLAY_MS;
   play_for (play, WARM_UP_MS);
-  for (int64_t ms = 0; ms < LOST_BEHIND_MS; ms += BEHIND_MS / 4)
+  for (int64_t ms = 0; ms < VERY_LATE_MS; ms += LATE_MS / 4)
     {
       world->cell[play->planner].unread_ms = ms;
-      world_run (world, BEHIND_MS);
+      world_run (world, LATE_MS);
     }
   world_run (world, PLAY_MS);
   assert_int_equal (world_logged (world, "worker_lost"), 0);
@@ -182,7 +182,7 @@
 /* Guards against daemons that store all that arrives for a planner which has
  * reported that it is late, and whose messages do not reach them. */
 static void
-test_planner_heard_by_its_sign_of_life_alone_is_given_no_more (void **state)
+test_late_planner_known_by_heartbeat_alone_gets_no_more_jobs (void **state)
 {
   Play *play = begin ();
   World *world = play->world;
@@ -214,10 +214,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_planner_behind_its_sockets_takes_a_part),
-    cmocka_unit_test (test_planner_behind_its_sockets_loses_no_worker),
+    cmocka_unit_test (test_planner_late_to_read_accepts_a_part),
+    cmocka_unit_test (test_planner_late_to_read_loses_no_worker),
     cmocka_unit_test (
-        test_planner_heard_by_its_sign_of_life_alone_is_given_no_more),
+        test_late_planner_known_by_heartbeat_alone_gets_no_more_jobs),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_time_of_day.c
+++ b/test/unit/test_cell_time_of_day.c
@@ -16,7 +16,7 @@
 #define LONG_JUMP_MS 30000
 /* Occurrences of one job that may be running during the test, a few times
  * over. */
-#define ROUNDS_AT_ONCE_MAX 4000
+#define CONCURRENT_OCCURRENCES_MAX 4000
 /* Each uses the whole worker. */
 #define FOLLOWING_JOBS 8
 
@@ -101,7 +101,7 @@
  * before any other daemon has sent it a hello.
  */
 static void
-test_successor_goes_by_the_time_it_was_told (void **state)
+test_successor_uses_the_cluster_time (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
@@ -134,7 +134,7 @@
  * behind all that came after it.
  */
 static void
-test_job_of_a_daemon_behind_is_not_late (void **state)
+test_job_from_a_daemon_with_slow_clock_is_not_late (void **state)
 {
   World *world = world_new (CELLS, 1);
   uint32_t planner = world_planner (world);
@@ -223,7 +223,7 @@
  * the rest would run seconds early.
  */
 static void
-test_rest_of_a_round_begun_early_waits_for_its_time (void **state)
+test_rest_of_an_occurrence_begun_early_waits_for_its_time (void **state)
 {
   World *world = world_new (CELLS, 2);
   uint32_t planner = world_planner (world);
@@ -261,7 +261,7 @@
 /* One job has an occurrence for each of a million moments, all of them now.
  * The planner must not run out of memory, and must start other jobs. */
 static void
-test_job_of_a_million_rounds_leaves_room_for_others (void **state)
+test_job_of_a_million_occurrences_leaves_room_for_others (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
@@ -281,19 +281,19 @@
       (long) ((world->core_clock - began) * MS_PER_S / CLOCKS_PER_SEC));
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_true (world_starts (world, "many") > 0);
-  assert_true (world_starts (world, "many") < ROUNDS_AT_ONCE_MAX);
+  assert_true (world_starts (world, "many") < CONCURRENT_OCCURRENCES_MAX);
   world_free (world);
 }
 
 /* With this many occurrences, what is known of each does not fit into one
  * row. */
-#define MANY_ROUNDS 1200
-#define ROUND_MS 10
+#define MANY_OCCURRENCES 1200
+#define OCCURRENCE_INTERVAL_MS 10
 
 /* A job of many occurrences, and a change of planner half way. @estimate_ms:
  * run time that its caller declares for each. */
 static void
-play_many_rounds (uint32_t estimate_ms)
+play_many_occurrences (uint32_t estimate_ms)
 {
   World *world = world_new (CELLS, WORKERS);
   uint32_t planner = world_planner (world);
@@ -301,12 +301,12 @@
 
   world_run (world, 1000);
   world->task_ms = 20;
-  job = timed_job (world, 0, MANY_ROUNDS, ROUND_MS);
+  job = timed_job (world, 0, MANY_OCCURRENCES, OCCURRENCE_INTERVAL_MS);
   job->step[0].estimate_ms = estimate_ms;
   (void) world_submit (world, planner, job, "many");
-  world_run (world, MANY_ROUNDS * ROUND_MS / 2);
+  world_run (world, MANY_OCCURRENCES * OCCURRENCE_INTERVAL_MS / 2);
   world_cell_kill (world, planner);
-  world_run (world, MANY_ROUNDS * ROUND_MS / 2 + 10000);
+  world_run (world, MANY_OCCURRENCES * OCCURRENCE_INTERVAL_MS / 2 + 10000);
   print_message ("%u starts\n", world_starts (world, "many"));
   assert_int_equal (world_state (world, (planner + 1) % CELLS, "many"),
                     MUX_JOB_COMPLETED);
@@ -322,10 +322,10 @@
  * that are done are stored as their number.
  */
 static void
-test_progress_of_many_rounds_fits_into_a_row (void **state)
+test_progress_of_many_occurrences_fits_into_a_row (void **state)
 {
   (void) state;
-  play_many_rounds (1000);
+  play_many_occurrences (1000);
 }
 
 /* A job must end though its first occurrences are late and are put behind
@@ -334,7 +334,7 @@
 test_progress_of_many_late_rounds_fits_into_a_row (void **state)
 {
   (void) state;
-  play_many_rounds (20);
+  play_many_occurrences (20);
 }
 
 int
@@ -343,14 +343,15 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_jump_ahead_starts_nothing_early),
     cmocka_unit_test (test_jump_back_starts_nothing_late),
-    cmocka_unit_test (test_successor_goes_by_the_time_it_was_told),
-    cmocka_unit_test (test_job_of_a_daemon_behind_is_not_late),
+    cmocka_unit_test (test_successor_uses_the_cluster_time),
+    cmocka_unit_test (test_job_from_a_daemon_with_slow_clock_is_not_late),
     cmocka_unit_test (test_jump_removes_no_ended_job),
     cmocka_unit_test (
         test_end_of_an_occurrence_that_a_lone_planner_began_counts),
-    cmocka_unit_test (test_rest_of_a_round_begun_early_waits_for_its_time),
-    cmocka_unit_test (test_job_of_a_million_rounds_leaves_room_for_others),
-    cmocka_unit_test (test_progress_of_many_rounds_fits_into_a_row),
+    cmocka_unit_test (
+        test_rest_of_an_occurrence_begun_early_waits_for_its_time),
+    cmocka_unit_test (test_job_of_a_million_occurrences_leaves_room_for_others),
+    cmocka_unit_test (test_progress_of_many_occurrences_fits_into_a_row),
     cmocka_unit_test (test_progress_of_many_late_rounds_fits_into_a_row),
   };
 
--- a/test/unit/test_cell_unread.c
+++ b/test/unit/test_cell_unread.c
@@ -24,17 +24,17 @@
   World *world;
   char part[MUX_ROW_NAME_LEN];
   char *text; /* the job's row before it was corrupted */
-} Spoilt;
+} CorruptedJob;
 
 static bool
-row_stands (const World *world, const char *key)
+row_exists (const World *world, const char *key)
 {
   return world_row (world, MUX_TABLE_PROGRESS, key) != NULL;
 }
 
 /* Corrupts the job's row, and keeps it as it was to restore it. */
 static void
-spoil_job (Spoilt *spoilt, const char *id)
+corrupt_row_of (CorruptedJob *spoilt, const char *id)
 {
   World *world = spoilt->world;
 
@@ -45,9 +45,9 @@
 }
 
 static void
-spoil (Spoilt *spoilt)
+corrupt_row (CorruptedJob *spoilt)
 {
-  spoil_job (spoilt, "job-a");
+  corrupt_row_of (spoilt, "job-a");
 }
 
 static void
@@ -62,10 +62,10 @@
 
 /* Its tasks run; the planner that started them has failed, its successor
  * can't read the job's row; they end under that one. */
-static Spoilt
+static CorruptedJob
 job_that_ended_unread (uint32_t workers, uint32_t tasks)
 {
-  Spoilt spoilt = { .world = world_new (CELLS, workers) };
+  CorruptedJob spoilt = { .world = world_new (CELLS, workers) };
   World *world = spoilt.world;
 
   world_run (world, 1000);
@@ -74,7 +74,7 @@
                        "job-a");
   world_run (world, 1500);
   assert_int_equal (world_starts (world, "job-a"), tasks);
-  spoil (&spoilt);
+  corrupt_row (&spoilt);
   for (uint32_t i = 0; i < workers; i++)
     for (uint32_t j = 0; j < world->worker[i].run_end; j++)
       world->worker[i].run[j].ends_ms = world->now_ms + 400;
@@ -83,14 +83,14 @@
 }
 
 static void
-mend (const Spoilt *spoilt)
+restore_row (const CorruptedJob *spoilt)
 {
   world_put_row (spoilt->world, MUX_TABLE_JOBS, spoilt->part, "job-a",
                  spoilt->text);
 }
 
 static void
-spoilt_free (Spoilt *spoilt)
+corrupted_job_free (CorruptedJob *spoilt)
 {
   free (spoilt->text);
   world_free (spoilt->world);
@@ -100,19 +100,19 @@
  * planner that could not read it goes on: by its version the row looks like
  * that of a job which was just stored, and of which nothing has run. */
 static void
-test_job_mended_under_its_planner_runs_nothing_again (void **state)
+test_job_restored_under_its_planner_runs_nothing_again (void **state)
 {
-  Spoilt spoilt = job_that_ended_unread (WORKERS, 2);
+  CorruptedJob spoilt = job_that_ended_unread (WORKERS, 2);
 
   (void) state;
-  mend (&spoilt);
+  restore_row (&spoilt);
   world_run (spoilt.world, 2000);
   assert_false (world_twice_told (spoilt.world));
   assert_int_equal (world_starts (spoilt.world, "job-a"), 2);
   assert_int_equal (
       world_state (spoilt.world, world_planner (spoilt.world), "job-a"),
       MUX_JOB_COMPLETED);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&spoilt);
 }
 
 /* A task is tried once more than its queue allows. A run of it fails while
@@ -121,7 +121,7 @@
 test_failures_of_an_unreadable_job_count (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  Spoilt spoilt = { .world = world };
+  CorruptedJob spoilt = { .world = world };
 
   (void) state;
   for (uint32_t i = 0; i < WORKERS; i++)
@@ -132,14 +132,14 @@
                        "job-a");
   world_run (world, 600);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  spoil (&spoilt);
+  corrupt_row (&spoilt);
   take_over (world);
-  mend (&spoilt);
+  restore_row (&spoilt);
   world_run (world, 20000);
   assert_int_equal (world_starts (world, "job-a"), 3);
   assert_int_equal (world_state (world, world_planner (world), "job-a"),
                     MUX_JOB_FAILED);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&spoilt);
 }
 
 /* Tasks that are done run again, of a job with more of them than the planner
@@ -147,24 +147,24 @@
 static void
 test_job_with_too_many_unread_ends_fails (void **state)
 {
-  Spoilt spoilt = job_that_ended_unread (MANY_WORKERS, MANY_TASKS);
+  CorruptedJob spoilt = job_that_ended_unread (MANY_WORKERS, MANY_TASKS);
 
   (void) state;
-  mend (&spoilt);
+  restore_row (&spoilt);
   world_run (spoilt.world, 4000);
   assert_false (world_twice_told (spoilt.world));
   assert_int_equal (
       world_state (spoilt.world, world_planner (spoilt.world), "job-a"),
       MUX_JOB_FAILED);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&spoilt);
 }
 
 /* A worker's room looks taken and its list grows, because ends of a job that
  * nobody can read are never acknowledged, nor any that come after them. */
 static void
-test_unread_ends_hold_up_no_others (void **state)
+test_ends_of_unreadable_jobs_block_no_others (void **state)
 {
-  Spoilt spoilt = job_that_ended_unread (1, 1);
+  CorruptedJob spoilt = job_that_ended_unread (1, 1);
   World *world = spoilt.world;
 
   (void) state;
@@ -176,7 +176,7 @@
                     MUX_JOB_COMPLETED);
   for (uint32_t i = 0; i < world->start_count; i++)
     assert_true (world->start[i].told);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&spoilt);
 }
 
 /* The store fills with ends of jobs that are gone: their rows were removed
@@ -184,11 +184,11 @@
 static void
 test_ends_without_a_job_are_removed (void **state)
 {
-  Spoilt spoilt = job_that_ended_unread (WORKERS, 1);
+  CorruptedJob spoilt = job_that_ended_unread (WORKERS, 1);
   World *world = spoilt.world;
 
   (void) state;
-  assert_true (row_stands (world, "job-a+"));
+  assert_true (row_exists (world, "job-a+"));
   world_remove_row (world, MUX_TABLE_JOBS, spoilt.part, "job-a");
   world->keep_s = KEEP_S;
   for (uint32_t i = 0; i < CELLS; i++)
@@ -196,16 +196,16 @@
   for (uint32_t i = 0; i < CELLS; i++)
     world_cell_start (world, i);
   world_run (world, TAKEOVER_MS);
-  assert_true (row_stands (world, "job-a+"));
+  assert_true (row_exists (world, "job-a+"));
   world_run (world, (KEEP_S + 2) * MS_PER_S);
-  assert_false (row_stands (world, "job-a+"));
-  spoilt_free (&spoilt);
+  assert_false (row_exists (world, "job-a+"));
+  corrupted_job_free (&spoilt);
 }
 
 /* Stores rows of jobs that the planner can't read, in the part of job-a and
  * ordered before it. */
 static void
-put_unreadable (const Spoilt *spoilt, uint32_t count)
+put_unreadable (const CorruptedJob *spoilt, uint32_t count)
 {
   const char *part = spoilt->part;
   uint32_t put = 0;
@@ -224,10 +224,10 @@
 
 /* Its task runs; its row can't be read, nor those of @others jobs before it;
  * the task ends under a successor that has read them all. */
-static Spoilt
+static CorruptedJob
 job_that_ended_among (uint32_t others)
 {
-  Spoilt spoilt = { .world = world_new (CELLS, WORKERS) };
+  CorruptedJob spoilt = { .world = world_new (CELLS, WORKERS) };
   World *world = spoilt.world;
 
   world_run (world, 1000);
@@ -236,7 +236,7 @@
                        "job-a");
   world_run (world, 1500);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  spoil (&spoilt);
+  corrupt_row (&spoilt);
   put_unreadable (&spoilt, others);
   /* It ends while there is no planner. */
   world->worker[world->start[0].worker].run[0].ends_ms = world->now_ms + 400;
@@ -258,17 +258,17 @@
 static void
 test_end_of_one_unreadable_job_of_thousands_is_kept (void **state)
 {
-  Spoilt spoilt = job_that_ended_among (MANY_UNREADABLE);
+  CorruptedJob spoilt = job_that_ended_among (MANY_UNREADABLE);
   World *world = spoilt.world;
 
   (void) state;
   assert_int_equal (world->start[0].end, MUX_RUN_DONE);
-  mend (&spoilt);
+  restore_row (&spoilt);
   take_over (world);
   world_run (world, 2000);
   assert_false (world_twice_told (world));
   assert_int_equal (world_starts (world, "job-a"), 1);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&spoilt);
 }
 
 /*
@@ -278,19 +278,20 @@
  * it.
  */
 static void
-test_one_of_thousands_mended_under_its_planner_runs_nothing_again (void **state)
+test_one_of_thousands_restored_under_its_planner_runs_nothing_again (
+    void **state)
 {
-  Spoilt spoilt = job_that_ended_among (MANY_UNREADABLE);
+  CorruptedJob spoilt = job_that_ended_among (MANY_UNREADABLE);
   World *world = spoilt.world;
 
   (void) state;
-  mend (&spoilt);
+  restore_row (&spoilt);
   world_run (world, 2000);
   assert_false (world_twice_told (world));
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_int_equal (world_state (world, world_planner (world), "job-a"),
                     MUX_JOB_COMPLETED);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&spoilt);
 }
 
 /* Jobs remembered for their rows alone, and jobs whose tasks end: beyond 16
@@ -318,7 +319,7 @@
 test_ends_that_can_not_be_kept_are_left_with_workers (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  Spoilt spoilt[ENDED_JOBS];
+  CorruptedJob spoilt[ENDED_JOBS];
   char id[MUX_JOB_ID_LEN];
 
   (void) state;
@@ -338,8 +339,8 @@
   for (uint32_t i = 0; i < ENDED_JOBS; i++)
     {
       snprintf (id, sizeof id, "job-%u", i);
-      spoilt[i] = (Spoilt){ .world = world };
-      spoil_job (&spoilt[i], id);
+      spoilt[i] = (CorruptedJob){ .world = world };
+      corrupt_row_of (&spoilt[i], id);
     }
   for (uint32_t i = 0; i < WORKERS; i++)
     for (uint32_t j = 0; j < world->worker[i].run_end; j++)
@@ -373,7 +374,7 @@
 static void
 test_end_of_a_job_whose_row_names_another_is_kept (void **state)
 {
-  Spoilt spoilt = { .world = world_new (CELLS, WORKERS) };
+  CorruptedJob spoilt = { .world = world_new (CELLS, WORKERS) };
   World *world = spoilt.world;
   char *other;
 
@@ -383,7 +384,7 @@
   (void) world_submit (world, world_planner (world), world_job (1, 1, 1000),
                        "job-a");
   world_run (world, 1500);
-  spoil (&spoilt);
+  corrupt_row (&spoilt);
   other = strdup (spoilt.text);
   *strstr (other, "job-a") = 'x';
   world_put_row (world, MUX_TABLE_JOBS, spoilt.part, "job-a", other);
@@ -391,28 +392,28 @@
   world->worker[world->start[0].worker].run[0].ends_ms = world->now_ms + 400;
   take_over (world);
   assert_int_equal (world->start[0].end, MUX_RUN_DONE);
-  mend (&spoilt);
+  restore_row (&spoilt);
   take_over (world);
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_false (world_twice_told (world));
-  spoilt_free (&spoilt);
+  corrupted_job_free (&spoilt);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_job_mended_under_its_planner_runs_nothing_again),
+    cmocka_unit_test (test_job_restored_under_its_planner_runs_nothing_again),
     cmocka_unit_test (test_failures_of_an_unreadable_job_count),
     cmocka_unit_test (test_job_with_too_many_unread_ends_fails),
-    cmocka_unit_test (test_unread_ends_hold_up_no_others),
+    cmocka_unit_test (test_ends_of_unreadable_jobs_block_no_others),
     cmocka_unit_test (test_ends_without_a_job_are_removed),
     cmocka_unit_test (test_end_of_one_unreadable_job_of_thousands_is_kept),
     cmocka_unit_test (test_ends_that_can_not_be_kept_are_left_with_workers),
     cmocka_unit_test (test_end_of_a_job_whose_row_names_another_is_kept),
     cmocka_unit_test (
-        test_one_of_thousands_mended_under_its_planner_runs_nothing_again),
+        test_one_of_thousands_restored_under_its_planner_runs_nothing_again),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_wide_gangs.c
+++ b/test/unit/test_cell_wide_gangs.c
@@ -10,8 +10,8 @@
 #define CELLS 3
 #define WORKERS 350
 /* Short, so that three daemons can put all approval queries. */
-#define QUESTION_MS 20
-#define QUESTION_US_PER_WORKER 300
+#define APPROVAL_QUERY_MS 20
+#define APPROVAL_QUERY_US_PER_WORKER 300
 #define APPROVE_ONE_IN 3
 #define WARM_MS 1000
 #define LOAD_MS 24000
@@ -33,8 +33,11 @@
 #define PATIENT_EACH_MS 200
 /* The queue's target: four times a run with a query of 30 workers, and a
  * second. */
-#define PROMISED_MS \
-  (4 * (TASK_MS + QUESTION_MS + 30 * QUESTION_US_PER_WORKER / 1000) + 1000)
+#define TARGET_MS                                     \
+  (4                                                  \
+       * (TASK_MS + APPROVAL_QUERY_MS                 \
+          + 30 * APPROVAL_QUERY_US_PER_WORKER / 1000) \
+   + 1000)
 
 /* The widest tenth of the gangs have the same width. */
 static const uint32_t width[WIDTHS]
@@ -103,7 +106,8 @@
   load.world->approve_one_in = APPROVE_ONE_IN;
   load.world->approve_by_job = true;
   load.world->task_ms = TASK_MS;
-  world_ask_slowly (load.world, QUESTION_MS, QUESTION_US_PER_WORKER);
+  world_ask_slowly (load.world, APPROVAL_QUERY_MS,
+                    APPROVAL_QUERY_US_PER_WORKER);
   world_run (load.world, WARM_MS);
   begin_ms = load.world->now_ms;
   while (load.world->now_ms < begin_ms + LOAD_MS)
@@ -139,7 +143,7 @@
       snprintf (id, sizeof id, "gang-%u", i);
       share.all++;
       share.in_time
-          += world_done_by (load->world, id, load->sent_ms[i] + PROMISED_MS)
+          += world_done_by (load->world, id, load->sent_ms[i] + TARGET_MS)
              == tasks;
     }
   return share;
--- a/test/unit/test_run_time.c
+++ b/test/unit/test_run_time.c
@@ -21,9 +21,9 @@
 typedef struct
 {
   double usual_ms;
-  double spread; /* of the logarithm of run times */
-  double off;    /* of the logarithm of declared over real time */
-  double factor; /* common to all declared times */
+  double spread;         /* of the logarithm of run times */
+  double declared_error; /* of the logarithm of declared over real time */
+  double factor;         /* common to all declared times */
 } Load;
 
 static void
@@ -35,14 +35,14 @@
   double took = load->usual_ms * exp (load->spread * chance (state));
 
   *took_ms = (int64_t) took;
-  *declared_ms
-      = (uint32_t) (took * load->factor * exp (load->off * chance (state)));
+  *declared_ms = (uint32_t) (took * load->factor
+                             * exp (load->declared_error * chance (state)));
 }
 
 /* Return: the mean error of an expectation, as a logarithm; of the declared
  * time where @times is NULL. */
 static double
-mean_off (const MuxRunTimes *times, const Load *load, uint64_t state)
+mean_error (const MuxRunTimes *times, const Load *load, uint64_t state)
 {
   double sum = 0;
 
@@ -92,42 +92,48 @@
 /* Guards against steps that are given up as late, or put last, because their
  * callers declared far too little. */
 static void
-test_times_far_off_are_drawn_to_what_is_usual (void **state)
+test_inaccurate_times_are_drawn_to_the_usual (void **state)
 {
-  Load load = { .usual_ms = 6000, .spread = 0.5, .off = 1.4, .factor = 1 };
+  Load load
+      = { .usual_ms = 6000, .spread = 0.5, .declared_error = 1.4, .factor = 1 };
   MuxRunTimes times = learn (&load);
 
   (void) state;
-  assert_true (mean_off (&times, &load, 3) < mean_off (NULL, &load, 3) / 2);
+  assert_true (mean_error (&times, &load, 3) < mean_error (NULL, &load, 3) / 2);
 }
 
 /* Guards against losing an accurate declared time among the others of its
  * queue. */
 static void
-test_times_that_are_right_are_kept (void **state)
+test_accurate_times_are_kept (void **state)
 {
-  Load load = { .usual_ms = 3000, .spread = 1.5, .off = 0.05, .factor = 1 };
+  Load load = {
+    .usual_ms = 3000, .spread = 1.5, .declared_error = 0.05, .factor = 1
+  };
   MuxRunTimes times = learn (&load);
 
   (void) state;
-  assert_true (mean_off (&times, &load, 3) < 0.06);
+  assert_true (mean_error (&times, &load, 3) < 0.06);
 }
 
 static void
-test_times_that_are_all_off_alike_are_put_right (void **state)
+test_common_error_of_all_times_is_corrected (void **state)
 {
-  Load load = { .usual_ms = 3000, .spread = 1.5, .off = 0.05, .factor = 0.2 };
+  Load load = {
+    .usual_ms = 3000, .spread = 1.5, .declared_error = 0.05, .factor = 0.2
+  };
   MuxRunTimes times = learn (&load);
 
   (void) state;
-  assert_true (mean_off (NULL, &load, 3) > 1.5);
-  assert_true (mean_off (&times, &load, 3) < 0.08);
+  assert_true (mean_error (NULL, &load, 3) > 1.5);
+  assert_true (mean_error (&times, &load, 3) < 0.08);
 }
 
 static void
-test_queue_is_not_judged_by_another (void **state)
+test_queues_are_estimated_separately (void **state)
 {
-  Load load = { .usual_ms = 3000, .spread = 0.1, .off = 1, .factor = 5 };
+  Load load
+      = { .usual_ms = 3000, .spread = 0.1, .declared_error = 1, .factor = 5 };
   MuxRunTimes times = learn (&load);
 
   (void) state;
@@ -162,7 +168,7 @@
 }
 
 static void
-test_what_another_daemon_tells_is_checked (void **state)
+test_statistics_of_another_daemon_are_checked (void **state)
 {
   MuxRunTime time = { .count = 20, .mean = 8, .variance = 0.2 };
 
@@ -181,13 +187,13 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_declared_time_counts_until_enough_was_seen),
-    cmocka_unit_test (test_times_far_off_are_drawn_to_what_is_usual),
-    cmocka_unit_test (test_times_that_are_right_are_kept),
-    cmocka_unit_test (test_times_that_are_all_off_alike_are_put_right),
-    cmocka_unit_test (test_queue_is_not_judged_by_another),
+    cmocka_unit_test (test_inaccurate_times_are_drawn_to_the_usual),
+    cmocka_unit_test (test_accurate_times_are_kept),
+    cmocka_unit_test (test_common_error_of_all_times_is_corrected),
+    cmocka_unit_test (test_queues_are_estimated_separately),
     cmocka_unit_test (test_later_runs_count_more),
     cmocka_unit_test (test_more_queues_than_are_kept_do_no_harm),
-    cmocka_unit_test (test_what_another_daemon_tells_is_checked),
+    cmocka_unit_test (test_statistics_of_another_daemon_are_checked),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_throttle.c
+++ b/test/unit/test_throttle.c
@@ -50,7 +50,7 @@
 }
 
 static void
-take (Play *play, Job *job)
+accept (Play *play, Job *job)
 {
   if (play->busy_until_us < play->now_ms * 1000)
     play->busy_until_us = play->now_ms * 1000;
@@ -69,7 +69,7 @@
   job->tries++;
   job->next_ms = 0;
   if (retry_ms == 0)
-    take (play, job);
+    accept (play, job);
   else if (job->tries < TRIES)
     job->next_ms = play->now_ms + retry_ms;
 }
@@ -156,7 +156,7 @@
 /* Guards against a planner that accepts all that arrives and begins none of
  * it in time. */
 static void
-test_ten_times_what_a_planner_can_serve (void **state)
+test_tenfold_overload_leaves_jobs_in_time (void **state)
 {
   Play *play = begin ();
   Sum sum;
@@ -174,7 +174,7 @@
 /* Guards against a share of accepted jobs that stays low after the load has
  * gone. */
 static void
-test_usual_load_is_taken_again_behind_an_overload (void **state)
+test_usual_load_is_accepted_after_an_overload (void **state)
 {
   Play *play = begin ();
   Sum sum;
@@ -209,7 +209,7 @@
 
 /* Guards against callers that are refused together and retry together. */
 static void
-test_callers_come_again_in_the_order_in_which_they_are_taken (void **state)
+test_callers_retry_in_the_order_of_their_turns (void **state)
 {
   uint32_t before = 0;
 
@@ -241,11 +241,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_ten_times_what_a_planner_can_serve),
-    cmocka_unit_test (test_usual_load_is_taken_again_behind_an_overload),
+    cmocka_unit_test (test_tenfold_overload_leaves_jobs_in_time),
+    cmocka_unit_test (test_usual_load_is_accepted_after_an_overload),
     cmocka_unit_test (test_late_planner_without_jobs_keeps_its_share),
-    cmocka_unit_test (
-        test_callers_come_again_in_the_order_in_which_they_are_taken),
+    cmocka_unit_test (test_callers_retry_in_the_order_of_their_turns),
     cmocka_unit_test (test_few_steps_are_no_backlog),
   };
 
