--- a/test/unit/test_admission.c
+++ b/test/unit/test_admission.c
@@ -71,9 +71,9 @@
 }
 
 static uint32_t
-retry_ms (const Play *play, MuxAdmissionJob asked)
+retry_ms (const Play *play, MuxAdmissionJob new_job)
 {
-  return mux_admission_retry_ms (&play->admission, &asked);
+  return mux_admission_retry_ms (&play->admission, &new_job);
 }
 
 /* Guards against accepting a job that can't begin in time: work for 10 s is
@@ -283,11 +283,11 @@
   count_for (&play, 5000, 400, 5000, 10);
   for (uint64_t i = 0; i < 1000; i++)
     {
-      MuxAdmissionJob asked = job (4000);
+      MuxAdmissionJob new_job = job (4000);
       uint32_t ms;
 
-      asked.jitter_seed = i * 7919;
-      ms = retry_ms (&play, asked);
+      new_job.jitter_seed = i * 7919;
+      ms = retry_ms (&play, new_job);
       least = ms < least ? ms : least;
       most = ms > most ? ms : most;
     }
@@ -299,13 +299,13 @@
 test_steps_wait_one_after_the_other (void **state)
 {
   Play play = begin ();
-  MuxAdmissionJob asked = job (30000);
+  MuxAdmissionJob new_job = job (30000);
 
   (void) state;
   count_for (&play, 5000, 400, 5000, 10);
-  assert_int_equal (retry_ms (&play, asked), 0);
-  asked.chain_length = 3;
-  assert_int_not_equal (retry_ms (&play, asked), 0);
+  assert_int_equal (retry_ms (&play, new_job), 0);
+  new_job.chain_length = 3;
+  assert_int_not_equal (retry_ms (&play, new_job), 0);
 }
 
 /* Guards against a job of any size counting as none because its work
--- a/test/unit/test_cell.c
+++ b/test/unit/test_cell.c
@@ -691,11 +691,11 @@
 {
   World *world = world_new (CELLS, 100);
   uint32_t planner = world_planner (world);
-  uint32_t carrier = daemon_other_than (planner);
+  uint32_t proxy = daemon_other_than (planner);
 
   (void) state;
   world_run (world, 1500);
-  assert_true (world->worker_calls[carrier] > 0);
+  assert_true (world->worker_calls[proxy] > 0);
   for (uint32_t i = 0; i < 10; i++)
     {
       char id[16];
@@ -704,7 +704,7 @@
       (void) world_submit (world, planner, world_job (1, 20, 1000), id);
     }
   world_run (world, 120);
-  world_cell_kill (world, carrier);
+  world_cell_kill (world, proxy);
   world_run (world, 16000);
   for (uint32_t i = 0; i < 10; i++)
     {
@@ -763,16 +763,16 @@
 test_unknown_queue (void **state)
 {
   World *world = world_new (1, 1);
-  MuxRequest *question = calloc (1, sizeof *question);
+  MuxRequest *request = calloc (1, sizeof *request);
 
   (void) state;
-  question->verb = MUX_REQUEST_QUERY;
-  question->call_id = 200;
-  snprintf (question->host, sizeof question->host, "other.example");
-  snprintf (question->path, sizeof question->path, "/batch/x");
+  request->verb = MUX_REQUEST_QUERY;
+  request->call_id = 200;
+  snprintf (request->host, sizeof request->host, "other.example");
+  snprintf (request->path, sizeof request->path, "/batch/x");
   mux_cell_request (
       world->cell[0].cell,
-      (MuxCellTime){ world->now_ms, 1700000000000, world->now_ms }, question);
+      (MuxCellTime){ world->now_ms, 1700000000000, world->now_ms }, request);
   assert_true (world->answered[200]);
   assert_int_equal (world->answer[200].outcome, MUX_RESPONSE_NO_QUEUE);
   world_free (world);
--- a/test/unit/test_cell_ask_ahead.c
+++ b/test/unit/test_cell_ask_ahead.c
@@ -29,7 +29,7 @@
 /* Guards against an approval query and a commit between any two steps of a
  * chain. */
 static void
-test_next_step_starts_when_the_one_before_ends (void **state)
+test_next_step_starts_when_its_predecessor_ends (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   MuxJobSpec *job = world_job (3, TASKS, CPU_MILLI);
@@ -97,7 +97,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_next_step_starts_when_the_one_before_ends),
+    cmocka_unit_test (test_next_step_starts_when_its_predecessor_ends),
     cmocka_unit_test (test_no_query_whose_approvals_would_expire),
     cmocka_unit_test (test_lost_early_query_is_retried),
   };
--- a/test/unit/test_cell_backlog.c
+++ b/test/unit/test_cell_backlog.c
@@ -39,7 +39,7 @@
 #define WIDE_WORKERS 350
 #define WIDE_CPU_MILLI 20000
 /* A commit, and the pause after a pass that used its whole budget in vain. */
-#define BEHIND_MS (100 + PASS_SCAN_BUDGET / VAIN_SCANS_PER_MS)
+#define START_DELAY_MAX_MS (100 + PASS_SCAN_BUDGET / VAIN_SCANS_PER_MS)
 #define COUNTS 10
 #define ANSWER_MS 300
 /*
@@ -307,7 +307,8 @@
   print_message ("small one began after %u ms\n",
                  (unsigned) (world_first_start_ms (world, "small") - begin_ms));
   assert_int_equal (world_starts (world, "wide"), WIDE_WORKERS);
-  assert_true (world_first_start_ms (world, "small") - begin_ms <= BEHIND_MS);
+  assert_true (world_first_start_ms (world, "small") - begin_ms
+               <= START_DELAY_MAX_MS);
   world_free (world);
 }
 
--- a/test/unit/test_cell_burst.c
+++ b/test/unit/test_cell_burst.c
@@ -25,7 +25,7 @@
 #define SETTLED_MS 4000
 #define SHORT_BURST_MS 500
 /* A refused caller gives up after this many tries. */
-#define TRIES 4
+#define TRIES_MAX 4
 #define JOBS_MAX 2048
 #define AT_ONCE_MS 50
 /* A planner silent for this long gets no requests and is not yet replaced. */
@@ -58,7 +58,8 @@
 {
   uint32_t sent;
   uint32_t accepted;
-  uint32_t kept; /* begun in time, counted from the accepted try */
+  /* Begun in time, counted from the accepted try. */
+  uint32_t in_time_after_retry;
   uint32_t in_time;
   uint32_t wide;
   uint32_t wide_in_time;
@@ -91,7 +92,7 @@
   if (answer->outcome != MUX_RESPONSE_REFUSED)
     return;
   job->slow |= play->world->now_ms - job->last_try_ms > AT_ONCE_MS;
-  if (job->tries < TRIES)
+  if (job->tries < TRIES_MAX)
     job->next_ms = play->world->now_ms + answer->retry_ms;
 }
 
@@ -150,7 +151,8 @@
         continue;
       sum.sent++;
       sum.accepted += job->accepted;
-      sum.kept += job->accepted && start_ms <= job->last_try_ms + IN_TIME_MS;
+      sum.in_time_after_retry
+          += job->accepted && start_ms <= job->last_try_ms + IN_TIME_MS;
       sum.in_time += in_time;
       sum.wide += job->wide;
       sum.wide_in_time += job->wide && in_time;
@@ -214,29 +216,29 @@
 {
   print_message ("%s: %u sent, %u accepted, %u in time from then on, %u from "
                  "the first try; wide %u, %u in time\n",
-                 what, sum->sent, sum->accepted, sum->kept, sum->in_time,
-                 sum->wide, sum->wide_in_time);
+                 what, sum->sent, sum->accepted, sum->in_time_after_retry,
+                 sum->in_time, sum->wide, sum->wide_in_time);
 }
 
 /* What is served at ten tenths is the reference for all the others. */
 static uint32_t
-usual (int64_t from_ms, int64_t to_ms)
+in_time_of_usual (int64_t from_ms, int64_t to_ms)
 {
   return (uint32_t) ((to_ms - from_ms) * 1000 / EACH_US);
 }
 
 static uint32_t
-usual_tasks (int64_t from_ms, int64_t to_ms)
+in_time_tasks_of_usual (int64_t from_ms, int64_t to_ms)
 {
-  return usual (from_ms, to_ms) * (WIDE_TASKS + (WIDE_EACH - 1) * TASKS)
-         / WIDE_EACH;
+  return in_time_of_usual (from_ms, to_ms)
+         * (WIDE_TASKS + (WIDE_EACH - 1) * TASKS) / WIDE_EACH;
 }
 
 static void
 expect_burst (const Sum *burst)
 {
-  assert_true (burst->in_time * 10 >= usual (0, BURST_MS) * 9);
-  assert_true (burst->kept * 10 >= burst->accepted * 9);
+  assert_true (burst->in_time * 10 >= in_time_of_usual (0, BURST_MS) * 9);
+  assert_true (burst->in_time_after_retry * 10 >= burst->accepted * 9);
   /* At least half as often as all. */
   assert_true (2 * burst->wide_in_time * burst->sent
                >= burst->in_time * burst->wide);
@@ -266,10 +268,11 @@
   print ("before", &before);
   print ("burst", &burst);
   print_message ("after: %u tasks in time of %u; %u refused late\n", after,
-                 usual_tasks (after_ms, end_ms), slow_refusals (play));
+                 in_time_tasks_of_usual (after_ms, end_ms),
+                 slow_refusals (play));
   assert_int_equal (before.in_time, before.sent);
   expect_burst (&burst);
-  assert_true (after * 10 >= usual_tasks (after_ms, end_ms) * 9);
+  assert_true (after * 10 >= in_time_tasks_of_usual (after_ms, end_ms) * 9);
   assert_true (lost || slow_refusals (play) == 0);
   assert_false (world_twice (play->world));
   finish (play);
--- a/test/unit/test_cell_gang_faults.c
+++ b/test/unit/test_cell_gang_faults.c
@@ -32,7 +32,7 @@
 /* All jobs end within this, however they compete. */
 #define ENDS_WITHIN_MS 60000
 #define JOBS_MAX 64
-#define LEAVE_MAX 6
+#define REMOVED_WORKERS_MAX 6
 /* Of the policy service in a play with more faults: 0.7 s for 40 workers,
  * 1.1 s for a hundred. */
 #define APPROVAL_QUERY_MS 442
@@ -48,8 +48,8 @@
   FAULT_DAEMON_CUT,
   FAULT_PEERS_CUT,
   FAULT_STORE,
-  FAULT_ANSWERS_LOST,
-  FAULT_ANSWERS_SLOW,
+  FAULT_APPROVALS_LOST,
+  FAULT_APPROVALS_SLOW,
   FAULT_COMMANDS,
   FAULT_WORKERS_CUT,
   FAULT_WORKERS_FAIL,
@@ -69,15 +69,20 @@
   uint32_t workers;
   bool more; /* more kinds of faults and gangs */
   int64_t next_fault_ms;
-  int64_t back_ms[CELLS];   /* when a daemon that died is restarted */
-  int64_t thaw_ms[CELLS];   /* when a frozen one resumes */
-  int64_t uncut_ms[CELLS];  /* when a partition of one ends */
-  int64_t serves_ms[CELLS]; /* when the store answers one again */
-  int64_t peers_ms;         /* until then messages between daemons are lost */
-  int64_t answers_ms; /* until then the policy service's responses are lost */
-  int64_t worker_ms[WORLD_WORKERS_MAX]; /* until then the worker has a fault */
+  /* When each daemon that died is restarted, a frozen one resumes, and the
+   * partition or the lack of the store of one ends. */
+  int64_t restart_at_ms[CELLS];
+  int64_t resume_at_ms[CELLS];
+  int64_t partition_end_ms[CELLS];
+  int64_t store_back_at_ms[CELLS];
+  /* Until then messages between daemons, and responses of the policy service,
+   * are lost. */
+  int64_t messages_lost_until_ms;
+  int64_t approvals_lost_until_ms;
+  /* Until then the worker has a fault. */
+  int64_t worker_fault_until_ms[WORLD_WORKERS_MAX];
   bool unlisted[WORLD_WORKERS_MAX];
-  uint32_t left; /* workers to be removed for ever */
+  uint32_t removed_workers; /* so far */
   uint32_t job_count;
   uint64_t call[JOBS_MAX];
   char job[JOBS_MAX][MUX_JOB_ID_LEN];
@@ -175,15 +180,15 @@
   uint32_t cell = draw (play, CELLS);
 
   world_cell_kill (play->world, cell);
-  play->thaw_ms[cell] = 0;
-  play->back_ms[cell] = back_ms;
+  play->resume_at_ms[cell] = 0;
+  play->restart_at_ms[cell] = back_ms;
 }
 
-/* Removes a worker for ever; few enough that the gangs still fit. */
+/* Removes a worker permanently; few enough that the gangs still fit. */
 static void
 remove_worker (Play *play, uint32_t number)
 {
-  if (play->left++ >= LEAVE_MAX)
+  if (play->removed_workers++ >= REMOVED_WORKERS_MAX)
     return;
   world_worker_restart (play->world, number);
   world_worker_unlist (play->world, number, true);
@@ -217,7 +222,7 @@
         }
       if (fault == FAULT_WORKERS_LEAVE)
         remove_worker (play, number);
-      play->worker_ms[number] = fault_end_ms (play, 6000);
+      play->worker_fault_until_ms[number] = fault_end_ms (play, 6000);
     }
 }
 
@@ -236,32 +241,32 @@
   else if (fault == FAULT_DAEMON_FREEZES)
     {
       world->cell[cell].frozen = true;
-      play->thaw_ms[cell] = fault_end_ms (play, 2000);
+      play->resume_at_ms[cell] = fault_end_ms (play, 2000);
     }
   else if (fault == FAULT_DAEMON_CUT)
     {
       world->cell[cell].cut = true;
-      play->uncut_ms[cell] = fault_end_ms (play, 1500);
+      play->partition_end_ms[cell] = fault_end_ms (play, 1500);
     }
   else if (fault == FAULT_PEERS_CUT)
     {
       world->peers_cut = true;
-      play->peers_ms = fault_end_ms (play, 800);
+      play->messages_lost_until_ms = fault_end_ms (play, 800);
     }
   else if (fault == FAULT_STORE)
     {
       world->cell[cell].store = (WorldFault) (1 + draw (play, 3));
-      play->serves_ms[cell] = fault_end_ms (play, 1500);
+      play->store_back_at_ms[cell] = fault_end_ms (play, 1500);
     }
-  else if (fault == FAULT_ANSWERS_LOST)
+  else if (fault == FAULT_APPROVALS_LOST)
     {
       world->lose_approvals = true;
-      play->answers_ms = fault_end_ms (play, 1000);
+      play->approvals_lost_until_ms = fault_end_ms (play, 1000);
     }
-  else if (fault == FAULT_ANSWERS_SLOW && play->more)
+  else if (fault == FAULT_APPROVALS_SLOW && play->more)
     world_ask_slowly (world, 1 + draw (play, APPROVAL_QUERY_MS),
                       APPROVAL_QUERY_US_PER_WORKER);
-  else if (fault == FAULT_ANSWERS_SLOW)
+  else if (fault == FAULT_APPROVALS_SLOW)
     world->approval_ms = 1 + draw (play, APPROVAL_TIMEOUT_MS);
   else
     make_workers_fail (play, fault);
@@ -272,13 +277,13 @@
 {
   WorldCell *cell = &play->world->cell[i];
 
-  if (cell->dead && now >= play->back_ms[i])
+  if (cell->dead && now >= play->restart_at_ms[i])
     world_cell_start (play->world, i);
-  if (now >= play->thaw_ms[i])
+  if (now >= play->resume_at_ms[i])
     cell->frozen = false;
-  if (now >= play->uncut_ms[i])
+  if (now >= play->partition_end_ms[i])
     cell->cut = false;
-  if (now >= play->serves_ms[i])
+  if (now >= play->store_back_at_ms[i])
     cell->store = WORLD_SERVES;
 }
 
@@ -288,12 +293,12 @@
 {
   for (uint32_t i = 0; i < CELLS; i++)
     end_daemon_faults (play, i, now);
-  if (now >= play->peers_ms)
+  if (now >= play->messages_lost_until_ms)
     play->world->peers_cut = false;
-  if (now >= play->answers_ms)
+  if (now >= play->approvals_lost_until_ms)
     play->world->lose_approvals = false;
   for (uint32_t i = 0; i < play->workers; i++)
-    if (now >= play->worker_ms[i])
+    if (now >= play->worker_fault_until_ms[i])
       {
         if (play->unlisted[i] && play->world->worker[i].used)
           world_worker_unlist (play->world, i, false);
--- a/test/unit/test_cell_lasting.c
+++ b/test/unit/test_cell_lasting.c
@@ -11,8 +11,8 @@
 #define WORKERS 8
 /* Longer than any of these tests. */
 #define LONG_TASK_MS 60000
-#define LASTS_MS 600000
-#define LASTING_CPU_MILLI 4000
+#define ENDLESS_TASK_MS 600000
+#define LONG_RUNNING_CPU_MILLI 4000
 /* Most of each worker; a long-running task fits beside one. */
 #define BUSY_CPU_MILLI 26000
 #define GANG_CPU_MILLI 30000
@@ -21,10 +21,10 @@
 #define RESTART_MS 6000
 
 static World *
-world_with_a_lasting_task (void)
+world_with_a_long_running_task (void)
 {
   World *world = world_new (CELLS, WORKERS);
-  MuxJobSpec *job = world_job (1, 1, LASTING_CPU_MILLI);
+  MuxJobSpec *job = world_job (1, 1, LONG_RUNNING_CPU_MILLI);
 
   job->step[0].long_running = true;
   world_set_priority (world, 3);
@@ -61,9 +61,9 @@
 /* Guards against a long-running task that waits beside room which is kept
  * for gangs of a queue of higher priority, one after the other. */
 static void
-test_lasting_task_takes_room_that_is_kept_for_gangs (void **state)
+test_long_running_task_uses_room_that_is_kept_for_gangs (void **state)
 {
-  World *world = world_with_a_lasting_task ();
+  World *world = world_with_a_long_running_task ();
 
   (void) state;
   world_set_priority (world, 1);
@@ -99,17 +99,17 @@
 test_gang_keeps_no_room_beside_tasks_that_never_end (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  MuxJobSpec *lasting = world_job (1, WORKERS, HALF_CPU_MILLI);
+  MuxJobSpec *long_running_job = world_job (1, WORKERS, HALF_CPU_MILLI);
   MuxJobSpec *gang = world_job (1, WORKERS, WIDE_CPU_MILLI);
   uint32_t planner;
 
   (void) state;
-  lasting->step[0].long_running = true;
+  long_running_job->step[0].long_running = true;
   gang->step[0].gang = true;
   world_run (world, 1000);
   planner = world_planner (world);
-  world->task_ms = LASTS_MS;
-  (void) world_submit (world, planner, lasting, "lasting");
+  world->task_ms = ENDLESS_TASK_MS;
+  (void) world_submit (world, planner, long_running_job, "lasting");
   world_run (world, 1000);
   assert_int_equal (world_starts (world, "lasting"), WORKERS);
   world->task_ms = BUSY_MS;
@@ -144,14 +144,14 @@
 
   snprintf (id, sizeof id, "stream-%u", number);
   (void) world_submit (world, world_planner (world),
-                       world_job (1, STREAM_TASKS, LASTING_CPU_MILLI), id);
+                       world_job (1, STREAM_TASKS, LONG_RUNNING_CPU_MILLI), id);
   world_run (world, STREAM_APART_MS);
 }
 
 static void
 play_full_pool (uint32_t question_ms)
 {
-  World *world = world_with_a_lasting_task ();
+  World *world = world_with_a_long_running_task ();
   uint32_t n = 0;
 
   world_ask_slowly (world, question_ms, 1000);
@@ -172,7 +172,7 @@
 /* Guards against a long-running task that never runs in a full pool, because
  * a queue of higher priority takes each gap before its approval arrives. */
 static void
-test_lasting_task_runs_again_in_a_full_pool (void **state)
+test_long_running_task_runs_again_in_a_full_pool (void **state)
 {
   (void) state;
   for (uint32_t ms = QUERY_MIN_MS; ms <= QUERY_MAX_MS; ms += QUERY_INCREMENT_MS)
@@ -183,9 +183,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_lasting_task_takes_room_that_is_kept_for_gangs),
+    cmocka_unit_test (test_long_running_task_uses_room_that_is_kept_for_gangs),
     cmocka_unit_test (test_gang_keeps_no_room_beside_tasks_that_never_end),
-    cmocka_unit_test (test_lasting_task_runs_again_in_a_full_pool),
+    cmocka_unit_test (test_long_running_task_runs_again_in_a_full_pool),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_late.c
+++ b/test/unit/test_cell_late.c
@@ -172,16 +172,17 @@
   World *world = world_new (CELLS, WORLD_WORKERS_MAX);
   uint32_t planner = world_planner (world);
   uint64_t before;
-  uint64_t asked;
+  uint64_t calls_to_idle;
 
   (void) state;
   world_run (world, 10000);
   before = mux_counter_value (world->counters, MUX_COUNT_WORKER_CALLS);
   world_run (world, 10000);
-  asked = mux_counter_value (world->counters, MUX_COUNT_WORKER_CALLS) - before;
-  print_message ("%u calls to %u idle workers in 10 s\n", (unsigned) asked,
-                 WORLD_WORKERS_MAX);
-  assert_true (asked <= 10 * IDLE_MAX_PER_S);
+  calls_to_idle
+      = mux_counter_value (world->counters, MUX_COUNT_WORKER_CALLS) - before;
+  print_message ("%u calls to %u idle workers in 10 s\n",
+                 (unsigned) calls_to_idle, WORLD_WORKERS_MAX);
+  assert_true (calls_to_idle <= 10 * IDLE_MAX_PER_S);
   (void) world_submit (world, planner, world_job (1, 1, 1000), "job-a");
   world_run (world, 500);
   assert_int_equal (world_starts (world, "job-a"), 1);
--- a/test/unit/test_cell_quota.c
+++ b/test/unit/test_cell_quota.c
@@ -263,8 +263,7 @@
 
 /* Guards against a pause for all workspaces after each change of planner. */
 static void
-test_workspace_far_below_its_quota_does_not_wait_for_unconfirmed_workers (
-    void **state)
+test_workspace_far_below_quota_waits_for_no_unconfirmed_worker (void **state)
 {
   World *world = world_with_quota (64 * QUOTA_TASKS);
   uint32_t planner;
@@ -301,7 +300,7 @@
     cmocka_unit_test (test_successor_counts_what_runs),
     cmocka_unit_test (test_successor_counts_unreachable_workers),
     cmocka_unit_test (
-        test_workspace_far_below_its_quota_does_not_wait_for_unconfirmed_workers),
+        test_workspace_far_below_quota_waits_for_no_unconfirmed_worker),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_quota_random.c
+++ b/test/unit/test_cell_quota_random.c
@@ -13,8 +13,8 @@
 #define STEP_MS 50
 #define JOBS_MAX 400
 #define TASKS_MAX 6
-#define QUOTA_LEAST_TASKS 8
-#define QUOTA_MORE_TASKS 24
+#define QUOTA_MIN_TASKS 8
+#define QUOTA_SPREAD_TASKS 24
 #define GANG_PERCENT 30
 #define PERCENT 100
 
@@ -50,7 +50,7 @@
   MuxQuota quota = { 0 };
 
   quota.cpu_milli = (uint64_t) CPU_MILLI
-                    * (QUOTA_LEAST_TASKS + below (play, QUOTA_MORE_TASKS));
+                    * (QUOTA_MIN_TASKS + below (play, QUOTA_SPREAD_TASKS));
   world_set_workspaces (play->world, world_workspaces (names, 2, quota));
 }
 
@@ -154,7 +154,7 @@
       play->world,
       world_workspaces (
           names, 2,
-          (MuxQuota){ .cpu_milli = (uint64_t) CPU_MILLI * QUOTA_LEAST_TASKS }));
+          (MuxQuota){ .cpu_milli = (uint64_t) CPU_MILLI * QUOTA_MIN_TASKS }));
 }
 
 static uint32_t
--- a/test/unit/test_cell_random.c
+++ b/test/unit/test_cell_random.c
@@ -15,7 +15,7 @@
 /* The store ends a response to a feed after any commit: a planner learns of
  * a job before it learns of a claim that was committed after it. */
 static void
-test_nor_with_short_feed_responses (void **state)
+test_jobs_end_once_with_short_feed_responses (void **state)
 {
   ChaosVariant cut = { .follow_rows = 1 };
 
@@ -25,7 +25,7 @@
 
 /* Daemons are late at times: the planner, proxies and other daemons. */
 static void
-test_nor_with_daemons_that_are_late (void **state)
+test_jobs_end_once_with_late_daemons (void **state)
 {
   ChaosVariant late = { .late = true };
 
@@ -35,7 +35,7 @@
 
 /* Workers are named in jobs' rows while data centres are cut off. */
 static void
-test_nor_with_a_slow_store_and_cuts (void **state)
+test_jobs_end_once_with_a_slow_store_and_partitions (void **state)
 {
   ChaosVariant slow = { .slow = true };
 
@@ -46,7 +46,7 @@
 /* Workers crash, some of them because of tasks that crash each worker that
  * starts them. */
 static void
-test_nor_with_workers_that_crash (void **state)
+test_jobs_end_once_with_workers_that_crash (void **state)
 {
   ChaosVariant crashes = { .crashes = true };
 
@@ -59,10 +59,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_no_task_runs_twice_and_no_job_is_lost),
-    cmocka_unit_test (test_nor_with_short_feed_responses),
-    cmocka_unit_test (test_nor_with_daemons_that_are_late),
-    cmocka_unit_test (test_nor_with_a_slow_store_and_cuts),
-    cmocka_unit_test (test_nor_with_workers_that_crash),
+    cmocka_unit_test (test_jobs_end_once_with_short_feed_responses),
+    cmocka_unit_test (test_jobs_end_once_with_late_daemons),
+    cmocka_unit_test (test_jobs_end_once_with_a_slow_store_and_partitions),
+    cmocka_unit_test (test_jobs_end_once_with_workers_that_crash),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_random_cut.c
+++ b/test/unit/test_cell_random_cut.c
@@ -2,11 +2,11 @@
 #include "support/test.h"
 
 /*
- * Workers go for ever, and at the same moment the planner is cut off from the
- * store and the other daemons, frozen, or asked to stop, repeatedly. It stays
- * alive, and may reach workers that no other daemon reaches. Guards against a
- * task that runs twice and an accepted job that never ends. RANDOM_SEED and
- * RANDOM_SEEDS choose other schedules.
+ * Workers are lost permanently, and at the same moment the planner is cut off
+ * from the store and the other daemons, frozen, or asked to stop, repeatedly.
+ * It stays alive, and may reach workers that no other daemon reaches. Guards
+ * against a task that runs twice and an accepted job that never ends.
+ * RANDOM_SEED and RANDOM_SEEDS choose other schedules.
  */
 
 #define SEED 1
@@ -14,10 +14,10 @@
 #define BUSY_MS 24000
 #define LOST_WORKERS_MAX (CHAOS_WORKERS / 2)
 #define LOST_AT_ONCE_MAX 2
-#define NEXT_LEAST_MS 200
-#define NEXT_MORE_MS 2000
-#define LASTS_LEAST_MS 1000
-#define LASTS_MORE_MS 6000
+#define PAUSE_MIN_MS 200
+#define PAUSE_SPREAD_MS 2000
+#define CUT_MIN_MS 1000
+#define CUT_SPREAD_MS 6000
 #define TASK_MS 300
 /* Tasks that start shortly before the planner is cut off run until a
  * successor could start them again. */
@@ -38,8 +38,8 @@
 /**
  * struct Cuts - how the planner is cut off now
  * @until_ms: time of its reconnection; 0: it is not cut off
- * @gone: number of workers, the first ones, that are gone for ever
- * @going: number of workers that only the planner can reach, and that are gone
+ * @lost: number of workers, the first ones, that are lost permanently
+ * @losing: number of workers that only the planner can reach, and that are lost
  *   once it is reconnected
  */
 typedef struct
@@ -49,8 +49,8 @@
   CutKind kind;
   int64_t until_ms;
   int64_t next_ms;
-  uint32_t gone;
-  uint32_t going;
+  uint32_t lost;
+  uint32_t losing;
   uint32_t count[CUT_KIND_COUNT];
 } Cuts;
 
@@ -71,11 +71,11 @@
 static void
 lose_workers (Cuts *cuts)
 {
-  uint32_t gone = cuts->gone + 1 + chaos_below (cuts->c, LOST_AT_ONCE_MAX);
+  uint32_t lost = cuts->lost + 1 + chaos_below (cuts->c, LOST_AT_ONCE_MAX);
 
-  cuts->going = gone < LOST_WORKERS_MAX ? gone : LOST_WORKERS_MAX;
+  cuts->losing = lost < LOST_WORKERS_MAX ? lost : LOST_WORKERS_MAX;
   if (chaos_below (cuts->c, 2) == 0)
-    cuts->gone = cuts->going;
+    cuts->lost = cuts->losing;
 }
 
 /* Cuts off the planner together with the workers that nobody else reaches,
@@ -85,8 +85,8 @@
 cut_off (Cuts *cuts, WorldCell *cell)
 {
   set_cut_off (cell, true);
-  if (cuts->gone < cuts->going && chaos_below (cuts->c, 3) > 0)
-    cell->near_workers = cuts->going;
+  if (cuts->lost < cuts->losing && chaos_below (cuts->c, 3) > 0)
+    cell->near_workers = cuts->losing;
 }
 
 /* Other faults may have made them reachable again. */
@@ -95,12 +95,12 @@
 {
   World *world = cuts->c->world;
 
-  for (uint32_t i = 0; i < cuts->gone; i++)
+  for (uint32_t i = 0; i < cuts->lost; i++)
     world->worker[i].cut = true;
   if (cuts->until_ms != 0)
     for (uint32_t i = 0; i < CHAOS_CELLS; i++)
       if (i != cuts->planner)
-        world->cell[i].far_workers = cuts->going;
+        world->cell[i].far_workers = cuts->losing;
 }
 
 static void
@@ -115,8 +115,8 @@
   cell = &world->cell[cuts->planner];
   cuts->kind = (CutKind) chaos_below (cuts->c, CUT_KIND_COUNT);
   cuts->count[cuts->kind]++;
-  cuts->until_ms = world->now_ms + LASTS_LEAST_MS
-                   + (int64_t) chaos_below (cuts->c, LASTS_MORE_MS);
+  cuts->until_ms = world->now_ms + CUT_MIN_MS
+                   + (int64_t) chaos_below (cuts->c, CUT_SPREAD_MS);
   lose_workers (cuts);
   if (cuts->kind == CUT_OFF)
     cut_off (cuts, cell);
@@ -133,9 +133,9 @@
   WorldCell *cell = &world->cell[cuts->planner];
 
   cuts->until_ms = 0;
-  cuts->next_ms = world->now_ms + NEXT_LEAST_MS
-                  + (int64_t) chaos_below (cuts->c, NEXT_MORE_MS);
-  cuts->gone = cuts->going;
+  cuts->next_ms = world->now_ms + PAUSE_MIN_MS
+                  + (int64_t) chaos_below (cuts->c, PAUSE_SPREAD_MS);
+  cuts->lost = cuts->losing;
   cell->near_workers = 0;
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
     world->cell[i].far_workers = 0;
@@ -202,7 +202,7 @@
   print_message ("%u jobs; planner cut off %u, frozen %u, stopped %u times; %u"
                  " workers gone\n",
                  c.jobs, cuts.count[CUT_OFF], cuts.count[FROZEN],
-                 cuts.count[STOPPED], cuts.gone);
+                 cuts.count[STOPPED], cuts.lost);
   chaos_check (&c, seed);
   world_free (world);
 }
@@ -226,7 +226,7 @@
 }
 
 static void
-test_nor_with_other_faults_beside (void **state)
+test_jobs_end_once_with_other_faults_beside (void **state)
 {
   (void) state;
   play_seeds (true);
@@ -238,7 +238,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (
         test_no_task_runs_twice_and_no_job_is_lost_as_planners_are_cut_off),
-    cmocka_unit_test (test_nor_with_other_faults_beside),
+    cmocka_unit_test (test_jobs_end_once_with_other_faults_beside),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_random_faults.c
+++ b/test/unit/test_cell_random_faults.c
@@ -5,7 +5,7 @@
 
 /* Half of the workers crash at once at times. */
 static void
-test_nor_with_outages (void **state)
+test_jobs_end_once_with_outages (void **state)
 {
   ChaosVariant outages = { .crashes = true, .outages = true };
 
@@ -15,7 +15,7 @@
 
 /* Workers' room shrinks and grows. */
 static void
-test_nor_with_room_that_changes (void **state)
+test_jobs_end_once_with_room_that_changes (void **state)
 {
   ChaosVariant rooms = { .rooms = true };
 
@@ -25,7 +25,7 @@
 
 /* Workers crash and start again under their ids. */
 static void
-test_nor_with_workers_that_keep_their_ids (void **state)
+test_jobs_end_once_with_workers_that_keep_their_ids (void **state)
 {
   ChaosVariant same_ids = { .crashes = true, .same_ids = true };
 
@@ -36,7 +36,7 @@
 /* Bursts of callers: the usual service is back soon after, and jobs refused
  * in them do not run. */
 static void
-test_nor_with_bursts_of_callers (void **state)
+test_jobs_end_once_with_bursts_of_callers (void **state)
 {
   ChaosVariant bursts = { .bursts = true };
 
@@ -46,7 +46,7 @@
 
 /* Workers are lost, and planners one after the other. */
 static void
-test_nor_with_lost_workers_and_successive_planner_failures (void **state)
+test_jobs_end_once_with_lost_workers_and_planner_failures (void **state)
 {
   ChaosVariant gone = { .gone = true };
 
@@ -58,12 +58,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_nor_with_outages),
-    cmocka_unit_test (test_nor_with_room_that_changes),
-    cmocka_unit_test (test_nor_with_workers_that_keep_their_ids),
-    cmocka_unit_test (test_nor_with_bursts_of_callers),
+    cmocka_unit_test (test_jobs_end_once_with_outages),
+    cmocka_unit_test (test_jobs_end_once_with_room_that_changes),
+    cmocka_unit_test (test_jobs_end_once_with_workers_that_keep_their_ids),
+    cmocka_unit_test (test_jobs_end_once_with_bursts_of_callers),
     cmocka_unit_test (
-        test_nor_with_lost_workers_and_successive_planner_failures),
+        test_jobs_end_once_with_lost_workers_and_planner_failures),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_reserve.c
+++ b/test/unit/test_cell_reserve.c
@@ -178,17 +178,17 @@
 {
   static const Work gang = { "gang", 1, 6, GANG_CPU_MILLI, 1000, true };
   World *world = new_world (gang.tasks);
-  uint64_t questions;
+  uint64_t queries;
 
   (void) state;
   fill (world, gang.tasks);
   world_approve_unasked (world);
-  questions = mux_counter_value (world->counters, MUX_COUNT_APPROVALS);
+  queries = mux_counter_value (world->counters, MUX_COUNT_APPROVALS);
   submit (world, &gang);
   world_run (world, 2 * FILL_MS);
   assert_int_equal (started (world, "gang"), gang.tasks);
   assert_int_equal (mux_counter_value (world->counters, MUX_COUNT_APPROVALS),
-                    questions);
+                    queries);
   world_free (world);
 }
 
--- a/test/unit/test_cell_run_times.c
+++ b/test/unit/test_cell_run_times.c
@@ -42,11 +42,11 @@
   return job;
 }
 
-/* Of jobs behind the first ones. */
+/* Outcome of the jobs after the first WARM_JOBS. */
 typedef struct
 {
   uint32_t submitted;
-  uint32_t served; /* ended as promised */
+  uint32_t served; /* ended within SERVED_WITHIN_MS */
 } Share;
 
 /* @share: of those declared too short, and of the others. */
--- a/test/unit/test_cell_throttle.c
+++ b/test/unit/test_cell_throttle.c
@@ -61,7 +61,7 @@
 }
 
 static void
-take_refusals (Play *play)
+receive_refusals (Play *play)
 {
   for (uint32_t i = 0; i < play->count; i++)
     {
@@ -83,7 +83,7 @@
       for (; sent < passed_ms * SENT_PER_S / 1000; sent++)
         send_new (play);
       world_run (play->world, STEP_MS);
-      take_refusals (play);
+      receive_refusals (play);
     }
 }
 
--- a/test/unit/test_cell_time_of_day.c
+++ b/test/unit/test_cell_time_of_day.c
@@ -161,7 +161,7 @@
 /*
  * The wall clock of the planner's instance jumps by more than rows of ended
  * jobs are kept. It must not remove them: a caller that queries a job that has
- * just ended would hear that there is none.
+ * just ended would be told that there is none.
  */
 static void
 test_jump_removes_no_ended_job (void **state)
--- a/test/unit/test_cell_unread.c
+++ b/test/unit/test_cell_unread.c
@@ -34,20 +34,20 @@
 
 /* Corrupts the job's row, and keeps it as it was to restore it. */
 static void
-corrupt_row_of (CorruptedJob *spoilt, const char *id)
+corrupt_row_of (CorruptedJob *corrupted, const char *id)
 {
-  World *world = spoilt->world;
+  World *world = corrupted->world;
 
-  snprintf (spoilt->part, sizeof spoilt->part, "%s",
+  snprintf (corrupted->part, sizeof corrupted->part, "%s",
             world_row (world, MUX_TABLE_JOBS, id)->part);
-  spoilt->text = world_row_text (world, MUX_TABLE_JOBS, id);
-  world_put_row (world, MUX_TABLE_JOBS, spoilt->part, id, "{}");
+  corrupted->text = world_row_text (world, MUX_TABLE_JOBS, id);
+  world_put_row (world, MUX_TABLE_JOBS, corrupted->part, id, "{}");
 }
 
 static void
-corrupt_row (CorruptedJob *spoilt)
+corrupt_row (CorruptedJob *corrupted)
 {
-  corrupt_row_of (spoilt, "job-a");
+  corrupt_row_of (corrupted, "job-a");
 }
 
 static void
@@ -65,8 +65,8 @@
 static CorruptedJob
 job_that_ended_unread (uint32_t workers, uint32_t tasks)
 {
-  CorruptedJob spoilt = { .world = world_new (CELLS, workers) };
-  World *world = spoilt.world;
+  CorruptedJob corrupted = { .world = world_new (CELLS, workers) };
+  World *world = corrupted.world;
 
   world_run (world, 1000);
   world->task_ms = TASK_MS;
@@ -74,26 +74,26 @@
                        "job-a");
   world_run (world, 1500);
   assert_int_equal (world_starts (world, "job-a"), tasks);
-  corrupt_row (&spoilt);
+  corrupt_row (&corrupted);
   for (uint32_t i = 0; i < workers; i++)
     for (uint32_t j = 0; j < world->worker[i].run_end; j++)
       world->worker[i].run[j].ends_ms = world->now_ms + 400;
   take_over (world);
-  return spoilt;
+  return corrupted;
 }
 
 static void
-restore_row (const CorruptedJob *spoilt)
+restore_row (const CorruptedJob *corrupted)
 {
-  world_put_row (spoilt->world, MUX_TABLE_JOBS, spoilt->part, "job-a",
-                 spoilt->text);
+  world_put_row (corrupted->world, MUX_TABLE_JOBS, corrupted->part, "job-a",
+                 corrupted->text);
 }
 
 static void
-corrupted_job_free (CorruptedJob *spoilt)
+corrupted_job_free (CorruptedJob *corrupted)
 {
-  free (spoilt->text);
-  world_free (spoilt->world);
+  free (corrupted->text);
+  world_free (corrupted->world);
 }
 
 /* A task that is done runs again. The job's row is restored while the
@@ -102,17 +102,17 @@
 static void
 test_job_restored_under_its_planner_runs_nothing_again (void **state)
 {
-  CorruptedJob spoilt = job_that_ended_unread (WORKERS, 2);
+  CorruptedJob corrupted = job_that_ended_unread (WORKERS, 2);
 
   (void) state;
-  restore_row (&spoilt);
-  world_run (spoilt.world, 2000);
-  assert_false (world_twice_told (spoilt.world));
-  assert_int_equal (world_starts (spoilt.world, "job-a"), 2);
+  restore_row (&corrupted);
+  world_run (corrupted.world, 2000);
+  assert_false (world_twice_told (corrupted.world));
+  assert_int_equal (world_starts (corrupted.world, "job-a"), 2);
   assert_int_equal (
-      world_state (spoilt.world, world_planner (spoilt.world), "job-a"),
+      world_state (corrupted.world, world_planner (corrupted.world), "job-a"),
       MUX_JOB_COMPLETED);
-  corrupted_job_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 /* A task is tried once more than its queue allows. A run of it fails while
@@ -121,7 +121,7 @@
 test_failures_of_an_unreadable_job_count (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  CorruptedJob spoilt = { .world = world };
+  CorruptedJob corrupted = { .world = world };
 
   (void) state;
   for (uint32_t i = 0; i < WORKERS; i++)
@@ -132,14 +132,14 @@
                        "job-a");
   world_run (world, 600);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  corrupt_row (&spoilt);
+  corrupt_row (&corrupted);
   take_over (world);
-  restore_row (&spoilt);
+  restore_row (&corrupted);
   world_run (world, 20000);
   assert_int_equal (world_starts (world, "job-a"), 3);
   assert_int_equal (world_state (world, world_planner (world), "job-a"),
                     MUX_JOB_FAILED);
-  corrupted_job_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 /* Tasks that are done run again, of a job with more of them than the planner
@@ -147,16 +147,16 @@
 static void
 test_job_with_too_many_unread_ends_fails (void **state)
 {
-  CorruptedJob spoilt = job_that_ended_unread (MANY_WORKERS, MANY_TASKS);
+  CorruptedJob corrupted = job_that_ended_unread (MANY_WORKERS, MANY_TASKS);
 
   (void) state;
-  restore_row (&spoilt);
-  world_run (spoilt.world, 4000);
-  assert_false (world_twice_told (spoilt.world));
+  restore_row (&corrupted);
+  world_run (corrupted.world, 4000);
+  assert_false (world_twice_told (corrupted.world));
   assert_int_equal (
-      world_state (spoilt.world, world_planner (spoilt.world), "job-a"),
+      world_state (corrupted.world, world_planner (corrupted.world), "job-a"),
       MUX_JOB_FAILED);
-  corrupted_job_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 /* A worker's room looks taken and its list grows, because ends of a job that
@@ -164,8 +164,8 @@
 static void
 test_ends_of_unreadable_jobs_block_no_others (void **state)
 {
-  CorruptedJob spoilt = job_that_ended_unread (1, 1);
-  World *world = spoilt.world;
+  CorruptedJob corrupted = job_that_ended_unread (1, 1);
+  World *world = corrupted.world;
 
   (void) state;
   world->task_ms = 200;
@@ -176,7 +176,7 @@
                     MUX_JOB_COMPLETED);
   for (uint32_t i = 0; i < world->start_count; i++)
     assert_true (world->start[i].told);
-  corrupted_job_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 /* The store fills with ends of jobs that are gone: their rows were removed
@@ -184,12 +184,12 @@
 static void
 test_ends_without_a_job_are_removed (void **state)
 {
-  CorruptedJob spoilt = job_that_ended_unread (WORKERS, 1);
-  World *world = spoilt.world;
+  CorruptedJob corrupted = job_that_ended_unread (WORKERS, 1);
+  World *world = corrupted.world;
 
   (void) state;
   assert_true (row_exists (world, "job-a+"));
-  world_remove_row (world, MUX_TABLE_JOBS, spoilt.part, "job-a");
+  world_remove_row (world, MUX_TABLE_JOBS, corrupted.part, "job-a");
   world->keep_s = KEEP_S;
   for (uint32_t i = 0; i < CELLS; i++)
     world_cell_kill (world, i);
@@ -199,15 +199,15 @@
   assert_true (row_exists (world, "job-a+"));
   world_run (world, (KEEP_S + 2) * MS_PER_S);
   assert_false (row_exists (world, "job-a+"));
-  corrupted_job_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 /* Stores rows of jobs that the planner can't read, in the part of job-a and
  * ordered before it. */
 static void
-put_unreadable (const CorruptedJob *spoilt, uint32_t count)
+put_unreadable (const CorruptedJob *corrupted, uint32_t count)
 {
-  const char *part = spoilt->part;
+  const char *part = corrupted->part;
   uint32_t put = 0;
 
   for (uint32_t i = 0; put < count; i++)
@@ -217,7 +217,7 @@
       snprintf (id, sizeof id, "a-%u", i);
       if (mux_hash_name (id, 0) % PARTS != mux_hash_name ("job-a", 0) % PARTS)
         continue;
-      world_put_row (spoilt->world, MUX_TABLE_JOBS, part, id, "{}");
+      world_put_row (corrupted->world, MUX_TABLE_JOBS, part, id, "{}");
       put++;
     }
 }
@@ -227,8 +227,8 @@
 static CorruptedJob
 job_that_ended_among (uint32_t others)
 {
-  CorruptedJob spoilt = { .world = world_new (CELLS, WORKERS) };
-  World *world = spoilt.world;
+  CorruptedJob corrupted = { .world = world_new (CELLS, WORKERS) };
+  World *world = corrupted.world;
 
   world_run (world, 1000);
   world->task_ms = TASK_MS;
@@ -236,12 +236,12 @@
                        "job-a");
   world_run (world, 1500);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  corrupt_row (&spoilt);
-  put_unreadable (&spoilt, others);
+  corrupt_row (&corrupted);
+  put_unreadable (&corrupted, others);
   /* It ends while there is no planner. */
   world->worker[world->start[0].worker].run[0].ends_ms = world->now_ms + 400;
   take_over (world);
-  return spoilt;
+  return corrupted;
 }
 
 /* Unreadable rows of one part: more than a planner remembers, as after
@@ -258,17 +258,17 @@
 static void
 test_end_of_one_unreadable_job_of_thousands_is_kept (void **state)
 {
-  CorruptedJob spoilt = job_that_ended_among (MANY_UNREADABLE);
-  World *world = spoilt.world;
+  CorruptedJob corrupted = job_that_ended_among (MANY_UNREADABLE);
+  World *world = corrupted.world;
 
   (void) state;
   assert_int_equal (world->start[0].end, MUX_RUN_DONE);
-  restore_row (&spoilt);
+  restore_row (&corrupted);
   take_over (world);
   world_run (world, 2000);
   assert_false (world_twice_told (world));
   assert_int_equal (world_starts (world, "job-a"), 1);
-  corrupted_job_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 /*
@@ -281,17 +281,17 @@
 test_one_of_thousands_restored_under_its_planner_runs_nothing_again (
     void **state)
 {
-  CorruptedJob spoilt = job_that_ended_among (MANY_UNREADABLE);
-  World *world = spoilt.world;
+  CorruptedJob corrupted = job_that_ended_among (MANY_UNREADABLE);
+  World *world = corrupted.world;
 
   (void) state;
-  restore_row (&spoilt);
+  restore_row (&corrupted);
   world_run (world, 2000);
   assert_false (world_twice_told (world));
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_int_equal (world_state (world, world_planner (world), "job-a"),
                     MUX_JOB_COMPLETED);
-  corrupted_job_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 /* Jobs remembered for their rows alone, and jobs whose tasks end: beyond 16
@@ -301,7 +301,7 @@
 
 /* Return: how many of these jobs had their task's end acknowledged. */
 static uint32_t
-told (const World *world)
+acknowledged_ends (const World *world)
 {
   uint32_t n = 0;
 
@@ -319,7 +319,7 @@
 test_ends_that_can_not_be_kept_are_left_with_workers (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  CorruptedJob spoilt[ENDED_JOBS];
+  CorruptedJob corrupted[ENDED_JOBS];
   char id[MUX_JOB_ID_LEN];
 
   (void) state;
@@ -339,21 +339,23 @@
   for (uint32_t i = 0; i < ENDED_JOBS; i++)
     {
       snprintf (id, sizeof id, "job-%u", i);
-      spoilt[i] = (CorruptedJob){ .world = world };
-      corrupt_row_of (&spoilt[i], id);
+      corrupted[i] = (CorruptedJob){ .world = world };
+      corrupt_row_of (&corrupted[i], id);
     }
   for (uint32_t i = 0; i < WORKERS; i++)
     for (uint32_t j = 0; j < world->worker[i].run_end; j++)
       world->worker[i].run[j].ends_ms = world->now_ms + 400;
   take_over (world);
-  print_message ("%u of %u ends acknowledged\n", told (world), ENDED_JOBS);
-  assert_true (told (world) > 0);
-  assert_true (told (world) < ENDED_JOBS);
+  print_message ("%u of %u ends acknowledged\n", acknowledged_ends (world),
+                 ENDED_JOBS);
+  assert_true (acknowledged_ends (world) > 0);
+  assert_true (acknowledged_ends (world) < ENDED_JOBS);
   for (uint32_t i = 0; i < ENDED_JOBS; i++)
     {
       snprintf (id, sizeof id, "job-%u", i);
-      world_put_row (world, MUX_TABLE_JOBS, spoilt[i].part, id, spoilt[i].text);
-      free (spoilt[i].text);
+      world_put_row (world, MUX_TABLE_JOBS, corrupted[i].part, id,
+                     corrupted[i].text);
+      free (corrupted[i].text);
     }
   world_run (world, 2000);
   assert_int_equal (world->start_count, ENDED_JOBS);
@@ -361,7 +363,7 @@
   world_run (world, 2000);
   assert_false (world_twice_told (world));
   assert_int_equal (world->start_count, ENDED_JOBS);
-  assert_int_equal (told (world), ENDED_JOBS);
+  assert_int_equal (acknowledged_ends (world), ENDED_JOBS);
   world_free (world);
 }
 
@@ -374,8 +376,8 @@
 static void
 test_end_of_a_job_whose_row_names_another_is_kept (void **state)
 {
-  CorruptedJob spoilt = { .world = world_new (CELLS, WORKERS) };
-  World *world = spoilt.world;
+  CorruptedJob corrupted = { .world = world_new (CELLS, WORKERS) };
+  World *world = corrupted.world;
   char *other;
 
   (void) state;
@@ -384,20 +386,20 @@
   (void) world_submit (world, world_planner (world), world_job (1, 1, 1000),
                        "job-a");
   world_run (world, 1500);
-  corrupt_row (&spoilt);
-  other = strdup (spoilt.text);
+  corrupt_row (&corrupted);
+  other = strdup (corrupted.text);
   *strstr (other, "job-a") = 'x';
-  world_put_row (world, MUX_TABLE_JOBS, spoilt.part, "job-a", other);
+  world_put_row (world, MUX_TABLE_JOBS, corrupted.part, "job-a", other);
   free (other);
   world->worker[world->start[0].worker].run[0].ends_ms = world->now_ms + 400;
   take_over (world);
   assert_int_equal (world->start[0].end, MUX_RUN_DONE);
-  restore_row (&spoilt);
+  restore_row (&corrupted);
   take_over (world);
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_false (world_twice_told (world));
-  corrupted_job_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 int
--- a/test/unit/test_throttle.c
+++ b/test/unit/test_throttle.c
@@ -7,7 +7,7 @@
 #define SERVED_PER_S 100
 #define MS_PER_S 1000
 #define STEP_MS 10
-#define TRIES 4
+#define TRIES_MAX 4
 #define IN_TIME_MS 1000
 #define WARM_UP_MS 4000
 #define PLAY_MS 20000
@@ -20,7 +20,7 @@
   int64_t begins_ms;
   uint64_t spread;
   uint32_t tries;
-  bool is_taken;
+  bool is_accepted;
 } Job;
 
 typedef struct
@@ -36,7 +36,7 @@
 typedef struct
 {
   uint32_t sent;
-  uint32_t taken;
+  uint32_t accepted;
   uint32_t in_time; /* of those accepted */
   uint32_t refused; /* at each try */
 } Sum;
@@ -56,7 +56,7 @@
     play->busy_until_us = play->now_ms * 1000;
   play->busy_until_us += 1000000 / SERVED_PER_S;
   job->begins_ms = play->busy_until_us / 1000;
-  job->is_taken = true;
+  job->is_accepted = true;
   play->throttle.accepted++;
 }
 
@@ -70,7 +70,7 @@
   job->next_ms = 0;
   if (retry_ms == 0)
     accept (play, job);
-  else if (job->tries < TRIES)
+  else if (job->tries < TRIES_MAX)
     job->next_ms = play->now_ms + retry_ms;
 }
 
@@ -78,7 +78,7 @@
 count_begun (Play *play)
 {
   for (uint32_t i = 0; i < play->count; i++)
-    play->throttle.started += play->job[i].is_taken
+    play->throttle.started += play->job[i].is_accepted
                               && play->job[i].begins_ms > play->now_ms - STEP_MS
                               && play->job[i].begins_ms <= play->now_ms;
 }
@@ -127,10 +127,10 @@
       if (job->sent_ms < from_ms || job->sent_ms >= to_ms)
         continue;
       sum.sent++;
-      sum.taken += job->is_taken;
+      sum.accepted += job->is_accepted;
       sum.in_time
-          += job->is_taken && job->begins_ms <= job->sent_ms + IN_TIME_MS;
-      sum.refused += !job->is_taken;
+          += job->is_accepted && job->begins_ms <= job->sent_ms + IN_TIME_MS;
+      sum.refused += !job->is_accepted;
     }
   return sum;
 }
@@ -150,7 +150,7 @@
 print (const char *what, const Sum *sum)
 {
   print_message ("%s: %u sent, %u taken, %u of these begun in time\n", what,
-                 sum->sent, sum->taken, sum->in_time);
+                 sum->sent, sum->accepted, sum->in_time);
 }
 
 /* Guards against a planner that accepts all that arrives and begins none of
@@ -165,8 +165,8 @@
   play_for (play, WARM_UP_MS + PLAY_MS, 10);
   sum = sum_of (play, 1000 + WARM_UP_MS, 1000 + PLAY_MS);
   print ("ten times", &sum);
-  assert_true (sum.in_time * 10 >= sum.taken * 8);
-  assert_true (sum.taken * 10
+  assert_true (sum.in_time * 10 >= sum.accepted * 8);
+  assert_true (sum.accepted * 10
                >= SERVED_PER_S * (PLAY_MS - WARM_UP_MS) / MS_PER_S * 7);
   free (play);
 }
@@ -178,18 +178,18 @@
 {
   Play *play = begin ();
   Sum sum;
-  int64_t over_ms;
+  int64_t overload_end_ms;
 
   (void) state;
   play_for (play, WARM_UP_MS, 10);
-  over_ms = play->now_ms;
+  overload_end_ms = play->now_ms;
   play_for (play, PLAY_MS, 0);
   play->busy_until_us = 0;
-  over_ms = play->now_ms;
+  overload_end_ms = play->now_ms;
   play_for (play, 2000, 1);
-  sum = sum_of (play, over_ms, over_ms + 2000);
+  sum = sum_of (play, overload_end_ms, overload_end_ms + 2000);
   print ("behind it", &sum);
-  assert_int_equal (sum.taken, sum.sent);
+  assert_int_equal (sum.accepted, sum.sent);
   free (play);
 }
 
