--- a/test/unit/test_admission.c
+++ b/test/unit/test_admission.c
@@ -17,7 +17,7 @@
   MuxAdmission admission;
   int64_t now_ms;
   int64_t free_milli;
-  int64_t lower_priority_milli; /* of a queue of lower priority */
+  int64_t lower_priority_milli; /* processor that its running tasks use */
 } Play;
 
 static Play
--- a/test/unit/test_cell_burst.c
+++ b/test/unit/test_cell_burst.c
@@ -35,9 +35,9 @@
 {
   char id[MUX_JOB_ID_LEN];
   bool wide;
-  int64_t sent_ms;     /* first try */
-  int64_t last_try_ms; /* last try */
-  int64_t next_ms;     /* next try; 0: none */
+  int64_t sent_ms; /* first try */
+  int64_t last_try_ms;
+  int64_t next_ms; /* next try; 0: none */
   uint32_t tries;
   uint64_t call;
   bool waits;
