--- a/test/unit/test_admission.c
+++ b/test/unit/test_admission.c
@@ -2,13 +2,13 @@
 
 #include "support/test.h"
 
-/* Which new jobs a cell takes, by its backlog and its rate of placing. */
+/* Which new jobs a cell accepts, by its backlog and its rate of placing. */
 
 #define QUEUE 7
 #define OTHER 8
 #define POOL 1
 #define COUNT_MS 250
-/* Core-milliseconds in a second of a pool of 100 processors. */
+/* Core-milliseconds per second of a pool of 100 processors. */
 #define POOL_MILLI 100000
 #define SLACK_MS 2000
 
@@ -17,7 +17,7 @@
   MuxAdmission admission;
   int64_t now_ms;
   int64_t free_milli;
-  int64_t later_milli; /* of a queue that is served later */
+  int64_t lower_priority_milli; /* processor that its running tasks use */
 } Play;
 
 static Play
@@ -26,7 +26,7 @@
   return (Play){ .now_ms = 1000, .admission = { .counted_ms = 1000 } };
 }
 
-/* A count of @steps of one core-second each, waiting for @waited_ms, after
+/* Counts @steps of one core-second each, waiting for @waited_ms, after
  * @placed of them were placed. */
 static void
 count (Play *play, uint32_t steps, int64_t waited_ms, uint32_t placed)
@@ -46,7 +46,7 @@
     mux_admission_add_waiting (admission, QUEUE, &step);
   step = (MuxAdmissionStep){ .priority = 1, .service = POOL, .slack_ms = 1 };
   mux_admission_add_waiting (admission, OTHER, &step);
-  mux_admission_add_running (admission, OTHER, play->later_milli);
+  mux_admission_add_running (admission, OTHER, play->lower_priority_milli);
   mux_admission_count_end (admission, play->now_ms);
   mux_admission_update_pool (admission, POOL, POOL_MILLI, play->free_milli);
 }
@@ -71,12 +71,13 @@
 }
 
 static uint32_t
-retry_ms (const Play *play, MuxAdmissionJob asked)
+retry_ms (const Play *play, MuxAdmissionJob new_job)
 {
-  return mux_admission_retry_ms (&play->admission, &asked);
+  return mux_admission_retry_ms (&play->admission, &new_job);
 }
 
-/* A job is accepted that can't begin in time: work for 10 s is ahead of it. */
+/* Guards against accepting a job that can't begin in time: work for 10 s is
+ * ahead of it. */
 static void
 test_job_behind_a_long_backlog_is_refused (void **state)
 {
@@ -89,7 +90,8 @@
   assert_int_equal (retry_ms (&play, job (60000)), 0);
 }
 
-/* Callers of a queue without a backlog are refused for that of another. */
+/* Guards against refusing callers of a queue without a backlog because of
+ * another queue's backlog. */
 static void
 test_other_queue_is_not_refused (void **state)
 {
@@ -102,8 +104,8 @@
   assert_int_equal (retry_ms (&play, other), 0);
 }
 
-/* Callers are refused by a cell that has room, for the pause between two of
- * their jobs. */
+/* Guards against refusals by a cell that has room, because of the pause
+ * between two jobs. */
 static void
 test_idle_time_is_no_low_rate (void **state)
 {
@@ -117,9 +119,10 @@
   assert_int_equal (retry_ms (&play, job (1000)), 0);
 }
 
-/* A gust of half a second is refused, though the pool holds all of it. */
+/* Guards against refusing a burst of half a second that the pool can hold
+ * whole. */
 static void
-test_short_gust_is_taken (void **state)
+test_short_burst_is_accepted (void **state)
 {
   Play play = begin ();
 
@@ -130,10 +133,10 @@
   assert_int_equal (retry_ms (&play, job (2000)), 0);
 }
 
-/* What the whole pool can't begin in time is accepted, as it has not waited
- * for long yet. */
+/* Guards against accepting more than the whole pool can begin in time,
+ * because it has not waited long yet. */
 static void
-test_gust_beyond_the_pool_is_refused (void **state)
+test_burst_beyond_the_pool_is_refused (void **state)
 {
   Play play = begin ();
 
@@ -143,10 +146,10 @@
   assert_int_not_equal (retry_ms (&play, job (2000)), 0);
 }
 
-/* Callers are refused while workers are idle, or busy with what is served after
- * them: the wait is not for room. */
+/* Guards against refusals while workers are idle, or busy with work of lower
+ * priority: the backlog does not wait for room. */
 static void
-test_queue_with_room_is_taken_for_longer (void **state)
+test_queue_with_room_is_accepted_for_longer (void **state)
 {
   Play play = begin ();
 
@@ -157,14 +160,15 @@
   play.free_milli = 0;
   count (&play, 400, 1500, 10);
   assert_int_not_equal (retry_ms (&play, job (5000)), 0);
-  play.later_milli = POOL_MILLI / 4;
+  play.lower_priority_milli = POOL_MILLI / 4;
   count (&play, 400, 1500, 10);
   assert_int_equal (retry_ms (&play, job (5000)), 0);
 }
 
-/* Callers are refused for jobs that no worker can hold, beside idle workers. */
+/* Guards against refusals beside idle workers because of jobs that no worker
+ * can hold. */
 static void
-test_jobs_that_nothing_holds_refuse_no_others (void **state)
+test_jobs_too_large_for_any_worker_refuse_no_others (void **state)
 {
   Play play = begin ();
 
@@ -179,9 +183,10 @@
     }
 }
 
-/* A later queue takes the room that an earlier one waits for. */
+/* Guards against a queue of lower priority taking the room that one of
+ * higher priority waits for. */
 static void
-test_later_queue_is_refused_behind_an_earlier_one (void **state)
+test_lower_priority_queue_is_refused_behind_a_higher_one (void **state)
 {
   MuxAdmissionStep late = { .priority = 1, .service = POOL, .slack_ms = 2000 };
   Play play = begin ();
@@ -201,10 +206,10 @@
   assert_int_equal (retry_ms (&play, other), 0);
 }
 
-/* Gangs are refused beside idle workers, as few of them are placed, while all
- * else is placed as it comes. */
+/* Guards against refusing gangs beside idle workers because few of them are
+ * placed, while all else is placed as it arrives. */
 static void
-test_queue_that_alone_waits_beside_idle_workers_is_taken (void **state)
+test_queue_that_alone_waits_beside_idle_workers_is_accepted (void **state)
 {
   Play play = begin ();
 
@@ -219,7 +224,8 @@
   assert_int_equal (retry_ms (&play, job (500)), 0);
 }
 
-/* A planner that can't take more is given more, as workers stand idle. */
+/* Guards against giving an overloaded planner more jobs because workers are
+ * idle. */
 static void
 test_late_placing_beside_idle_workers_refuses (void **state)
 {
@@ -237,10 +243,10 @@
   assert_int_equal (retry_ms (&play, job (10000)), 0);
 }
 
-/* A planner takes jobs without bound after its takeover, until it has measured
- * how fast it places them. */
+/* Guards against a planner accepting jobs without bound after its takeover,
+ * until it has measured its rate of placing. */
 static void
-test_new_planner_is_cautious (void **state)
+test_planner_without_measured_rate_limits_jobs (void **state)
 {
   Play play = begin ();
 
@@ -252,9 +258,10 @@
   assert_int_equal (retry_ms (&play, job (5000)), 0);
 }
 
-/* Callers of a queue that is placed by nobody are told to come at once. */
+/* Guards against callers being told to retry at once in a queue of which
+ * nothing is placed. */
 static void
-test_standstill_refuses (void **state)
+test_queue_without_placements_refuses (void **state)
 {
   Play play = begin ();
 
@@ -264,9 +271,9 @@
   assert_int_not_equal (retry_ms (&play, job (5000)), 0);
 }
 
-/* All who are refused come back at the same moment. */
+/* Guards against all refused callers retrying at the same moment. */
 static void
-test_times_to_come_back_are_spread (void **state)
+test_retry_times_are_spread (void **state)
 {
   Play play = begin ();
   uint32_t least = UINT32_MAX;
@@ -276,32 +283,33 @@
   count_for (&play, 5000, 400, 5000, 10);
   for (uint64_t i = 0; i < 1000; i++)
     {
-      MuxAdmissionJob asked = job (4000);
+      MuxAdmissionJob new_job = job (4000);
       uint32_t ms;
 
-      asked.jitter_seed = i * 7919;
-      ms = retry_ms (&play, asked);
+      new_job.jitter_seed = i * 7919;
+      ms = retry_ms (&play, new_job);
       least = ms < least ? ms : least;
       most = ms > most ? ms : most;
     }
   assert_true (least >= 500 && most <= 8000 && most >= least + 2000);
 }
 
-/* A job of several steps waits in each of its turns. */
+/* A job of several steps waits once for each of them. */
 static void
 test_steps_wait_one_after_the_other (void **state)
 {
   Play play = begin ();
-  MuxAdmissionJob asked = job (30000);
+  MuxAdmissionJob new_job = job (30000);
 
   (void) state;
   count_for (&play, 5000, 400, 5000, 10);
-  assert_int_equal (retry_ms (&play, asked), 0);
-  asked.chain_length = 3;
-  assert_int_not_equal (retry_ms (&play, asked), 0);
+  assert_int_equal (retry_ms (&play, new_job), 0);
+  new_job.chain_length = 3;
+  assert_int_not_equal (retry_ms (&play, new_job), 0);
 }
 
-/* A caller's job of any size counts as none, as its work overflows. */
+/* Guards against a job of any size counting as none because its work
+ * overflows. */
 static void
 test_huge_step_counts_as_much (void **state)
 {
@@ -310,9 +318,9 @@
                > mux_admission_work (1, 1000, 1000));
 }
 
-/* A full table of queues is written beyond its end. */
+/* Guards against a write beyond the end of a full table of queues. */
 static void
-test_too_many_queues_are_not_refused (void **state)
+test_queues_beyond_the_table_are_not_refused (void **state)
 {
   MuxAdmission admission = { .count = 0 };
   MuxAdmissionStep step = { .work = 1, .slack_ms = 1 };
@@ -334,19 +342,20 @@
     cmocka_unit_test (test_job_behind_a_long_backlog_is_refused),
     cmocka_unit_test (test_other_queue_is_not_refused),
     cmocka_unit_test (test_idle_time_is_no_low_rate),
-    cmocka_unit_test (test_short_gust_is_taken),
-    cmocka_unit_test (test_gust_beyond_the_pool_is_refused),
-    cmocka_unit_test (test_queue_with_room_is_taken_for_longer),
-    cmocka_unit_test (test_jobs_that_nothing_holds_refuse_no_others),
-    cmocka_unit_test (test_later_queue_is_refused_behind_an_earlier_one),
-    cmocka_unit_test (test_queue_that_alone_waits_beside_idle_workers_is_taken),
+    cmocka_unit_test (test_short_burst_is_accepted),
+    cmocka_unit_test (test_burst_beyond_the_pool_is_refused),
+    cmocka_unit_test (test_queue_with_room_is_accepted_for_longer),
+    cmocka_unit_test (test_jobs_too_large_for_any_worker_refuse_no_others),
+    cmocka_unit_test (test_lower_priority_queue_is_refused_behind_a_higher_one),
+    cmocka_unit_test (
+        test_queue_that_alone_waits_beside_idle_workers_is_accepted),
     cmocka_unit_test (test_late_placing_beside_idle_workers_refuses),
-    cmocka_unit_test (test_new_planner_is_cautious),
-    cmocka_unit_test (test_standstill_refuses),
-    cmocka_unit_test (test_times_to_come_back_are_spread),
+    cmocka_unit_test (test_planner_without_measured_rate_limits_jobs),
+    cmocka_unit_test (test_queue_without_placements_refuses),
+    cmocka_unit_test (test_retry_times_are_spread),
     cmocka_unit_test (test_steps_wait_one_after_the_other),
     cmocka_unit_test (test_huge_step_counts_as_much),
-    cmocka_unit_test (test_too_many_queues_are_not_refused),
+    cmocka_unit_test (test_queues_beyond_the_table_are_not_refused),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_ask_ahead.c
+++ b/test/unit/test_cell_ask_ahead.c
@@ -3,16 +3,16 @@
 
 #include <string.h>
 
-/* Questions about steps whose turn has not come. */
+/* Approval queries for steps that are not yet ready to start. */
 
 #define CELLS 3
 #define WORKERS 8
 #define TASKS 4
 #define CPU_MILLI 1000
-#define QUESTION_MS 60
-/* A renewal's answer, a pass of the planner and the way to a worker. */
+#define APPROVAL_QUERY_MS 60
+/* The response to a renewal, a planning pass and the call to a worker. */
 #define MARGIN_MS 40
-/* Longer than a proof of the world's policy service lasts. */
+/* Longer than an approval of the test's policy service is valid. */
 #define LONG_TASK_MS 8000
 
 static int64_t
@@ -26,16 +26,17 @@
   return at_ms;
 }
 
-/* Guards against a question and a commit between any two steps of a chain. */
+/* Guards against an approval query and a commit between any two steps of a
+ * chain. */
 static void
-test_next_step_starts_when_the_one_before_ends (void **state)
+test_next_step_starts_when_its_predecessor_ends (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   MuxJobSpec *job = world_job (3, TASKS, CPU_MILLI);
 
   (void) state;
   world_make_urgent (world);
-  world->approval_ms = QUESTION_MS;
+  world->approval_ms = APPROVAL_QUERY_MS;
   world_run (world, 1000);
   (void) world_submit (world, world_planner (world), job, "job-a");
   world_run (world, 6000);
@@ -47,10 +48,10 @@
   world_free (world);
 }
 
-/* Guards against questions whose answers lapse unused: they take the policy
- * service from others. */
+/* Guards against queries whose approvals expire unused: they take the policy
+ * service's time from others. */
 static void
-test_nothing_is_asked_that_would_lapse (void **state)
+test_no_query_whose_approvals_would_expire (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
   MuxJobSpec *job = world_job (2, TASKS, CPU_MILLI);
@@ -68,16 +69,16 @@
   world_free (world);
 }
 
-/* Guards against a step that never runs, as the question that was asked ahead
- * was lost with the daemon that asked it. */
+/* Guards against a step that never runs because the query put ahead for it
+ * was lost with the daemon that put it. */
 static void
-test_lost_question_is_asked_again (void **state)
+test_lost_early_query_is_retried (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
 
   (void) state;
   world_make_urgent (world);
-  world->approval_ms = QUESTION_MS;
+  world->approval_ms = APPROVAL_QUERY_MS;
   world_run (world, 1000);
   (void) world_submit (world, world_planner (world),
                        world_job (2, TASKS, CPU_MILLI), "job-a");
@@ -96,9 +97,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_next_step_starts_when_the_one_before_ends),
-    cmocka_unit_test (test_nothing_is_asked_that_would_lapse),
-    cmocka_unit_test (test_lost_question_is_asked_again),
+    cmocka_unit_test (test_next_step_starts_when_its_predecessor_ends),
+    cmocka_unit_test (test_no_query_whose_approvals_would_expire),
+    cmocka_unit_test (test_lost_early_query_is_retried),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_burst.c
+++ b/test/unit/test_cell_burst.c
@@ -3,46 +3,46 @@
 
 #include <stdio.h>
 
-/* Many times the traffic that the cell serves: what callers get meanwhile, and
- * how soon the usual service is back. */
+/* Many times the traffic that the cell serves: what callers get meanwhile,
+ * and how soon the usual service is back. */
 
 #define CELLS 3
 #define WORKERS 16
 #define TASK_MS 1000
-/* A job of 4 tasks of 8 processors each 70 ms, every tenth one of 16: with 0.92
- * of the room of 16 workers of 32 processors, for a second each. */
+/* A job of 4 tasks of 8 processors each 70 ms, every tenth one of 16: with
+ * 0.92 of the room of 16 workers of 32 processors, for a second each. */
 #define EACH_US INT64_C (83000)
 #define TASKS 4
 #define WIDE_TASKS 16
 #define WIDE_EACH 10
 #define CPU_MILLI 8000
-/* The queue promises five seconds; less for the run. */
+/* The queue's target is five seconds, of which the run takes a part. */
 #define IN_TIME_MS 4000
 #define STEP_MS 10
 #define BEFORE_MS 6000
 #define BURST_MS 10000
 #define AFTER_MS 24000
 #define SETTLED_MS 4000
-#define GUST_MS 500
-/* Between two tries of a caller who was refused, at least. */
-#define TRIES 4
+#define SHORT_BURST_MS 500
+/* A refused caller gives up after this many tries. */
+#define TRIES_MAX 4
 #define JOBS_MAX 2048
 #define AT_ONCE_MS 50
-/* A planner that is silent for so long is not asked, and not replaced yet. */
-#define UNHEARD_MS 900
+/* A planner silent for this long gets no requests and is not yet replaced. */
+#define SILENT_PLANNER_MS 900
 
 typedef struct
 {
   char id[MUX_JOB_ID_LEN];
   bool wide;
-  int64_t sent_ms;  /* first try */
-  int64_t asked_ms; /* last try */
-  int64_t next_ms;  /* next try; 0: none */
+  int64_t sent_ms; /* first try */
+  int64_t last_try_ms;
+  int64_t next_ms; /* next try; 0: none */
   uint32_t tries;
   uint64_t call;
   bool waits;
   bool accepted;
-  bool slow; /* it was refused, and not at once */
+  bool slow; /* refused after more than AT_ONCE_MS */
 } Job;
 
 typedef struct
@@ -53,12 +53,13 @@
   Job job[JOBS_MAX];
 } Play;
 
-/* What came of the jobs that were first sent within some time. */
+/* Outcome of the jobs first submitted within some time. */
 typedef struct
 {
   uint32_t sent;
   uint32_t accepted;
-  uint32_t kept; /* in time, from the try that was accepted on */
+  /* Begun in time, counted from the accepted try. */
+  uint32_t in_time_after_retry;
   uint32_t in_time;
   uint32_t wide;
   uint32_t wide_in_time;
@@ -73,14 +74,14 @@
   if (play->world->cell[cell].dead)
     cell = (cell + 1) % CELLS;
   spec->step[0].estimate_ms = TASK_MS;
-  job->asked_ms = play->world->now_ms;
+  job->last_try_ms = play->world->now_ms;
   job->next_ms = 0;
   job->waits = true;
   job->call = world_submit (play->world, cell, spec, job->id);
 }
 
 static void
-take_answer (Play *play, Job *job)
+receive_answer (Play *play, Job *job)
 {
   const MuxResponse *answer = &play->world->response[job->call];
 
@@ -90,8 +91,8 @@
   job->accepted = answer->outcome == MUX_RESPONSE_ACCEPTED;
   if (answer->outcome != MUX_RESPONSE_REFUSED)
     return;
-  job->slow |= play->world->now_ms - job->asked_ms > AT_ONCE_MS;
-  if (job->tries < TRIES)
+  job->slow |= play->world->now_ms - job->last_try_ms > AT_ONCE_MS;
+  if (job->tries < TRIES_MAX)
     job->next_ms = play->world->now_ms + answer->retry_ms;
 }
 
@@ -108,7 +109,7 @@
   try_job (play, job);
 }
 
-/* Jobs come @tenths / 10 times as fast as the cell serves them. */
+/* Jobs arrive @tenths / 10 times as fast as the cell serves them. */
 static void
 play_for (Play *play, int64_t ms, int64_t tenths)
 {
@@ -126,7 +127,7 @@
         {
           Job *job = &play->job[i];
 
-          take_answer (play, job);
+          receive_answer (play, job);
           if (job->next_ms != 0 && play->world->now_ms >= job->next_ms)
             try_job (play, job);
         }
@@ -150,7 +151,8 @@
         continue;
       sum.sent++;
       sum.accepted += job->accepted;
-      sum.kept += job->accepted && start_ms <= job->asked_ms + IN_TIME_MS;
+      sum.in_time_after_retry
+          += job->accepted && start_ms <= job->last_try_ms + IN_TIME_MS;
       sum.in_time += in_time;
       sum.wide += job->wide;
       sum.wide_in_time += job->wide && in_time;
@@ -158,8 +160,8 @@
   return sum;
 }
 
-/* Tasks of the jobs whose last try came within some time and that began in time
- * from then on: callers who were refused in the burst come again behind it. */
+/* Tasks of the jobs whose last try was within some time and that began in
+ * time from then on: callers refused in the burst retry after it. */
 static uint32_t
 served_tasks (const Play *play, int64_t from_ms, int64_t to_ms)
 {
@@ -168,10 +170,10 @@
   for (uint32_t i = 0; i < play->count; i++)
     {
       const Job *job = &play->job[i];
-      int64_t at_ms = job->asked_ms - play->began_ms;
+      int64_t at_ms = job->last_try_ms - play->began_ms;
       bool in_time = job->accepted
                      && world_first_start_ms (play->world, job->id)
-                            <= job->asked_ms + IN_TIME_MS;
+                            <= job->last_try_ms + IN_TIME_MS;
 
       if (in_time && at_ms >= from_ms && at_ms < to_ms)
         n += job->wide ? WIDE_TASKS : TASKS;
@@ -214,29 +216,29 @@
 {
   print_message ("%s: %u sent, %u accepted, %u in time from then on, %u from "
                  "the first try; wide %u, %u in time\n",
-                 what, sum->sent, sum->accepted, sum->kept, sum->in_time,
-                 sum->wide, sum->wide_in_time);
+                 what, sum->sent, sum->accepted, sum->in_time_after_retry,
+                 sum->in_time, sum->wide, sum->wide_in_time);
 }
 
-/* What is served at ten tenths is the measure of all the others. */
+/* What is served at ten tenths is the reference for all the others. */
 static uint32_t
-usual (int64_t from_ms, int64_t to_ms)
+in_time_of_usual (int64_t from_ms, int64_t to_ms)
 {
   return (uint32_t) ((to_ms - from_ms) * 1000 / EACH_US);
 }
 
 static uint32_t
-usual_tasks (int64_t from_ms, int64_t to_ms)
+in_time_tasks_of_usual (int64_t from_ms, int64_t to_ms)
 {
-  return usual (from_ms, to_ms) * (WIDE_TASKS + (WIDE_EACH - 1) * TASKS)
-         / WIDE_EACH;
+  return in_time_of_usual (from_ms, to_ms)
+         * (WIDE_TASKS + (WIDE_EACH - 1) * TASKS) / WIDE_EACH;
 }
 
 static void
 expect_burst (const Sum *burst)
 {
-  assert_true (burst->in_time * 10 >= usual (0, BURST_MS) * 9);
-  assert_true (burst->kept * 10 >= burst->accepted * 9);
+  assert_true (burst->in_time * 10 >= in_time_of_usual (0, BURST_MS) * 9);
+  assert_true (burst->in_time_after_retry * 10 >= burst->accepted * 9);
   /* At least half as often as all. */
   assert_true (2 * burst->wide_in_time * burst->sent
                >= burst->in_time * burst->wide);
@@ -266,16 +268,17 @@
   print ("before", &before);
   print ("burst", &burst);
   print_message ("after: %u tasks in time of %u; %u refused late\n", after,
-                 usual_tasks (after_ms, end_ms), slow_refusals (play));
+                 in_time_tasks_of_usual (after_ms, end_ms),
+                 slow_refusals (play));
   assert_int_equal (before.in_time, before.sent);
   expect_burst (&burst);
-  assert_true (after * 10 >= usual_tasks (after_ms, end_ms) * 9);
+  assert_true (after * 10 >= in_time_tasks_of_usual (after_ms, end_ms) * 9);
   assert_true (lost || slow_refusals (play) == 0);
   assert_false (world_double_run (play->world));
   finish (play);
 }
 
-/* Callers are refused though their job can begin as it comes. */
+/* Guards against refusing callers whose job can begin as it arrives. */
 static void
 test_usual_traffic_is_not_refused (void **state)
 {
@@ -291,28 +294,28 @@
   finish (play);
 }
 
-/* A gust of half a second is refused, though the backlog that it leaves is
- * worked off in time. */
+/* Guards against refusing a burst of half a second though the backlog that
+ * it leaves is worked off in time. */
 static void
-test_short_gust_is_not_refused (void **state)
+test_short_burst_is_not_refused (void **state)
 {
   Play *play = begin ();
   Sum sum;
 
   (void) state;
   play_for (play, BEFORE_MS, 8);
-  play_for (play, GUST_MS, 25);
+  play_for (play, SHORT_BURST_MS, 25);
   play_for (play, AFTER_MS, 8);
-  sum = sum_of (play, BEFORE_MS, BEFORE_MS + GUST_MS);
+  sum = sum_of (play, BEFORE_MS, BEFORE_MS + SHORT_BURST_MS);
   print ("gust", &sum);
   assert_int_equal (sum.in_time, sum.sent);
   finish (play);
 }
 
-/* A cell accepts all of a burst, and what is served in time falls under what
- * it serves without one, until long after. */
+/* Guards against a cell that accepts all of a burst and, until long after,
+ * begins fewer jobs in time than without a burst. */
 static void
-test_burst_leaves_what_is_served_in_time (void **state)
+test_burst_leaves_as_many_jobs_in_time (void **state)
 {
   (void) state;
   play_burst (25, false);
@@ -320,21 +323,19 @@
   play_burst (100, false);
 }
 
-/* The same, and the next planner begins with nothing measured. */
+/* The same, and a successor begins with no measured rates. */
 static void
-test_burst_with_a_takeover_leaves_service (void **state)
+test_burst_with_a_takeover_leaves_jobs_in_time (void **state)
 {
   (void) state;
   play_burst (50, true);
 }
 
-/*
- * A planner that can't take more is given more: it does not answer in time, and
- * the daemons store for it what they are handed.  Until it counts as gone they
- * refuse; then they serve as before.
- */
+/* Guards against giving more jobs to an overloaded planner: it does not
+ * respond in time, and the daemons store for it what is submitted to them.
+ * Until it counts as failed they refuse; then they serve as before. */
 static void
-test_planner_behind_its_load_gets_no_more (void **state)
+test_overloaded_planner_gets_no_more_jobs (void **state)
 {
   Play *play = begin ();
   World *world = play->world;
@@ -346,7 +347,7 @@
   (void) state;
   play_for (play, BEFORE_MS, 30);
   world->cell[planner].frozen = true;
-  world_run (world, UNHEARD_MS);
+  world_run (world, SILENT_PLANNER_MS);
   commits = world->own_commits[other];
   call = world_submit (world, other, world_job (1, TASKS, CPU_MILLI), "job-x");
   world_run (world, AT_ONCE_MS);
@@ -366,10 +367,10 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_usual_traffic_is_not_refused),
-    cmocka_unit_test (test_short_gust_is_not_refused),
-    cmocka_unit_test (test_burst_leaves_what_is_served_in_time),
-    cmocka_unit_test (test_burst_with_a_takeover_leaves_service),
-    cmocka_unit_test (test_planner_behind_its_load_gets_no_more),
+    cmocka_unit_test (test_short_burst_is_not_refused),
+    cmocka_unit_test (test_burst_leaves_as_many_jobs_in_time),
+    cmocka_unit_test (test_burst_with_a_takeover_leaves_jobs_in_time),
+    cmocka_unit_test (test_overloaded_planner_gets_no_more_jobs),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_gang_faults.c
+++ b/test/unit/test_cell_gang_faults.c
@@ -5,42 +5,40 @@
 #include <stdlib.h>
 
 /*
- * Gangs under faults drawn by a seed: daemons, the store, the policy service,
- * messages and workers fail in any order for some seconds, then all is well
- * again.  Whatever was lost on the way, each gang that was accepted then comes
- * to its end, as the cell has room for it, and no task runs twice at a time.
- *
- * GANG_SEED=n plays that seed alone, GANG_SEEDS=n so many from GANG_SEED on,
- * GANG_WORKERS=350 on so many workers.
+ * Gangs under randomized faults: daemons, the store, the policy service,
+ * messages and workers fail in any order for some seconds, then all work
+ * again. Whatever was lost, each accepted gang then ends, as the cell has room
+ * for it, and no task runs twice at a time. GANG_SEED=n plays that seed alone,
+ * GANG_SEEDS=n so many from GANG_SEED on, GANG_WORKERS=350 on so many workers.
  */
 
 #define CELLS 3
-/* Over 96, so that daemons carry the planner's calls. */
+/* Over 96, so that daemons proxy the planner's calls. */
 #define WORKERS 120
 #define APPROVED_ONE_IN 3
-/* Seeds of a usual run: 4 s of processor with the cases below. */
+/* Seeds of a usual run: 4 s of processor time with the cases below. */
 #define SEEDS 8
 #define MORE_SEEDS 4
 #define FAULTS_MS 7000
 #define STEP_MS 10
 /* Between two faults. */
-#define APART_MS 300
-/* A worker that the new planner never heard counts as free after 8 s of trust,
- * 4 s of lease and a margin. */
-#define SETTLES_MS 14000
-/* After that something starts at least so often: two questions to the policy
- * service, the longest task and a stop that is asked for again. */
-#define STANDS_MS 6000
-/* All jobs end in time, however they stand in each other's way. */
+#define FAULT_INTERVAL_MS 300
+/* A worker that the new planner never heard from counts as free after 8 s of
+ * trust, 4 s of lease and a margin. */
+#define RECOVERY_MS 14000
+/* After that something starts at least so often: two approval queries, the
+ * longest task and a stop that is sent again. */
+#define IDLE_MAX_MS 6000
+/* All jobs end within this, however they compete. */
 #define ENDS_WITHIN_MS 60000
 #define JOBS_MAX 64
-#define LEAVE_MAX 6
-/* Of the policy service in a play with more faults: 0.7 s for 40 workers, 1.1 s
- * for a hundred. */
-#define QUESTION_MS 442
-#define QUESTION_WORKER_US 6370
-/* Longest answer of the policy service that still counts as one. */
-#define ANSWER_MAX_MS 350
+#define REMOVED_WORKERS_MAX 6
+/* Of the policy service in a play with more faults: 0.7 s for 40 workers,
+ * 1.1 s for a hundred. */
+#define APPROVAL_QUERY_MS 442
+#define APPROVAL_QUERY_US_PER_WORKER 6370
+/* Longest response time of the policy service that is not a time-out. */
+#define APPROVAL_TIMEOUT_MS 350
 
 typedef enum
 {
@@ -50,9 +48,9 @@
   FAULT_DAEMON_CUT,
   FAULT_PEERS_CUT,
   FAULT_STORE,
-  FAULT_ANSWERS_LOST,
-  FAULT_ANSWERS_SLOW,
-  FAULT_ORDERS,
+  FAULT_APPROVALS_LOST,
+  FAULT_APPROVALS_SLOW,
+  FAULT_COMMANDS,
   FAULT_WORKERS_CUT,
   FAULT_WORKERS_FAIL,
   FAULT_WORKERS_RESTART,
@@ -69,17 +67,22 @@
   World *world;
   uint64_t random;
   uint32_t workers;
-  bool more; /* kinds of faults and gangs */
+  bool more; /* more kinds of faults and gangs */
   int64_t next_fault_ms;
-  int64_t back_ms[CELLS];   /* a daemon that died */
-  int64_t thaw_ms[CELLS];   /* one that is frozen */
-  int64_t uncut_ms[CELLS];  /* one that is cut off */
-  int64_t serves_ms[CELLS]; /* one that the store fails */
-  int64_t peers_ms;         /* messages are lost */
-  int64_t answers_ms;       /* the policy service's answers are lost */
-  int64_t worker_ms[WORLD_WORKERS_MAX]; /* a worker that does ill */
+  /* When each daemon that died is restarted, a frozen one resumes, and the
+   * partition or the lack of the store of one ends. */
+  int64_t restart_at_ms[CELLS];
+  int64_t resume_at_ms[CELLS];
+  int64_t partition_end_ms[CELLS];
+  int64_t store_back_at_ms[CELLS];
+  /* Until then messages between daemons, and responses of the policy service,
+   * are lost. */
+  int64_t messages_lost_until_ms;
+  int64_t approvals_lost_until_ms;
+  /* Until then the worker has a fault. */
+  int64_t worker_fault_until_ms[WORLD_WORKERS_MAX];
   bool unlisted[WORLD_WORKERS_MAX];
-  uint32_t left; /* workers that were to leave for good */
+  uint32_t removed_workers; /* so far */
   uint32_t job_count;
   uint64_t call[JOBS_MAX];
   char job[JOBS_MAX][MUX_JOB_ID_LEN];
@@ -95,13 +98,13 @@
 }
 
 static int64_t
-until (Play *play, uint32_t most_ms)
+fault_end_ms (Play *play, uint32_t most_ms)
 {
   return play->world->now_ms + 1 + draw (play, most_ms);
 }
 
 static uint32_t
-living (const Play *play, uint32_t from)
+first_running_daemon (const Play *play, uint32_t from)
 {
   for (uint32_t i = 0; i < CELLS; i++)
     {
@@ -113,8 +116,8 @@
   return CELLS;
 }
 
-/* One task a worker where the approved third has enough of them; one rack, if
- * it has room; or as much memory for a task as half of a worker has. */
+/* One task a worker where the approved third has enough of them; one rack,
+ * if it has room; or as much memory for a task as half of a worker has. */
 static void
 vary (Play *play, MuxJobSpec *job)
 {
@@ -131,14 +134,15 @@
     }
 }
 
-/* Widths and sizes at which the approved third holds it, some workers lost. */
+/* Widths and sizes at which the approved third holds it, with some workers
+ * lost. */
 static void
 submit_gang (Play *play)
 {
   static const uint32_t width[] = { 20, 32, 56, 12 };
   static const uint32_t cpu_milli[] = { 30000, 30000, 15000, 10000 };
   uint32_t kind = draw (play, 4);
-  uint32_t cell = living (play, draw (play, CELLS));
+  uint32_t cell = first_running_daemon (play, draw (play, CELLS));
   MuxJobSpec *job;
 
   if (cell == CELLS || play->job_count == JOBS_MAX)
@@ -158,7 +162,7 @@
 static void
 submit_tasks (Play *play)
 {
-  uint32_t cell = living (play, draw (play, CELLS));
+  uint32_t cell = first_running_daemon (play, draw (play, CELLS));
 
   if (cell == CELLS || play->job_count == JOBS_MAX)
     return;
@@ -176,15 +180,15 @@
   uint32_t cell = draw (play, CELLS);
 
   world_cell_kill (play->world, cell);
-  play->thaw_ms[cell] = 0;
-  play->back_ms[cell] = back_ms;
+  play->resume_at_ms[cell] = 0;
+  play->restart_at_ms[cell] = back_ms;
 }
 
-/* For good; few enough that the gangs still fit. */
+/* Removes a worker permanently; few enough that the gangs still fit. */
 static void
-leave (Play *play, uint32_t number)
+remove_worker (Play *play, uint32_t number)
 {
-  if (play->left++ >= LEAVE_MAX)
+  if (play->removed_workers++ >= REMOVED_WORKERS_MAX)
     return;
   world_worker_restart (play->world, number);
   world_worker_unlist (play->world, number, true);
@@ -192,7 +196,7 @@
 }
 
 static void
-workers_do_ill (Play *play, Fault fault)
+make_workers_fail (Play *play, Fault fault)
 {
   uint32_t count = 1 + draw (play, 10);
 
@@ -203,7 +207,7 @@
 
       if (!worker->used)
         continue;
-      if (fault == FAULT_ORDERS)
+      if (fault == FAULT_COMMANDS)
         worker->fault = (WorldFault) (1 + draw (play, 3));
       worker->unreachable = worker->unreachable || fault == FAULT_WORKERS_CUT;
       worker->fails = worker->fails || fault == FAULT_WORKERS_FAIL;
@@ -217,8 +221,8 @@
           play->unlisted[number] = true;
         }
       if (fault == FAULT_WORKERS_LEAVE)
-        leave (play, number);
-      play->worker_ms[number] = until (play, 6000);
+        remove_worker (play, number);
+      play->worker_fault_until_ms[number] = fault_end_ms (play, 6000);
     }
 }
 
@@ -233,68 +237,68 @@
   if (fault == FAULT_DAEMON_RESTARTS)
     daemon_dies (play, world->now_ms + 1);
   else if (fault == FAULT_DAEMON_DIES)
-    daemon_dies (play, until (play, 2500));
+    daemon_dies (play, fault_end_ms (play, 2500));
   else if (fault == FAULT_DAEMON_FREEZES)
     {
       world->cell[cell].frozen = true;
-      play->thaw_ms[cell] = until (play, 2000);
+      play->resume_at_ms[cell] = fault_end_ms (play, 2000);
     }
   else if (fault == FAULT_DAEMON_CUT)
     {
       world->cell[cell].isolated = true;
-      play->uncut_ms[cell] = until (play, 1500);
+      play->partition_end_ms[cell] = fault_end_ms (play, 1500);
     }
   else if (fault == FAULT_PEERS_CUT)
     {
       world->peers_cut = true;
-      play->peers_ms = until (play, 800);
+      play->messages_lost_until_ms = fault_end_ms (play, 800);
     }
   else if (fault == FAULT_STORE)
     {
       world->cell[cell].store = (WorldFault) (1 + draw (play, 3));
-      play->serves_ms[cell] = until (play, 1500);
+      play->store_back_at_ms[cell] = fault_end_ms (play, 1500);
     }
-  else if (fault == FAULT_ANSWERS_LOST)
+  else if (fault == FAULT_APPROVALS_LOST)
     {
       world->lose_approvals = true;
-      play->answers_ms = until (play, 1000);
+      play->approvals_lost_until_ms = fault_end_ms (play, 1000);
     }
-  else if (fault == FAULT_ANSWERS_SLOW && play->more)
-    world_slow_approvals (world, 1 + draw (play, QUESTION_MS),
-                          QUESTION_WORKER_US);
-  else if (fault == FAULT_ANSWERS_SLOW)
-    world->approval_ms = 1 + draw (play, ANSWER_MAX_MS);
+  else if (fault == FAULT_APPROVALS_SLOW && play->more)
+    world_slow_approvals (world, 1 + draw (play, APPROVAL_QUERY_MS),
+                          APPROVAL_QUERY_US_PER_WORKER);
+  else if (fault == FAULT_APPROVALS_SLOW)
+    world->approval_ms = 1 + draw (play, APPROVAL_TIMEOUT_MS);
   else
-    workers_do_ill (play, fault);
+    make_workers_fail (play, fault);
 }
 
 static void
-mend_daemon (Play *play, uint32_t i, int64_t now)
+end_daemon_faults (Play *play, uint32_t i, int64_t now)
 {
   WorldCell *cell = &play->world->cell[i];
 
-  if (cell->dead && now >= play->back_ms[i])
+  if (cell->dead && now >= play->restart_at_ms[i])
     world_cell_start (play->world, i);
-  if (now >= play->thaw_ms[i])
+  if (now >= play->resume_at_ms[i])
     cell->frozen = false;
-  if (now >= play->uncut_ms[i])
+  if (now >= play->partition_end_ms[i])
     cell->isolated = false;
-  if (now >= play->serves_ms[i])
+  if (now >= play->store_back_at_ms[i])
     cell->store = WORLD_SERVES;
 }
 
-/* What was to last until @now is over. */
+/* Ends the faults that were to last until @now. */
 static void
-mend (Play *play, int64_t now)
+end_faults (Play *play, int64_t now)
 {
   for (uint32_t i = 0; i < CELLS; i++)
-    mend_daemon (play, i, now);
-  if (now >= play->peers_ms)
+    end_daemon_faults (play, i, now);
+  if (now >= play->messages_lost_until_ms)
     play->world->peers_cut = false;
-  if (now >= play->answers_ms)
+  if (now >= play->approvals_lost_until_ms)
     play->world->lose_approvals = false;
   for (uint32_t i = 0; i < play->workers; i++)
-    if (now >= play->worker_ms[i])
+    if (now >= play->worker_fault_until_ms[i])
       {
         if (play->unlisted[i] && play->world->worker[i].used)
           world_worker_unlist (play->world, i, false);
@@ -316,17 +320,17 @@
   while (world->now_ms < end_ms)
     {
       world_run (world, STEP_MS);
-      mend (play, world->now_ms);
+      end_faults (play, world->now_ms);
       if (world->now_ms < play->next_fault_ms)
         continue;
-      play->next_fault_ms = until (play, 2 * APART_MS);
+      play->next_fault_ms = fault_end_ms (play, 2 * FAULT_INTERVAL_MS);
       begin_fault (play);
       if (draw (play, 4) == 0)
         submit_gang (play);
       if (draw (play, 2) == 0)
         submit_tasks (play);
     }
-  mend (play, INT64_MAX);
+  end_faults (play, INT64_MAX);
 }
 
 static bool
@@ -349,7 +353,7 @@
 
 /* Return: the first accepted job that has not ended; NULL: none. */
 static const char *
-left_standing (const Play *play)
+first_unfinished_job (const Play *play)
 {
   for (uint32_t i = 0; i < play->job_count; i++)
     if (is_accepted (play, i) && !has_ended (play->world, play->job[i]))
@@ -362,11 +366,11 @@
 {
   World *world = play->world;
   uint32_t starts = world->start_count;
-  int64_t moved_ms = calm_ms + SETTLES_MS;
+  int64_t moved_ms = calm_ms + RECOVERY_MS;
 
   while (world->now_ms < calm_ms + ENDS_WITHIN_MS
-         && world->now_ms < moved_ms + STANDS_MS
-         && left_standing (play) != NULL)
+         && world->now_ms < moved_ms + IDLE_MAX_MS
+         && first_unfinished_job (play) != NULL)
     {
       world_run (world, 200);
       if (world->start_count != starts && world->now_ms > moved_ms)
@@ -408,10 +412,11 @@
   play->more = more;
   play->random = seed * UINT64_C (0x9e3779b97f4a7c15) + 1;
   world->approve_one_in = APPROVED_ONE_IN;
-  world->approval_ms = 1 + draw (play, ANSWER_MAX_MS);
+  world->approval_ms = 1 + draw (play, APPROVAL_TIMEOUT_MS);
   world->approve_by_job = true;
   if (more)
-    world_slow_approvals (world, QUESTION_MS, QUESTION_WORKER_US);
+    world_slow_approvals (world, APPROVAL_QUERY_MS,
+                          APPROVAL_QUERY_US_PER_WORKER);
   world->task_ms = 300 + draw (play, 1000);
   world_run (world, 1000);
   for (uint32_t i = 0; i < 3; i++)
@@ -419,7 +424,7 @@
   play_faults (play);
   calm_ms = world->now_ms;
   run_to_the_end (play, calm_ms);
-  job = left_standing (play);
+  job = first_unfinished_job (play);
   if (job != NULL)
     fail_msg ("seed %llu: %s has not ended %lld ms after the last fault",
               (unsigned long long) seed, job,
@@ -448,11 +453,11 @@
 }
 
 /*
- * Steps of wide gangs need a question to the policy service, room on a dozen
- * workers at once, proofs and starts that all arrive.  What any of these leaves
- * behind when it is lost, such as a question that counts as under way, room
- * that counts as taken or a worker as not approved, must end by itself: else a
- * gang waits for good while the cell stands idle, and its caller sees nothing.
+ * Steps of wide gangs need an approval query, room on a dozen workers at once,
+ * approvals and starts that all arrive. What any of these leaves behind when
+ * it is lost, such as a query that counts as in flight, room that counts as
+ * booked or a worker as not approved, must expire by itself: else a gang waits
+ * for ever while the cell is idle, and its caller sees nothing.
  */
 static void
 test_gangs_end_after_any_faults (void **state)
@@ -466,8 +471,8 @@
     play_seed (first + i);
 }
 
-/* The same with workers that drain, lapse from the list and leave, questions
- * that take as long as those about many workers do, and gangs bound to one task
+/* The same with workers that drain, expire from the list and leave, queries
+ * that take as long as those of many workers do, and gangs bound to one task
  * a worker, to one rack, or by memory. */
 static void
 test_gangs_end_after_more_faults (void **state)
@@ -483,14 +488,14 @@
 }
 
 /*
- * The planner's process is killed with calls under way that other daemons
- * carry, comes back, and plans again at once.  A worker refuses an order of the
- * former process, as it has seen the new one, and the carrier tells so.  If the
- * new process has a start under way by the same number it takes that for
- * refused, and starts the task a second time while it runs.
+ * The planner's process is killed with proxied calls in flight, restarts, and
+ * plans again at once. A worker refuses a command of the previous process, as
+ * it has seen the new one, and the proxy reports so. If the new process has a
+ * start with the same number in flight it takes that for refused, and starts
+ * the task a second time while it runs.
  */
 static void
-test_answer_to_a_former_process_ends_no_call (void **state)
+test_response_to_a_previous_process_ends_no_call (void **state)
 {
   (void) state;
   play_seed (53);
@@ -499,13 +504,13 @@
 }
 
 /*
- * The policy service gets slower than it was when the jobs came, by somewhat
- * less than the time by which an answer may be late.  Those of a busy moment
- * come a few ms after they were given up, again and again, and a gang of twelve
- * stands for 25 s with most of the cell free.
+ * The policy service gets slower than it was when the jobs arrived, by
+ * somewhat less than the time by which a response may be late. Under load
+ * responses arrive a few ms after their time-out, repeatedly, and a gang of
+ * twelve waits for 25 s with most of the cell free.
  */
 static void
-test_service_slower_than_told_holds_no_gang_up (void **state)
+test_policy_service_slower_than_configured_delays_no_gang (void **state)
 {
   (void) state;
   play_faults_of (353, WORKERS, true);
@@ -517,8 +522,9 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_gangs_end_after_any_faults),
     cmocka_unit_test (test_gangs_end_after_more_faults),
-    cmocka_unit_test (test_answer_to_a_former_process_ends_no_call),
-    cmocka_unit_test (test_service_slower_than_told_holds_no_gang_up),
+    cmocka_unit_test (test_response_to_a_previous_process_ends_no_call),
+    cmocka_unit_test (
+        test_policy_service_slower_than_configured_delays_no_gang),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_lasting.c
+++ b/test/unit/test_cell_lasting.c
@@ -4,27 +4,27 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Tasks that are to last run again within some seconds, however full the
- * service is, while some worker has room for them. */
+/* Long-running tasks run again within some seconds, however full the cell
+ * is, while some worker has room for them. */
 
 #define CELLS 3
 #define WORKERS 8
-/* Longer than any of these stories. */
+/* Longer than any of these tests. */
 #define LONG_TASK_MS 60000
-#define LASTS_MS 600000
-#define LASTING_CPU_MILLI 4000
-/* Of each worker the most; a lasting task fits beside one. */
+#define ENDLESS_TASK_MS 600000
+#define LONG_RUNNING_CPU_MILLI 4000
+/* Most of each worker; a long-running task fits beside one. */
 #define BUSY_CPU_MILLI 26000
 #define GANG_CPU_MILLI 30000
 #define GANGS_APART_MS 1000
 /* From the end of its last run. */
-#define BACK_MS 6000
+#define RESTART_MS 6000
 
 static World *
-world_with_a_lasting_task (void)
+world_with_a_long_running_task (void)
 {
   World *world = world_new (CELLS, WORKERS);
-  MuxJobSpec *job = world_job (1, 1, LASTING_CPU_MILLI);
+  MuxJobSpec *job = world_job (1, 1, LONG_RUNNING_CPU_MILLI);
 
   job->step[0].long_running = true;
   world_set_priority (world, 3);
@@ -58,12 +58,12 @@
   (void) world_submit (world, world_planner (world), gang, id);
 }
 
-/* Guards against a lasting task that waits beside room which is kept for gangs
- * of a more urgent queue, one after the other. */
+/* Guards against a long-running task that waits beside room which is kept
+ * for gangs of a queue of higher priority, one after the other. */
 static void
-test_lasting_task_takes_room_that_is_kept_for_gangs (void **state)
+test_long_running_task_uses_room_that_is_kept_for_gangs (void **state)
 {
-  World *world = world_with_a_lasting_task ();
+  World *world = world_with_a_long_running_task ();
 
   (void) state;
   world_set_priority (world, 1);
@@ -76,7 +76,7 @@
   submit_gang (world, 0);
   world_run (world, 1000);
   end_its_run (world);
-  for (uint32_t i = 1; i <= BACK_MS / GANGS_APART_MS; i++)
+  for (uint32_t i = 1; i <= RESTART_MS / GANGS_APART_MS; i++)
     {
       submit_gang (world, i);
       world_run (world, GANGS_APART_MS);
@@ -85,30 +85,31 @@
   world_free (world);
 }
 
-/* More than half of a worker, and more than is left beside it. */
+/* More than half of a worker, and more than is free beside it. */
 #define HALF_CPU_MILLI 17000
 #define WIDE_CPU_MILLI 20000
 #define SMALL_CPU_MILLI 10000
 /* Longer than the end of what waits is worth something. */
 #define BUSY_MS 30000
 
-/* Guards against room that is kept for a gang which can't have it, as tasks
- * that never end hold the rest of those workers: others wait for good. */
+/* Guards against room that is kept for a gang which can't use it, because
+ * tasks that never end hold the rest of those workers: other steps wait for
+ * ever. */
 static void
 test_gang_keeps_no_room_beside_tasks_that_never_end (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  MuxJobSpec *lasting = world_job (1, WORKERS, HALF_CPU_MILLI);
+  MuxJobSpec *long_running_job = world_job (1, WORKERS, HALF_CPU_MILLI);
   MuxJobSpec *gang = world_job (1, WORKERS, WIDE_CPU_MILLI);
   uint32_t planner;
 
   (void) state;
-  lasting->step[0].long_running = true;
+  long_running_job->step[0].long_running = true;
   gang->step[0].gang = true;
   world_run (world, 1000);
   planner = world_planner (world);
-  world->task_ms = LASTS_MS;
-  (void) world_submit (world, planner, lasting, "lasting");
+  world->task_ms = ENDLESS_TASK_MS;
+  (void) world_submit (world, planner, long_running_job, "lasting");
   world_run (world, 1000);
   assert_int_equal (world_starts (world, "lasting"), WORKERS);
   world->task_ms = BUSY_MS;
@@ -120,21 +121,21 @@
   world_run (world, 100);
   (void) world_submit (world, planner, world_job (1, WORKERS, SMALL_CPU_MILLI),
                        "small");
-  world_run (world, BUSY_MS + BACK_MS);
+  world_run (world, BUSY_MS + RESTART_MS);
   assert_int_equal (world_starts (world, "gang"), 0);
   assert_int_equal (world_starts (world, "small"), WORKERS);
   world_free (world);
 }
 
-/* What comes in a second is a quarter more than fits. */
+/* What arrives in a second is a quarter more than fits. */
 #define STREAM_APART_MS 100
 #define STREAM_TASKS 8
 #define STREAM_TASK_MS 1000
-#define QUESTION_MIN_MS 100
-#define QUESTION_MAX_MS 600
-#define QUESTIONS_APART_MS 100
+#define QUERY_MIN_MS 100
+#define QUERY_MAX_MS 600
+#define QUERY_INCREMENT_MS 100
 /* Six seconds without a run, and three in which it is to run. */
-#define OWED_MS 9000
+#define RESTART_MAX_MS 9000
 
 static void
 submit_stream (World *world, uint32_t number)
@@ -143,14 +144,14 @@
 
   snprintf (id, sizeof id, "stream-%u", number);
   (void) world_submit (world, world_planner (world),
-                       world_job (1, STREAM_TASKS, LASTING_CPU_MILLI), id);
+                       world_job (1, STREAM_TASKS, LONG_RUNNING_CPU_MILLI), id);
   world_run (world, STREAM_APART_MS);
 }
 
 static void
 play_full_pool (uint32_t question_ms)
 {
-  World *world = world_with_a_lasting_task ();
+  World *world = world_with_a_long_running_task ();
   uint32_t n = 0;
 
   world_slow_approvals (world, question_ms, 1000);
@@ -162,20 +163,19 @@
   end_its_run (world);
   submit_stream (world, n++);
   world->worker[world->start[0].worker].fails = false;
-  while (n < (3000 + OWED_MS) / STREAM_APART_MS)
+  while (n < (3000 + RESTART_MAX_MS) / STREAM_APART_MS)
     submit_stream (world, n++);
   assert_true (world_starts (world, "lasting") > 1);
   world_free (world);
 }
 
-/* Guards against a lasting task that never runs in a full pool, as a more
- * urgent queue takes each gap before its approval is there. */
+/* Guards against a long-running task that never runs in a full pool, because
+ * a queue of higher priority takes each gap before its approval arrives. */
 static void
-test_lasting_task_runs_again_in_a_full_pool (void **state)
+test_long_running_task_runs_again_in_a_full_pool (void **state)
 {
   (void) state;
-  for (uint32_t ms = QUESTION_MIN_MS; ms <= QUESTION_MAX_MS;
-       ms += QUESTIONS_APART_MS)
+  for (uint32_t ms = QUERY_MIN_MS; ms <= QUERY_MAX_MS; ms += QUERY_INCREMENT_MS)
     play_full_pool (ms);
 }
 
@@ -183,9 +183,9 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_lasting_task_takes_room_that_is_kept_for_gangs),
+    cmocka_unit_test (test_long_running_task_uses_room_that_is_kept_for_gangs),
     cmocka_unit_test (test_gang_keeps_no_room_beside_tasks_that_never_end),
-    cmocka_unit_test (test_lasting_task_runs_again_in_a_full_pool),
+    cmocka_unit_test (test_long_running_task_runs_again_in_a_full_pool),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_late.c
+++ b/test/unit/test_cell_late.c
@@ -4,12 +4,12 @@
 #include <stdio.h>
 #include <string.h>
 
-/* A planner that has more to do than its processor bears, and is late. */
+/* A planner that is late because its processor is overloaded. */
 
 #define CELLS 3
-/* Over 96, so that daemons carry the planner's calls. */
+/* Over 96, so that daemons proxy the planner's calls. */
 #define WORKERS 120
-/* A carried renewal that waits for news for a second counts as unanswered a
+/* A proxied renewal that waits for news for a second counts as unanswered a
  * second later. */
 #define LATE_MS 2500
 #define TASK_MS 30000
@@ -28,9 +28,9 @@
     }
 }
 
-/* Little by little, so that its answers to greetings never stay away. */
+/* In small steps, so that its responses to hellos are never missed. */
 static void
-fall_behind (World *world, uint32_t cell)
+make_late (World *world, uint32_t cell)
 {
   while (world->cell[cell].input_delay_ms < LATE_MS)
     {
@@ -40,15 +40,15 @@
 }
 
 /*
- * Tasks run again that are running, or done.  A planner takes what arrives
- * seconds after it came.  Answers of its workers wait in its own queue when
- * their time is up, and count as lost; it takes the workers for lost, calls
- * them itself, which costs it more, and once their leases are over starts their
- * tasks elsewhere.  Told by worker_lost and worker_back in turn for workers
- * that answer within a ms: 641 times, and 86 starts of 80 tasks, before the
- * time of calls passed with what was taken; and 124 starts while a worker's
- * clock was counted from when its answer was taken, so that leases were asked
- * too short.
+ * Tasks run again that are running, or done. A planner handles what arrives
+ * seconds after it came. Responses of its workers are in its own queue when
+ * their time-outs expire, and count as lost; it takes the workers for lost,
+ * calls them itself, which costs it more, and once their leases have expired
+ * starts their tasks elsewhere. The log shows worker_lost and worker_back in
+ * turn for workers that respond within a ms: 641 times, and 86 starts of 80
+ * tasks, before the time-outs allowed for messages not yet handled; and 124
+ * starts while a worker's clock was counted from when its response was
+ * handled, so that the leases requested were too short.
  */
 static void
 test_late_planner_loses_no_worker (void **state)
@@ -62,7 +62,7 @@
   submit_jobs (world);
   world_run (world, 3000);
   assert_int_equal (world->start_count, 2 * JOBS);
-  fall_behind (world, planner);
+  make_late (world, planner);
   world_run (world, TASK_MS + 10000);
   assert_int_equal (world_planner (world), planner);
   print_message ("%u workers lost, %u dead, %u starts\n",
@@ -88,11 +88,11 @@
 }
 
 /*
- * Callers wait for 1.4 s and hear that nobody knows whether their job was
- * accepted; it is, by a planner that can't start it in time, and that is later
- * with each job.  The planner takes what arrives 2.5 s after it came: its
- * planner_late line tells by how much.  New jobs are refused at once, wherever
- * they are handed in, until it has caught up.
+ * Callers wait for 1.4 s and are told that it is unknown whether their job was
+ * accepted; it is, by a planner that can't start it in time and gets later
+ * with each job. The planner handles what arrives 2.5 s after it came: its
+ * planner_late line says by how much. New jobs are refused at once by all
+ * daemons until it has caught up.
  */
 static void
 test_late_planner_refuses_new_jobs_at_once (void **state)
@@ -103,7 +103,7 @@
 
   (void) state;
   world_run (world, 1000);
-  fall_behind (world, planner);
+  make_late (world, planner);
   world_run (world, LATE_MS);
   assert_int_equal (outcome_at_once (world, planner, "job-a"),
                     MUX_RESPONSE_REFUSED);
@@ -122,19 +122,19 @@
 }
 
 #define MANY_WORKERS 352
-/* Workers that a planner with carriers calls itself at a time; each at most so
- * often while it answers at once or not at all. */
+/* Workers that a planner with proxies calls itself at a time, and the
+ * highest rate of calls to each while it responds at once or not at all. */
 #define DIRECT_MAX 96
 #define CALLS_PER_S 5
 
 /*
- * The cell stands still and the planner's process ends for its memory.  Daemons
- * that carry its calls are late, their answers come when the calls' time is
- * up, and the planner calls all workers itself, each over a connection of its
- * own; with 3000 workers it had 3508 connections and 512 MB.
+ * The cell stops and the planner's process is killed for its memory. Proxies
+ * of its calls are late, their responses arrive after the calls' time-outs,
+ * and the planner calls all workers itself, each over a connection of its own;
+ * with 3000 workers it had 3508 connections and 512 MB.
  */
 static void
-test_late_carriers_do_not_cost_the_planner_its_memory (void **state)
+test_late_proxies_do_not_exhaust_the_planners_memory (void **state)
 {
   World *world = world_new (CELLS, MANY_WORKERS);
   uint32_t planner = world_planner (world);
@@ -144,7 +144,7 @@
   world_run (world, 1000);
   for (uint32_t i = 0; i < CELLS; i++)
     if (i != planner)
-      fall_behind (world, i);
+      make_late (world, i);
   for (uint32_t i = 0; i < 20; i++)
     {
       uint32_t before = world->worker_calls[planner];
@@ -159,31 +159,30 @@
   world_free (world);
 }
 
-/* Answers that the planner takes in a second from workers that do nothing, and
- * as many again for what comes and goes. */
+/* Responses that the planner handles in a second from idle workers, and as
+ * many again for workers that come and go. */
 #define IDLE_MAX_PER_S 800
 
-/*
- * Nobody is served on a cell with thousands of workers, few of which run
- * anything: the planner asks each of them without pause, and its processor is
- * full with their answers.
- */
+/* Guards against a cell with thousands of workers, few of which run
+ * anything, that serves nobody: the planner calls each of them without
+ * pause, and their responses fill its processor. */
 static void
 test_idle_workers_cost_the_planner_little (void **state)
 {
   World *world = world_new (CELLS, WORLD_WORKERS_MAX);
   uint32_t planner = world_planner (world);
   uint64_t before;
-  uint64_t asked;
+  uint64_t calls_to_idle;
 
   (void) state;
   world_run (world, 10000);
   before = mux_counter_value (world->counters, MUX_COUNT_WORKER_CALLS);
   world_run (world, 10000);
-  asked = mux_counter_value (world->counters, MUX_COUNT_WORKER_CALLS) - before;
-  print_message ("%u calls to %u idle workers in 10 s\n", (unsigned) asked,
-                 WORLD_WORKERS_MAX);
-  assert_true (asked <= 10 * IDLE_MAX_PER_S);
+  calls_to_idle
+      = mux_counter_value (world->counters, MUX_COUNT_WORKER_CALLS) - before;
+  print_message ("%u calls to %u idle workers in 10 s\n",
+                 (unsigned) calls_to_idle, WORLD_WORKERS_MAX);
+  assert_true (calls_to_idle <= 10 * IDLE_MAX_PER_S);
   (void) world_submit (world, planner, world_job (1, 1, 1000), "job-a");
   world_run (world, 500);
   assert_int_equal (world_starts (world, "job-a"), 1);
@@ -198,7 +197,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_late_planner_loses_no_worker),
     cmocka_unit_test (test_late_planner_refuses_new_jobs_at_once),
-    cmocka_unit_test (test_late_carriers_do_not_cost_the_planner_its_memory),
+    cmocka_unit_test (test_late_proxies_do_not_exhaust_the_planners_memory),
     cmocka_unit_test (test_idle_workers_cost_the_planner_little),
   };
 
--- a/test/unit/test_cell_overload.c
+++ b/test/unit/test_cell_overload.c
@@ -21,12 +21,12 @@
 #define STEP_MS 50
 #define LOAD_MS 20000
 #define DRAIN_MS 60000
-/* The queue promises five times a second; a gang that begins by then, and runs
- * for two, is in time. */
+/* The queue's target is five times a second; a gang that begins by then, and
+ * runs for two, is in time. */
 #define IN_TIME_MS 3000
-/* Of a policy service that looks at each worker for long. */
-#define QUESTION_MS 500
-#define QUESTION_US_PER_WORKER 7000
+/* Of a policy service that takes long for each worker. */
+#define APPROVAL_QUERY_MS 500
+#define APPROVAL_QUERY_US_PER_WORKER 7000
 #define MANY_WORKERS 350
 #define WAITING_STEPS 100
 /* With the rows of the store, which is in memory here. */
@@ -124,10 +124,10 @@
 }
 
 /*
- * Callers of the queue that operators put first wait behind those of another.
- * There is a fifth more work than room.  Any gap holds a task of the patient
- * queue, so that the room which a gang needs at once is never free, though each
- * gang came first or is due first.  All that is accepted still ends.
+ * Callers of the queue of highest priority wait behind those of another. There
+ * is a fifth more work than room. Any gap holds a task of the patient queue,
+ * so that the room which a gang needs at once is never free, though each gang
+ * came first or is due first. All accepted jobs still end.
  */
 static void
 test_gangs_of_the_first_queue_begin_in_time (void **state)
@@ -148,12 +148,13 @@
 }
 
 /*
- * Callers wait for a policy service that is busy with questions for what it has
- * said.  Until the commit that records who was approved is stored, nothing may
- * start on the answer, and the step asked again at once.
+ * Callers wait for a policy service that is busy with queries it has already
+ * answered. Until the commit that records which workers were approved is
+ * stored, nothing may start on the response, and the step was queried again at
+ * once.
  */
 static void
-test_answered_step_asks_no_second_question (void **state)
+test_answered_step_is_not_queried_again (void **state)
 {
   (void) state;
   for (uint32_t gang = 0; gang < 2; gang++)
@@ -162,11 +163,12 @@
       MuxJobSpec *job = world_job (1, GANG_TASKS, GANG_CPU_MILLI);
 
       job->step[0].gang = gang != 0;
-      world_slow_approvals (world, QUESTION_MS, QUESTION_US_PER_WORKER);
+      world_slow_approvals (world, APPROVAL_QUERY_MS,
+                            APPROVAL_QUERY_US_PER_WORKER);
       world_run (world, 1000);
       world->task_ms = TASK_MS;
       (void) world_submit (world, world_planner (world), job, "job-a");
-      world_run (world, 2 * QUESTION_MS);
+      world_run (world, 2 * APPROVAL_QUERY_MS);
       assert_int_equal (world_starts (world, "job-a"), GANG_TASKS);
       assert_int_equal (world->approval_queries, 1);
       world_free (world);
@@ -174,10 +176,10 @@
 }
 
 /*
- * All jobs of a cell stand still, and with 3,000 workers the planner is ended
- * for its memory, again and again.  While it falls behind, each waiting step
- * takes memory for every worker there is.  With 350 workers a step took 15 KB,
- * now 5, the rows of the store in memory included.
+ * All jobs of a cell stop, and with 3,000 workers the planner is killed for
+ * its memory, repeatedly. While it is late, each waiting step takes memory for
+ * every worker there is. With 350 workers a step took 15 KB, now 5, the rows
+ * of the store in memory included.
  */
 static void
 test_waiting_step_takes_no_memory_for_each_worker (void **state)
@@ -209,20 +211,20 @@
 }
 
 #define WAITING_GANGS 100
-/* The policy service takes so many names in a question. */
+/* The policy service takes so many names in a query. */
 #define NAMES_MAX 100
-/* What a step counts as by itself, in looks at workers. */
-#define STEP_LOOKS 10
+/* What a step costs by itself, in workers scanned. */
+#define STEP_SCAN_COST 10
 #define BUSY_MS 60000
 
-/* Guards against gangs that wait for a free daemon to ask, and meanwhile have
- * all workers looked at for them in each pass. */
+/* Guards against gangs that wait for a daemon free to put a query, and
+ * meanwhile have all workers scanned for them in each pass. */
 static void
-test_gang_that_can_ask_nobody_looks_at_approved_workers_alone (void **state)
+test_gang_that_can_not_query_scans_only_approved_workers (void **state)
 {
   World *world = world_new (CELLS, MANY_WORKERS);
   uint64_t steps;
-  uint64_t looks;
+  uint64_t scanned;
 
   (void) state;
   world_slow_approvals (world, BUSY_MS, 0);
@@ -238,14 +240,14 @@
     }
   world_run (world, 2000);
   steps = mux_counter_value (world->counters, MUX_COUNT_PLAN_STEPS);
-  looks = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS);
+  scanned = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS);
   world_run (world, 2000);
   steps = mux_counter_value (world->counters, MUX_COUNT_PLAN_STEPS) - steps;
-  looks = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS) - looks;
-  print_message ("%u looks at workers for %u at gangs\n", (unsigned) looks,
+  scanned = mux_counter_value (world->counters, MUX_COUNT_PLAN_LOOKS) - scanned;
+  print_message ("%u looks at workers for %u at gangs\n", (unsigned) scanned,
                  (unsigned) steps);
   assert_true (steps >= WAITING_GANGS - CELLS);
-  assert_true (looks <= steps * (STEP_LOOKS + NAMES_MAX));
+  assert_true (scanned <= steps * (STEP_SCAN_COST + NAMES_MAX));
   world_free (world);
 }
 
@@ -254,10 +256,9 @@
 {
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (test_gangs_of_the_first_queue_begin_in_time),
-    cmocka_unit_test (test_answered_step_asks_no_second_question),
+    cmocka_unit_test (test_answered_step_is_not_queried_again),
     cmocka_unit_test (test_waiting_step_takes_no_memory_for_each_worker),
-    cmocka_unit_test (
-        test_gang_that_can_ask_nobody_looks_at_approved_workers_alone),
+    cmocka_unit_test (test_gang_that_can_not_query_scans_only_approved_workers),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_quota_random.c
+++ b/test/unit/test_cell_quota_random.c
@@ -13,8 +13,8 @@
 #define STEP_MS 50
 #define JOBS_MAX 400
 #define TASKS_MAX 6
-#define QUOTA_LEAST_TASKS 8
-#define QUOTA_MORE_TASKS 24
+#define QUOTA_MIN_TASKS 8
+#define QUOTA_SPREAD_TASKS 24
 #define GANG_PERCENT 30
 #define PERCENT 100
 
@@ -26,8 +26,8 @@
   uint64_t random;
   uint32_t jobs;
   uint64_t call[JOBS_MAX];
-  uint32_t frozen; /* a daemon; CELLS: none */
-  uint32_t cut;    /* a worker; WORKERS: none */
+  uint32_t frozen; /* index of the frozen daemon; CELLS: none */
+  uint32_t cut;    /* index of the worker cut off; WORKERS: none */
 } Play;
 
 static uint32_t
@@ -50,12 +50,12 @@
   MuxQuota quota = { 0 };
 
   quota.cpu_milli = (uint64_t) CPU_MILLI
-                    * (QUOTA_LEAST_TASKS + below (play, QUOTA_MORE_TASKS));
+                    * (QUOTA_MIN_TASKS + below (play, QUOTA_SPREAD_TASKS));
   world_set_workspaces (play->world, world_workspaces (names, 2, quota));
 }
 
 static void
-hand_in (Play *play)
+submit (Play *play)
 {
   uint32_t tasks = 1 + below (play, TASKS_MAX);
   MuxJobSpec *job = world_job (1 + below (play, 2), tasks, CPU_MILLI);
@@ -125,7 +125,7 @@
 step (Play *play)
 {
   if (chance (play, 45))
-    hand_in (play);
+    submit (play);
   if (chance (play, 2))
     change_quotas (play);
   if (chance (play, 3))
@@ -154,7 +154,7 @@
       play->world,
       world_workspaces (
           names, 2,
-          (MuxQuota){ .cpu_milli = (uint64_t) CPU_MILLI * QUOTA_LEAST_TASKS }));
+          (MuxQuota){ .cpu_milli = (uint64_t) CPU_MILLI * QUOTA_MIN_TASKS }));
 }
 
 static uint32_t
@@ -177,7 +177,7 @@
 }
 
 static void
-test_no_schedule_brings_a_workspace_over_its_quota (void **state)
+test_no_workspace_exceeds_its_quota (void **state)
 {
   (void) state;
   for (uint64_t seed = 1; seed <= SEEDS; seed++)
@@ -210,7 +210,7 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_no_schedule_brings_a_workspace_over_its_quota),
+    cmocka_unit_test (test_no_workspace_exceeds_its_quota),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_random_cut.c
+++ b/test/unit/test_cell_random_cut.c
@@ -1,27 +1,29 @@
 #include "support/cell_chaos.h"
 #include "support/test.h"
 
-/* Workers go for good, and at the same moment the planner is cut off from the
- * store and the other daemons, frozen, or asked to stop, again and again.  It
- * is alive meanwhile, and may reach workers that nobody else does.  A user
- * would see a task run twice, or an accepted job that never ends.  RANDOM_SEED
- * and RANDOM_SEEDS choose other schedules by hand. */
+/*
+ * Workers are lost permanently, and at the same moment the planner is cut off
+ * from the store and the other daemons, frozen, or asked to stop, repeatedly.
+ * It stays alive, and may reach workers that no other daemon reaches. Guards
+ * against a task that runs twice and an accepted job that never ends.
+ * RANDOM_SEED and RANDOM_SEEDS choose other schedules.
+ */
 
 #define SEED 1
 #define SEEDS 12
 #define BUSY_MS 24000
-#define GONE_MAX (CHAOS_WORKERS / 2)
-#define GONE_AT_ONCE_MAX 2
-#define NEXT_LEAST_MS 200
-#define NEXT_MORE_MS 2000
-#define LASTS_LEAST_MS 1000
-#define LASTS_MORE_MS 6000
+#define LOST_WORKERS_MAX (CHAOS_WORKERS / 2)
+#define LOST_AT_ONCE_MAX 2
+#define PAUSE_MIN_MS 200
+#define PAUSE_SPREAD_MS 2000
+#define CUT_MIN_MS 1000
+#define CUT_SPREAD_MS 6000
 #define TASK_MS 300
-/* Tasks that start shortly before the planner is cut off run on until another
- * could order them again. */
+/* Tasks that start shortly before the planner is cut off run until a
+ * successor could start them again. */
 #define LONG_TASK_MS 10000
 #define LONG_BEFORE_MS 400
-/* One step in so many brings a job, another fault. */
+/* One step in so many brings a job or another fault. */
 #define JOB_ONE_IN 4
 #define FAULT_ONE_IN 40
 
@@ -30,26 +32,26 @@
   CUT_OFF,
   FROZEN,
   STOPPED,
-  WAY_COUNT
-} Way;
+  CUT_KIND_COUNT
+} CutKind;
 
 /**
  * struct Cuts - how the planner is cut off now
- * @until_ms: it is back then; 0: it is not cut off
- * @gone: so many workers, the first, are gone for good
- * @going: so many are out of the reach of all but the planner, and gone once it
- *   is back
+ * @until_ms: time of its reconnection; 0: it is not cut off
+ * @lost: number of workers, the first ones, that are lost permanently
+ * @losing: number of workers that only the planner can reach, and that are lost
+ *   once it is reconnected
  */
 typedef struct
 {
   Chaos *c;
   uint32_t planner;
-  Way way;
+  CutKind kind;
   int64_t until_ms;
   int64_t next_ms;
-  uint32_t gone;
-  uint32_t going;
-  uint32_t count[WAY_COUNT];
+  uint32_t lost;
+  uint32_t losing;
+  uint32_t count[CUT_KIND_COUNT];
 } Cuts;
 
 static MuxCellTime
@@ -67,37 +69,38 @@
 }
 
 static void
-let_workers_go (Cuts *cuts)
+lose_workers (Cuts *cuts)
 {
-  uint32_t gone = cuts->gone + 1 + chaos_below (cuts->c, GONE_AT_ONCE_MAX);
+  uint32_t lost = cuts->lost + 1 + chaos_below (cuts->c, LOST_AT_ONCE_MAX);
 
-  cuts->going = gone < GONE_MAX ? gone : GONE_MAX;
+  cuts->losing = lost < LOST_WORKERS_MAX ? lost : LOST_WORKERS_MAX;
   if (chaos_below (cuts->c, 2) == 0)
-    cuts->gone = cuts->going;
+    cuts->lost = cuts->losing;
 }
 
-/* With the workers that nobody else reaches, or with all.  Any other worker
- * would tell it that it plans no more. */
+/* Cuts off the planner together with the workers that nobody else reaches,
+ * or with all workers. Any other worker would tell it that it has been
+ * replaced. */
 static void
 cut_off (Cuts *cuts, WorldCell *cell)
 {
   set_cut_off (cell, true);
-  if (cuts->gone < cuts->going && chaos_below (cuts->c, 3) > 0)
-    cell->reachable_workers = cuts->going;
+  if (cuts->lost < cuts->losing && chaos_below (cuts->c, 3) > 0)
+    cell->reachable_workers = cuts->losing;
 }
 
-/* Other faults may have brought them back into reach. */
+/* Other faults may have made them reachable again. */
 static void
-keep_gone (const Cuts *cuts)
+keep_workers_lost (const Cuts *cuts)
 {
   World *world = cuts->c->world;
 
-  for (uint32_t i = 0; i < cuts->gone; i++)
+  for (uint32_t i = 0; i < cuts->lost; i++)
     world->worker[i].unreachable = true;
   if (cuts->until_ms != 0)
     for (uint32_t i = 0; i < CHAOS_CELLS; i++)
       if (i != cuts->planner)
-        world->cell[i].unreachable_workers = cuts->going;
+        world->cell[i].unreachable_workers = cuts->losing;
 }
 
 static void
@@ -110,14 +113,14 @@
   if (cuts->planner == WORLD_CELLS_MAX || world->cell[cuts->planner].frozen)
     return;
   cell = &world->cell[cuts->planner];
-  cuts->way = (Way) chaos_below (cuts->c, WAY_COUNT);
-  cuts->count[cuts->way]++;
-  cuts->until_ms = world->now_ms + LASTS_LEAST_MS
-                   + (int64_t) chaos_below (cuts->c, LASTS_MORE_MS);
-  let_workers_go (cuts);
-  if (cuts->way == CUT_OFF)
+  cuts->kind = (CutKind) chaos_below (cuts->c, CUT_KIND_COUNT);
+  cuts->count[cuts->kind]++;
+  cuts->until_ms = world->now_ms + CUT_MIN_MS
+                   + (int64_t) chaos_below (cuts->c, CUT_SPREAD_MS);
+  lose_workers (cuts);
+  if (cuts->kind == CUT_OFF)
     cut_off (cuts, cell);
-  else if (cuts->way == FROZEN)
+  else if (cuts->kind == FROZEN)
     cell->frozen = true;
   else
     mux_cell_stop (cell->cell, time_of (world));
@@ -130,15 +133,15 @@
   WorldCell *cell = &world->cell[cuts->planner];
 
   cuts->until_ms = 0;
-  cuts->next_ms = world->now_ms + NEXT_LEAST_MS
-                  + (int64_t) chaos_below (cuts->c, NEXT_MORE_MS);
-  cuts->gone = cuts->going;
+  cuts->next_ms = world->now_ms + PAUSE_MIN_MS
+                  + (int64_t) chaos_below (cuts->c, PAUSE_SPREAD_MS);
+  cuts->lost = cuts->losing;
   cell->reachable_workers = 0;
   for (uint32_t i = 0; i < CHAOS_CELLS; i++)
     world->cell[i].unreachable_workers = 0;
-  if (cuts->way == CUT_OFF)
+  if (cuts->kind == CUT_OFF)
     set_cut_off (cell, false);
-  else if (cuts->way == FROZEN)
+  else if (cuts->kind == FROZEN)
     cell->frozen = false;
   else
     world_cell_start (world, cuts->planner);
@@ -164,7 +167,7 @@
     begin_cut (cuts);
   else if (cuts->until_ms != 0 && world->now_ms >= cuts->until_ms)
     end_cut (cuts);
-  else if (cuts->until_ms != 0 && cuts->way == STOPPED && !cell->dead
+  else if (cuts->until_ms != 0 && cuts->kind == STOPPED && !cell->dead
            && mux_cell_stopped (cell->cell))
     world_cell_kill (world, cuts->planner);
 }
@@ -185,7 +188,7 @@
       if (other_faults && chaos_below (&c, FAULT_ONE_IN) == 0)
         chaos_toggle_fault (&c);
       chaos_end_refusal (&c);
-      keep_gone (&cuts);
+      keep_workers_lost (&cuts);
       if (chaos_below (&c, JOB_ONE_IN) == 0)
         chaos_submit (&c);
       world_run (world, CHAOS_STEP_MS);
@@ -194,12 +197,12 @@
   if (cuts.until_ms != 0)
     end_cut (&cuts);
   chaos_heal (world);
-  keep_gone (&cuts);
+  keep_workers_lost (&cuts);
   world_run (world, CHAOS_SETTLE_MS);
   print_message ("%u jobs; planner cut off %u, frozen %u, stopped %u times; %u"
                  " workers gone\n",
                  c.jobs, cuts.count[CUT_OFF], cuts.count[FROZEN],
-                 cuts.count[STOPPED], cuts.gone);
+                 cuts.count[STOPPED], cuts.lost);
   chaos_check (&c, seed);
   world_free (world);
 }
@@ -223,7 +226,7 @@
 }
 
 static void
-test_nor_with_other_faults_beside (void **state)
+test_jobs_end_once_with_other_faults_beside (void **state)
 {
   (void) state;
   play_seeds (true);
@@ -235,7 +238,7 @@
   const struct CMUnitTest tests[] = {
     cmocka_unit_test (
         test_no_task_runs_twice_and_no_job_is_lost_as_planners_are_cut_off),
-    cmocka_unit_test (test_nor_with_other_faults_beside),
+    cmocka_unit_test (test_jobs_end_once_with_other_faults_beside),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_random_faults.c
+++ b/test/unit/test_cell_random_faults.c
@@ -1,11 +1,11 @@
 #include "support/chaos_variants.h"
 #include "support/test.h"
 
-/* The same as test_cell_random, with further faults. */
+/* The randomized test of test_cell_random.c, with further faults. */
 
-/* The same, and half of the workers crash at once at times. */
+/* Half of the workers crash at once at times. */
 static void
-test_nor_with_outages (void **state)
+test_jobs_end_once_with_outages (void **state)
 {
   ChaosVariant outages = { .crashes = true, .outages = true };
 
@@ -13,9 +13,9 @@
   chaos_play_seeds (&outages);
 }
 
-/* The same, and workers' room shrinks and grows. */
+/* Workers' room shrinks and grows. */
 static void
-test_nor_with_room_that_changes (void **state)
+test_jobs_end_once_with_room_that_changes (void **state)
 {
   ChaosVariant rooms = { .rooms = true };
 
@@ -23,9 +23,9 @@
   chaos_play_seeds (&rooms);
 }
 
-/* The same with workers that crash, and start again under their ids. */
+/* Workers crash and start again under their ids. */
 static void
-test_nor_with_workers_that_keep_their_ids (void **state)
+test_jobs_end_once_with_workers_that_keep_their_ids (void **state)
 {
   ChaosVariant same_ids = { .crashes = true, .same_ids = true };
 
@@ -33,10 +33,10 @@
   chaos_play_seeds (&same_ids);
 }
 
-/* The same with bursts of callers: the usual service is back soon after, and
- * what was refused in them does not run. */
+/* Bursts of callers: the usual service is back soon after, and jobs refused
+ * in them do not run. */
 static void
-test_nor_with_bursts_of_callers (void **state)
+test_jobs_end_once_with_bursts_of_callers (void **state)
 {
   ChaosVariant bursts = { .bursts = true };
 
@@ -44,9 +44,9 @@
   chaos_play_seeds (&bursts);
 }
 
-/* The same with workers gone, and planners lost one after the other. */
+/* Workers are lost, and planners one after the other. */
 static void
-test_nor_with_workers_gone_and_planners_lost_in_a_row (void **state)
+test_jobs_end_once_with_lost_workers_and_planner_failures (void **state)
 {
   ChaosVariant gone = { .gone = true };
 
@@ -58,11 +58,12 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_nor_with_outages),
-    cmocka_unit_test (test_nor_with_room_that_changes),
-    cmocka_unit_test (test_nor_with_workers_that_keep_their_ids),
-    cmocka_unit_test (test_nor_with_bursts_of_callers),
-    cmocka_unit_test (test_nor_with_workers_gone_and_planners_lost_in_a_row),
+    cmocka_unit_test (test_jobs_end_once_with_outages),
+    cmocka_unit_test (test_jobs_end_once_with_room_that_changes),
+    cmocka_unit_test (test_jobs_end_once_with_workers_that_keep_their_ids),
+    cmocka_unit_test (test_jobs_end_once_with_bursts_of_callers),
+    cmocka_unit_test (
+        test_jobs_end_once_with_lost_workers_and_planner_failures),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_unread.c
+++ b/test/unit/test_cell_unread.c
@@ -5,7 +5,8 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Jobs whose row another writer spoilt, and the ends of their tasks. */
+/* Jobs whose row was corrupted by another writer, and the ends of their
+ * tasks. */
 
 #define CELLS 3
 #define WORKERS 4
@@ -22,31 +23,31 @@
 {
   World *world;
   char part[MUX_ROW_NAME_LEN];
-  char *text; /* of the job's row */
-} Spoilt;
+  char *text; /* the job's row before it was corrupted */
+} CorruptedJob;
 
 static bool
-row_stands (const World *world, const char *key)
+row_exists (const World *world, const char *key)
 {
   return world_row (world, MUX_TABLE_PROGRESS, key) != NULL;
 }
 
-/* Its row, as it was, is kept to be put back. */
+/* Corrupts the job's row, and keeps it as it was to restore it. */
 static void
-spoil_job (Spoilt *spoilt, const char *id)
+corrupt_row_of (CorruptedJob *corrupted, const char *id)
 {
-  World *world = spoilt->world;
+  World *world = corrupted->world;
 
-  snprintf (spoilt->part, sizeof spoilt->part, "%s",
+  snprintf (corrupted->part, sizeof corrupted->part, "%s",
             world_row (world, MUX_TABLE_JOBS, id)->part);
-  spoilt->text = world_row_text (world, MUX_TABLE_JOBS, id);
-  world_put_row (world, MUX_TABLE_JOBS, spoilt->part, id, "{}");
+  corrupted->text = world_row_text (world, MUX_TABLE_JOBS, id);
+  world_put_row (world, MUX_TABLE_JOBS, corrupted->part, id, "{}");
 }
 
 static void
-spoil (Spoilt *spoilt)
+corrupt_row (CorruptedJob *corrupted)
 {
-  spoil_job (spoilt, "job-a");
+  corrupt_row_of (corrupted, "job-a");
 }
 
 static void
@@ -59,13 +60,13 @@
   assert_int_not_equal (world_planner (world), planner);
 }
 
-/* Its tasks run; the planner that started them is gone, its successor can't
- * read the job's row; they end under that one. */
-static Spoilt
+/* Its tasks run; the planner that started them has failed, its successor
+ * can't read the job's row; they end under that one. */
+static CorruptedJob
 job_that_ended_unread (uint32_t workers, uint32_t tasks)
 {
-  Spoilt spoilt = { .world = world_new (CELLS, workers) };
-  World *world = spoilt.world;
+  CorruptedJob corrupted = { .world = world_new (CELLS, workers) };
+  World *world = corrupted.world;
 
   world_run (world, 1000);
   world->task_ms = TASK_MS;
@@ -73,58 +74,54 @@
                        "job-a");
   world_run (world, 1500);
   assert_int_equal (world_starts (world, "job-a"), tasks);
-  spoil (&spoilt);
+  corrupt_row (&corrupted);
   for (uint32_t i = 0; i < workers; i++)
     for (uint32_t j = 0; j < world->worker[i].run_end; j++)
       world->worker[i].run[j].ends_ms = world->now_ms + 400;
   take_over (world);
-  return spoilt;
+  return corrupted;
 }
 
 static void
-mend (const Spoilt *spoilt)
+restore_row (const CorruptedJob *corrupted)
 {
-  world_put_row (spoilt->world, MUX_TABLE_JOBS, spoilt->part, "job-a",
-                 spoilt->text);
+  world_put_row (corrupted->world, MUX_TABLE_JOBS, corrupted->part, "job-a",
+                 corrupted->text);
 }
 
 static void
-spoilt_free (Spoilt *spoilt)
+corrupted_job_free (CorruptedJob *corrupted)
 {
-  free (spoilt->text);
-  world_free (spoilt->world);
+  free (corrupted->text);
+  world_free (corrupted->world);
 }
 
-/*
- * A task that is done runs again.  The job's row is mended while the planner
- * that could not read it goes on: by its version the row looks like that of a
- * job which was just stored, and of which nothing has run.
- */
+/* A task that is done runs again. The job's row is restored while the
+ * planner that could not read it goes on: by its version the row looks like
+ * that of a job which was just stored, and of which nothing has run. */
 static void
-test_job_mended_under_its_planner_runs_nothing_again (void **state)
+test_job_restored_under_its_planner_runs_nothing_again (void **state)
 {
-  Spoilt spoilt = job_that_ended_unread (WORKERS, 2);
+  CorruptedJob corrupted = job_that_ended_unread (WORKERS, 2);
 
   (void) state;
-  mend (&spoilt);
-  world_run (spoilt.world, 2000);
-  assert_false (world_double_run_acked (spoilt.world));
-  assert_int_equal (world_starts (spoilt.world, "job-a"), 2);
+  restore_row (&corrupted);
+  world_run (corrupted.world, 2000);
+  assert_false (world_double_run_acked (corrupted.world));
+  assert_int_equal (world_starts (corrupted.world, "job-a"), 2);
   assert_int_equal (
-      world_state (spoilt.world, world_planner (spoilt.world), "job-a"),
+      world_state (corrupted.world, world_planner (corrupted.world), "job-a"),
       MUX_JOB_COMPLETED);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
-/*
- * A task is tried once more than its queue allows.  A run of it fails while
- * nobody can read the job; the failure is acknowledged and forgotten.
- */
+/* A task is tried once more than its queue allows. A run of it fails while
+ * nobody can read the job; the failure is acknowledged and forgotten. */
 static void
 test_failures_of_an_unreadable_job_count (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  Spoilt spoilt = { .world = world };
+  CorruptedJob corrupted = { .world = world };
 
   (void) state;
   for (uint32_t i = 0; i < WORKERS; i++)
@@ -135,44 +132,40 @@
                        "job-a");
   world_run (world, 600);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  spoil (&spoilt);
+  corrupt_row (&corrupted);
   take_over (world);
-  mend (&spoilt);
+  restore_row (&corrupted);
   world_run (world, 20000);
   assert_int_equal (world_starts (world, "job-a"), 3);
   assert_int_equal (world_state (world, world_planner (world), "job-a"),
                     MUX_JOB_FAILED);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
-/*
- * Tasks that are done run again, of a job with more of them than the planner
- * keeps ends of.  Its caller hears that the job failed instead.
- */
+/* Tasks that are done run again, of a job with more of them than the planner
+ * keeps ends of. Instead its caller must be told that the job failed. */
 static void
 test_job_with_too_many_unread_ends_fails (void **state)
 {
-  Spoilt spoilt = job_that_ended_unread (MANY_WORKERS, MANY_TASKS);
+  CorruptedJob corrupted = job_that_ended_unread (MANY_WORKERS, MANY_TASKS);
 
   (void) state;
-  mend (&spoilt);
-  world_run (spoilt.world, 4000);
-  assert_false (world_double_run_acked (spoilt.world));
+  restore_row (&corrupted);
+  world_run (corrupted.world, 4000);
+  assert_false (world_double_run_acked (corrupted.world));
   assert_int_equal (
-      world_state (spoilt.world, world_planner (spoilt.world), "job-a"),
+      world_state (corrupted.world, world_planner (corrupted.world), "job-a"),
       MUX_JOB_FAILED);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
-/*
- * A worker's room looks taken and its list grows, for ends of a job that nobody
- * can read are never acknowledged, nor any that come after them.
- */
+/* A worker's room looks taken and its list grows, because ends of a job that
+ * nobody can read are never acknowledged, nor any that come after them. */
 static void
-test_unread_ends_hold_up_no_others (void **state)
+test_ends_of_unreadable_jobs_block_no_others (void **state)
 {
-  Spoilt spoilt = job_that_ended_unread (1, 1);
-  World *world = spoilt.world;
+  CorruptedJob corrupted = job_that_ended_unread (1, 1);
+  World *world = corrupted.world;
 
   (void) state;
   world->task_ms = 200;
@@ -183,39 +176,38 @@
                     MUX_JOB_COMPLETED);
   for (uint32_t i = 0; i < world->start_count; i++)
     assert_true (world->start[i].acknowledged);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
-/*
- * The store fills with ends of jobs that are gone: their rows were removed by
- * the writer that had spoilt them, and no planner ever reads them.
- */
+/* The store fills with ends of jobs that are gone: their rows were removed
+ * by the writer that had corrupted them, and no planner ever reads them. */
 static void
 test_ends_without_a_job_are_removed (void **state)
 {
-  Spoilt spoilt = job_that_ended_unread (WORKERS, 1);
-  World *world = spoilt.world;
+  CorruptedJob corrupted = job_that_ended_unread (WORKERS, 1);
+  World *world = corrupted.world;
 
   (void) state;
-  assert_true (row_stands (world, "job-a+"));
-  world_remove_row (world, MUX_TABLE_JOBS, spoilt.part, "job-a");
+  assert_true (row_exists (world, "job-a+"));
+  world_remove_row (world, MUX_TABLE_JOBS, corrupted.part, "job-a");
   world->keep_s = KEEP_S;
   for (uint32_t i = 0; i < CELLS; i++)
     world_cell_kill (world, i);
   for (uint32_t i = 0; i < CELLS; i++)
     world_cell_start (world, i);
   world_run (world, TAKEOVER_MS);
-  assert_true (row_stands (world, "job-a+"));
+  assert_true (row_exists (world, "job-a+"));
   world_run (world, (KEEP_S + 2) * MS_PER_S);
-  assert_false (row_stands (world, "job-a+"));
-  spoilt_free (&spoilt);
+  assert_false (row_exists (world, "job-a+"));
+  corrupted_job_free (&corrupted);
 }
 
-/* Of a job that the planner can't read, in the part of job-a and before it. */
+/* Stores rows of jobs that the planner can't read, in the part of job-a and
+ * ordered before it. */
 static void
-put_unreadable (const Spoilt *spoilt, uint32_t count)
+put_unreadable (const CorruptedJob *corrupted, uint32_t count)
 {
-  const char *part = spoilt->part;
+  const char *part = corrupted->part;
   uint32_t put = 0;
 
   for (uint32_t i = 0; put < count; i++)
@@ -225,18 +217,18 @@
       snprintf (id, sizeof id, "a-%u", i);
       if (mux_hash_name (id, 0) % PARTS != mux_hash_name ("job-a", 0) % PARTS)
         continue;
-      world_put_row (spoilt->world, MUX_TABLE_JOBS, part, id, "{}");
+      world_put_row (corrupted->world, MUX_TABLE_JOBS, part, id, "{}");
       put++;
     }
 }
 
-/* Its task runs; its row can't be read, as those of @others before it; the task
- * ends under a successor that looked at them all. */
-static Spoilt
+/* Its task runs; its row can't be read, nor those of @others jobs before it;
+ * the task ends under a successor that has read them all. */
+static CorruptedJob
 job_that_ended_among (uint32_t others)
 {
-  Spoilt spoilt = { .world = world_new (CELLS, WORKERS) };
-  World *world = spoilt.world;
+  CorruptedJob corrupted = { .world = world_new (CELLS, WORKERS) };
+  World *world = corrupted.world;
 
   world_run (world, 1000);
   world->task_ms = TASK_MS;
@@ -244,70 +236,72 @@
                        "job-a");
   world_run (world, 1500);
   assert_int_equal (world_starts (world, "job-a"), 1);
-  spoil (&spoilt);
-  put_unreadable (&spoilt, others);
-  /* It ends while nobody plans. */
+  corrupt_row (&corrupted);
+  put_unreadable (&corrupted, others);
+  /* It ends while there is no planner. */
   world->worker[world->start[0].worker].run[0].ends_ms = world->now_ms + 400;
   take_over (world);
-  return spoilt;
+  return corrupted;
 }
 
-/* Rows of one part that can't be read: more than a planner remembers, as after
+/* Unreadable rows of one part: more than a planner remembers, as after
  * another version of the program that was used for a while. */
 #define MANY_UNREADABLE 5000
 
 /*
- * A task that is done runs again.  Thousands of jobs can't be read by the
- * planner, which remembers some of them; the end of a task of another one
- * counts as one of no job, is acknowledged and forgotten.  The next planner can
- * read the row and starts the task.  The log tells unread_job_passed for all
- * but the first 4096; 2 starts before unknown jobs' ends were kept, 1 since.
+ * A task that is done runs again. The planner can't read thousands of jobs and
+ * remembers some of them; the end of a task of another one counts as one of no
+ * job, is acknowledged and forgotten. The next planner can read the row and
+ * starts the task. The log has unread_job_passed for all but the first 4096; 2
+ * starts before unknown jobs' ends were kept, 1 since.
  */
 static void
 test_end_of_one_unreadable_job_of_thousands_is_kept (void **state)
 {
-  Spoilt spoilt = job_that_ended_among (MANY_UNREADABLE);
-  World *world = spoilt.world;
+  CorruptedJob corrupted = job_that_ended_among (MANY_UNREADABLE);
+  World *world = corrupted.world;
 
   (void) state;
   assert_int_equal (world->start[0].end, MUX_RUN_DONE);
-  mend (&spoilt);
+  restore_row (&corrupted);
   take_over (world);
   world_run (world, 2000);
   assert_false (world_double_run_acked (world));
   assert_int_equal (world_starts (world, "job-a"), 1);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 /*
- * The same, and the row is mended while the planner goes on.  It does not
- * remember that there was such a job, and takes it for one that was just stored
- * and of which nothing has run: known_by "feed" in the line that places it.
+ * The same, and the row is restored while the planner goes on. It does not
+ * remember that there was such a job, and takes it for one that was just
+ * stored and of which nothing has run: known_by "feed" in the line that places
+ * it.
  */
 static void
-test_one_of_thousands_mended_under_its_planner_runs_nothing_again (void **state)
+test_one_of_thousands_restored_under_its_planner_runs_nothing_again (
+    void **state)
 {
-  Spoilt spoilt = job_that_ended_among (MANY_UNREADABLE);
-  World *world = spoilt.world;
+  CorruptedJob corrupted = job_that_ended_among (MANY_UNREADABLE);
+  World *world = corrupted.world;
 
   (void) state;
-  mend (&spoilt);
+  restore_row (&corrupted);
   world_run (world, 2000);
   assert_false (world_double_run_acked (world));
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_int_equal (world_state (world, world_planner (world), "job-a"),
                     MUX_JOB_COMPLETED);
-  spoilt_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
-/* Jobs remembered for their rows alone, and those that end: above 16 for each
- * of the former ends are left with their workers. */
+/* Jobs remembered for their rows alone, and jobs whose tasks end: beyond 16
+ * ends for each remembered job, ends are left with their workers. */
 #define FEW_REMEMBERED 1
 #define ENDED_JOBS 40
 
-/* Number of jobs of these whose task's end was acknowledged. */
+/* Return: how many of these jobs had their task's end acknowledged. */
 static uint32_t
-told (const World *world)
+acknowledged_ends (const World *world)
 {
   uint32_t n = 0;
 
@@ -317,15 +311,15 @@
 }
 
 /*
- * Tasks that are done run again.  The planner can't read forty jobs and has no
- * room to keep all of their ends; those that it can't keep are acknowledged all
- * the same.  They must wait at their workers until the rows can be read.
+ * Tasks that are done run again. The planner can't read forty jobs and has no
+ * room to keep all of their ends; those that it can't keep were acknowledged
+ * all the same. They must stay with their workers until the rows can be read.
  */
 static void
 test_ends_that_can_not_be_kept_are_left_with_workers (void **state)
 {
   World *world = world_new (CELLS, WORKERS);
-  Spoilt spoilt[ENDED_JOBS];
+  CorruptedJob corrupted[ENDED_JOBS];
   char id[MUX_JOB_ID_LEN];
 
   (void) state;
@@ -345,21 +339,23 @@
   for (uint32_t i = 0; i < ENDED_JOBS; i++)
     {
       snprintf (id, sizeof id, "job-%u", i);
-      spoilt[i] = (Spoilt){ .world = world };
-      spoil_job (&spoilt[i], id);
+      corrupted[i] = (CorruptedJob){ .world = world };
+      corrupt_row_of (&corrupted[i], id);
     }
   for (uint32_t i = 0; i < WORKERS; i++)
     for (uint32_t j = 0; j < world->worker[i].run_end; j++)
       world->worker[i].run[j].ends_ms = world->now_ms + 400;
   take_over (world);
-  print_message ("%u of %u ends acknowledged\n", told (world), ENDED_JOBS);
-  assert_true (told (world) > 0);
-  assert_true (told (world) < ENDED_JOBS);
+  print_message ("%u of %u ends acknowledged\n", acknowledged_ends (world),
+                 ENDED_JOBS);
+  assert_true (acknowledged_ends (world) > 0);
+  assert_true (acknowledged_ends (world) < ENDED_JOBS);
   for (uint32_t i = 0; i < ENDED_JOBS; i++)
     {
       snprintf (id, sizeof id, "job-%u", i);
-      world_put_row (world, MUX_TABLE_JOBS, spoilt[i].part, id, spoilt[i].text);
-      free (spoilt[i].text);
+      world_put_row (world, MUX_TABLE_JOBS, corrupted[i].part, id,
+                     corrupted[i].text);
+      free (corrupted[i].text);
     }
   world_run (world, 2000);
   assert_int_equal (world->start_count, ENDED_JOBS);
@@ -367,20 +363,21 @@
   world_run (world, 2000);
   assert_false (world_double_run_acked (world));
   assert_int_equal (world->start_count, ENDED_JOBS);
-  assert_int_equal (told (world), ENDED_JOBS);
+  assert_int_equal (acknowledged_ends (world), ENDED_JOBS);
   world_free (world);
 }
 
 /*
- * A task that is done runs again.  The id inside a job's row is another job's,
- * as a writer left it that copied rows.  Such a row is no job to the planner,
- * and an end of its task that of none, unless a row of progress stands beside.
+ * A task that is done runs again. The id inside a job's row is another job's,
+ * as left by a writer that copied rows. Such a row is no job to the planner,
+ * and an end of its task counts as that of no job, unless a row of progress
+ * exists beside it.
  */
 static void
 test_end_of_a_job_whose_row_names_another_is_kept (void **state)
 {
-  Spoilt spoilt = { .world = world_new (CELLS, WORKERS) };
-  World *world = spoilt.world;
+  CorruptedJob corrupted = { .world = world_new (CELLS, WORKERS) };
+  World *world = corrupted.world;
   char *other;
 
   (void) state;
@@ -389,36 +386,36 @@
   (void) world_submit (world, world_planner (world), world_job (1, 1, 1000),
                        "job-a");
   world_run (world, 1500);
-  spoil (&spoilt);
-  other = strdup (spoilt.text);
+  corrupt_row (&corrupted);
+  other = strdup (corrupted.text);
   *strstr (other, "job-a") = 'x';
-  world_put_row (world, MUX_TABLE_JOBS, spoilt.part, "job-a", other);
+  world_put_row (world, MUX_TABLE_JOBS, corrupted.part, "job-a", other);
   free (other);
   world->worker[world->start[0].worker].run[0].ends_ms = world->now_ms + 400;
   take_over (world);
   assert_int_equal (world->start[0].end, MUX_RUN_DONE);
-  mend (&spoilt);
+  restore_row (&corrupted);
   take_over (world);
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "job-a"), 1);
   assert_false (world_double_run_acked (world));
-  spoilt_free (&spoilt);
+  corrupted_job_free (&corrupted);
 }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_job_mended_under_its_planner_runs_nothing_again),
+    cmocka_unit_test (test_job_restored_under_its_planner_runs_nothing_again),
     cmocka_unit_test (test_failures_of_an_unreadable_job_count),
     cmocka_unit_test (test_job_with_too_many_unread_ends_fails),
-    cmocka_unit_test (test_unread_ends_hold_up_no_others),
+    cmocka_unit_test (test_ends_of_unreadable_jobs_block_no_others),
     cmocka_unit_test (test_ends_without_a_job_are_removed),
     cmocka_unit_test (test_end_of_one_unreadable_job_of_thousands_is_kept),
     cmocka_unit_test (test_ends_that_can_not_be_kept_are_left_with_workers),
     cmocka_unit_test (test_end_of_a_job_whose_row_names_another_is_kept),
     cmocka_unit_test (
-        test_one_of_thousands_mended_under_its_planner_runs_nothing_again),
+        test_one_of_thousands_restored_under_its_planner_runs_nothing_again),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
--- a/test/unit/test_cell_wide_gangs.c
+++ b/test/unit/test_cell_wide_gangs.c
@@ -4,14 +4,14 @@
 #include <stdio.h>
 #include <string.h>
 
-/* Gangs of one queue and of many widths, beside tasks of a more urgent queue
- * and of a more patient one: somewhat more work than room. */
+/* Gangs of one queue and of many widths, beside tasks of a queue of higher
+ * and one of lower priority: somewhat more work than room. */
 
 #define CELLS 3
 #define WORKERS 350
-/* Short, so that three daemons can put all questions. */
-#define QUESTION_MS 20
-#define QUESTION_US_PER_WORKER 300
+/* Short, so that three daemons can put all approval queries. */
+#define APPROVAL_QUERY_MS 20
+#define APPROVAL_QUERY_US_PER_WORKER 300
 #define APPROVE_ONE_IN 3
 #define WARM_MS 1000
 #define LOAD_MS 24000
@@ -31,12 +31,15 @@
 #define PATIENT_TASKS 10
 #define PATIENT_CPU_MILLI 6000
 #define PATIENT_EACH_MS 200
-/* What the queue promises: four times a run with a question about 30 workers,
- * and a second. */
-#define PROMISED_MS \
-  (4 * (TASK_MS + QUESTION_MS + 30 * QUESTION_US_PER_WORKER / 1000) + 1000)
-
-/* The widest tenth are those of one width. */
+/* The queue's target: four times a run with a query of 30 workers, and a
+ * second. */
+#define TARGET_MS                                     \
+  (4                                                  \
+       * (TASK_MS + APPROVAL_QUERY_MS                 \
+          + 30 * APPROVAL_QUERY_US_PER_WORKER / 1000) \
+   + 1000)
+
+/* The widest tenth of the gangs have the same width. */
 static const uint32_t width[WIDTHS]
     = { 4, 20, 8, 36, 12, WIDEST, 6, 16, 26, 10 };
 
@@ -103,7 +106,8 @@
   load.world->approve_one_in = APPROVE_ONE_IN;
   load.world->approve_by_job = true;
   load.world->task_ms = TASK_MS;
-  world_slow_approvals (load.world, QUESTION_MS, QUESTION_US_PER_WORKER);
+  world_slow_approvals (load.world, APPROVAL_QUERY_MS,
+                        APPROVAL_QUERY_US_PER_WORKER);
   world_run (load.world, WARM_MS);
   begin_ms = load.world->now_ms;
   while (load.world->now_ms < begin_ms + LOAD_MS)
@@ -123,7 +127,7 @@
   return load;
 }
 
-/* Of gangs of @least tasks and more. */
+/* Of gangs of @least tasks or more. */
 static Share
 share_of (const Load *load, uint32_t least)
 {
@@ -139,13 +143,14 @@
       snprintf (id, sizeof id, "gang-%u", i);
       share.all++;
       share.in_time
-          += world_done_by (load->world, id, load->sent_ms[i] + PROMISED_MS)
+          += world_done_by (load->world, id, load->sent_ms[i] + TARGET_MS)
              == tasks;
     }
   return share;
 }
 
-/* Callers with the widest gangs are served less than half as often as all. */
+/* Guards against the widest gangs being served less than half as often as
+ * all. */
 static void
 test_widest_gangs_wait_while_urgent_tasks_take_their_room (void **state)
 {
--- a/test/unit/test_throttle.c
+++ b/test/unit/test_throttle.c
@@ -1,13 +1,13 @@
 #include "cell/throttle.h"
 #include "support/test.h"
 
-/* A planner that serves one job after the other, and callers of many times what
- * it can serve: what they get. */
+/* A planner that serves one job after the other, and callers that submit
+ * many times what it can serve. */
 
 #define SERVED_PER_S 100
 #define MS_PER_S 1000
 #define STEP_MS 10
-#define TRIES 4
+#define TRIES_MAX 4
 #define IN_TIME_MS 1000
 #define WARM_UP_MS 4000
 #define PLAY_MS 20000
@@ -20,14 +20,14 @@
   int64_t begins_ms;
   uint64_t spread;
   uint32_t tries;
-  bool is_taken;
+  bool is_accepted;
 } Job;
 
 typedef struct
 {
   MuxThrottle throttle;
   int64_t now_ms;
-  int64_t busy_until_us; /* when all that was taken has begun */
+  int64_t busy_until_us; /* when all accepted jobs have begun */
   int64_t counted_until_us;
   uint32_t count;
   Job job[JOBS_MAX];
@@ -36,8 +36,8 @@
 typedef struct
 {
   uint32_t sent;
-  uint32_t taken;
-  uint32_t in_time; /* of those taken */
+  uint32_t accepted;
+  uint32_t in_time; /* of those accepted */
   uint32_t refused; /* at each try */
 } Sum;
 
@@ -50,13 +50,13 @@
 }
 
 static void
-take (Play *play, Job *job)
+accept (Play *play, Job *job)
 {
   if (play->busy_until_us < play->now_ms * 1000)
     play->busy_until_us = play->now_ms * 1000;
   play->busy_until_us += 1000000 / SERVED_PER_S;
   job->begins_ms = play->busy_until_us / 1000;
-  job->is_taken = true;
+  job->is_accepted = true;
   play->throttle.accepted++;
 }
 
@@ -69,8 +69,8 @@
   job->tries++;
   job->next_ms = 0;
   if (retry_ms == 0)
-    take (play, job);
-  else if (job->tries < TRIES)
+    accept (play, job);
+  else if (job->tries < TRIES_MAX)
     job->next_ms = play->now_ms + retry_ms;
 }
 
@@ -78,7 +78,7 @@
 count_begun (Play *play)
 {
   for (uint32_t i = 0; i < play->count; i++)
-    play->throttle.started += play->job[i].is_taken
+    play->throttle.started += play->job[i].is_accepted
                               && play->job[i].begins_ms > play->now_ms - STEP_MS
                               && play->job[i].begins_ms <= play->now_ms;
 }
@@ -95,7 +95,7 @@
   try_job (play, job);
 }
 
-/* At @times as many as are served. */
+/* Submits @times as many jobs as are served. */
 static void
 play_for (Play *play, int64_t ms, int64_t times)
 {
@@ -127,10 +127,10 @@
       if (job->sent_ms < from_ms || job->sent_ms >= to_ms)
         continue;
       sum.sent++;
-      sum.taken += job->is_taken;
+      sum.accepted += job->is_accepted;
       sum.in_time
-          += job->is_taken && job->begins_ms <= job->sent_ms + IN_TIME_MS;
-      sum.refused += !job->is_taken;
+          += job->is_accepted && job->begins_ms <= job->sent_ms + IN_TIME_MS;
+      sum.refused += !job->is_accepted;
     }
   return sum;
 }
@@ -150,13 +150,13 @@
 print (const char *what, const Sum *sum)
 {
   print_message ("%s: %u sent, %u taken, %u of these begun in time\n", what,
-                 sum->sent, sum->taken, sum->in_time);
+                 sum->sent, sum->accepted, sum->in_time);
 }
 
-/* Guards against a planner that takes all that comes and begins none in time.
- */
+/* Guards against a planner that accepts all that arrives and begins none of
+ * it in time. */
 static void
-test_ten_times_what_a_planner_can_serve (void **state)
+test_tenfold_overload_leaves_jobs_in_time (void **state)
 {
   Play *play = begin ();
   Sum sum;
@@ -165,34 +165,35 @@
   play_for (play, WARM_UP_MS + PLAY_MS, 10);
   sum = sum_of (play, 1000 + WARM_UP_MS, 1000 + PLAY_MS);
   print ("ten times", &sum);
-  assert_true (sum.in_time * 10 >= sum.taken * 8);
-  assert_true (sum.taken * 10
+  assert_true (sum.in_time * 10 >= sum.accepted * 8);
+  assert_true (sum.accepted * 10
                >= SERVED_PER_S * (PLAY_MS - WARM_UP_MS) / MS_PER_S * 7);
   free (play);
 }
 
-/* Guards against a share that stays low when the load has gone. */
+/* Guards against a share of accepted jobs that stays low after the load has
+ * gone. */
 static void
-test_usual_load_is_taken_again_behind_an_overload (void **state)
+test_usual_load_is_accepted_after_an_overload (void **state)
 {
   Play *play = begin ();
   Sum sum;
-  int64_t over_ms;
+  int64_t overload_end_ms;
 
   (void) state;
   play_for (play, WARM_UP_MS, 10);
-  over_ms = play->now_ms;
+  overload_end_ms = play->now_ms;
   play_for (play, PLAY_MS, 0);
   play->busy_until_us = 0;
-  over_ms = play->now_ms;
+  overload_end_ms = play->now_ms;
   play_for (play, 2000, 1);
-  sum = sum_of (play, over_ms, over_ms + 2000);
+  sum = sum_of (play, overload_end_ms, overload_end_ms + 2000);
   print ("behind it", &sum);
-  assert_int_equal (sum.taken, sum.sent);
+  assert_int_equal (sum.accepted, sum.sent);
   free (play);
 }
 
-/* Guards against jobs refused by a planner that was late for a moment, with
+/* Guards against refusals by a planner that was late for a moment and has
  * nothing to do. */
 static void
 test_late_planner_without_jobs_keeps_its_share (void **state)
@@ -206,9 +207,9 @@
   assert_int_equal (throttle.share_milli, MUX_THROTTLE_FULL_MILLI);
 }
 
-/* Guards against callers who are refused together and come again together. */
+/* Guards against callers that are refused together and retry together. */
 static void
-test_callers_come_again_in_the_order_in_which_they_are_taken (void **state)
+test_callers_retry_in_the_order_of_their_turns (void **state)
 {
   uint32_t before = 0;
 
@@ -224,8 +225,7 @@
   assert_int_equal (mux_throttle_retry_ms (MUX_THROTTLE_FULL_MILLI, 999), 0);
 }
 
-/* Guards against an idle planner that counts as behind for a handful of steps.
- */
+/* Guards against an idle planner that counts as late because of a few steps. */
 static void
 test_few_steps_are_no_backlog (void **state)
 {
@@ -241,11 +241,10 @@
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    cmocka_unit_test (test_ten_times_what_a_planner_can_serve),
-    cmocka_unit_test (test_usual_load_is_taken_again_behind_an_overload),
+    cmocka_unit_test (test_tenfold_overload_leaves_jobs_in_time),
+    cmocka_unit_test (test_usual_load_is_accepted_after_an_overload),
     cmocka_unit_test (test_late_planner_without_jobs_keeps_its_share),
-    cmocka_unit_test (
-        test_callers_come_again_in_the_order_in_which_they_are_taken),
+    cmocka_unit_test (test_callers_retry_in_the_order_of_their_turns),
     cmocka_unit_test (test_few_steps_are_no_backlog),
   };
 
