--- a/test/unit/test_config.c
+++ b/test/unit/test_config.c
@@ -3,7 +3,8 @@
 
 #define NODES 3
 
-/* A cell with the product "kiosk" and the class "desk", in force at all. */
+/* Sets up a cell with the product "kiosk" and the class "desk", in force on
+ * all nodes. */
 static uint64_t
 begin (ConfigCell *cell, uint64_t seed)
 {
@@ -26,7 +27,7 @@
   config_cell_ask (cell, node, &it);
 }
 
-/* Revision of the class "desk" as a node shows it. */
+/* Returns the revision of the class "desk" that a node shows. */
 static uint64_t
 shown (ConfigCell *cell, uint32_t node)
 {
@@ -41,7 +42,7 @@
   return json_array_size (json_object_get (cell->json, "items"));
 }
 
-/* Runs until a new daemon would take callers. */
+/* Runs until a new daemon would accept requests. */
 static void
 await_ready (ConfigCell *cell, uint32_t node)
 {
@@ -97,9 +98,10 @@
   assert_string_equal (found, place);
 }
 
-/* An instance is replaced while the table is away.  Its callers would get
- * "unknown class" from a daemon that serves before it knows the classes, or
- * nothing at all from one that waits for the table.  Its peers have it all. */
+/* An instance is replaced while the table is unreachable. A daemon that
+ * serves before it has the configuration would answer "unknown class", one
+ * that waits for the table would answer nothing. It must get the
+ * configuration from its peers. */
 static void
 test_start_without_table (void **state)
 {
@@ -117,9 +119,9 @@
   assert_int_equal (listed (cell, node, MUX_CONFIG_CLASS), 300);
 }
 
-/* One data centre loses the platform, the others go on changing things.  Its
- * daemons would serve with what was in force at the cut, for hours, though
- * their peers know better; a page read while a change is made would mix two
+/* One data centre loses the platform while the others go on changing the
+ * configuration. Its daemons would serve a stale one for hours, though
+ * their peers have it; and a page read during a change would mix two
  * revisions. */
 static void
 test_follow_peers (void **state)
@@ -142,9 +144,10 @@
   assert_int_equal (listed (cell, 2, MUX_CONFIG_CLASS), 201);
 }
 
-/* A daemon is cut off from everything for as long as 8,400 changes take.
- * Workers drained and given back meanwhile are forgotten by the others; were
- * it sent only what has changed since, it would keep one drained for ever. */
+/* A daemon is partitioned from all others for as long as 8,400 changes
+ * take. Workers drained and returned meanwhile are no longer listed by the
+ * others; were it sent only what has changed since, it would keep one
+ * drained for ever. */
 static void
 test_back_after_a_day (void **state)
 {
@@ -189,8 +192,8 @@
   assert_int_equal (listed (cell, node, MUX_CONFIG_CLASS), 601);
 }
 
-/* Two operators open the same class, each changes what it saw, and the second
- * would silently undo the first. */
+/* Two operators read the same class and each changes it; the second would
+ * silently overwrite the first's change (lost update). */
 static void
 test_expect (void **state)
 {
@@ -222,9 +225,9 @@
   mux_blob_unref (it.body);
 }
 
-/* The answer of a write is lost, and the daemon can't read it back.  The
- * operator must not be told that it failed, as it may be in force; asking
- * again, anywhere, must find out and not make it twice. */
+/* The response to a write is lost, and the daemon can't read the row back.
+ * The change may be in force, so it must not be reported as failed; a retry
+ * at any daemon must find out and not make it twice. */
 static void
 test_lost_answer (void **state)
 {
@@ -261,7 +264,7 @@
     }
 }
 
-/* One core whose table is answered by hand. */
+/* One core whose table calls are answered by the test. */
 typedef struct
 {
   FakeSink sink;
@@ -312,7 +315,7 @@
   fake_table_clear (&bench->table);
 }
 
-/* The latest call to the table about @key, taken from the sink. */
+/* Takes the latest call to the table about @key out of the sink. */
 static MuxTableCall *
 bench_take (Bench *bench, MuxTableVerb verb, const char *key)
 {
@@ -341,11 +344,11 @@
   mux_table_call_free (call);
 }
 
-/* A product that must not exist yet is set, and the write's answer is lost.
- * The change's row is read and is not there; then the write lands after all,
- * and the poll brings it into force before the read of the head comes back.
- * Now the product exists: the operator would be told that somebody else was
- * first, though it was this very change. */
+/* A product is set on condition that it does not exist, and the write's
+ * response is lost. The change's row is read and not found; then the write
+ * takes effect after all, and the poll brings it into force before the read
+ * of the head returns. The product now exists, so the operator would be
+ * told of a conflict with another change, though it was this one. */
 static void
 test_write_lands_during_check (void **state)
 {
@@ -394,8 +397,8 @@
   bench_free (&bench);
 }
 
-/* With the table away a change is refused at once, and what is in force stays
- * so and is shown. */
+/* With the table unreachable a change is refused at once, and what is in
+ * force stays so and is shown. */
 static void
 test_table_away (void **state)
 {
@@ -509,8 +512,8 @@
   tally->full += answer->reason == MUX_REASON_QUEUE_FULL;
 }
 
-/* A hundred changes arrive at once at a daemon whose table hangs, and then its
- * process ends.  Each caller must hear of its change, and once. */
+/* A hundred changes arrive at once at a daemon whose table does not answer,
+ * and then its process ends. Each request must be answered, and only once. */
 static void
 test_one_answer_each (void **state)
 {
--- a/test/unit/test_config_race.c
+++ b/test/unit/test_config_race.c
@@ -4,33 +4,33 @@
 #include <inttypes.h>
 
 /* Four operators, each at another daemon, change the same class 200 times
- * each.  Answers of writes are lost, some writes land only after the loss was
- * told, and the table is away for a while.  What would go wrong: a change that
- * is told as accepted but overwritten, one that is made twice because it was
- * repeated, one told as refused that is in force later, or a daemon that falls
- * back to an older configuration.  The cause would be a write that does not
- * depend on the head that it was decided on. */
+ * each. Responses to writes are lost, some writes take effect only after
+ * the loss was reported, and the table is unreachable for a while. Guards
+ * against a change reported as accepted but overwritten, made twice on a
+ * retry, or reported as refused and in force later, and against a daemon
+ * that returns to an older configuration. Each would come of a write that
+ * is not conditional on the head that it was decided on. */
 
 #define OPERATORS 4
 #define CHANGES 200
 #define NODES 5
 #define OUTAGE_AFTER 300
 #define OUTAGE_MS 5000
-/* Longer than a late write takes, so that one of a change that was told as
- * refused is seen before it is asked again. */
+/* Longer than a late write takes, so that the late write of a change
+ * reported as refused is seen before the change is retried. */
 #define REPEAT_MS 600
 #define LOST_PPM 150000
-/* Now and then one daemon alone can't reach the table for so long, longer
- * than it tries to settle a change. */
+/* From time to time one daemon alone can't reach the table for so long,
+ * longer than it tries to resolve a change. */
 #define CUT_MS 12000
-/* A race that is not over by then has gone wrong. */
+/* A race that is not over by then has failed. */
 #define RACE_MS 3600000
-/* So many faults are proof enough. */
+/* The run must have met at least so many faults. */
 #define WRONG_MAX 20
 #define LOG_PREFIX "config/log/"
 #define CHANGE_PREFIX "config/change/"
-/* Calls: a probe's is PROBE + node, an operator's is its number in the upper
- * half. */
+/* Call ids: a probe's is PROBE + node, an operator's has its number in the
+ * upper half. */
 #define PROBE UINT64_C (1000000)
 
 typedef enum
@@ -43,12 +43,12 @@
 typedef struct
 {
   Told told;
-  uint64_t revision; /* told with it */
+  uint64_t revision; /* revision reported with it */
   bool expect_set;
   uint64_t expect;
-  bool unknown;  /* told so of one of its asks */
-  bool refused;  /* told of another one that it was not made */
-  uint32_t seen; /* in the history */
+  bool unknown;  /* a request was answered that the outcome is unknown */
+  bool refused;  /* a request was answered that it was not made */
+  uint32_t seen; /* times found in the history */
 } Change;
 
 typedef struct
@@ -65,7 +65,7 @@
 {
   ConfigCell cell;
   Operator operators[OPERATORS];
-  uint64_t shown[FAKE_NODES_MAX]; /* highest revision that a node showed */
+  uint64_t shown[FAKE_NODES_MAX]; /* highest revision that a node has shown */
   uint32_t settled;
   uint32_t unknown, refused;
   uint32_t wrong;
@@ -78,7 +78,7 @@
     print_message ("%s, revision %" PRIu64 "\n", what, revision);
 }
 
-/* The committed change of a revision; NULL: there is none. */
+/* Returns the committed change of a revision, or NULL. */
 static json_t *
 log_row (Race *race, uint64_t revision)
 {
@@ -112,7 +112,7 @@
   json_decref (row);
 }
 
-/* A change of which every ask was told as not made is not there. */
+/* A change whose requests were all answered as not made must be absent. */
 static void
 look_refused (Race *race, uint32_t index)
 {
@@ -181,8 +181,8 @@
   json_decref (body);
 }
 
-/* Every second operator states what it saw; the others just write.  Each
- * repeat goes to another daemon, under the same id. */
+/* Every second operator states the revision that it read; the others write
+ * unconditionally. Each retry goes to another daemon, under the same id. */
 static void
 ask_change (Race *race, uint32_t index)
 {
@@ -224,7 +224,7 @@
     }
 }
 
-/* One row of the history, against what its operator was told. */
+/* Checks one row of the history against what its operator was answered. */
 static void
 check_row (Race *race, const json_t *row, uint64_t revision, uint64_t before)
 {
@@ -301,7 +301,7 @@
   net->nodes[mux_random_below (&net->random, NODES)].table_cut = true;
 }
 
-/* Return: how many things were wrong. */
+/* Return: number of violations found. */
 static uint32_t
 run_race (uint64_t seed, bool ignore_conditions)
 {
@@ -359,8 +359,8 @@
     assert_int_equal (run_race (seed, false), 0);
 }
 
-/* The same with a table that does not look at conditions: the checks above
- * must see that changes overwrite one another. */
+/* The same with a table that ignores conditions: the checks above must
+ * detect that changes overwrite one another. */
 static void
 test_race_without_conditions_is_seen (void **state)
 {
--- a/test/unit/test_sched_books.c
+++ b/test/unit/test_sched_books.c
@@ -1,10 +1,9 @@
 #include "policy/sched.h"
 #include "support/test.h"
 
-/*
- * A seeded random sequence of operations, checked after each one against a
- * naive model that keeps plain arrays and adds everything up anew.
- */
+/* Runs a seeded random sequence of operations and compares the scheduler's
+ * accounting after each one with a naive model that keeps plain arrays and
+ * recomputes every sum. */
 
 #define WORKERS 24
 #define TASKS 300
@@ -23,7 +22,7 @@
 {
   State state;
   uint32_t class_id;
-  uint32_t gang; /* 0: alone */
+  uint32_t gang; /* 0: not in a gang */
   uint32_t worker;
   MuxSize size;
   int64_t give_up_ms;
@@ -44,7 +43,7 @@
   ModelWorker worker[WORKERS];
   ModelTask task[TASKS];
   MuxSize declared[CLASSES];
-  MuxSize most[CLASSES]; /* ever declared or reported, by resource */
+  MuxSize most[CLASSES]; /* highest declared or reported, by resource */
   uint32_t next_gang;
   uint32_t placed;
   uint32_t dropped;
@@ -266,8 +265,8 @@
 
   for (uint32_t t = 0; t < TASKS; t++)
     absent += m->task[t].state == ABSENT;
-  /* Seldom one that stays incomplete: its members hold places until they give
-   * up. */
+  /* A few gangs stay incomplete: their members wait in the queue until
+   * they expire. */
   if (absent < GANG_SIZE && draw (m, 50) != 0)
     return;
 
@@ -289,7 +288,7 @@
   assert_true (p->worker < WORKERS);
   assert_true (m->worker[p->worker].present && m->worker[p->worker].usable);
   assert_true (mux_size_fits (*need, p->size));
-  /* Not more than was free before it: the books never go over capacity. */
+  /* At most what was free before: bookings never exceed capacity. */
   assert_true (mux_size_fits (p->size, model_free (m, p->worker)));
   task->state = BOOKED;
   task->worker = p->worker;
@@ -297,8 +296,8 @@
   m->placed++;
 }
 
-/* How many of a class the present workers could hold if they were empty, each
- * as large as it was ever declared or seen. */
+/* Returns how many tasks of a class the present workers could hold if they
+ * were empty, each task as large as was ever declared or reported. */
 static uint32_t
 could_hold (const Model *m, uint32_t c)
 {
@@ -461,7 +460,7 @@
     }
   print_message ("placed %u dropped %u gangs %u\n", m.placed, m.dropped,
                  m.gangs_placed);
-  /* The run must have been about something. */
+  /* The run must have exercised each kind of operation. */
   assert_true (m.placed > 5000);
   assert_true (m.dropped > 500);
   assert_true (m.gangs_placed > 50);
--- a/test/unit/test_sched_faults.c
+++ b/test/unit/test_sched_faults.c
@@ -1,8 +1,8 @@
 #include "support/sched_cell.h"
 #include "support/test.h"
 
-/* Run @count tasks of @class_name; those on worker @broken fail, or all when
- * @bad.  Returns how many failed on worker @broken. */
+/* Runs @count tasks of @class_name; those on worker @broken fail, or all if
+ * @bad. Returns how many failed on worker @broken. */
 static uint32_t
 run_tasks (Cell *cell,
            const char *class_name,
@@ -41,11 +41,9 @@
     }
 }
 
-/*
- * One worker fails whatever it starts, within 10 ms.  It is free again at
- * once and would be given the next task, and the next: callers would see most
- * of their requests fail.  A few failures must close it.
- */
+/* One worker fails whatever it starts, within 10 ms. As it is free again at
+ * once, it would be given task after task, and most requests would fail.
+ * After a few failures it must get no more. */
 static void
 test_broken_worker (void **state)
 {
@@ -62,10 +60,8 @@
   assert_in_range (failed, 1, 8);
 }
 
-/*
- * A class has a bug and fails on every worker.  The workers must stay in use
- * for the other classes: they are not to blame.
- */
+/* A class has a bug and fails on every worker. The workers must stay in use
+ * for other classes, as the failures are not theirs. */
 static void
 test_bad_class (void **state)
 {
@@ -85,10 +81,8 @@
   cell_idle (cell);
 }
 
-/*
- * A broken worker is repaired.  One probe finds out, and only one at a time
- * may be risked; after it the worker is used as before.
- */
+/* A broken worker is repaired. One probe task finds out, only one at a time
+ * may be risked, and after its success the worker is used as before. */
 static void
 test_probe_mends (void **state)
 {
@@ -119,11 +113,9 @@
     }
 }
 
-/*
- * A class declares a quarter of the memory that it uses.  Workers filled by
- * the declaration would run out of it; what is reported must be booked, for
- * the tasks that run and for those to come.
- */
+/* A class declares a quarter of the memory that it uses. Workers filled by
+ * the declaration would run out of memory; the reported use must be booked,
+ * for running tasks and for later ones. */
 static void
 test_declared_too_little (void **state)
 {
@@ -149,10 +141,8 @@
   assert_in_range (placed.size.mem_mib, 4096, 4096 * 9 / 8);
 }
 
-/*
- * Reports that are wrong say that a class needs more than any worker has.
- * It must go on running, one to a worker, and not be refused for ever.
- */
+/* Wrong reports say that a class needs more than any worker has. The class
+ * must go on running, one task to a worker, and not be refused for ever. */
 static void
 test_report_beyond_workers (void **state)
 {
@@ -174,11 +164,9 @@
   assert_int_equal (placed.size.mem_mib, 16384);
 }
 
-/*
- * A worker is found running more than it can hold, after its owner changed.
- * What runs is booked; free is 0 and not a huge number; nothing is added
- * until enough has ended.
- */
+/* After a change of owner a worker is found to run more than it can hold.
+ * What runs is booked, its free room is 0 and does not wrap around, and
+ * nothing is added until enough has ended. */
 static void
 test_adopt_beyond_capacity (void **state)
 {
@@ -201,10 +189,8 @@
   cell_place (cell);
 }
 
-/*
- * A rack loses its power.  If a service's replicas all stood in it, since one
- * worker could hold them all, the service would be gone.
- */
+/* A rack loses its power. Replicas of a service that all fit on one worker
+ * must be spread over racks, or the whole service would be lost. */
 static void
 test_spread_over_racks (void **state)
 {
--- a/test/unit/test_sched_gang.c
+++ b/test/unit/test_sched_gang.c
@@ -13,8 +13,8 @@
   cell_set (cell, &batch);
 }
 
-/* Place what can be placed; returns how many tasks of the gang @first with
- * @count members were among it. */
+/* Places what can be placed; returns how many of these tasks were members
+ * of the gang that consists of @count tasks from @first on. */
 static uint32_t
 place_all (Cell *cell, MuxId first, uint32_t count)
 {
@@ -30,10 +30,8 @@
   return members;
 }
 
-/*
- * A forecast job of four tasks, two of which fit now.  Started one by one the
- * two would hold their room for nothing; so none may start before all fit.
- */
+/* A gang of four tasks, two of which fit now. Started one by one, the two
+ * would occupy their room for nothing; none may start before all fit. */
 static void
 test_all_or_nothing (void **state)
 {
@@ -55,8 +53,9 @@
   assert_int_equal (place_all (cell, gang, 4), 4);
 }
 
-/* One member has not asked yet: nobody starts.  One is cancelled: the others
- * wait for it to ask again, and all give up together. */
+/* While one member has not been requested, none starts. When one is
+ * cancelled, the others wait for it to be requested again, and all expire
+ * together. */
 static void
 test_incomplete_gang (void **state)
 {
@@ -77,7 +76,7 @@
   cell_idle (cell);
 }
 
-/* A job that no cell of this size can ever hold is refused at once. */
+/* A gang that a cell of this size can never hold is refused at once. */
 static void
 test_never_fits (void **state)
 {
@@ -94,11 +93,10 @@
                     MUX_REASON_NEVER_FITS);
 }
 
-/*
- * Small batch tasks come without a pause while a forecast job waits for the
- * whole cell.  Each small one fits at once, the job never does, unless room
- * is held for it.  Once held, only tasks that end in time may use that room.
- */
+/* Small batch tasks arrive without a pause while a gang waits for the whole
+ * cell. Each small task fits at once, so the gang would starve unless room
+ * is reserved for it. Once it is reserved, only tasks that end in time may
+ * use that room. */
 static void
 test_small_ones_do_not_delay (void **state)
 {
@@ -133,10 +131,8 @@
   assert_true (cell->now_ms < 1000 + 10000);
 }
 
-/*
- * Two jobs wait, each for the whole cell, while small tasks go on.  If each
- * held half of it, neither would ever start.
- */
+/* Two gangs wait, each for the whole cell, while small tasks go on. If each
+ * reserved half of it, neither would ever start (deadlock). */
 static void
 test_two_gangs_no_deadlock (void **state)
 {
@@ -163,11 +159,9 @@
   assert_int_equal (placed_second, 4);
 }
 
-/*
- * A job waits with workers held for it, and those workers leave.  The room
- * held must be given up and sought elsewhere, and others must not be kept
- * out by it.
- */
+/* A gang waits with workers reserved for it, and those workers leave. The
+ * reservation must be released and made elsewhere, and must not keep out
+ * others. */
 static void
 test_held_workers_leave (void **state)
 {
--- a/test/unit/test_sched_order.c
+++ b/test/unit/test_sched_order.c
@@ -12,11 +12,9 @@
   cell_set (cell, &batch);
 }
 
-/*
- * A hotel's booking comes while the nightly settlement fills the cell and its
- * queue.  The next free slot must go to the booking, although the settlement
- * has asked long before.
- */
+/* An interactive task (a hotel's booking) arrives while the nightly
+ * settlement, a batch, fills the cell and its queue. The next free slot
+ * must go to the booking, although the settlement was queued long before. */
 static void
 test_urgent_before_batch (void **state)
 {
@@ -39,11 +37,9 @@
   assert_true (mux_id_equal (cell_place (cell).task, late));
 }
 
-/*
- * More bookings come than the cell can run, without a pause.  The settlement
- * has the lower claim, yet it must start at last: once it is overdue a worker
- * is drained for it.
- */
+/* More bookings arrive than the cell can run, without a pause. The
+ * settlement has the lower priority but must not starve: once it is
+ * overdue, a worker is drained for it. */
 static void
 test_batch_does_not_starve (void **state)
 {
@@ -83,12 +79,10 @@
                         MUX_NO_WORKER);
 }
 
-/*
- * A settlement has missed its start when a new one asks, and the cell is full.
- * The users would see every later settlement start late as well, if the first
- * kept its place.  Those still in time go first, yet one in ten starts belongs
- * to the late ones, so that these end up neither first nor forgotten.
- */
+/* A settlement has missed its start target when a new one arrives, and the
+ * cell is full. If the late one kept its place, every later settlement
+ * would be late too. Those still in time go first, but one in ten starts
+ * goes to the late ones, so that they do not starve. */
 static void
 test_late_behind_timely (void **state)
 {
@@ -124,12 +118,9 @@
   assert_int_equal (starts[1], 2);
 }
 
-/*
- * A hundred settlements are late and more are due than can start in time.  A
- * new one would become late itself and, behind the hundred, be dropped after
- * its whole time to give up.  It must hear so at once; one that has the time
- * is taken in.
- */
+/* A hundred settlements are late and more are due than can start in time. A
+ * new one would become late itself, queue behind the hundred and expire. It
+ * must be refused at once; one with enough time is admitted. */
 static void
 test_refused_behind_late (void **state)
 {
@@ -158,10 +149,8 @@
   assert_int_equal (verdict.reason, MUX_REASON_NONE);
 }
 
-/*
- * A caller that can't be served by its time to give up must hear so at that
- * moment, with a time to come back, and not wait for a slot to get free.
- */
+/* A request that can't be served by its expiry is answered at that moment,
+ * with a time to retry, and does not wait for a free slot. */
 static void
 test_gives_up_at_once (void **state)
 {
@@ -187,10 +176,8 @@
   assert_true (dropped.retry_ms > 0);
 }
 
-/*
- * A class floods the queue.  Callers of another class must still find a place
- * in it, and those of the first are told that their queue is full.
- */
+/* A class floods the queue. Requests of another class must still be queued,
+ * and those of the first are answered that their queue is full. */
 static void
 test_places_for_each_class (void **state)
 {
@@ -214,11 +201,9 @@
     }
 }
 
-/*
- * One product leaves its quota idle and another borrows it.  When the first
- * has work again, the next free slots are its own until its quota is reached;
- * what can't end soon must not borrow at all.
- */
+/* One product leaves its quota idle and another borrows it. When the first
+ * has work again, the next free slots go to it until its quota is reached;
+ * tasks that can't end soon must not borrow at all. */
 static void
 test_quota_lent_and_returned (void **state)
 {
@@ -256,11 +241,10 @@
   cell_idle (cell);
 }
 
-/*
- * A settlement asks for all its tasks at once, and the cell is empty.  Before
- * any is placed nothing runs and nothing has ended; it must not be refused
- * for that, as four rounds of the cell end well before it gives up.
- */
+/* A settlement requests all its tasks at once, and the cell is empty.
+ * Before the first is placed nothing runs and nothing has ended, so there
+ * is no measured rate; it must not be refused for that, as four rounds of
+ * the cell end well before its expiry. */
 static void
 test_job_on_empty_cell (void **state)
 {
@@ -276,15 +260,15 @@
   for (int i = 0; i < 100; i++)
     cell_place (cell);
   cell_idle (cell);
-  /* It is refused what really comes too late. */
+  /* What really comes too late is refused. */
   for (int i = 0; i < 200; i++)
     cell_ask_for (cell, "batch", 1000, &verdict);
   assert_int_equal (verdict.reason, MUX_REASON_OVERLOAD);
   assert_true (verdict.retry_ms > 0);
 }
 
-/* A class is removed while its tasks wait and run: those waiting are told,
- * those running stay booked. */
+/* A class is removed while its tasks wait and run: those waiting are
+ * answered, those running stay booked. */
 static void
 test_class_removed (void **state)
 {
@@ -307,8 +291,8 @@
   cell_end (cell, runs, 100);
 }
 
-/* Ten thousand waiting tasks are cancelled: each is known once, and nothing
- * of them is left in any queue. */
+/* Ten thousand waiting tasks are cancelled: each is found exactly once, and
+ * none is left in any queue. */
 static void
 test_wave_of_cancellations (void **state)
 {
--- a/test/unit/test_sched_risk.c
+++ b/test/unit/test_sched_risk.c
@@ -14,7 +14,7 @@
   return risk[0];
 }
 
-/* @per_tick tasks ask every 100 ms, for @ticks; each runs for a second. */
+/* @per_tick tasks arrive every 100 ms, for @ticks; each runs for a second. */
 static void
 run_load (Cell *cell, uint32_t per_tick, uint32_t ticks)
 {
@@ -50,11 +50,9 @@
     }
 }
 
-/*
- * Outage reports come faster and faster.  The operators must be told while
- * starts are still in time, with what binds and how much would help, and must
- * not be told so at half the load.
- */
+/* Outage reports arrive at a growing rate. The operators must be warned
+ * while starts are still in time, with the binding resource and how much
+ * more would help, and must not be warned at half the load. */
 static void
 test_flagged_before_missed (void **state)
 {
@@ -86,8 +84,8 @@
   assert_true (risk.p99_wait_ms <= spec.start_within_ms);
 }
 
-/* A long-running class has used up its product's quota: the cell is empty, so
- * the operators must be told that the quota binds. */
+/* A long-running class has used up its product's quota while the cell is
+ * empty: the warning must name the quota as what binds. */
 static void
 test_quota_binds (void **state)
 {
@@ -110,11 +108,9 @@
   assert_int_equal (risk.queued, 1);
 }
 
-/*
- * A flood takes the whole cell, and every settlement that asks is refused at
- * once.  None waits and none starts, so that by the queue alone its target
- * looks met; the operators must be told that it is not.
- */
+/* A flood takes the whole cell, and every settlement is refused at once.
+ * None waits and none starts, so by the queue alone its target looks met;
+ * the operators must be told that it is not. */
 static void
 test_refused_is_at_risk (void **state)
 {
