--- a/test/unit/test_cli_all.c
+++ b/test/unit/test_cli_all.c
@@ -7,8 +7,8 @@
 
 #define KEY_LEN 40
 
-/* Two calls to the stand-in and, at the end of the list, a port that takes no
- * connections. */
+/* Two calls to the stand-in and, at the end of the list, a port that
+ * refuses connections. */
 static void
 use_three_servers (CliSession *session, int *fd)
 {
@@ -21,7 +21,7 @@
             port, gone);
 }
 
-/* Runs a verb for people and for machines. */
+/* Runs a verb with the readable output and with JSON. */
 static void
 run_twice (CliSession *session,
            const char *verb,
@@ -50,10 +50,10 @@
             "http://127.0.0.1:%u,http://127.0.0.1:%u", port, port);
 }
 
-/* Each daemon holds its own workers and shows free room 0 for those of others;
- * one alone would look like a cell that is nearly full.  Worker w-2 has just
- * changed hands and both still say that they hold it: the higher epoch is
- * right. */
+/* Each daemon holds its own workers and shows free room 0 for those of
+ * others; one alone would look like a cell that is nearly full. Worker w-2
+ * has just changed owners and both still report that they hold it: the
+ * higher epoch is right. */
 static void
 test_workers_of_all (void **state)
 {
@@ -78,8 +78,8 @@
   cli_session_assert_golden (session, "all_workers");
 }
 
-/* Callers of one data centre wait while those of the other don't.  Whoever
- * asks the idle one is told that all is well. */
+/* Callers of one data centre wait while those of the other don't. An
+ * operator who queries only the idle one would see no problem. */
 static void
 test_risk_of_all (void **state)
 {
@@ -121,8 +121,8 @@
   cli_session_assert_golden (session, "all_status");
 }
 
-/* One daemon is gone, one refuses.  What the others say is shown, but neither
- * a person nor a script may take it for the whole cell. */
+/* One daemon is gone, one refuses. What the others answer is shown, but
+ * must be marked as incomplete, for people and for scripts. */
 static void
 test_all_but_some (void **state)
 {
@@ -160,7 +160,7 @@
   cli_session_expect (session, line, MUX_EXIT_OK);
   fflush (session->log);
   assert_non_null (strstr (session->text, "> GET /v1/config/class/seats\n{\n"));
-  /* The line names this run's port: not for the golden file. */
+  /* The line names this run's port, so it stays out of the golden file. */
   rewind (session->log);
   cli_session_run (session, "--json=1 --timeout-ms=700 status");
   cli_session_run (session, "--server http://127.0.0.1:1 --json klass list");
@@ -199,7 +199,7 @@
   cli_session_assert_golden (session, "tickets");
 }
 
-/* A pair that does not belong together keeps every daemon out of the cell. */
+/* A certificate and key that do not match keep every daemon out of the cell. */
 static void
 test_keygen (void **state)
 {
--- a/test/unit/test_cli_cut.c
+++ b/test/unit/test_cli_cut.c
@@ -24,9 +24,9 @@
   return code;
 }
 
-/* A desk prints half a confirmation with exit code 0.  A balancer between
- * dropped the length, and the connection broke: its end looks like the
- * answer's.  Only an answer that says its own end is printed. */
+/* A desk prints half a confirmation with exit code 0: a load balancer
+ * dropped the length, and the end of the broken connection looks like the
+ * end of the answer. Only a response that marks its own end is printed. */
 static void
 test_cut_answer_is_unknown (void **state)
 {
@@ -42,12 +42,10 @@
   assert_int_equal (code_of (session, HEAD "\r\nhalf"), MUX_EXIT_UNKNOWN);
 }
 
-/*
- * An operator sends a change and the daemon's side closes half way, or the
- * shell's pipe behind the command is closed.  The system ends the process at
- * its next write, without a word on whether the change took effect: libcurl
- * leaves the signal alone when it is told to use none.
- */
+/* An operator sends a change and the daemon's side closes half way, or the
+ * reader of the command's output closes its pipe. The next write raises
+ * SIGPIPE, which ends the process without a word on whether the change took
+ * effect: libcurl does not block SIGPIPE when CURLOPT_NOSIGNAL is set. */
 static void
 test_closed_pipe_does_not_end_it (void **state)
 {
--- a/test/unit/test_core_pacing.c
+++ b/test/unit/test_core_pacing.c
@@ -1,13 +1,13 @@
-/* Traffic that a daemon spends on itself stays bounded as the cell grows. */
+/* A daemon's periodic traffic stays bounded as the cell grows. */
 #include "bench/support/core_harness.h"
 #include "support/test.h"
 
-/* A daemon's share of the workers at the size to design for. */
+/* A daemon's share of the workers at the largest supported size. */
 #define WORKERS 208
 #define TASKS_EACH 4
 #define MINUTES_MS (5 * 60 * 1000)
 #define JOBS 2000
-/* Looks for jobs without a home in that time. */
+/* Limit of the scans for jobs without a home within MINUTES_MS. */
 #define LOOKS_MAX 10
 
 static void
@@ -52,19 +52,17 @@
   core_harness_free (h, NULL);
 }
 
-/*
- * A peer dies and leaves its workers to this daemon.  Renewals slow down from
- * one moment to the next, while the leases that stand were asked for at the
- * quick pace: the tasks of workers held from before would be stopped, and
- * their callers would see them fail, if the slow pace counted for them.
- */
+/* A peer dies and its workers fall to this daemon. Renewals then slow down
+ * at once, while the current leases were requested for the faster interval:
+ * if the slower interval counted for them, the tasks of workers held from
+ * before would be stopped and fail for their callers. */
 static void
 test_takeover_lets_no_lease_lapse (void **state)
 {
   CoreHarness *h = few_listed ();
 
   (void) state;
-  /* At each offset into the quick cadence, as renewals may be on their way. */
+  /* At each offset into the fast interval, as renewals may be in flight. */
   for (uint32_t count = 16; count <= WORKERS; count += 16)
     {
       core_harness_list (h, count);
@@ -83,8 +81,9 @@
   expect_all_held (h);
 }
 
-/* Members of other data centres at the size to design for.  Each of them
- * counts some more than this core does, and sends that much more rarely. */
+/* Members of other data centres at the largest supported size. Each of them
+ * counts some more members than this core does, and sends that much more
+ * rarely. */
 static void
 test_far_heartbeats_are_bounded (void **state)
 {
@@ -101,7 +100,7 @@
   core_harness_free (h, NULL);
 }
 
-/* Rows of open jobs, spread over all ids, of @home. */
+/* Stores @count rows of open jobs of @home, spread over all ids. */
 static void
 put_open_jobs (CoreHarness *h, uint32_t count, const char *home)
 {
@@ -144,8 +143,8 @@
   core_harness_free (h, NULL);
 }
 
-/* Each of 25 daemons reads its partitions of the open jobs, and some rows
- * beyond. */
+/* Each of 25 daemons reads its own partitions of the open jobs and only
+ * some rows beyond them. */
 static void
 test_looks_for_jobs_are_shared (void **state)
 {
@@ -182,11 +181,9 @@
   core_harness_put (h, MUX_CONFIG_CLASS, name, text);
 }
 
-/*
- * An owner of many workers learns late that tasks on them have ended, as it
- * renews rarely.  A job of half a second would take ten to twenty, until the
- * next renewal or a late poll by its home.
- */
+/* An owner of many workers renews rarely, so it learns late that tasks on
+ * them have ended. A job of half a second would take ten to twenty, until
+ * the next renewal or a late poll by its home. */
 static void
 test_job_does_not_wait_for_renewals (void **state)
 {
@@ -208,11 +205,9 @@
   core_harness_free (h, NULL);
 }
 
-/*
- * A service's tasks run for days.  Their owner reports an end to the home; a
- * daemon that dies may take that report with it, as the worker can die in the
- * same rack.  The home polls the tasks then, and otherwise hardly ever.
- */
+/* A service's tasks run for days. Their owner reports an end to the home,
+ * but a daemon that dies may lose that report, as may a worker that dies in
+ * the same rack. Only then does the home poll the tasks often. */
 static void
 test_looks_at_long_tasks_are_rare (void **state)
 {
@@ -238,9 +233,9 @@
   core_harness_free (h, NULL);
 }
 
-/* The table takes 1,000 writes a second from all daemons together.  At one of
- * 25 requests with keys come faster than its part of that: they share writes,
- * and are all answered. */
+/* The table takes 1,000 writes a second from all daemons together. At one
+ * of 25 daemons, keyed requests arrive faster than its share of that: they
+ * share writes, and all are answered. */
 static void
 test_writes_are_shared (void **state)
 {
--- a/test/unit/test_golden_core.c
+++ b/test/unit/test_golden_core.c
@@ -6,7 +6,7 @@
 #define SEED 11
 #define GIVE_UP_MS 8000
 
-/* One session: a cell of its own and the record of it. */
+/* One recorded scenario: a cell of its own and its record. */
 typedef struct
 {
   Scenario *s;
@@ -18,7 +18,8 @@
 {
   Session session = { .s = scenario_new (SEED, nodes, workers, centres) };
 
-  /* Delays then do not depend on how often the cell's beginning drew one. */
+  /* Makes delays independent of how many random numbers the start of the
+   * cell drew. */
   session.s->net->random.state = SEED;
   session.record = core_record_new (session.s->net);
   return session;
@@ -41,8 +42,8 @@
   char *(*play) (void);
 } Story;
 
-/* Plays the story twice: the same seed must give the same bytes, since
- * otherwise a difference from the file would tell nothing. */
+/* Runs the scenario twice: the same seed must give the same bytes, or a
+ * difference from the golden file would mean nothing. */
 static void
 test_story (void **state)
 {
@@ -55,7 +56,8 @@
   free (first);
 }
 
-/* The node's own workers take nothing, so that another owner must be asked. */
+/* The node's own workers accept nothing, so that it must request room from
+ * another owner. */
 static void
 leave_own (Scenario *s, uint32_t node)
 {
@@ -65,9 +67,9 @@
   scenario_run (s, 1100);
 }
 
-/* A seat is booked at a daemon whose own workers are leaving: the owner of
- * another grants a place, the row of the key is written, and only then the
- * start leaves.  A place granted after the start, or a start before the row,
+/* A seat is booked at a daemon whose own workers are draining: the owner of
+ * another worker grants room, the row of the key is written, and only then
+ * is the start sent. A grant after the start, or a start before the row,
  * would let the same key run twice. */
 static char *
 booking_story (void)
@@ -85,9 +87,9 @@
   return end (&session);
 }
 
-/* A voucher is redeemed at two counters at once.  Both daemons ask for a
- * place and write the key's row; one loses the row and must wait at the
- * winner's worker for its answer, not start a second run. */
+/* A voucher is redeemed at two counters at once. Both daemons request room
+ * and write the key's row; the one whose write fails must wait at the
+ * other's worker for its answer and not start a second run. */
 static char *
 same_key_story (void)
 {
@@ -106,8 +108,8 @@
   return end (&session);
 }
 
-/* A start takes effect and its answer never comes.  The home settles at the
- * worker and gives the caller the one run's answer; a home that starts anew
+/* A start takes effect and its response is lost. The home resolves it at
+ * the worker and returns the one run's answer; a home that started it anew
  * elsewhere would book the seat twice. */
 static char *
 lost_start_story (void)
@@ -126,9 +128,9 @@
   return end (&session);
 }
 
-/* A settlement batch is recorded before its caller hears of it, placed and
- * closed; a forecast's gang needs two owners' workers at the same time and
- * starts only when every task has its place. */
+/* A settlement batch is stored before its caller is answered, placed and
+ * closed; a forecast's gang needs the workers of two owners at the same
+ * time and starts only when every task has room. */
 static char *
 jobs_story (void)
 {
@@ -151,9 +153,10 @@
   return end (&session);
 }
 
-/* A daemon dies with a job's task running on its worker.  The other claims
- * the worker at a higher epoch, finds the task in its list and the job in the
- * table, and ends it; a job that nobody adopts would stay open for good. */
+/* A daemon dies with a job's task running on its worker. The other claims
+ * the worker at a higher epoch, finds the task in the worker's list and the
+ * job in the table, and ends it; a job that nobody adopts would stay open
+ * for ever. */
 static char *
 owner_killed_story (void)
 {
@@ -195,9 +198,10 @@
   return call;
 }
 
-/* Two operators change the same object at two daemons at once, each on what
- * it saw.  One is committed and in force at both; the other is told what
- * stands now, and its value never shows. */
+/* Two operators change the same object at two daemons at once, each based
+ * on the revision it read. One change is committed and in force at both;
+ * the other operator gets the current value, and its own never takes
+ * effect. */
 static char *
 change_story (void)
 {
@@ -218,9 +222,9 @@
   return end (&session);
 }
 
-/* A daemon is stopped with a booking in flight.  Its caller still gets the
- * whole answer, new ones are told to go elsewhere, its workers are handed
- * over, and only then is it done. */
+/* A daemon is stopped with a booking in flight. Its caller still gets the
+ * whole answer, new callers are referred to other daemons, its workers are
+ * handed over, and only then does it end. */
 static char *
 graceful_stop_story (void)
 {
--- a/test/unit/test_job.c
+++ b/test/unit/test_job.c
@@ -99,7 +99,8 @@
   mux_job_free (read);
 }
 
-/* Guards against a run that is not looked for as its worker's name was lost. */
+/* Guards against a run that is not searched for because its worker's name
+ * was lost. */
 static void
 test_names_that_can_not_be_read_are_told (void **state)
 {
--- a/test/unit/test_platform_cut.c
+++ b/test/unit/test_platform_cut.c
@@ -37,12 +37,11 @@
   return call;
 }
 
-/*
- * A settlement batch runs on half its input, or its submitter gets half the
- * answer.  What is between the daemon and the object store gave no length and
- * its connection broke, or it answered in the store's place: only an answer
- * that says its own end and names the object's revision is the object.
- */
+/* A settlement batch runs on half its input, or its submitter gets half the
+ * answer: something between the daemon and the object store gave no length
+ * and its connection broke, or it answered in the store's place. Only a
+ * response that marks its own end and names the object's revision is the
+ * object. */
 static void
 test_cut_object_is_not_read (void **state)
 {
@@ -70,8 +69,8 @@
       fail_msg ("case %zu: %s", i, cases[i].answer);
 }
 
-/* A job is accepted although its input was never kept: a login page or another
- * server at the store's address says 200 to everything. */
+/* A job is accepted although its input was never stored: a login page or
+ * another server at the store's address answers 200 to everything. */
 static void
 test_foreign_200_is_no_write (void **state)
 {
--- a/test/unit/test_platform_faults.c
+++ b/test/unit/test_platform_faults.c
@@ -1,10 +1,10 @@
 #include "support/platform_fixture.h"
 #include "support/test.h"
 
-/* A guest's voucher is redeemed and the platform's answer is lost on a
- * connection that had served before.  The HTTP client may send such a request
- * again by itself; then the second sending finds the row of the first, reports
- * a conflict, and the caller is told that somebody else used the voucher. */
+/* A guest's voucher is redeemed and the platform's response is lost on a
+ * reused connection. The HTTP client may resend such a request by itself;
+ * the second one then finds the row of the first and reports a conflict,
+ * and the caller is told that somebody else used the voucher. */
 static void
 test_lost_answer_is_unknown_and_sent_once (void **state)
 {
@@ -68,7 +68,7 @@
   platform_set_faults (
       fixture, (StandinFaultPlan){ .cut_count = 1, .cut = { DATA_CENTRE } });
   platform_expect_get (fixture, "a", MUX_TABLE_DOWN);
-  /* The request went out, so the adapter can't know that it had no effect. */
+  /* The request was sent, so the adapter can't know that it had no effect. */
   platform_expect_put (fixture, "a", MUX_REV_ANY, "1", MUX_TABLE_UNKNOWN);
   assert_int_equal (platform_stats_of (fixture).txns, 0);
   platform_set_faults (
@@ -77,7 +77,7 @@
 }
 
 /* A write hangs in the platform past its timeout and takes effect once the
- * platform recovers.  Whoever is told "not written" would do it again. */
+ * platform recovers. A caller that was told "not written" would repeat it. */
 static void
 test_hanging_write_is_unknown (void **state)
 {
@@ -105,7 +105,7 @@
   assert_int_equal (platform_stats_of (fixture).txns, 1);
 }
 
-/* Makes both threads of the adapter talk to the platform at the same time. */
+/* Makes both threads of the adapter call the platform at the same time. */
 static void
 ask_on_both_threads (PlatformFixture *fixture)
 {
@@ -124,9 +124,10 @@
     }
 }
 
-/* The table seems slow for a whole timeout again and again, although it is up.
- * All open connections went silent for good while new ones work, as when a
- * firewall loses its state, and each thread finds that out on its own call. */
+/* The table seems unreachable for one timeout after another, although it is
+ * up. All open connections are dead without a reset while new ones work, as
+ * when a firewall loses its state, and each thread finds that out on its
+ * own call. */
 static void
 test_one_timeout_renews_every_connection (void **state)
 {
@@ -143,9 +144,10 @@
   ask_on_both_threads (fixture);
 }
 
-/* The same loss, a call later: the new connections are fine, but a thread that
- * had none time out has its silent one still among its idle ones.  libcurl
- * takes the oldest that is idle, so the next call goes to nobody after all. */
+/* The same loss, one call later: the new connections work, but a thread
+ * that had no time-out still has a dead one among its idle connections.
+ * libcurl reuses the oldest idle one, so the next call would time out after
+ * all. */
 static void
 test_silent_connection_never_comes_back (void **state)
 {
@@ -163,8 +165,8 @@
     ask_on_both_threads (fixture);
 }
 
-/* Each call taken before the end gets exactly one reply, and none that was
- * still queued is left in doubt. */
+/* Each call accepted before the end gets exactly one reply, and none that
+ * was still queued is reported as of unknown outcome. */
 static void
 test_free_answers_every_call (void **state)
 {
--- a/test/unit/test_platform_standin.c
+++ b/test/unit/test_platform_standin.c
@@ -146,7 +146,7 @@
   assert_int_equal (rev, 2);
   standin_platform_stats (fixture->platform, &stats);
   assert_int_equal (stats.rows, 0);
-  /* A row that comes back gets a revision it never had before. */
+  /* A row that is created again gets a revision it never had before. */
   assert_int_equal (put (fixture, "a", MUX_REV_ABSENT, "1"), 3);
 }
 
@@ -171,7 +171,7 @@
   assert_int_equal (stats.rows, 0);
 }
 
-/* Puts MANY_ROWS rows "r/00000" up in a scattered order. */
+/* Writes MANY_ROWS rows "r/00000" and up in a scattered order. */
 static void
 put_many (Fixture *fixture)
 {
@@ -184,7 +184,7 @@
     {
       char key[MUX_ROW_KEY_LEN];
 
-      /* 7919 has no factor in common with MANY_ROWS: every key comes once. */
+      /* 7919 is coprime to MANY_ROWS: every key is written once. */
       snprintf (key, sizeof key, "r/%05u",
                 (unsigned) ((uint64_t) i * 7919 % MANY_ROWS));
       rows[count++] = row_of (key, MUX_REV_ABSENT, "v");
@@ -314,7 +314,7 @@
   assert_changed (fixture, 0, 2, 2);
   assert_changed (fixture, 1, 1, 2);
   assert_changed (fixture, 2, 0, 2);
-  /* A number that it never gave, as of a former life. */
+  /* A number that it never gave, as one of a previous incarnation. */
   assert_changed (fixture, 9, 2, 2);
   instance.state = MUX_INSTANCE_GONE;
   standin_platform_instance_set (fixture->platform, &instance);
--- a/test/unit/test_worker_standin.c
+++ b/test/unit/test_worker_standin.c
@@ -115,8 +115,9 @@
 }
 
 /* Two owners each believe that they hold the worker: the first was paused
- * while its lease lapsed and the second claimed.  The first wakes and goes on
- * with its old epoch.  Were it heard, both would book the same room. */
+ * while its lease expired and the second claimed the worker. The first
+ * resumes with its old epoch. If its calls were accepted, both would book
+ * the same room. */
 static void
 test_paused_owner_is_fenced (void **state)
 {
@@ -132,9 +133,10 @@
   assert_int_equal (state_of (f, 1), MUX_TASK_ABSENT);
 }
 
-/* The owner dies with a task running; its successor claims within the grace.
- * The caller must see the task end once: a claim over the worker passes its
- * tasks on, and the new lease carries them beyond the old one's end. */
+/* The owner dies with a task running; its successor claims within the grace
+ * period. The caller must see the task end once: a claim passes the
+ * worker's tasks on, and the new lease keeps them running beyond the old
+ * one's expiry. */
 static void
 test_claim_passes_tasks_on (void **state)
 {
@@ -157,9 +159,9 @@
   assert_int_equal (state_of (f, 1), MUX_TASK_RUNNING);
 }
 
-/* Every owner is cut off from the worker.  Its tasks are stopped when the
- * lease and the grace are over, so that elsewhere they may be run again; a
- * start that comes under the lapsed lease is refused. */
+/* Every owner is partitioned from the worker. Its tasks are stopped when
+ * the lease and the grace period have expired, so that they may be run
+ * again elsewhere; a start that arrives under the expired lease is refused. */
 static void
 test_lapsed_lease_stops_tasks (void **state)
 {
@@ -180,9 +182,10 @@
   assert_int_equal (state_of (f, 1), MUX_TASK_STOPPED);
 }
 
-/* A home that lost a start's answer asks to forget it and tells its caller
- * "not run".  The start was only late on its way and arrives after that: were
- * it run, the voucher would be redeemed behind the caller's back. */
+/* A home that lost a start's response puts a tombstone and reports "not
+ * run" to its caller. The start was only delayed and arrives after that: if
+ * it ran, the voucher would be redeemed although the caller was told that
+ * it was not. */
 static void
 test_tombstone_refuses_start (void **state)
 {
@@ -242,8 +245,9 @@
   assert_int_equal (status_of (f, start_call (4, 1)), MUX_WORKER_OK);
 }
 
-/* A start is repeated, hours late, after its answer has been dropped.  It
- * must be told apart from a new one, or the report would be counted twice. */
+/* A start is repeated hours later, after its answer has been dropped. It
+ * must be distinguished from a new one, or the report would be counted
+ * twice. */
 static void
 test_repeated_start_is_not_run_again (void **state)
 {
--- a/test/unit/test_workspace.c
+++ b/test/unit/test_workspace.c
@@ -34,7 +34,7 @@
   mux_workspaces_free (made);
 }
 
-/* Guards against a key that lets its holder into two workspaces by turns. */
+/* Guards against a key that is valid for two workspaces in turn. */
 static void
 test_key_of_two_workspaces_is_told (void **state)
 {
