--- a/test/unit/test_core_pacing.c
+++ b/test/unit/test_core_pacing.c
@@ -8,7 +8,7 @@
 #define MINUTES_MS (5 * 60 * 1000)
 #define JOBS 2000
 /* Limit of the scans for jobs without a home within MINUTES_MS. */
-#define LOOKS_MAX 10
+#define SCANS_MAX 10
 
 static void
 test_renewals_are_paced (void **state)
@@ -159,7 +159,7 @@
   core_harness_run (h, MINUTES_MS);
   standin_platform_stats (h->platform, &to);
   assert_in_range (to.rows_read - from.rows_read, JOBS / 25,
-                   LOOKS_MAX * JOBS / 4);
+                   SCANS_MAX * JOBS / 4);
   assert_int_equal (mux_counter_value (h->counters, MUX_COUNT_JOBS_ADOPTED), 0);
   core_harness_free (h, NULL);
 }
--- a/test/unit/test_explain.c
+++ b/test/unit/test_explain.c
@@ -16,11 +16,10 @@
       "{\"wall_ms\":1200,\"instance\":\"entry-1\",\"event\":\"accepted\","
       "\"job\":\"other\",\"queue\":\"q\",\"why\":\"stored\"}\n";
 
-/*
- * A caller asks why its job was late.  The lines of two daemons lie in one file
- * in no order, with lines of others between; the story has the job's own and
- * those of the planner while it was open, and names the change of planner.
- */
+/* A caller wants to know why its job was late. The lines of two daemons are
+ * in one file in no order, with lines of other jobs between; the output has
+ * the job's own and those of the planner while the job was open, and names
+ * the change of planner. */
 static void
 test_story_in_time_order (void **state)
 {
@@ -65,13 +64,11 @@
       "\"job\":\"gh\",\"state\":\"completed\",\"took_ms\":950,"
       "\"due_ms\":900}\n";
 
-/*
- * A caller was refused, came back and was late.  The planner had changed before
- * its job was accepted, which can't have delayed it, and another caller's
- * question about a queue failed meanwhile, which is not its story; its end was
- * stored late.  Told the change of planner as the cause, an operator would look
- * for a dead daemon.
- */
+/* A caller was refused, retried and was late. The planner had changed
+ * before its job was accepted, which can't have delayed it; another
+ * caller's query about a queue failed meanwhile, which does not concern
+ * this job; its end was stored late. If the change of planner were shown as
+ * the cause, an operator would search for a dead daemon. */
 static void
 test_cause_lies_between_acceptance_and_end (void **state)
 {
@@ -105,8 +102,8 @@
       "\"job\":\"ab\",\"state\":\"failed\",\"took_ms\":2110,"
       "\"due_ms\":900}\n";
 
-/* Guards against a job that failed without its caller being told of which
- * workers crashed under it. */
+/* Guards against a job that fails without its caller learning which workers
+ * crashed under it. */
 static void
 test_failure_names_the_workers_that_crashed (void **state)
 {
--- a/test/unit/test_history.c
+++ b/test/unit/test_history.c
@@ -4,17 +4,18 @@
 #define LINES_MAX 12
 
 /*
- * A case: the lines of a history, and the rule that these break so many times,
- * and no other; 0 times: none.  "-" is an empty field; a time with a plus has
- * MUX_LEAVING_GRACE_MS added.
+ * A case: the lines of a history, and the only rule that they violate, with the
+ * number of violations; 0 times: they violate none.  "-" is an empty field; a
+ * time with a plus has MUX_LEAVING_GRACE_MS added.
  *
- * start TIME WORKER LIFE TASK BODY [CPU/MEM/ACCELS/SLOTS]
+ * start TIME WORKER INCARNATION TASK BODY [CPU/MEM/ACCELS/SLOTS]
  * end TIME WORKER TASK STATE
  * told KEY OUTCOME TASK BODY ANSWER
  * change WHO OUTCOME REVISION (of a change that expects revision 4)
  * kept DAEMON WHO REVISION (of the change by WHO)
- * shown DAEMON LIFE REVISION
- * work TEXT, without a newline; else a line of the callers as it is
+ * shown DAEMON INCARNATION REVISION
+ * work TEXT: a line of the workers' logs without its newline
+ * Any other line is one of the callers' logs as it stands.
  */
 typedef struct
 {
@@ -40,21 +41,21 @@
       "start 20 w1 1 t3 b3" },
     MUX_RULE_COUNT,
     0 },
-  /* Its first submission was not run; the next is an attempt of its own. */
+  /* The first submission was not run; the next is an attempt of its own. */
   { "test_good_second_attempt",
     { "told k1 not_run t1 b1 -", "start 10 w2 1 t2 b1", "end 20 w2 t2 done",
       "told k1 done t2 b1 a-t2" },
     MUX_RULE_COUNT,
     0 },
-  /* A slot freed and taken again in the same millisecond, a worker filled to
-   * the brim, and a line cut by a kill. */
+  /* A slot freed and taken again in the same millisecond, a worker filled
+   * to capacity, and a line truncated when its writer was killed. */
   { "test_good_full_worker",
     { "start 10 w1 1 t1 b1 2000/500/0/1", "start 10 w1 1 t2 b2 2000/500/0/1",
       "end 10 w1 t1 done", "start 10 w1 1 t3 b3 2000/500/0/1",
       "work {\"event\":\"st" },
     MUX_RULE_COUNT,
     0 },
-  /* A new life starts empty: what the old one ran is over. */
+  /* A new incarnation starts empty: what the previous one ran has ended. */
   { "test_good_restart",
     { "start 10 w1 1 t1 b1 4000/1000/1/2", "start 30 w1 2 t2 b2 4000/1000/1/2",
       "start 40 w2 1 t1 b9" },
@@ -75,7 +76,7 @@
       "end 25 w2 t1 done" },
     MUX_RULE_TWO_PLACES,
     1 },
-  /* Still running on a worker that nobody killed. */
+  /* Still running on a worker that was never killed. */
   { "test_two_places_open",
     { "start 10 w1 1 t1 b1", "start 15 w2 1 t1 b1" },
     MUX_RULE_TWO_PLACES,
@@ -103,7 +104,7 @@
     { "start 10 w1 1 t1 b1", "start 11 w1 1 t2 b2", "start 12 w1 1 t3 b3" },
     MUX_RULE_OVERCOMMIT,
     1 },
-  /* Within the grace it may still start; after it, it may not. */
+  /* Within the grace period it may still start; after it, it may not. */
   { "test_leaving",
     { LEAVING, "start +10 w1 1 t1 b1", "start +11 w1 1 t2 b2",
       "start +11 w2 1 t3 b3" },
@@ -126,7 +127,7 @@
       "start 500 w1 1 t1 b1" },
     MUX_RULE_NOT_RUN_RAN,
     1 },
-  /* The answer named no task, and nobody was told anything else of this key. */
+  /* The answer named no task, and no other answer was given for this key. */
   { "test_not_run_ran_unnamed",
     { "start 10 w1 1 t1 b1", "end 20 w1 t1 done", "told k1 not_run - b1 -" },
     MUX_RULE_NOT_RUN_RAN,
@@ -144,7 +145,7 @@
   { "test_bad_line_cut", { "{" }, MUX_RULE_LOG, 1 },
   { "test_bad_line_array", { "[]" }, MUX_RULE_LOG, 1 },
   { "test_bad_line_unknown", { "{\"event\":\"nonsense\"}" }, MUX_RULE_LOG, 1 },
-  /* A submission that can't be read is not believed either. */
+  /* A submission that can't be read is reported, too. */
   { "test_bad_line_request",
     { "{\"event\":\"request\",\"call\":1}" },
     MUX_RULE_LOG,
@@ -153,7 +154,8 @@
     { "{\"event\":\"job_end\",\"job\":\"j9\",\"state\":\"done\"}" },
     MUX_RULE_LOG,
     1 },
-  /* A worker dies twice; its first life's task ended at the first death. */
+  /* A worker dies twice; the task of its first incarnation ended at the
+   * first death. */
   { "test_two_places_after_second_death",
     { "start 10 w1 1 t1 b1", DIED ("90"), DIED ("20"), "start 15 w2 1 t1 b2" },
     MUX_RULE_TWO_PLACES,
@@ -164,12 +166,13 @@
       "shown d1 1 5", "shown d1 2 4", "shown d1 2 5" },
     MUX_RULE_COUNT,
     0 },
-  /* An operator is told that a change was accepted, and it is not there. */
+  /* An operator is told that a change was accepted, and it is absent. */
   { "test_config_lost",
     { "change op-1 done 5", "kept d1 setup 4" },
     MUX_RULE_CONFIG_LOST,
     1 },
-  /* Twice there, and the second one follows the first, unseen. */
+  /* Present twice, the second one based on the first, which its operator
+   * never read. */
   { "test_config_twice",
     { "change op-1 unknown 0", "kept d1 setup 4", "kept d1 op-1 5",
       "kept d1 op-1 6" },
@@ -179,7 +182,8 @@
     { "change op-1 not_run 0", "kept d1 setup 4", "kept d1 op-1 5" },
     MUX_RULE_CONFIG_LOST,
     1 },
-  /* Two operators saw revision 4 and both were accepted: one is overwritten. */
+  /* Two operators read revision 4 and both were accepted: one change is
+   * overwritten. */
   { "test_config_overwritten",
     { "change op-1 done 5", "change op-2 done 6", "kept d1 setup 4",
       "kept d1 op-1 5", "kept d1 op-2 6" },
@@ -241,7 +245,7 @@
       size.accels, size.slots, of->f[4]);
 }
 
-/* A line of the workers' logs; 0: it is none. */
+/* Writes a line of the workers' logs; returns 0 if it is none. */
 static int
 work_line (char out[512], const char *line)
 {
--- a/test/unit/test_proc.c
+++ b/test/unit/test_proc.c
@@ -66,8 +66,8 @@
   assert_int_equal (err.code, MUX_ERROR_IO);
 }
 
-/* A user presses Ctrl-C in the middle of a run: the driver is told to end
- * while its child runs, and the child must be gone when the driver is. */
+/* A user presses Ctrl-C during a run: the driver is signalled to end while
+ * its child runs, and the child must not outlive the driver. */
 static void
 test_signal_ends_children (void **state)
 {
--- a/test/unit/test_report.c
+++ b/test/unit/test_report.c
@@ -14,7 +14,7 @@
       "\"fine\",\"step\":0,\"tasks\":1,\"late_ms\":-400}\n"
       "{\"wall_ms\":1900,\"event\":\"job_ended\",\"job\":\"fine\","
       "\"state\":\"completed\",\"took_ms\":900,\"due_ms\":1500}\n"
-      /* The end of the next is read before its acceptance. */
+      /* The end of the next job is read before its acceptance. */
       "{\"wall_ms\":9000,\"event\":\"job_ended\",\"job\":\"moved\","
       "\"state\":\"completed\",\"took_ms\":7000,\"due_ms\":1500}\n"
       "{\"wall_ms\":2000,\"event\":\"accepted\",\"job\":\"moved\","
@@ -35,11 +35,10 @@
       "{\"wall_ms\":22000,\"event\":\"job_ended\",\"job\":\"full\","
       "\"state\":\"completed\",\"took_ms\":10000,\"due_ms\":7000}\n";
 
-/*
- * Many callers complain at once.  The lines of all daemons lie in one file in
- * no order; the table has a row for each queue and span, a late job counts
- * once, under its cause, and each refused try of a caller counts.
- */
+/* An operator looks into many complaints. The lines of all daemons are in
+ * one file in no order; the table has a row for each queue and span, a late
+ * job counts once, under its cause, and each refused attempt of a caller
+ * counts. */
 static void
 test_table_by_queue_and_span (void **state)
 {
@@ -57,8 +56,8 @@
   cli_session_assert_golden (session, "report");
 }
 
-/* Of twenty jobs of a queue the two largest are late and refused for good, of
- * the next four one is late, and one of the rest. */
+/* Of twenty jobs of a queue the two largest are late and refused for good,
+ * one of the next four is late, and one of the rest. */
 static void
 write_jobs_by_size (char *lines, size_t cap)
 {
@@ -82,8 +81,8 @@
     }
 }
 
-/* Wide jobs are served far less than the rest while the queue as a whole looks
- * well. */
+/* Wide jobs are late far more often than the rest while the queue as a
+ * whole looks well served. */
 static void
 test_shares_of_the_largest_jobs (void **state)
 {
@@ -98,8 +97,8 @@
   cli_session_assert_golden (session, "report_sizes");
 }
 
-/* A gang's questions take the daemons' time, and no row says what they brought.
- */
+/* A gang's approval queries take the daemons' time, and no row showed how
+ * many of them were approved. */
 static const char wait_lines[]
     = "{\"wall_ms\":1000,\"event\":\"accepted\",\"job\":\"wide\","
       "\"queue\":\"runs\",\"work_ms\":9000}\n"
@@ -132,9 +131,8 @@
   cli_session_assert_golden (session, "report_by_size");
 }
 
-/* One workspace's quota holds its jobs up, and nothing tells it from the
- * others.
- */
+/* One workspace's jobs are held up by its quota; without a row for each
+ * workspace nothing distinguishes it from the others. */
 static const char workspace_lines[]
     = "{\"wall_ms\":1000,\"event\":\"accepted\",\"job\":\"a\",\"workspace\":"
       "\"desk\",\"queue\":\"seats\"}\n"
--- a/test/unit/test_retry_advice.c
+++ b/test/unit/test_retry_advice.c
@@ -23,12 +23,10 @@
   config_cell_ask (cell, 0, &ask);
 }
 
-/*
- * A travel desk's program sends the same malformed call ten times a second,
- * for ever, and its operator believes that the cell is overloaded.  The call
- * was refused for what it is, but with Retry-After: the daemon gave the same
- * advice with every reason.
- */
+/* A program sends the same malformed request ten times a second, for ever,
+ * and its operator believes that the cell is overloaded. The request was
+ * refused as malformed, but with Retry-After: the daemon advised a retry
+ * with every reason. */
 static void
 test_final_refusals_invite_nobody_back (void **state)
 {
@@ -45,7 +43,8 @@
   config_cell_free (&cell);
 }
 
-/* Coming back helps against what passes: room, load, a daemon that stops. */
+/* A retry helps only against what is temporary: room, load, a daemon that
+ * stops. */
 static void
 test_reasons_that_pass (void **state)
 {
--- a/test/unit/test_ring.c
+++ b/test/unit/test_ring.c
@@ -88,8 +88,8 @@
   return NULL;
 }
 
-/* Every item pushed is popped once; under tsan, the content written before a
- * push is seen by whoever pops it. */
+/* Every item pushed is popped once; under ThreadSanitizer, the content
+ * written before a push is visible to the thread that pops it. */
 static void
 test_many_threads (void **state)
 {
--- a/test/unit/test_settings.c
+++ b/test/unit/test_settings.c
@@ -27,7 +27,7 @@
   { "url", "CUMINMUX_URL", MUX_SETTING_URL, "", 0, 0, "", "a URL" },
 };
 
-/* Of the last READ. */
+/* Findings of the last READ. */
 static MuxFindings findings;
 
 static MuxSettings *
@@ -123,8 +123,8 @@
   mux_settings_free (settings);
 }
 
-/* An operator who mistypes several settings sees one of them per attempt and
- * restarts the daemon many times, when only the first fault is reported. */
+/* An operator mistypes several settings. If only the first error is
+ * reported, the daemon is restarted once for each of them. */
 static void
 test_all_findings_at_once (void **state)
 {
@@ -185,8 +185,8 @@
   mux_settings_free (settings);
 }
 
-/* A secret on the command line is shown to whoever lists the processes of
- * the instance; there must be no flag that takes one. */
+/* A secret on the command line is visible to whoever lists the processes of
+ * the instance; no flag may take one. */
 static void
 test_secret_has_no_flag (void **state)
 {
