--- a/test/proof/proof_faults.c
+++ b/test/proof/proof_faults.c
@@ -39,9 +39,9 @@
   return count;
 }
 
-/* An instance is to be replaced: the platform lists it as leaving.  A caller
- * whose request still went there would be cut off.  2 s after the word came no
- * start arrives there any more, from any daemon. */
+/* An instance is to be replaced: the platform lists it as leaving. A
+ * request started there afterwards would be cut off. From 2 s after the
+ * listing no daemon sends a start there. */
 static void
 leaving_worker (Scenario *s)
 {
@@ -57,9 +57,9 @@
   scenario_settle (s, 20000);
 }
 
-/* The worker leaves while the links to it are silent: its own word can't come,
- * and starts that were sent get no answer.  Nothing new goes there after 2 s,
- * also once the links are back, and every caller has an answer. */
+/* The worker leaves while the links to it are silent: it can't report that
+ * itself, and starts sent to it get no answer. Nothing new goes there after
+ * 2 s, also once the links work again, and every caller gets an answer. */
 static void
 leaving_and_silent (Scenario *s)
 {
@@ -77,9 +77,9 @@
   scenario_settle (s, 20000);
 }
 
-/* A daemon is stopped as planned, under load.  Each of its callers gets the
- * answer, its workers are placed on by others within a second, and callers at
- * other daemons notice nothing. */
+/* A daemon is stopped gracefully, under load. Each of its callers gets the
+ * answer, its workers are used by other daemons within a second, and
+ * callers of other daemons are not affected. */
 static void
 graceful_stop (Scenario *s)
 {
@@ -109,8 +109,9 @@
   scenario_settle (s, 20000);
 }
 
-/* A daemon dies under load with the store down.  Its workers are placed on
- * again once others know it dead; callers at the others get their answers. */
+/* A daemon dies under load with the store down. Its workers are used again
+ * once the others have declared it dead; callers of the others get their
+ * answers. */
 static void
 daemon_dies (Scenario *s)
 {
@@ -130,8 +131,8 @@
   scenario_settle (s, 20000);
 }
 
-/* An instance dies without a word.  Requests that ran there and may run again
- * do so elsewhere once the platform lists it as gone; new ones go elsewhere
+/* An instance fails without notice. Idempotent requests that ran there run
+ * again elsewhere once the platform lists it as gone; new ones go elsewhere
  * after a moment. */
 static void
 instance_fails (Scenario *s)
@@ -150,9 +151,9 @@
   proof_expect_all (s, first, s->call_count - first, MUX_OUTCOME_DONE);
 }
 
-/* Work that no worker can ever hold is refused at once and truly, and so is a
- * job of it; work that declares 100 ms and takes 4 s still gets its whole
- * answer. */
+/* Work that no worker can ever hold is refused at once with that reason,
+ * and so is a job of it; work that declares 100 ms and takes 4 s still gets
+ * its whole answer. */
 static void
 wrong_sizes (Scenario *s)
 {
@@ -168,8 +169,8 @@
   scenario_settle (s, 10000);
 }
 
-/* Forty jobs are cancelled in one wave, some running, some waiting.  All end,
- * nothing of them runs on, and requests after it find the room. */
+/* Forty jobs are cancelled in one burst, some running, some waiting. All
+ * end, none of their tasks runs on, and later requests find the room free. */
 static void
 cancel_wave (Scenario *s)
 {
@@ -193,9 +194,10 @@
   scenario_settle (s, 60000);
 }
 
-/* A worker fails whatever it starts, and so is always free.  Requests that may
- * run again are answered by others, and it soon gets next to nothing; mended,
- * it is used again, also when only work that runs once is left. */
+/* A worker fails whatever it starts, and so is always free. Idempotent
+ * requests are answered by other workers, and it soon gets next to nothing;
+ * repaired, it is used again, also when only work that must not run twice
+ * is left. */
 static void
 fails_everything (Scenario *s)
 {
@@ -218,9 +220,9 @@
   scenario_settle (s, 20000);
 }
 
-/* The store is down for a minute.  Requests that may run again are served,
- * others are told at once, and truly, that they were not run; jobs on record
- * go on and end once it is back. */
+/* The store is down for a minute. Idempotent requests are served, keyed
+ * ones that must not run twice are answered "unknown"; stored jobs go on
+ * and end once it is back. */
 static void
 store_down_long (Scenario *s)
 {
@@ -241,8 +243,8 @@
   proof_expect (s, s->works[job].runs == 3, "a job's task ran again");
 }
 
-/* Each call to the store takes up to 1.4 s.  Work that must not run twice is
- * slower, not wrong, and work without a key does not wait for it. */
+/* Each call to the store takes up to 1.4 s. Work that must not run twice is
+ * slower but correct, and work without a key does not wait for the store. */
 static void
 store_slow (Scenario *s)
 {
@@ -257,9 +259,9 @@
   scenario_settle (s, 20000);
 }
 
-/* The connection that carries an answer goes silent for good while new ones
- * work.  The caller gets the answer over another connection, and nothing is
- * started again. */
+/* The connection on which an answer is due goes silent for good while new
+ * ones work. The caller gets the answer over another connection, and
+ * nothing is started again. */
 static void
 silent_connection (Scenario *s)
 {
@@ -273,8 +275,9 @@
   scenario_settle (s, 20000);
 }
 
-/* Messages from one daemon to another vanish, the other way they arrive.  The
- * one that is not heard is asked nothing for long; callers get answers. */
+/* Messages from one daemon to another are lost, those in the other
+ * direction arrive. The daemon that is not heard from soon gets no more
+ * requests from its peer; callers get answers. */
 static void
 silent_one_way (Scenario *s)
 {
@@ -290,9 +293,10 @@
   scenario_settle (s, 30000);
 }
 
-/* The first attempt of a request is held up on its way, put down and made
- * anew.  When the worker then refuses the first, its answer must not be taken
- * for the second's, which runs: the work would be started a third time. */
+/* The first attempt of a request is delayed in transit, superseded and made
+ * anew. When the worker then refuses the first, its answer must not be
+ * taken for that of the second, which runs: the work would be started a
+ * third time. */
 static void
 superseded_reply (Scenario *s)
 {
@@ -310,7 +314,7 @@
   scenario_settle (s, 10000);
 }
 
-/* Answers overtake one another, some are lost, attempts are superseded.  Each
+/* Answers arrive out of order, some are lost, attempts are superseded. Each
  * caller gets one answer, whole, and its own; the checker compares each. */
 static void
 own_whole_answer (Scenario *s)
@@ -330,10 +334,11 @@
                 "hardly a caller got its answer");
 }
 
-/* A job's daemon pauses with a start held up on its way.  Waking, it looks and
- * asks for a tombstone at once: the look finds nothing, the start arrives, the
- * other finds it running, and the answers overtake one another.  Taken for
- * news, the older one has the task started elsewhere while it runs. */
+/* A job's daemon pauses with a start delayed in transit. When it resumes,
+ * it polls the worker and puts a tombstone at once: the poll finds nothing,
+ * the start arrives, the tombstone finds it running, and the two answers
+ * arrive out of order. If the older one were taken for the newer, the task
+ * would be started elsewhere while it runs. */
 static void
 stale_absence (Scenario *s)
 {
@@ -354,10 +359,10 @@
   scenario_settle (s, 60000);
 }
 
-/* A worker falls silent with a start on its way, and its owner is stopped.
- * The owner must end: the start is too late for the worker to take once its
- * last moment has passed, so there is nothing to wait for.  Meanwhile it
- * sleeps between events, so that its instance is not kept busy. */
+/* A worker falls silent with a start in transit, and its owner is stopped.
+ * The owner must end: the worker refuses the start once its last moment has
+ * passed, so there is nothing to wait for. Until then the owner sleeps
+ * between events and does not spin. */
 static void
 stops_beside_silence (Scenario *s)
 {
@@ -375,8 +380,9 @@
   proof_expect (s, mux_core_stopped (node->core), "it never stopped");
 }
 
-/* A cancel is accepted, and the read that would show the job to the operator
- * finds the ring to the table full.  The operator is answered all the same. */
+/* A cancel is accepted, and the read that would show the job to the
+ * operator finds the ring to the table full. The operator is answered all
+ * the same. */
 static void
 cancel_ring_full (Scenario *s)
 {
--- a/test/proof/proof_give_up.c
+++ b/test/proof/proof_give_up.c
@@ -1,13 +1,13 @@
 #include "support/proof.h"
 
 #define SHORT_MS 2000
-/* A daemon's own delays beside a caller's limit. */
+/* What a daemon's own delays may add to a caller's limit. */
 #define SLACK_MS 200
 
-/* A worker falls silent with a request running.  The desk is told "unknown",
- * asks again with the same key at the same daemon, and waits no longer than
- * it said: the daemon, which goes on minding the task for itself, must not
- * hold the new caller for as long as that. */
+/* A worker falls silent with a request running. The caller is answered
+ * "unknown" and retries with the same key at the same daemon. It must wait
+ * no longer than the limit that it gave, although the daemon itself keeps
+ * resolving the task for longer. */
 static void
 give_up_again (Scenario *s)
 {
@@ -26,9 +26,10 @@
   scenario_settle (s, 90000);
 }
 
-/* The store is down.  A desk that sends a key for the first time, and says so,
- * hears "not run" and may take another way; sent again, the key may have run
- * for all that the daemon can read, and the desk hears "unknown". */
+/* The store is down. A caller that sends a key and states that it is the
+ * first time is answered "not run" and may act on that; when it is sent
+ * again, the key may have run for all that the daemon can read, and the
+ * answer is "unknown". */
 static void
 first_is_not_run (Scenario *s)
 {
--- a/test/proof/proof_once.c
+++ b/test/proof/proof_once.c
@@ -4,7 +4,7 @@
 
 #define GIVE_UP_MS 8000
 
-/* Steps until a row of a key stands in the table. */
+/* Steps until a row of a key is in the table. */
 static void
 until_row (Scenario *s)
 {
@@ -21,9 +21,9 @@
                 "no row was written");
 }
 
-/* A member redeems a voucher at two counters in two data centres at once,
- * which are cut off from each other.  Each daemon asks its own workers; only
- * the row, written on condition that none stands, lets one of them start. */
+/* A voucher is redeemed at two counters in two data centres at once, with
+ * no connection between the two. Each daemon uses its own workers; only the
+ * row, written on condition that none exists, lets one of them start. */
 static void
 once_both_at_once (Scenario *s)
 {
@@ -39,9 +39,9 @@
   scenario_settle (s, 30000);
 }
 
-/* A redemption is answered; its daemon dies; the desk, which lost the answer,
- * sends the same key through another data centre.  The row leads to the
- * worker, which still has the answer. */
+/* A redemption is answered; its daemon dies; the caller, which lost the
+ * answer, sends the same key through another data centre. The row leads to
+ * the worker, which still has the answer. */
 static void
 once_later (Scenario *s)
 {
@@ -58,10 +58,10 @@
   scenario_settle (s, 30000);
 }
 
-/* The row is written and its home freezes before the start leaves.  The key
- * comes again elsewhere and, since the attempt was never started, a second
- * one runs.  Then the first home wakes and starts the first.  The tombstone
- * that the second home left at the worker refuses it. */
+/* The row is written and its home freezes before the start is sent. The key
+ * arrives again elsewhere and, since the attempt was never started, a
+ * second one runs. Then the first home resumes and sends the first start.
+ * The tombstone that the second home left at the worker refuses it. */
 static void
 once_home_frozen (Scenario *s)
 {
@@ -79,8 +79,9 @@
   scenario_settle (s, 30000);
 }
 
-/* The home is killed between its row and its start, or between its start and
- * its answer.  The same key through another daemon gets one run's answer. */
+/* The home is killed between its row and its start, or between its start
+ * and its answer. The same key through another daemon gets one run's
+ * answer. */
 static void
 once_home_killed (Scenario *s)
 {
@@ -106,9 +107,9 @@
   scenario_settle (s, 30000);
 }
 
-/* A write's answer is lost: the row may stand, not stand, or come to stand
- * later.  Its home reads it back before anything is started, so that the
- * callers hear one run's answer or, truly, that nothing ran. */
+/* The response to a write is lost: the row may exist, be absent, or appear
+ * later. Its home reads it back before it starts anything, so that the
+ * callers get one run's answer or, correctly, "not run". */
 static void
 once_write_lost (Scenario *s)
 {
@@ -129,10 +130,10 @@
   scenario_settle (s, 30000);
 }
 
-/* A desk gives up while its row is being written and asks again: the second
- * submission is granted another worker.  The answer to the first write must
- * not start it there, or the row leads the next one to a worker where nothing
- * ran, and the voucher is redeemed twice. */
+/* A caller times out while its row is being written and retries: the second
+ * submission is granted another worker. The response to the first write
+ * must not start it there, or the row leads the next submission to a worker
+ * where nothing ran, and the voucher is redeemed twice. */
 static void
 once_given_up_in_write (Scenario *s)
 {
@@ -158,8 +159,8 @@
   scenario_settle (s, 30000);
 }
 
-/* A write's answer is lost and its daemon is killed before it can read the
- * row back.  The write may take effect after its process is gone. */
+/* The response to a write is lost and its daemon is killed before it can
+ * read the row back. The write may take effect after its process has ended. */
 static void
 write_lost_and_killed (Scenario *s)
 {
@@ -177,8 +178,8 @@
 }
 
 /* A redemption runs, its answer is lost with the connection, and the worker
- * restarts: nobody can know any more whether it ran.  It must not run again,
- * and the caller is told that its fate is unknown. */
+ * restarts: it can no longer be found out whether it ran. It must not run
+ * again, and the caller is answered "unknown". */
 static void
 once_worker_restarted (Scenario *s)
 {
@@ -197,9 +198,9 @@
   scenario_settle (s, 30000);
 }
 
-/* A start is held up on its way and taken for lost; its attempt is put down
- * at the worker and another one runs.  When the first arrives after all it
- * meets the tombstone. */
+/* A start is delayed in transit and taken for lost; its attempt is
+ * superseded by a tombstone at the worker and another one runs. When the
+ * first arrives after all it is refused by the tombstone. */
 static void
 once_start_overtaken (Scenario *s)
 {
@@ -214,8 +215,9 @@
   scenario_settle (s, 30000);
 }
 
-/* The desk asks again with the same key when the worker has long dropped what
- * it knew of the run: its absence there proves nothing any more. */
+/* The caller retries with the same key long after the worker has dropped
+ * its record of the run: that the worker has none no longer proves
+ * anything. */
 static void
 once_worker_forgot (Scenario *s)
 {
@@ -227,10 +229,11 @@
   scenario_settle (s, 30000);
 }
 
-/* No worker has room before the deadline: the row is read, none stands, and
- * the caller is told "not run"; it never runs then.  With the store down the
- * row can't be read: a first submission may have run, so nobody is told that.
- * One that did run and whose answer was lost is sent again in the outage. */
+/* No worker has room before the deadline: the row is read, none exists, the
+ * caller is answered "not run", and it never runs. With the store down the
+ * row can't be read: a first submission may have run, so nobody is told
+ * "not run". One that did run and whose answer was lost is retried during
+ * the outage. */
 static void
 not_run_is_true (Scenario *s)
 {
@@ -254,10 +257,10 @@
   scenario_settle (s, 30000);
 }
 
-/* A settlement runs for longer than keys are remembered.  Its row is counted
- * from its submission and swept as soon as it ends; the one who submitted it
- * asks again with its key, and it all runs a second time once the worker has
- * forgotten it, too. */
+/* A settlement runs for longer than keys are kept. If its row's age were
+ * counted from its submission, the row would be swept as soon as it ends;
+ * its caller retries with the key, and all of it would run a second time
+ * once the worker has dropped its record, too. */
 static void
 long_job_remembered (Scenario *s)
 {
--- a/test/proof/proof_place.c
+++ b/test/proof/proof_place.c
@@ -2,10 +2,10 @@
 
 #include <string.h>
 
-/* A daemon is frozen past its lease; others claim its worker and fill it.  It
- * wakes, still believes that it holds the worker, and grants room from its old
- * books.  A user would see tasks crash for want of memory.  The worker refuses
- * starts of an older claim. */
+/* A daemon is frozen past its lease; others claim its worker and fill it.
+ * It resumes, still believes that it holds the worker, and grants room by
+ * its stale accounting. Tasks would crash for lack of memory. The worker
+ * refuses starts of an older claim. */
 static void
 two_owners (Scenario *s)
 {
@@ -22,8 +22,8 @@
   scenario_settle (s, 30000);
 }
 
-/* The same while the store is down: nothing but the worker can tell the two
- * owners apart, and the requests go on. */
+/* The same while the store is down: only the worker can tell the two owners
+ * apart, and the requests go on. */
 static void
 frozen_store_down (Scenario *s)
 {
@@ -33,9 +33,10 @@
   two_owners (s);
 }
 
-/* A start is held up on its way for longer than its grant lives.  Its room is
- * given to others; then it arrives after all and would be one too many.  The
- * worker refuses it by the grant's last moment, on its own clock. */
+/* A start is delayed in transit for longer than its grant is valid. Its
+ * room is given to others; then it arrives after all and would exceed the
+ * capacity. The worker refuses it by the grant's last moment, on its own
+ * clock. */
 static void
 late_start (Scenario *s)
 {
@@ -48,9 +49,10 @@
   scenario_settle (s, 30000);
 }
 
-/* A worker restarts while a start is on its way to its former life.  In the
- * new life, filled by others, nobody has booked it.  The worker refuses calls
- * that mean another incarnation, and starts under a claim of that life. */
+/* A worker restarts while a start is in transit to its previous
+ * incarnation. In the new one, filled by others, no room is booked for it.
+ * The worker refuses calls meant for another incarnation, and starts under
+ * a claim of that one. */
 static void
 restart_start_on_way (Scenario *s)
 {
@@ -66,9 +68,10 @@
   scenario_settle (s, 30000);
 }
 
-/* Two submissions of one key at daemons of one data centre run one task: both
- * ask for the same id.  When the second gives up, its word must not free the
- * room of the first, whose start is under way; else others fill that room. */
+/* Two submissions of one key at daemons of one data centre run one task:
+ * both request room under the same id. When the second one times out, its
+ * release must not free the room of the first, whose start is in transit,
+ * as others would fill that room. */
 static void
 second_asker_gives_up (Scenario *s)
 {
@@ -84,11 +87,11 @@
   scenario_settle (s, 30000);
 }
 
-/* A daemon is frozen for long and wakes.  To it all others have been silent
- * for as long; taking them for dead it would claim every worker, and every
- * start that they have under way would be refused.  Links to it come back only
- * after a second.  Its own silence is no evidence, so workers that others
- * were first for are not claimed. */
+/* A daemon is frozen for long and resumes. From its side all others have
+ * been silent for as long; if it declared them dead, it would claim every
+ * worker, and every start that they have in transit would be refused. Links
+ * to it work again only after a second. Its own pause is no evidence of
+ * their death, so it does not claim workers for which others come first. */
 static void
 wakes_quietly (Scenario *s)
 {
--- a/test/proof/proof_random.c
+++ b/test/proof/proof_random.c
@@ -4,18 +4,18 @@
 #include <stdlib.h>
 #include <string.h>
 
-/* Any daemon, worker, link and the store may fail at any moment, together and
- * twice, while callers and jobs keep coming.  A user would see a request or
- * task run twice or nowhere, a false "not run", another caller's answer or
- * none.  Each seed is one such hour of bad luck; the checker looks at every
- * execution and answer. */
+/* Any daemon, worker, link and the store may fail at any moment, together
+ * and repeatedly, while requests and jobs keep arriving. Guards against a
+ * request or task that runs twice or not at all, a false "not run", another
+ * caller's answer or none. Each seed is one random sequence of faults; the
+ * checker verifies every execution and answer. */
 
 #define SEEDS 300
 #define NODES 4
 #define WORKERS 5
 #define BUSY_MS 60000
-/* Less than the time between two looks through all open jobs, which would find
- * a job that nobody carries. */
+/* Less than the interval between two scans of all open jobs, which would
+ * find a job that no daemon handles. */
 #define SETTLE_MS 40000
 #define FAULT_MS 12000
 #define PPM 1000000
@@ -173,7 +173,7 @@
     }
 }
 
-/* Ended processes come back after a while. */
+/* Restarts ended processes after a while. */
 static void
 mend (Chaos *c)
 {
