--- a/test/proof/proof_random.c
+++ b/test/proof/proof_random.c
@@ -175,7 +175,7 @@
 
 /* Restarts ended processes after a while. */
 static void
-mend (Chaos *c)
+restart_ended (Chaos *c)
 {
   FakeNet *net = c->s->net;
 
@@ -190,7 +190,7 @@
 }
 
 static void
-disturb (Chaos *c)
+inject_fault (Chaos *c)
 {
   switch (below (c, 5))
     {
@@ -208,7 +208,7 @@
       cancel_one (c);
       break;
     }
-  mend (c);
+  restart_ended (c);
 }
 
 static uint32_t
@@ -228,7 +228,7 @@
       scenario_run (c.s, 1 + below (&c, 300));
       submit (&c);
       if (below (&c, 6) == 0)
-        disturb (&c);
+        inject_fault (&c);
     }
   for (uint32_t i = 0; i < NODES; i++)
     if (c.s->net->nodes[i].core != NULL && below (&c, 3) == 0)
--- a/test/unit/test_config_race.c
+++ b/test/unit/test_config_race.c
@@ -18,7 +18,7 @@
 #define OUTAGE_MS 5000
 /* Longer than a late write takes, so that the late write of a change
  * reported as refused is seen before the change is retried. */
-#define REPEAT_MS 600
+#define RETRY_MS 600
 #define LOST_PPM 150000
 /* From time to time one daemon alone can't reach the table for so long,
  * longer than it tries to resolve a change. */
@@ -26,7 +26,7 @@
 /* A race that is not over by then has failed. */
 #define RACE_MS 3600000
 /* The run must have met at least so many faults. */
-#define WRONG_MAX 20
+#define VIOLATIONS_MAX 20
 #define LOG_PREFIX "config/log/"
 #define CHANGE_PREFIX "config/change/"
 /* Call ids: a probe's is PROBE + node, an operator's has its number in the
@@ -35,14 +35,14 @@
 
 typedef enum
 {
-  TOLD_NOTHING,
-  TOLD_ACCEPTED,
-  TOLD_BEATEN,
-} Told;
+  REPLY_NONE,
+  REPLY_ACCEPTED,
+  REPLY_CONFLICT,
+} Reply;
 
 typedef struct
 {
-  Told told;
+  Reply reply;
   uint64_t revision; /* revision reported with it */
   bool expect_set;
   uint64_t expect;
@@ -56,8 +56,8 @@
   uint32_t number; /* of the change being made */
   uint64_t seen;   /* revision of the class that it knows of */
   uint64_t call;   /* outstanding, or 0 */
-  uint32_t asks;
-  int64_t ask_ms;
+  uint32_t sends;
+  int64_t send_ms;
   Change changes[CHANGES];
 } Operator;
 
@@ -66,15 +66,15 @@
   ConfigCell cell;
   Operator operators[OPERATORS];
   uint64_t shown[FAKE_NODES_MAX]; /* highest revision that a node has shown */
-  uint32_t settled;
+  uint32_t finished;
   uint32_t unknown, refused;
-  uint32_t wrong;
+  uint32_t violations;
 } Race;
 
 static void
-wrong (Race *race, const char *what, uint64_t revision)
+violation (Race *race, const char *what, uint64_t revision)
 {
-  if (race->wrong++ < 5)
+  if (race->violations++ < 5)
     print_message ("%s, revision %" PRIu64 "\n", what, revision);
 }
 
@@ -98,23 +98,23 @@
 }
 
 static void
-look_shown (Race *race, uint32_t node, const json_t *shown)
+check_shown (Race *race, uint32_t node, const json_t *shown)
 {
   uint64_t revision = number (shown, "revision");
   json_t *row = log_row (race, revision);
 
   if (revision < race->shown[node])
-    wrong (race, "a lower revision is shown", revision);
+    violation (race, "a lower revision is shown", revision);
   if (!json_equal (json_object_get (row, "value"),
                    json_object_get (shown, "value")))
-    wrong (race, "what is shown was not committed", revision);
+    violation (race, "what is shown was not committed", revision);
   race->shown[node] = revision;
   json_decref (row);
 }
 
 /* A change whose requests were all answered as not made must be absent. */
 static void
-look_refused (Race *race, uint32_t index)
+check_refused (Race *race, uint32_t index)
 {
   const Operator *op = &race->operators[index];
   const Change *change = &op->changes[op->number];
@@ -124,31 +124,31 @@
   mux_id_format (id, key + strlen (CHANGE_PREFIX));
   if (change->refused && !change->unknown
       && fake_table_find (&race->cell.net->table, key) != NULL)
-    wrong (race, "told as refused, but it was made", op->number);
+    violation (race, "told as refused, but it was made", op->number);
 }
 
 static void
-settle (Race *race, Operator *op, Told told, uint64_t revision)
+finish_change (Race *race, Operator *op, Reply reply, uint64_t revision)
 {
-  op->changes[op->number].told = told;
+  op->changes[op->number].reply = reply;
   op->changes[op->number].revision = revision;
   op->seen = revision;
   op->number++;
-  race->settled++;
+  race->finished++;
 }
 
 static void
-take_told (Race *race,
-           Operator *op,
-           const MuxCoreResponse *answer,
-           const json_t *body)
+handle_reply (Race *race,
+              Operator *op,
+              const MuxCoreResponse *answer,
+              const json_t *body)
 {
   op->call = 0;
-  op->ask_ms = race->cell.net->now_ms;
+  op->send_ms = race->cell.net->now_ms;
   if (answer->status == 200)
-    settle (race, op, TOLD_ACCEPTED, number (body, "revision"));
+    finish_change (race, op, REPLY_ACCEPTED, number (body, "revision"));
   else if (answer->reason == MUX_REASON_REVISION)
-    settle (race, op, TOLD_BEATEN, number (body, "revision"));
+    finish_change (race, op, REPLY_CONFLICT, number (body, "revision"));
   else if (answer->outcome == MUX_OUTCOME_UNKNOWN)
     {
       race->unknown++;
@@ -158,12 +158,12 @@
     {
       race->refused++;
       op->changes[op->number].refused = true;
-      op->ask_ms += REPEAT_MS;
+      op->send_ms += RETRY_MS;
     }
 }
 
 static void
-answer_came (void *user, uint32_t node, const MuxCoreResponse *answer)
+on_answer (void *user, uint32_t node, const MuxCoreResponse *answer)
 {
   Race *race = user;
   uint64_t who = answer->call_id >> 32;
@@ -173,18 +173,18 @@
 
   config_cell_take (&race->cell, answer);
   if (answer->call_id == PROBE + node && answer->status == 200)
-    look_shown (race, node, body);
+    check_shown (race, node, body);
   if (who > 0 && race->operators[who - 1].call != answer->call_id)
-    wrong (race, "a second answer came", 0);
+    violation (race, "a second answer came", 0);
   else if (who > 0)
-    take_told (race, &race->operators[who - 1], answer, body);
+    handle_reply (race, &race->operators[who - 1], answer, body);
   json_decref (body);
 }
 
 /* Every second operator states the revision that it read; the others write
  * unconditionally. Each retry goes to another daemon, under the same id. */
 static void
-ask_change (Race *race, uint32_t index)
+send_change (Race *race, uint32_t index)
 {
   Operator *op = &race->operators[index];
   Change *change = &op->changes[op->number];
@@ -196,17 +196,17 @@
   char value[256];
 
   if (op->call != 0 || op->number == CHANGES
-      || race->cell.net->now_ms < op->ask_ms)
+      || race->cell.net->now_ms < op->send_ms)
     return;
-  look_refused (race, index);
+  check_refused (race, index);
   change->expect_set = index % 2 == 1;
   change->expect = op->seen;
   ask.has_expected = change->expect_set;
   ask.expected_revision = change->expect;
-  ask.call_id = op->call = (uint64_t) (index + 1) << 32 | ++op->asks;
+  ask.call_id = op->call = (uint64_t) (index + 1) << 32 | ++op->sends;
   config_cell_class (value, index * CHANGES + op->number + 1);
   ask.body = mux_blob_new (value, strlen (value));
-  fake_net_ask (race->cell.net, (index + op->asks) % NODES, &ask);
+  fake_net_ask (race->cell.net, (index + op->sends) % NODES, &ask);
   mux_blob_unref (ask.body);
 }
 
@@ -234,19 +234,19 @@
   if (!mux_id_parse (json_string_value (json_object_get (row, "change")), &id)
       || id.hi == 0 || id.hi > OPERATORS || id.lo == 0 || id.lo > CHANGES)
     {
-      wrong (race, "a change of nobody", revision);
+      violation (race, "a change of nobody", revision);
       return;
     }
   change = &race->operators[id.hi - 1].changes[id.lo - 1];
   if (change->seen++ > 0)
-    wrong (race, "a change was made twice", revision);
-  if (change->told != TOLD_ACCEPTED || change->revision != revision)
-    wrong (race, "told otherwise than what was made", revision);
+    violation (race, "a change was made twice", revision);
+  if (change->reply != REPLY_ACCEPTED || change->revision != revision)
+    violation (race, "told otherwise than what was made", revision);
   if (change->expect_set && change->expect != before)
-    wrong (race, "made on another state than was expected", revision);
+    violation (race, "made on another state than was expected", revision);
   if (number (json_object_get (row, "value"), "start_within_ms")
       != (id.hi - 1) * CHANGES + id.lo)
-    wrong (race, "another value than was asked for", revision);
+    violation (race, "another value than was asked for", revision);
 }
 
 static void
@@ -258,7 +258,7 @@
   while ((row = log_row (race, revision + 1)) != NULL)
     {
       if (number (row, "revision") != revision + 1)
-        wrong (race, "a row in the wrong place", revision + 1);
+        violation (race, "a row in the wrong place", revision + 1);
       check_row (race, row, revision + 1, revision);
       json_decref (row);
       revision++;
@@ -267,12 +267,12 @@
     {
       const Change *change = &race->operators[i / CHANGES].changes[i % CHANGES];
 
-      if (change->told == TOLD_ACCEPTED && change->seen != 1)
-        wrong (race, "an accepted change is not there", change->revision);
+      if (change->reply == REPLY_ACCEPTED && change->seen != 1)
+        violation (race, "an accepted change is not there", change->revision);
     }
   for (uint32_t node = 0; node < NODES; node++)
     if (race->shown[node] != revision)
-      wrong (race, "not in force everywhere", race->shown[node]);
+      violation (race, "not in force everywhere", race->shown[node]);
 }
 
 static uint64_t
@@ -281,7 +281,7 @@
   uint64_t first = config_cell_begin (&race->cell, seed, NODES, 1);
 
   race->cell.net->hooks.user = race;
-  race->cell.net->hooks.answer = answer_came;
+  race->cell.net->hooks.answer = on_answer;
   for (uint32_t i = 0; i < OPERATORS; i++)
     race->operators[i].seen = first;
   return first;
@@ -318,14 +318,14 @@
   net->lost_ppm = LOST_PPM;
   net->table.ignore_conditions = ignore_conditions;
   end_ms = net->now_ms + RACE_MS;
-  while (race.settled < OPERATORS * CHANGES && net->now_ms < end_ms
-         && race.wrong < WRONG_MAX)
+  while (race.finished < OPERATORS * CHANGES && net->now_ms < end_ms
+         && race.violations < VIOLATIONS_MAX)
     {
       for (uint32_t i = 0; i < OPERATORS; i++)
-        ask_change (&race, i);
+        send_change (&race, i);
       fake_net_next (net);
       probe (&race);
-      if (race.settled >= OUTAGE_AFTER && up_ms == INT64_MAX)
+      if (race.finished >= OUTAGE_AFTER && up_ms == INT64_MAX)
         {
           net->table.down = true;
           up_ms = net->now_ms + OUTAGE_MS;
@@ -338,17 +338,17 @@
           cut_ms = net->now_ms + CUT_MS;
         }
     }
-  if (race.settled < OPERATORS * CHANGES)
-    wrong (&race, "changes were never settled", 0);
+  if (race.finished < OPERATORS * CHANGES)
+    violation (&race, "changes were never settled", 0);
   cut_none (net);
   net->lost_ppm = 0;
   fake_net_run (net, 4000);
   probe (&race);
   check_history (&race, first);
   print_message ("settled %u, told unknown %u, refused %u, wrong %u\n",
-                 race.settled, race.unknown, race.refused, race.wrong);
+                 race.finished, race.unknown, race.refused, race.violations);
   config_cell_free (&race.cell);
-  return race.wrong;
+  return race.violations;
 }
 
 static void
--- a/test/unit/test_golden_core.c
+++ b/test/unit/test_golden_core.c
@@ -40,19 +40,19 @@
 {
   const char *file;
   char *(*play) (void);
-} Story;
+} RecordedScenario;
 
 /* Runs the scenario twice: the same seed must give the same bytes, or a
  * difference from the golden file would mean nothing. */
 static void
 test_story (void **state)
 {
-  const Story *story = *state;
-  char *first = story->play (), *second = story->play ();
+  const RecordedScenario *scenario = *state;
+  char *first = scenario->play (), *second = scenario->play ();
 
   assert_string_equal (first, second);
   free (second);
-  golden_assert (story->file, first);
+  golden_assert (scenario->file, first);
   free (first);
 }
 
@@ -72,7 +72,7 @@
  * is the start sent. A grant after the start, or a start before the row,
  * would let the same key run twice. */
 static char *
-booking_story (void)
+booking_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -91,7 +91,7 @@
  * and write the key's row; the one whose write fails must wait at the
  * other's worker for its answer and not start a second run. */
 static char *
-same_key_story (void)
+same_key_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -112,7 +112,7 @@
  * the worker and returns the one run's answer; a home that started it anew
  * elsewhere would book the seat twice. */
 static char *
-lost_start_story (void)
+lost_start_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -132,7 +132,7 @@
  * closed; a forecast's gang needs the workers of two owners at the same
  * time and starts only when every task has room. */
 static char *
-jobs_story (void)
+jobs_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -158,7 +158,7 @@
  * job in the table, and ends it; a job that nobody adopts would stay open
  * for ever. */
 static char *
-owner_killed_story (void)
+owner_killed_scenario (void)
 {
   Session session = begin (2, 2, 1);
   Scenario *s = session.s;
@@ -203,7 +203,7 @@
  * the other operator gets the current value, and its own never takes
  * effect. */
 static char *
-change_story (void)
+change_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -226,7 +226,7 @@
  * whole answer, new callers are referred to other daemons, its workers are
  * handed over, and only then does it end. */
 static char *
-graceful_stop_story (void)
+graceful_stop_scenario (void)
 {
   Session session = begin (2, 2, 1);
   Scenario *s = session.s;
@@ -248,20 +248,21 @@
   return end (&session);
 }
 
-#define STORY(title)                                 \
-  {                                                  \
-    "test_" #title, test_story, NULL, NULL, &(Story) \
-    {                                                \
-      "core_" #title, title##_story                  \
-    }                                                \
+#define SCENARIO(title)                                         \
+  {                                                             \
+    "test_" #title, test_story, NULL, NULL, &(RecordedScenario) \
+    {                                                           \
+      "core_" #title, title##_scenario                          \
+    }                                                           \
   }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    STORY (booking),      STORY (same_key), STORY (lost_start),    STORY (jobs),
-    STORY (owner_killed), STORY (change),   STORY (graceful_stop),
+    SCENARIO (booking),       SCENARIO (same_key),     SCENARIO (lost_start),
+    SCENARIO (jobs),          SCENARIO (owner_killed), SCENARIO (change),
+    SCENARIO (graceful_stop),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
