--- a/test/proof/proof_faults.c
+++ b/test/proof/proof_faults.c
@@ -39,8 +39,8 @@
   return count;
 }
 
-/* An instance is to be replaced: the platform lists it as leaving. A
- * request started there afterwards would be cut off. From 2 s after the
+/* An instance is to be replaced: the platform lists it as leaving.  A
+ * request started there afterwards would be cut off.  From 2 s after the
  * listing no daemon sends a start there. */
 static void
 leaving_worker (Scenario *s)
@@ -58,8 +58,9 @@
 }
 
 /* The worker leaves while the links to it are silent: it can't report that
- * itself, and starts sent to it get no answer. Nothing new goes there after
- * 2 s, also once the links work again, and every caller gets an answer. */
+ * itself, and starts sent to it get no answer.  Nothing new goes there
+ * after 2 s, also once the links work again, and every caller gets an
+ * answer. */
 static void
 leaving_and_silent (Scenario *s)
 {
@@ -77,7 +78,7 @@
   scenario_settle (s, 20000);
 }
 
-/* A daemon is stopped gracefully, under load. Each of its callers gets the
+/* A daemon is stopped gracefully, under load.  Each of its callers gets the
  * answer, its workers are used by other daemons within a second, and
  * callers of other daemons are not affected. */
 static void
@@ -109,7 +110,7 @@
   scenario_settle (s, 20000);
 }
 
-/* A daemon dies under load with the store down. Its workers are used again
+/* A daemon dies under load with the store down.  Its workers are used again
  * once the others have declared it dead; callers of the others get their
  * answers. */
 static void
@@ -131,7 +132,7 @@
   scenario_settle (s, 20000);
 }
 
-/* An instance fails without notice. Idempotent requests that ran there run
+/* An instance fails without notice.  Idempotent requests that ran there run
  * again elsewhere once the platform lists it as gone; new ones go elsewhere
  * after a moment. */
 static void
@@ -169,7 +170,7 @@
   scenario_settle (s, 10000);
 }
 
-/* Forty jobs are cancelled in one burst, some running, some waiting. All
+/* Forty jobs are cancelled in one burst, some running, some waiting.  All
  * end, none of their tasks runs on, and later requests find the room free. */
 static void
 cancel_wave (Scenario *s)
@@ -194,7 +195,7 @@
   scenario_settle (s, 60000);
 }
 
-/* A worker fails whatever it starts, and so is always free. Idempotent
+/* A worker fails whatever it starts, and so is always free.  Idempotent
  * requests are answered by other workers, and it soon gets next to nothing;
  * repaired, it is used again, also when only work that must not run twice
  * is left. */
@@ -220,7 +221,7 @@
   scenario_settle (s, 20000);
 }
 
-/* The store is down for a minute. Idempotent requests are served, keyed
+/* The store is down for a minute.  Idempotent requests are served, keyed
  * ones that must not run twice are answered "unknown"; stored jobs go on
  * and end once it is back. */
 static void
@@ -243,8 +244,9 @@
   proof_expect (s, s->works[job].runs == 3, "a job's task ran again");
 }
 
-/* Each call to the store takes up to 1.4 s. Work that must not run twice is
- * slower but correct, and work without a key does not wait for the store. */
+/* Each call to the store takes up to 1.4 s.  Work that must not run twice
+ * is slower but correct, and work without a key does not wait for the
+ * store. */
 static void
 store_slow (Scenario *s)
 {
@@ -260,7 +262,7 @@
 }
 
 /* The connection on which an answer is due goes silent for good while new
- * ones work. The caller gets the answer over another connection, and
+ * ones work.  The caller gets the answer over another connection, and
  * nothing is started again. */
 static void
 silent_connection (Scenario *s)
@@ -276,7 +278,7 @@
 }
 
 /* Messages from one daemon to another are lost, those in the other
- * direction arrive. The daemon that is not heard from soon gets no more
+ * direction arrive.  The daemon that is not heard from soon gets no more
  * requests from its peer; callers get answers. */
 static void
 silent_one_way (Scenario *s)
@@ -294,7 +296,7 @@
 }
 
 /* The first attempt of a request is delayed in transit, superseded and made
- * anew. When the worker then refuses the first, its answer must not be
+ * anew.  When the worker then refuses the first, its answer must not be
  * taken for that of the second, which runs: the work would be started a
  * third time. */
 static void
@@ -314,8 +316,9 @@
   scenario_settle (s, 10000);
 }
 
-/* Answers arrive out of order, some are lost, attempts are superseded. Each
- * caller gets one answer, whole, and its own; the checker compares each. */
+/* Answers arrive out of order, some are lost, attempts are superseded.
+ * Each caller gets one answer, whole, and its own; the checker compares
+ * each. */
 static void
 own_whole_answer (Scenario *s)
 {
@@ -334,10 +337,10 @@
                 "hardly a caller got its answer");
 }
 
-/* A job's daemon pauses with a start delayed in transit. When it resumes,
+/* A job's daemon pauses with a start delayed in transit.  When it resumes,
  * it polls the worker and puts a tombstone at once: the poll finds nothing,
  * the start arrives, the tombstone finds it running, and the two answers
- * arrive out of order. If the older one were taken for the newer, the task
+ * arrive out of order.  If the older one were taken for the newer, the task
  * would be started elsewhere while it runs. */
 static void
 stale_absence (Scenario *s)
@@ -361,7 +364,7 @@
 
 /* A worker falls silent with a start in transit, and its owner is stopped.
  * The owner must end: the worker refuses the start once its last moment has
- * passed, so there is nothing to wait for. Until then the owner sleeps
+ * passed, so there is nothing to wait for.  Until then the owner sleeps
  * between events and does not spin. */
 static void
 stops_beside_silence (Scenario *s)
@@ -381,7 +384,7 @@
 }
 
 /* A cancel is accepted, and the read that would show the job to the
- * operator finds the ring to the table full. The operator is answered all
+ * operator finds the ring to the table full.  The operator is answered all
  * the same. */
 static void
 cancel_ring_full (Scenario *s)
--- a/test/proof/proof_give_up.c
+++ b/test/proof/proof_give_up.c
@@ -4,8 +4,8 @@
 /* What a daemon's own delays may add to a caller's limit. */
 #define SLACK_MS 200
 
-/* A worker falls silent with a request running. The caller is answered
- * "unknown" and retries with the same key at the same daemon. It must wait
+/* A worker falls silent with a request running.  The caller is answered
+ * "unknown" and retries with the same key at the same daemon.  It must wait
  * no longer than the limit that it gave, although the daemon itself keeps
  * resolving the task for longer. */
 static void
@@ -26,7 +26,7 @@
   scenario_settle (s, 90000);
 }
 
-/* The store is down. A caller that sends a key and states that it is the
+/* The store is down.  A caller that sends a key and states that it is the
  * first time is answered "not run" and may act on that; when it is sent
  * again, the key may have run for all that the daemon can read, and the
  * answer is "unknown". */
--- a/test/proof/proof_once.c
+++ b/test/proof/proof_once.c
@@ -22,8 +22,8 @@
 }
 
 /* A voucher is redeemed at two counters in two data centres at once, with
- * no connection between the two. Each daemon uses its own workers; only the
- * row, written on condition that none exists, lets one of them start. */
+ * no connection between the two.  Each daemon uses its own workers; only
+ * the row, written on condition that none exists, lets one of them start. */
 static void
 once_both_at_once (Scenario *s)
 {
@@ -40,7 +40,7 @@
 }
 
 /* A redemption is answered; its daemon dies; the caller, which lost the
- * answer, sends the same key through another data centre. The row leads to
+ * answer, sends the same key through another data centre.  The row leads to
  * the worker, which still has the answer. */
 static void
 once_later (Scenario *s)
@@ -58,9 +58,9 @@
   scenario_settle (s, 30000);
 }
 
-/* The row is written and its home freezes before the start is sent. The key
- * arrives again elsewhere and, since the attempt was never started, a
- * second one runs. Then the first home resumes and sends the first start.
+/* The row is written and its home freezes before the start is sent.  The
+ * key arrives again elsewhere and, since the attempt was never started, a
+ * second one runs.  Then the first home resumes and sends the first start.
  * The tombstone that the second home left at the worker refuses it. */
 static void
 once_home_frozen (Scenario *s)
@@ -80,7 +80,7 @@
 }
 
 /* The home is killed between its row and its start, or between its start
- * and its answer. The same key through another daemon gets one run's
+ * and its answer.  The same key through another daemon gets one run's
  * answer. */
 static void
 once_home_killed (Scenario *s)
@@ -108,7 +108,7 @@
 }
 
 /* The response to a write is lost: the row may exist, be absent, or appear
- * later. Its home reads it back before it starts anything, so that the
+ * later.  Its home reads it back before it starts anything, so that the
  * callers get one run's answer or, correctly, "not run". */
 static void
 once_write_lost (Scenario *s)
@@ -131,7 +131,7 @@
 }
 
 /* A caller times out while its row is being written and retries: the second
- * submission is granted another worker. The response to the first write
+ * submission is granted another worker.  The response to the first write
  * must not start it there, or the row leads the next submission to a worker
  * where nothing ran, and the voucher is redeemed twice. */
 static void
@@ -160,7 +160,8 @@
 }
 
 /* The response to a write is lost and its daemon is killed before it can
- * read the row back. The write may take effect after its process has ended. */
+ * read the row back.  The write may take effect after its process has
+ * ended. */
 static void
 write_lost_and_killed (Scenario *s)
 {
@@ -178,7 +179,7 @@
 }
 
 /* A redemption runs, its answer is lost with the connection, and the worker
- * restarts: it can no longer be found out whether it ran. It must not run
+ * restarts: it can no longer be found out whether it ran.  It must not run
  * again, and the caller is answered "unknown". */
 static void
 once_worker_restarted (Scenario *s)
@@ -199,7 +200,7 @@
 }
 
 /* A start is delayed in transit and taken for lost; its attempt is
- * superseded by a tombstone at the worker and another one runs. When the
+ * superseded by a tombstone at the worker and another one runs.  When the
  * first arrives after all it is refused by the tombstone. */
 static void
 once_start_overtaken (Scenario *s)
@@ -230,9 +231,9 @@
 }
 
 /* No worker has room before the deadline: the row is read, none exists, the
- * caller is answered "not run", and it never runs. With the store down the
+ * caller is answered "not run", and it never runs.  With the store down the
  * row can't be read: a first submission may have run, so nobody is told
- * "not run". One that did run and whose answer was lost is retried during
+ * "not run".  One that did run and whose answer was lost is retried during
  * the outage. */
 static void
 not_run_is_true (Scenario *s)
@@ -257,7 +258,7 @@
   scenario_settle (s, 30000);
 }
 
-/* A settlement runs for longer than keys are kept. If its row's age were
+/* A settlement runs for longer than keys are kept.  If its row's age were
  * counted from its submission, the row would be swept as soon as it ends;
  * its caller retries with the key, and all of it would run a second time
  * once the worker has dropped its record, too. */
--- a/test/proof/proof_place.c
+++ b/test/proof/proof_place.c
@@ -4,7 +4,7 @@
 
 /* A daemon is frozen past its lease; others claim its worker and fill it.
  * It resumes, still believes that it holds the worker, and grants room by
- * its stale accounting. Tasks would crash for lack of memory. The worker
+ * its stale accounting.  Tasks would crash for lack of memory.  The worker
  * refuses starts of an older claim. */
 static void
 two_owners (Scenario *s)
@@ -33,9 +33,9 @@
   two_owners (s);
 }
 
-/* A start is delayed in transit for longer than its grant is valid. Its
+/* A start is delayed in transit for longer than its grant is valid.  Its
  * room is given to others; then it arrives after all and would exceed the
- * capacity. The worker refuses it by the grant's last moment, on its own
+ * capacity.  The worker refuses it by the grant's last moment, on its own
  * clock. */
 static void
 late_start (Scenario *s)
@@ -50,7 +50,7 @@
 }
 
 /* A worker restarts while a start is in transit to its previous
- * incarnation. In the new one, filled by others, no room is booked for it.
+ * incarnation.  In the new one, filled by others, no room is booked for it.
  * The worker refuses calls meant for another incarnation, and starts under
  * a claim of that one. */
 static void
@@ -69,7 +69,7 @@
 }
 
 /* Two submissions of one key at daemons of one data centre run one task:
- * both request room under the same id. When the second one times out, its
+ * both request room under the same id.  When the second one times out, its
  * release must not free the room of the first, whose start is in transit,
  * as others would fill that room. */
 static void
@@ -87,11 +87,11 @@
   scenario_settle (s, 30000);
 }
 
-/* A daemon is frozen for long and resumes. From its side all others have
+/* A daemon is frozen for long and resumes.  From its side all others have
  * been silent for as long; if it declared them dead, it would claim every
- * worker, and every start that they have in transit would be refused. Links
- * to it work again only after a second. Its own pause is no evidence of
- * their death, so it does not claim workers for which others come first. */
+ * worker, and every start that they have in transit would be refused.
+ * Links to it work again only after a second.  Its own pause is no evidence
+ * of their death, so it does not claim workers for which others come first. */
 static void
 wakes_quietly (Scenario *s)
 {
--- a/test/proof/proof_random.c
+++ b/test/proof/proof_random.c
@@ -5,9 +5,9 @@
 #include <string.h>
 
 /* Any daemon, worker, link and the store may fail at any moment, together
- * and repeatedly, while requests and jobs keep arriving. Guards against a
+ * and repeatedly, while requests and jobs keep arriving.  Guards against a
  * request or task that runs twice or not at all, a false "not run", another
- * caller's answer or none. Each seed is one random sequence of faults; the
+ * caller's answer or none.  Each seed is one random sequence of faults; the
  * checker verifies every execution and answer. */
 
 #define SEEDS 300
--- a/test/unit/test_cli.c
+++ b/test/unit/test_cli.c
@@ -233,9 +233,9 @@
 }
 
 /* An operator sets a class and the write takes effect, but the connection
- * breaks before the response is complete. The program retries with the same
- * change id, and the daemon answers with the revision already in force. A
- * new id would change the class a second time. */
+ * breaks before the response is complete.  The program retries with the
+ * same change id, and the daemon answers with the revision already in
+ * force.  A new id would change the class a second time. */
 static void
 test_lost_answer_repeats_the_same_change (void **state)
 {
@@ -249,7 +249,7 @@
 
 /* A write's response is lost, and the retry meets a daemon without its
  * store: "not run" is true of the retry alone, as the first request may
- * have taken effect. The operator must not be told that nothing happened,
+ * have taken effect.  The operator must not be told that nothing happened,
  * and gets the change id to find out later. */
 static void
 test_not_run_after_a_lost_answer_is_unknown (void **state)
@@ -277,7 +277,7 @@
 }
 
 /* The first daemon of the list is gone and its port refuses connections,
- * the second is stopping and runs nothing, the third answers. Nothing was
+ * the second is stopping and runs nothing, the third answers.  Nothing was
  * sent to the first and nothing run by the second, so trying the next one
  * is safe. */
 static void
@@ -308,7 +308,7 @@
 }
 
 /* The operator's environment names an HTTP proxy, which the HTTP client
- * uses by default. Calls to daemons through it fail, or a proxy that
+ * uses by default.  Calls to daemons through it fail, or a proxy that
  * resends requests runs a write twice. */
 static void
 test_no_proxy_from_the_environment (void **state)
@@ -325,7 +325,7 @@
   close (fd);
 }
 
-/* A change is committed at revision 9 while one daemon is still at 8. With
+/* A change is committed at revision 9 while one daemon is still at 8.  With
  * --wait the program returns only when that one has caught up, and else
  * names it when the time is over; a dead daemon delays nobody. */
 static void
--- a/test/unit/test_cli_all.c
+++ b/test/unit/test_cli_all.c
@@ -51,7 +51,7 @@
 }
 
 /* Each daemon holds its own workers and shows free room 0 for those of
- * others; one alone would look like a cell that is nearly full. Worker w-2
+ * others; one alone would look like a cell that is nearly full.  Worker w-2
  * has just changed owners and both still report that they hold it: the
  * higher epoch is right. */
 static void
@@ -78,7 +78,7 @@
   cli_session_assert_golden (session, "all_workers");
 }
 
-/* Callers of one data centre wait while those of the other don't. An
+/* Callers of one data centre wait while those of the other don't.  An
  * operator who queries only the idle one would see no problem. */
 static void
 test_risk_of_all (void **state)
@@ -121,7 +121,7 @@
   cli_session_assert_golden (session, "all_status");
 }
 
-/* One daemon is gone, one refuses. What the others answer is shown, but
+/* One daemon is gone, one refuses.  What the others answer is shown, but
  * must be marked as incomplete, for people and for scripts. */
 static void
 test_all_but_some (void **state)
--- a/test/unit/test_cli_cut.c
+++ b/test/unit/test_cli_cut.c
@@ -26,7 +26,7 @@
 
 /* A desk prints half a confirmation with exit code 0: a load balancer
  * dropped the length, and the end of the broken connection looks like the
- * end of the answer. Only a response that marks its own end is printed. */
+ * end of the answer.  Only a response that marks its own end is printed. */
 static void
 test_cut_answer_is_unknown (void **state)
 {
@@ -43,7 +43,7 @@
 }
 
 /* An operator sends a change and the daemon's side closes half way, or the
- * reader of the command's output closes its pipe. The next write raises
+ * reader of the command's output closes its pipe.  The next write raises
  * SIGPIPE, which ends the process without a word on whether the change took
  * effect: libcurl does not block SIGPIPE when CURLOPT_NOSIGNAL is set. */
 static void
--- a/test/unit/test_config.c
+++ b/test/unit/test_config.c
@@ -98,9 +98,9 @@
   assert_string_equal (found, place);
 }
 
-/* An instance is replaced while the table is unreachable. A daemon that
+/* An instance is replaced while the table is unreachable.  A daemon that
  * serves before it has the configuration would answer "unknown class", one
- * that waits for the table would answer nothing. It must get the
+ * that waits for the table would answer nothing.  It must get the
  * configuration from its peers. */
 static void
 test_start_without_table (void **state)
@@ -120,7 +120,7 @@
 }
 
 /* One data centre loses the platform while the others go on changing the
- * configuration. Its daemons would serve a stale one for hours, though
+ * configuration.  Its daemons would serve a stale one for hours, though
  * their peers have it; and a page read during a change would mix two
  * revisions. */
 static void
@@ -145,7 +145,7 @@
 }
 
 /* A daemon is partitioned from all others for as long as 8,400 changes
- * take. Workers drained and returned meanwhile are no longer listed by the
+ * take.  Workers drained and returned meanwhile are no longer listed by the
  * others; were it sent only what has changed since, it would keep one
  * drained for ever. */
 static void
@@ -345,9 +345,9 @@
 }
 
 /* A product is set on condition that it does not exist, and the write's
- * response is lost. The change's row is read and not found; then the write
+ * response is lost.  The change's row is read and not found; then the write
  * takes effect after all, and the poll brings it into force before the read
- * of the head returns. The product now exists, so the operator would be
+ * of the head returns.  The product now exists, so the operator would be
  * told of a conflict with another change, though it was this one. */
 static void
 test_write_lands_during_check (void **state)
@@ -513,7 +513,7 @@
 }
 
 /* A hundred changes arrive at once at a daemon whose table does not answer,
- * and then its process ends. Each request must be answered, and only once. */
+ * and then its process ends.  Each request must be answered, and only once. */
 static void
 test_one_answer_each (void **state)
 {
--- a/test/unit/test_config_race.c
+++ b/test/unit/test_config_race.c
@@ -4,11 +4,11 @@
 #include <inttypes.h>
 
 /* Four operators, each at another daemon, change the same class 200 times
- * each. Responses to writes are lost, some writes take effect only after
- * the loss was reported, and the table is unreachable for a while. Guards
+ * each.  Responses to writes are lost, some writes take effect only after
+ * the loss was reported, and the table is unreachable for a while.  Guards
  * against a change reported as accepted but overwritten, made twice on a
  * retry, or reported as refused and in force later, and against a daemon
- * that returns to an older configuration. Each would come of a write that
+ * that returns to an older configuration.  Each would come of a write that
  * is not conditional on the head that it was decided on. */
 
 #define OPERATORS 4
@@ -182,7 +182,7 @@
 }
 
 /* Every second operator states the revision that it read; the others write
- * unconditionally. Each retry goes to another daemon, under the same id. */
+ * unconditionally.  Each retry goes to another daemon, under the same id. */
 static void
 send_change (Race *race, uint32_t index)
 {
--- a/test/unit/test_core_pacing.c
+++ b/test/unit/test_core_pacing.c
@@ -52,7 +52,7 @@
   core_harness_free (h, NULL);
 }
 
-/* A peer dies and its workers fall to this daemon. Renewals then slow down
+/* A peer dies and its workers fall to this daemon.  Renewals then slow down
  * at once, while the current leases were requested for the faster interval:
  * if the slower interval counted for them, the tasks of workers held from
  * before would be stopped and fail for their callers. */
@@ -81,9 +81,9 @@
   expect_all_held (h);
 }
 
-/* Members of other data centres at the largest supported size. Each of them
- * counts some more members than this core does, and sends that much more
- * rarely. */
+/* Members of other data centres at the largest supported size.  Each of
+ * them counts some more members than this core does, and sends that much
+ * more rarely. */
 static void
 test_far_heartbeats_are_bounded (void **state)
 {
@@ -182,7 +182,7 @@
 }
 
 /* An owner of many workers renews rarely, so it learns late that tasks on
- * them have ended. A job of half a second would take ten to twenty, until
+ * them have ended.  A job of half a second would take ten to twenty, until
  * the next renewal or a late poll by its home. */
 static void
 test_job_does_not_wait_for_renewals (void **state)
@@ -205,9 +205,9 @@
   core_harness_free (h, NULL);
 }
 
-/* A service's tasks run for days. Their owner reports an end to the home,
+/* A service's tasks run for days.  Their owner reports an end to the home,
  * but a daemon that dies may lose that report, as may a worker that dies in
- * the same rack. Only then does the home poll the tasks often. */
+ * the same rack.  Only then does the home poll the tasks often. */
 static void
 test_looks_at_long_tasks_are_rare (void **state)
 {
@@ -233,7 +233,7 @@
   core_harness_free (h, NULL);
 }
 
-/* The table takes 1,000 writes a second from all daemons together. At one
+/* The table takes 1,000 writes a second from all daemons together.  At one
  * of 25 daemons, keyed requests arrive faster than its share of that: they
  * share writes, and all are answered. */
 static void
--- a/test/unit/test_explain.c
+++ b/test/unit/test_explain.c
@@ -16,10 +16,10 @@
       "{\"wall_ms\":1200,\"instance\":\"entry-1\",\"event\":\"accepted\","
       "\"job\":\"other\",\"queue\":\"q\",\"why\":\"stored\"}\n";
 
-/* A caller wants to know why its job was late. The lines of two daemons are
- * in one file in no order, with lines of other jobs between; the output has
- * the job's own and those of the planner while the job was open, and names
- * the change of planner. */
+/* A caller wants to know why its job was late.  The lines of two daemons
+ * are in one file in no order, with lines of other jobs between; the output
+ * has the job's own and those of the planner while the job was open, and
+ * names the change of planner. */
 static void
 test_story_in_time_order (void **state)
 {
@@ -64,11 +64,11 @@
       "\"job\":\"gh\",\"state\":\"completed\",\"took_ms\":950,"
       "\"due_ms\":900}\n";
 
-/* A caller was refused, retried and was late. The planner had changed
+/* A caller was refused, retried and was late.  The planner had changed
  * before its job was accepted, which can't have delayed it; another
  * caller's query about a queue failed meanwhile, which does not concern
- * this job; its end was stored late. If the change of planner were shown as
- * the cause, an operator would search for a dead daemon. */
+ * this job; its end was stored late.  If the change of planner were shown
+ * as the cause, an operator would search for a dead daemon. */
 static void
 test_cause_lies_between_acceptance_and_end (void **state)
 {
--- a/test/unit/test_golden_core.c
+++ b/test/unit/test_golden_core.c
@@ -69,7 +69,7 @@
 
 /* A seat is booked at a daemon whose own workers are draining: the owner of
  * another worker grants room, the row of the key is written, and only then
- * is the start sent. A grant after the start, or a start before the row,
+ * is the start sent.  A grant after the start, or a start before the row,
  * would let the same key run twice. */
 static char *
 booking_scenario (void)
@@ -87,7 +87,7 @@
   return end (&session);
 }
 
-/* A voucher is redeemed at two counters at once. Both daemons request room
+/* A voucher is redeemed at two counters at once.  Both daemons request room
  * and write the key's row; the one whose write fails must wait at the
  * other's worker for its answer and not start a second run. */
 static char *
@@ -108,7 +108,7 @@
   return end (&session);
 }
 
-/* A start takes effect and its response is lost. The home resolves it at
+/* A start takes effect and its response is lost.  The home resolves it at
  * the worker and returns the one run's answer; a home that started it anew
  * elsewhere would book the seat twice. */
 static char *
@@ -153,7 +153,7 @@
   return end (&session);
 }
 
-/* A daemon dies with a job's task running on its worker. The other claims
+/* A daemon dies with a job's task running on its worker.  The other claims
  * the worker at a higher epoch, finds the task in the worker's list and the
  * job in the table, and ends it; a job that nobody adopts would stay open
  * for ever. */
@@ -199,7 +199,7 @@
 }
 
 /* Two operators change the same object at two daemons at once, each based
- * on the revision it read. One change is committed and in force at both;
+ * on the revision it read.  One change is committed and in force at both;
  * the other operator gets the current value, and its own never takes
  * effect. */
 static char *
@@ -222,7 +222,7 @@
   return end (&session);
 }
 
-/* A daemon is stopped with a booking in flight. Its caller still gets the
+/* A daemon is stopped with a booking in flight.  Its caller still gets the
  * whole answer, new callers are referred to other daemons, its workers are
  * handed over, and only then does it end. */
 static char *
--- a/test/unit/test_platform_cut.c
+++ b/test/unit/test_platform_cut.c
@@ -39,7 +39,7 @@
 
 /* A settlement batch runs on half its input, or its submitter gets half the
  * answer: something between the daemon and the object store gave no length
- * and its connection broke, or it answered in the store's place. Only a
+ * and its connection broke, or it answered in the store's place.  Only a
  * response that marks its own end and names the object's revision is the
  * object. */
 static void
--- a/test/unit/test_platform_faults.c
+++ b/test/unit/test_platform_faults.c
@@ -2,7 +2,7 @@
 #include "support/test.h"
 
 /* A guest's voucher is redeemed and the platform's response is lost on a
- * reused connection. The HTTP client may resend such a request by itself;
+ * reused connection.  The HTTP client may resend such a request by itself;
  * the second one then finds the row of the first and reports a conflict,
  * and the caller is told that somebody else used the voucher. */
 static void
@@ -77,7 +77,7 @@
 }
 
 /* A write hangs in the platform past its timeout and takes effect once the
- * platform recovers. A caller that was told "not written" would repeat it. */
+ * platform recovers.  A caller that was told "not written" would repeat it. */
 static void
 test_hanging_write_is_unknown (void **state)
 {
@@ -125,8 +125,8 @@
 }
 
 /* The table seems unreachable for one timeout after another, although it is
- * up. All open connections are dead without a reset while new ones work, as
- * when a firewall loses its state, and each thread finds that out on its
+ * up.  All open connections are dead without a reset while new ones work,
+ * as when a firewall loses its state, and each thread finds that out on its
  * own call. */
 static void
 test_one_timeout_renews_every_connection (void **state)
--- a/test/unit/test_report.c
+++ b/test/unit/test_report.c
@@ -35,7 +35,7 @@
       "{\"wall_ms\":22000,\"event\":\"job_ended\",\"job\":\"full\","
       "\"state\":\"completed\",\"took_ms\":10000,\"due_ms\":7000}\n";
 
-/* An operator looks into many complaints. The lines of all daemons are in
+/* An operator looks into many complaints.  The lines of all daemons are in
  * one file in no order; the table has a row for each queue and span, a late
  * job counts once, under its cause, and each refused attempt of a caller
  * counts. */
--- a/test/unit/test_retry_advice.c
+++ b/test/unit/test_retry_advice.c
@@ -24,7 +24,7 @@
 }
 
 /* A program sends the same malformed request ten times a second, for ever,
- * and its operator believes that the cell is overloaded. The request was
+ * and its operator believes that the cell is overloaded.  The request was
  * refused as malformed, but with Retry-After: the daemon advised a retry
  * with every reason. */
 static void
--- a/test/unit/test_sched_faults.c
+++ b/test/unit/test_sched_faults.c
@@ -2,7 +2,7 @@
 #include "support/test.h"
 
 /* Runs @count tasks of @class_name; those on worker @broken fail, or all if
- * @bad. Returns how many failed on worker @broken. */
+ * @bad.  Returns how many failed on worker @broken. */
 static uint32_t
 run_tasks (Cell *cell,
            const char *class_name,
@@ -41,8 +41,8 @@
     }
 }
 
-/* One worker fails whatever it starts, within 10 ms. As it is free again at
- * once, it would be given task after task, and most requests would fail.
+/* One worker fails whatever it starts, within 10 ms.  As it is free again
+ * at once, it would be given task after task, and most requests would fail.
  * After a few failures it must get no more. */
 static void
 test_broken_worker (void **state)
@@ -60,8 +60,8 @@
   assert_in_range (failed, 1, 8);
 }
 
-/* A class has a bug and fails on every worker. The workers must stay in use
- * for other classes, as the failures are not theirs. */
+/* A class has a bug and fails on every worker.  The workers must stay in
+ * use for other classes, as the failures are not theirs. */
 static void
 test_bad_class (void **state)
 {
@@ -81,8 +81,8 @@
   cell_idle (cell);
 }
 
-/* A broken worker is repaired. One probe task finds out, only one at a time
- * may be risked, and after its success the worker is used as before. */
+/* A broken worker is repaired.  One probe task finds out, only one at a
+ * time may be risked, and after its success the worker is used as before. */
 static void
 test_probe_mends (void **state)
 {
@@ -113,7 +113,7 @@
     }
 }
 
-/* A class declares a quarter of the memory that it uses. Workers filled by
+/* A class declares a quarter of the memory that it uses.  Workers filled by
  * the declaration would run out of memory; the reported use must be booked,
  * for running tasks and for later ones. */
 static void
@@ -141,7 +141,7 @@
   assert_in_range (placed.size.mem_mib, 4096, 4096 * 9 / 8);
 }
 
-/* Wrong reports say that a class needs more than any worker has. The class
+/* Wrong reports say that a class needs more than any worker has.  The class
  * must go on running, one task to a worker, and not be refused for ever. */
 static void
 test_report_beyond_workers (void **state)
@@ -189,7 +189,7 @@
   cell_place (cell);
 }
 
-/* A rack loses its power. Replicas of a service that all fit on one worker
+/* A rack loses its power.  Replicas of a service that all fit on one worker
  * must be spread over racks, or the whole service would be lost. */
 static void
 test_spread_over_racks (void **state)
--- a/test/unit/test_sched_gang.c
+++ b/test/unit/test_sched_gang.c
@@ -30,7 +30,7 @@
   return members;
 }
 
-/* A gang of four tasks, two of which fit now. Started one by one, the two
+/* A gang of four tasks, two of which fit now.  Started one by one, the two
  * would occupy their room for nothing; none may start before all fit. */
 static void
 test_all_or_nothing (void **state)
@@ -53,7 +53,7 @@
   assert_int_equal (place_all (cell, gang, 4), 4);
 }
 
-/* While one member has not been requested, none starts. When one is
+/* While one member has not been requested, none starts.  When one is
  * cancelled, the others wait for it to be requested again, and all expire
  * together. */
 static void
@@ -94,8 +94,8 @@
 }
 
 /* Small batch tasks arrive without a pause while a gang waits for the whole
- * cell. Each small task fits at once, so the gang would starve unless room
- * is reserved for it. Once it is reserved, only tasks that end in time may
+ * cell.  Each small task fits at once, so the gang would starve unless room
+ * is reserved for it.  Once it is reserved, only tasks that end in time may
  * use that room. */
 static void
 test_small_ones_do_not_delay (void **state)
@@ -131,8 +131,8 @@
   assert_true (cell->now_ms < 1000 + 10000);
 }
 
-/* Two gangs wait, each for the whole cell, while small tasks go on. If each
- * reserved half of it, neither would ever start (deadlock). */
+/* Two gangs wait, each for the whole cell, while small tasks go on.  If
+ * each reserved half of it, neither would ever start (deadlock). */
 static void
 test_two_gangs_no_deadlock (void **state)
 {
@@ -159,7 +159,7 @@
   assert_int_equal (placed_second, 4);
 }
 
-/* A gang waits with workers reserved for it, and those workers leave. The
+/* A gang waits with workers reserved for it, and those workers leave.  The
  * reservation must be released and made elsewhere, and must not keep out
  * others. */
 static void
--- a/test/unit/test_sched_order.c
+++ b/test/unit/test_sched_order.c
@@ -13,7 +13,7 @@
 }
 
 /* An interactive task (a hotel's booking) arrives while the nightly
- * settlement, a batch, fills the cell and its queue. The next free slot
+ * settlement, a batch, fills the cell and its queue.  The next free slot
  * must go to the booking, although the settlement was queued long before. */
 static void
 test_urgent_before_batch (void **state)
@@ -37,7 +37,7 @@
   assert_true (mux_id_equal (cell_place (cell).task, late));
 }
 
-/* More bookings arrive than the cell can run, without a pause. The
+/* More bookings arrive than the cell can run, without a pause.  The
  * settlement has the lower priority but must not starve: once it is
  * overdue, a worker is drained for it. */
 static void
@@ -80,8 +80,8 @@
 }
 
 /* A settlement has missed its start target when a new one arrives, and the
- * cell is full. If the late one kept its place, every later settlement
- * would be late too. Those still in time go first, but one in ten starts
+ * cell is full.  If the late one kept its place, every later settlement
+ * would be late too.  Those still in time go first, but one in ten starts
  * goes to the late ones, so that they do not starve. */
 static void
 test_late_behind_timely (void **state)
@@ -118,9 +118,9 @@
   assert_int_equal (starts[1], 2);
 }
 
-/* A hundred settlements are late and more are due than can start in time. A
- * new one would become late itself, queue behind the hundred and expire. It
- * must be refused at once; one with enough time is admitted. */
+/* A hundred settlements are late and more are due than can start in time.
+ * A new one would become late itself, queue behind the hundred and expire.
+ * It must be refused at once; one with enough time is admitted. */
 static void
 test_refused_behind_late (void **state)
 {
@@ -176,8 +176,8 @@
   assert_true (dropped.retry_ms > 0);
 }
 
-/* A class floods the queue. Requests of another class must still be queued,
- * and those of the first are answered that their queue is full. */
+/* A class floods the queue.  Requests of another class must still be
+ * queued, and those of the first are answered that their queue is full. */
 static void
 test_places_for_each_class (void **state)
 {
@@ -201,7 +201,7 @@
     }
 }
 
-/* One product leaves its quota idle and another borrows it. When the first
+/* One product leaves its quota idle and another borrows it.  When the first
  * has work again, the next free slots go to it until its quota is reached;
  * tasks that can't end soon must not borrow at all. */
 static void
--- a/test/unit/test_sched_risk.c
+++ b/test/unit/test_sched_risk.c
@@ -50,7 +50,7 @@
     }
 }
 
-/* Outage reports arrive at a growing rate. The operators must be warned
+/* Outage reports arrive at a growing rate.  The operators must be warned
  * while starts are still in time, with the binding resource and how much
  * more would help, and must not be warned at half the load. */
 static void
--- a/test/unit/test_settings.c
+++ b/test/unit/test_settings.c
@@ -123,7 +123,7 @@
   mux_settings_free (settings);
 }
 
-/* An operator mistypes several settings. If only the first error is
+/* An operator mistypes several settings.  If only the first error is
  * reported, the daemon is restarted once for each of them. */
 static void
 test_all_findings_at_once (void **state)
--- a/test/unit/test_worker_standin.c
+++ b/test/unit/test_worker_standin.c
@@ -115,8 +115,8 @@
 }
 
 /* Two owners each believe that they hold the worker: the first was paused
- * while its lease expired and the second claimed the worker. The first
- * resumes with its old epoch. If its calls were accepted, both would book
+ * while its lease expired and the second claimed the worker.  The first
+ * resumes with its old epoch.  If its calls were accepted, both would book
  * the same room. */
 static void
 test_paused_owner_is_fenced (void **state)
@@ -134,7 +134,7 @@
 }
 
 /* The owner dies with a task running; its successor claims within the grace
- * period. The caller must see the task end once: a claim passes the
+ * period.  The caller must see the task end once: a claim passes the
  * worker's tasks on, and the new lease keeps them running beyond the old
  * one's expiry. */
 static void
@@ -159,7 +159,7 @@
   assert_int_equal (state_of (f, 1), MUX_TASK_RUNNING);
 }
 
-/* Every owner is partitioned from the worker. Its tasks are stopped when
+/* Every owner is partitioned from the worker.  Its tasks are stopped when
  * the lease and the grace period have expired, so that they may be run
  * again elsewhere; a start that arrives under the expired lease is refused. */
 static void
@@ -183,9 +183,9 @@
 }
 
 /* A home that lost a start's response puts a tombstone and reports "not
- * run" to its caller. The start was only delayed and arrives after that: if
- * it ran, the voucher would be redeemed although the caller was told that
- * it was not. */
+ * run" to its caller.  The start was only delayed and arrives after that:
+ * if it ran, the voucher would be redeemed although the caller was told
+ * that it was not. */
 static void
 test_tombstone_refuses_start (void **state)
 {
@@ -245,7 +245,7 @@
   assert_int_equal (status_of (f, start_call (4, 1)), MUX_WORKER_OK);
 }
 
-/* A start is repeated hours later, after its answer has been dropped. It
+/* A start is repeated hours later, after its answer has been dropped.  It
  * must be distinguished from a new one, or the report would be counted
  * twice. */
 static void
