--- a/test/unit/test_sched_order.c
+++ b/test/unit/test_sched_order.c
@@ -242,9 +242,8 @@
 }
 
 /* A settlement requests all its tasks at once, and the cell is empty.
- * Before the first is placed nothing runs and nothing has ended, so there
- * is no measured rate; it must not be refused for that, as four rounds of
- * the cell end well before its expiry. */
+ * Before the first is placed nothing runs and nothing has ended; it must not be
+ * refused for that, as four rounds of the cell end well before its expiry. */
 static void
 test_job_on_empty_cell (void **state)
 {
