--- a/test/unit/test_golden_core.c
+++ b/test/unit/test_golden_core.c
@@ -6,7 +6,7 @@
 #define SEED 11
 #define GIVE_UP_MS 8000
 
-/* One session: a cell of its own and the record of it. */
+/* One recorded scenario: a cell of its own and its record. */
 typedef struct
 {
   Scenario *s;
@@ -18,7 +18,8 @@
 {
   Session session = { .s = scenario_new (SEED, nodes, workers, centres) };
 
-  /* Delays then do not depend on how often the cell's beginning drew one. */
+  /* Makes delays independent of how many random numbers the start of the
+   * cell drew. */
   session.s->net->random.state = SEED;
   session.record = core_record_new (session.s->net);
   return session;
@@ -39,23 +40,24 @@
 {
   const char *file;
   char *(*play) (void);
-} Story;
+} RecordedScenario;
 
-/* Plays the story twice: the same seed must give the same bytes, since
- * otherwise a difference from the file would tell nothing. */
+/* Runs the scenario twice: the same seed must give the same bytes, or a
+ * difference from the golden file would mean nothing. */
 static void
 test_story (void **state)
 {
-  const Story *story = *state;
-  char *first = story->play (), *second = story->play ();
+  const RecordedScenario *scenario = *state;
+  char *first = scenario->play (), *second = scenario->play ();
 
   assert_string_equal (first, second);
   free (second);
-  golden_assert (story->file, first);
+  golden_assert (scenario->file, first);
   free (first);
 }
 
-/* The node's own workers take nothing, so that another owner must be asked. */
+/* The node's own workers accept nothing, so that it must request room from
+ * another owner. */
 static void
 leave_own (Scenario *s, uint32_t node)
 {
@@ -65,12 +67,12 @@
   scenario_run (s, 1100);
 }
 
-/* A seat is booked at a daemon whose own workers are leaving: the owner of
- * another grants a place, the row of the key is written, and only then the
- * start leaves.  A place granted after the start, or a start before the row,
+/* A seat is booked at a daemon whose own workers are draining: the owner of
+ * another worker grants room, the row of the key is written, and only then
+ * is the start sent.  A grant after the start, or a start before the row,
  * would let the same key run twice. */
 static char *
-booking_story (void)
+booking_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -85,11 +87,11 @@
   return end (&session);
 }
 
-/* A voucher is redeemed at two counters at once.  Both daemons ask for a
- * place and write the key's row; one loses the row and must wait at the
- * winner's worker for its answer, not start a second run. */
+/* A voucher is redeemed at two counters at once.  Both daemons request room
+ * and write the key's row; the one whose write fails must wait at the
+ * other's worker for its answer and not start a second run. */
 static char *
-same_key_story (void)
+same_key_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -106,11 +108,11 @@
   return end (&session);
 }
 
-/* A start takes effect and its answer never comes.  The home settles at the
- * worker and gives the caller the one run's answer; a home that starts anew
+/* A start takes effect and its response is lost.  The home resolves it at
+ * the worker and returns the one run's answer; a home that started it anew
  * elsewhere would book the seat twice. */
 static char *
-lost_start_story (void)
+lost_start_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -126,11 +128,11 @@
   return end (&session);
 }
 
-/* A settlement batch is recorded before its caller hears of it, placed and
- * closed; a forecast's gang needs two owners' workers at the same time and
- * starts only when every task has its place. */
+/* A settlement batch is stored before its caller is answered, placed and
+ * closed; a forecast's gang needs the workers of two owners at the same
+ * time and starts only when every task has room. */
 static char *
-jobs_story (void)
+jobs_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -152,10 +154,11 @@
 }
 
 /* A daemon dies with a job's task running on its worker.  The other claims
- * the worker at a higher epoch, finds the task in its list and the job in the
- * table, and ends it; a job that nobody adopts would stay open for good. */
+ * the worker at a higher epoch, finds the task in the worker's list and the
+ * job in the table, and ends it; a job that nobody adopts would stay open
+ * for ever. */
 static char *
-owner_killed_story (void)
+owner_killed_scenario (void)
 {
   Session session = begin (2, 2, 1);
   Scenario *s = session.s;
@@ -195,11 +198,12 @@
   return call;
 }
 
-/* Two operators change the same object at two daemons at once, each on what
- * it saw.  One is committed and in force at both; the other is told what
- * stands now, and its value never shows. */
+/* Two operators change the same object at two daemons at once, each based
+ * on the revision it read.  One change is committed and in force at both;
+ * the other operator gets the current value, and its own never takes
+ * effect. */
 static char *
-change_story (void)
+change_scenario (void)
 {
   Session session = begin (2, 2, 2);
   Scenario *s = session.s;
@@ -219,10 +223,10 @@
 }
 
 /* A daemon is stopped with a booking in flight.  Its caller still gets the
- * whole answer, new ones are told to go elsewhere, its workers are handed
- * over, and only then is it done. */
+ * whole answer, new callers are referred to other daemons, its workers are
+ * handed over, and only then does it end. */
 static char *
-graceful_stop_story (void)
+graceful_stop_scenario (void)
 {
   Session session = begin (2, 2, 1);
   Scenario *s = session.s;
@@ -244,20 +248,21 @@
   return end (&session);
 }
 
-#define STORY(title)                                 \
-  {                                                  \
-    "test_" #title, test_story, NULL, NULL, &(Story) \
-    {                                                \
-      "core_" #title, title##_story                  \
-    }                                                \
+#define SCENARIO(title)                                         \
+  {                                                             \
+    "test_" #title, test_story, NULL, NULL, &(RecordedScenario) \
+    {                                                           \
+      "core_" #title, title##_scenario                          \
+    }                                                           \
   }
 
 int
 main (void)
 {
   const struct CMUnitTest tests[] = {
-    STORY (booking),      STORY (same_key), STORY (lost_start),    STORY (jobs),
-    STORY (owner_killed), STORY (change),   STORY (graceful_stop),
+    SCENARIO (booking),       SCENARIO (same_key),     SCENARIO (lost_start),
+    SCENARIO (jobs),          SCENARIO (owner_killed), SCENARIO (change),
+    SCENARIO (graceful_stop),
   };
 
   return cmocka_run_group_tests (tests, NULL, NULL);
