--- a/demo/support/request.h
+++ b/demo/support/request.h
@@ -37,22 +37,22 @@
   MuxHttpReply reply;
 } MuxTestRequest;
 
-/** mux_request_fill() - a body that @name makes its own, of random bytes with
- * zeros among them; the same @name and @seed give the same
+/** mux_test_request_fill() - a body that @name makes its own, of random bytes
+ * with zeros among them; the same @name and @seed give the same
  * @run_ms: what the worker stand-in runs; 0: its default */
 void mux_test_request_fill (MuxTestRequest *request,
                             const char *name,
                             uint64_t seed,
                             uint32_t run_ms);
-/** mux_request_send() - once, on a connection of its own; logged then */
+/** mux_test_request_send() - once, on a connection of its own; logged then */
 void mux_test_request_send (MuxTestRequest *request,
                             MuxHttp *http,
                             const char *addr,
                             MuxJsonl *log);
-/** mux_request_outcome() - what was told, "none" for nothing */
+/** mux_test_request_outcome() - what was told, "none" for nothing */
 const char *mux_test_request_outcome (const MuxTestRequest *request);
-/** mux_request_open() - the same key is worth another submission: nothing is
- * known yet of what became of it */
+/** mux_test_request_open() - the same key is worth another submission: nothing
+ * is known yet of what became of it */
 bool mux_test_request_open (const MuxTestRequest *request);
 
 #endif
--- a/include/base/address.h
+++ b/include/base/address.h
@@ -16,12 +16,13 @@
                         struct sockaddr_storage *addr,
                         socklen_t *len);
 
-/** mux_address_reachable() - whether @text is a valid connect() target: it
+/** mux_address_is_connectable() - whether @text is a valid connect() target: it
  * parses, its port is not 0 and its host is not the wildcard address */
-bool mux_address_reachable (const char *text);
+bool mux_address_is_connectable (const char *text);
 
-/** mux_address_loopback() - whether @text parses and is a loopback address */
-bool mux_address_loopback (const char *text);
+/** mux_address_is_loopback() - whether @text parses and is a loopback address
+ */
+bool mux_address_is_loopback (const char *text);
 
 /** mux_address_format() - format @addr in the form mux_address_parse() accepts
  * Return: false if the address family is unknown or @cap is too small. */
--- a/include/base/counters.h
+++ b/include/base/counters.h
@@ -7,68 +7,66 @@
 #include <stdint.h>
 
 /* Monotonic counters: symbol, exported name, help. */
-#define MUX_COUNTERS(X)                                                       \
-  X (REQUESTS, "requests_total", "requests accepted from callers")            \
-  X (ANSWERED, "answered_total", "requests answered with a result")           \
-  X (NOT_RUN, "not_run_total", "requests answered as not run")                \
-  X (UNKNOWN, "unknown_total", "requests answered as unknown")                \
-  X (TICKETS, "tickets_total", "tickets given to callers")                    \
-  X (STARTS, "starts_total", "task starts sent to workers")                   \
-  X (GRANTS, "grants_total", "grants on workers that this daemon owns")       \
-  X (GRANTS_REMOTE, "grants_remote_total", "grants given to peers")           \
-  X (CLAIMS, "claims_total", "claims won")                                    \
-  X (CLAIMS_LOST, "claims_lost_total", "claims lost or handed over")          \
-  X (SETTLED_RAN, "settled_ran_total", "starts of unknown fate that ran")     \
-  X (SETTLED_NEVER, "settled_never_total", "starts prevented by a tombstone") \
-  X (JOBS_ACCEPTED, "jobs_accepted_total", "jobs recorded")                   \
-  X (JOBS_DONE, "jobs_done_total", "jobs ended")                              \
-  X (JOBS_ADOPTED, "jobs_adopted_total", "jobs taken over from dead daemons") \
-  X (TABLE_WRITES, "table_writes_total", "transactions sent to the table")    \
-  X (TABLE_ROWS, "table_rows_written_total", "rows written to the table")     \
-  X (TABLE_READS, "table_reads_total", "reads sent to the table")             \
-  X (PEER_SENT, "peer_messages_sent_total", "messages sent to peers")         \
-  X (PEER_SENT_BYTES, "peer_sent_bytes_total", "bytes sent to peers")         \
-  X (PEER_RECEIVED, "peer_messages_received_total", "messages from peers")    \
-  X (PEER_BAD, "peer_messages_bad_total", "peer messages not understood")     \
-  X (WORKER_CALLS, "worker_calls_total", "calls made to workers")             \
-  X (ROWS_SWEPT, "rows_swept_total", "transactions that dropped old rows")    \
-  X (CONFIG_CHANGES, "config_changes_total", "changes committed here")        \
-  X (EVENTS, "core_events_total", "events handled by the core")               \
-  X (EVENTS_DROPPED, "core_events_dropped_total",                             \
-     "events dropped as late or for a full queue")                            \
-  X (APPROVALS, "approval_questions_total", "queries to the policy service")  \
-  X (APPROVAL_NAMES, "approval_names_total",                                  \
-     "workers named in the planner's approval queries")                       \
-  X (APPROVAL_TIME, "approval_time_ms_total",                                 \
-     "time that daemons spent on the planner's approval queries")             \
-  X (APPROVALS_GIVEN, "approvals_given_total",                                \
-     "approvals in the answers to the planner's approval queries")            \
-  X (APPROVALS_USED, "approvals_used_total",                                  \
-     "approved workers that a step's start went to")                          \
-  X (KEPT_IDLE, "kept_idle_core_ms_total",                                    \
-     "free processor time of workers kept or held for waiting gangs")         \
-  X (TERMS, "planner_terms_total", "times that this daemon became planner")   \
-  X (RUNS_FAILED, "runs_failed_total", "runs of tasks that ended as failed")  \
-  X (RUNS_LOST, "runs_lost_total", "runs that ended with their worker")       \
-  X (WORKERS_CRASHED, "workers_crashed_total",                                \
-     "workers that ended without announcing that they leave")                 \
-  X (JOBS_CRASHING, "jobs_crashing_total",                                    \
-     "jobs given up as workers crashed under a task")                         \
-  X (PLAN_LOOKS, "plan_looks_total", "workers scanned for waiting tasks")     \
-  X (PLAN_STEPS, "plan_steps_total", "waiting steps scanned by the planner")  \
-  X (PLAN_MOVES, "plan_moves_total", "waiting steps put in planning order")   \
-  X (JOB_LOOKS, "job_looks_total",                                            \
-     "jobs scanned for due timers or worker losses")                          \
-  X (PLAN_CUT, "plan_passes_cut_total",                                       \
-     "planning passes cut for their length")                                  \
-  X (RUNS_STOPPED, "runs_stopped_total", "runs that the planner stopped")     \
-  X (ROWS_BAD_KEY, "rows_bad_key_total",                                      \
-     "stored rows with an invalid key or in an invalid part")                 \
-  X (ROWS_BAD_VALUE, "rows_bad_value_total",                                  \
-     "stored rows whose bytes can't be read")                                 \
-  X (ROWS_BAD_FIELD, "rows_bad_field_total",                                  \
-     "stored rows with a field missing or of another type")                   \
-  X (WORKERS_OF_NO_QUEUE, "workers_of_no_queue_total",                        \
+#define MUX_COUNTERS(X)                                                        \
+  X (REQUESTS, "requests_total", "requests accepted from callers")             \
+  X (ANSWERED, "answered_total", "requests answered with a result")            \
+  X (NOT_RUN, "not_run_total", "requests answered as not run")                 \
+  X (UNKNOWN, "unknown_total", "requests answered as unknown")                 \
+  X (TICKETS, "tickets_total", "tickets given to callers")                     \
+  X (STARTS, "starts_total", "task starts sent to workers")                    \
+  X (GRANTS, "grants_total", "places granted on own workers")                  \
+  X (GRANTS_REMOTE, "grants_remote_total", "places granted to peers")          \
+  X (CLAIMS, "claims_total", "claims won")                                     \
+  X (CLAIMS_LOST, "claims_lost_total", "claims lost or handed over")           \
+  X (SETTLED_RAN, "settled_ran_total", "starts of unknown fate that ran")      \
+  X (SETTLED_NEVER, "settled_never_total", "starts put down by a tombstone")   \
+  X (JOBS_ACCEPTED, "jobs_accepted_total", "jobs recorded")                    \
+  X (JOBS_DONE, "jobs_done_total", "jobs ended")                               \
+  X (JOBS_ADOPTED, "jobs_adopted_total", "jobs taken over from dead daemons")  \
+  X (TABLE_WRITES, "table_writes_total", "transactions sent to the table")     \
+  X (TABLE_ROWS, "table_rows_written_total", "rows written to the table")      \
+  X (TABLE_READS, "table_reads_total", "reads sent to the table")              \
+  X (PEER_SENT, "peer_messages_sent_total", "messages sent to peers")          \
+  X (PEER_SENT_BYTES, "peer_sent_bytes_total", "bytes sent to peers")          \
+  X (PEER_RECEIVED, "peer_messages_received_total", "messages from peers")     \
+  X (PEER_BAD, "peer_messages_bad_total", "peer messages not understood")      \
+  X (WORKER_CALLS, "worker_calls_total", "calls made to workers")              \
+  X (ROWS_SWEPT, "rows_swept_total", "transactions that dropped old rows")     \
+  X (CONFIG_CHANGES, "config_changes_total", "changes committed here")         \
+  X (EVENTS, "core_events_total", "events handled by the core")                \
+  X (EVENTS_DROPPED, "core_events_dropped_total", "late events for the gone")  \
+  X (APPROVALS, "approval_questions_total", "questions to the policy service") \
+  X (APPROVAL_NAMES, "approval_names_total",                                   \
+     "workers named in the planner's questions")                               \
+  X (APPROVAL_TIME, "approval_time_ms_total",                                  \
+     "time that daemons worked on the planner's questions")                    \
+  X (APPROVALS_GIVEN, "approvals_given_total",                                 \
+     "approvals in the answers to these")                                      \
+  X (APPROVALS_USED, "approvals_used_total",                                   \
+     "approved workers that a step's start went to")                           \
+  X (KEPT_IDLE, "kept_idle_core_ms_total",                                     \
+     "free processor time of workers kept or held for waiting gangs")          \
+  X (TERMS, "planner_terms_total", "times that this daemon began to plan")     \
+  X (RUNS_FAILED, "runs_failed_total", "runs of tasks that ended as failed")   \
+  X (RUNS_LOST, "runs_lost_total", "runs that ended with their worker")        \
+  X (WORKERS_CRASHED, "workers_crashed_total",                                 \
+     "workers that ended without having said that they leave")                 \
+  X (JOBS_CRASHING, "jobs_crashing_total",                                     \
+     "jobs given up as workers crashed under a task")                          \
+  X (PLAN_LOOKS, "plan_looks_total", "workers looked at for waiting tasks")    \
+  X (PLAN_STEPS, "plan_steps_total", "waiting steps looked at by the planner") \
+  X (PLAN_MOVES, "plan_moves_total", "waiting steps put in planning order")    \
+  X (JOB_LOOKS, "job_looks_total", "jobs looked at for what time brings on")   \
+  X (PLAN_CUT, "plan_passes_cut_total",                                        \
+     "planning passes cut for their length")                                   \
+  X (RUNS_STOPPED, "runs_stopped_total", "runs that ended on our order")       \
+  X (ROWS_BAD_KEY, "rows_bad_key_total",                                       \
+     "stored rows under a key or in a part that is none")                      \
+  X (ROWS_BAD_VALUE, "rows_bad_value_total",                                   \
+     "stored rows whose bytes can't be read")                                  \
+  X (ROWS_BAD_FIELD, "rows_bad_field_total",                                   \
+     "stored rows with a field missing or of another type")                    \
+  X (WORKERS_OF_NO_QUEUE, "workers_of_no_queue_total",                         \
      "workers listed with a service of no queue")
 
 /* Histograms of times in milliseconds: symbol, exported name, help. */
@@ -77,10 +75,10 @@
   X (JOB_TIME, "job_time_ms", "from a job's acceptance to its stored end")  \
   X (STORE, "store_call_ms", "calls to the store that do not wait")         \
   X (WORKER, "worker_order_ms", "starts and stops until they are answered") \
-  X (APPROVAL, "approval_ms", "queries to the policy service")              \
+  X (APPROVAL, "approval_ms", "questions to the policy service")            \
   X (TAKEOVER, "takeover_ms", "from a claim to the first plan")             \
   X (PLANNER_LATE, "planner_late_ms",                                       \
-     "from arrival of an input until the planner handles it")               \
+     "what arrives until the planner takes it")                             \
   X (BACKLOG, "backlog_wait_ms", "how long a new job would wait for a start")
 
 /**
--- a/include/base/id.h
+++ b/include/base/id.h
@@ -40,13 +40,13 @@
  */
 bool mux_id_parse (const char *text, MuxId *id);
 
-/** mux_id_of_key() - derive a task's or job's id from its class and idempotency
- * key: the same pair gives the same id on every daemon */
-MuxId mux_id_of_key (const char *class_name, const char *key);
+/** mux_id_from_key() - derive a task's or job's id from its class and
+ * idempotency key: the same pair gives the same id on every daemon */
+MuxId mux_id_from_key (const char *class_name, const char *key);
 
-/** mux_id_of_part() - derive the id of attempt or gang member number @part of
+/** mux_id_derive() - derive the id of attempt or gang member number @part of
  * @whole */
-MuxId mux_id_of_part (MuxId whole, uint64_t part);
+MuxId mux_id_derive (MuxId whole, uint64_t part);
 
 /** mux_hash_name() - 64-bit hash of @name with @seed */
 uint64_t mux_hash_name (const char *name, uint64_t seed);
--- a/include/base/mac.h
+++ b/include/base/mac.h
@@ -4,18 +4,19 @@
 #include <stdbool.h>
 
 /* Size of an HMAC in hexadecimal with its NUL. */
-#define MUX_MAC_HEX_LEN 65
+#define MUX_HMAC_HEX_LEN 65
 
 /**
- * mux_mac() - HMAC-SHA-256 of @text under @key, in hexadecimal
+ * mux_hmac_hex() - HMAC-SHA-256 of @text under @key, in hexadecimal
  * @key: secret; "": a fixed public key is used, so that the code detects
  *   corruption but not forgery
  * Return: false if GnuTLS fails.
  */
-bool mux_mac (const char *key, const char *text, char out[MUX_MAC_HEX_LEN]);
+bool
+mux_hmac_hex (const char *key, const char *text, char out[MUX_HMAC_HEX_LEN]);
 
-/** mux_mac_equal() - compare two codes in constant time */
-bool mux_mac_equal (const char a[MUX_MAC_HEX_LEN],
-                    const char b[MUX_MAC_HEX_LEN]);
+/** mux_hmac_hex_equal() - compare two codes in constant time */
+bool mux_hmac_hex_equal (const char a[MUX_HMAC_HEX_LEN],
+                         const char b[MUX_HMAC_HEX_LEN]);
 
 #endif
--- a/include/base/ring.h
+++ b/include/base/ring.h
@@ -13,10 +13,10 @@
  * Return: NULL if out of memory.
  */
 MuxRing *mux_ring_new (uint32_t capacity);
-/** mux_ring_new_watched() - create a ring whose consumer polls mux_ring_fd()
+/** mux_ring_new_pollable() - create a ring whose consumer polls mux_ring_fd()
  * instead of calling mux_ring_wait()
  * Return: NULL if out of memory or file descriptors. */
-MuxRing *mux_ring_new_watched (uint32_t capacity);
+MuxRing *mux_ring_new_pollable (uint32_t capacity);
 /** mux_ring_free() - free the ring, but not the entries left in it */
 void mux_ring_free (MuxRing *ring);
 /** mux_ring_push() - append an entry; does not wait for consumers
@@ -32,11 +32,11 @@
  */
 void *mux_ring_wait (MuxRing *ring, int32_t timeout_ms);
 /** mux_ring_fd() - event descriptor of a watched ring, readable after a push
- * until mux_ring_settle(); -1 for any other ring */
+ * until mux_ring_clear_event(); -1 for any other ring */
 int mux_ring_fd (const MuxRing *ring);
-/** mux_ring_settle() - clear the event descriptor of a watched ring; call it
- * before popping, so that a concurrent push makes it readable again */
-void mux_ring_settle (MuxRing *ring);
+/** mux_ring_clear_event() - clear the event descriptor of a watched ring; call
+ * it before popping, so that a concurrent push makes it readable again */
+void mux_ring_clear_event (MuxRing *ring);
 /** mux_ring_wake() - make @n waiting consumers return from mux_ring_wait() */
 void mux_ring_wake (MuxRing *ring, uint32_t n);
 
--- a/src/adapter/peer_thread.c
+++ b/src/adapter/peer_thread.c
@@ -54,7 +54,7 @@
 static void
 send_queued (MuxPeerZmq *peer, int64_t now)
 {
-  mux_ring_settle (peer->outgoing);
+  mux_ring_clear_event (peer->outgoing);
   for (int i = 0; i < BATCH_MAX; i++)
     if (!send_next (peer, now))
       return;
--- a/src/adapter/peer_zmq.c
+++ b/src/adapter/peer_zmq.c
@@ -129,7 +129,7 @@
             char *bound,
             MuxError *err)
 {
-  peer->outgoing = mux_ring_new_watched (options->queue);
+  peer->outgoing = mux_ring_new_pollable (options->queue);
   peer->zmq = zmq_ctx_new ();
   if (peer->outgoing == NULL || peer->zmq == NULL
       || zmq_ctx_set (peer->zmq, ZMQ_MAX_SOCKETS, SOCKETS_MAX) != 0)
--- a/src/base/address.c
+++ b/src/base/address.c
@@ -61,7 +61,7 @@
 }
 
 bool
-mux_address_reachable (const char *text)
+mux_address_is_connectable (const char *text)
 {
   struct sockaddr_storage addr;
   const struct sockaddr_in *v4 = (const struct sockaddr_in *) &addr;
@@ -76,7 +76,7 @@
 }
 
 bool
-mux_address_loopback (const char *text)
+mux_address_is_loopback (const char *text)
 {
   struct sockaddr_storage addr;
   const struct sockaddr_in *v4 = (const struct sockaddr_in *) &addr;
--- a/src/base/id.c
+++ b/src/base/id.c
@@ -70,7 +70,7 @@
 }
 
 MuxId
-mux_id_of_key (const char *class_name, const char *key)
+mux_id_from_key (const char *class_name, const char *key)
 {
   char buf[MUX_NAME_LEN + MUX_KEY_LEN];
   size_t class_len = strnlen (class_name, MUX_NAME_LEN - 1);
@@ -83,7 +83,7 @@
 }
 
 MuxId
-mux_id_of_part (MuxId whole, uint64_t part)
+mux_id_derive (MuxId whole, uint64_t part)
 {
   uint64_t words[3] = { whole.hi, whole.lo, part };
 
--- a/src/base/mac.c
+++ b/src/base/mac.c
@@ -9,10 +9,10 @@
 static const char no_key[] = "cuminmux";
 
 bool
-mux_mac (const char *key, const char *text, char out[MUX_MAC_HEX_LEN])
+mux_hmac_hex (const char *key, const char *text, char out[MUX_HMAC_HEX_LEN])
 {
   const char *used = key[0] == 0 ? no_key : key;
-  unsigned char code[(MUX_MAC_HEX_LEN - 1) / 2];
+  unsigned char code[(MUX_HMAC_HEX_LEN - 1) / 2];
 
   if (gnutls_hmac_fast (GNUTLS_MAC_SHA256, used, strlen (used), text,
                         strlen (text), code)
@@ -24,7 +24,8 @@
 }
 
 bool
-mux_mac_equal (const char a[MUX_MAC_HEX_LEN], const char b[MUX_MAC_HEX_LEN])
+mux_hmac_hex_equal (const char a[MUX_HMAC_HEX_LEN],
+                    const char b[MUX_HMAC_HEX_LEN])
 {
-  return gnutls_memcmp (a, b, MUX_MAC_HEX_LEN) == 0;
+  return gnutls_memcmp (a, b, MUX_HMAC_HEX_LEN) == 0;
 }
--- a/src/base/reason.c
+++ b/src/base/reason.c
@@ -36,7 +36,7 @@
 }
 
 bool
-mux_reason_passes (MuxReason reason)
+mux_reason_is_transient (MuxReason reason)
 {
   uint32_t status = mux_reason_status (reason);
 
--- a/src/base/ring.c
+++ b/src/base/ring.c
@@ -89,7 +89,7 @@
 }
 
 MuxRing *
-mux_ring_new_watched (uint32_t capacity)
+mux_ring_new_pollable (uint32_t capacity)
 {
   MuxRing *ring = mux_ring_new (capacity);
 
@@ -189,7 +189,7 @@
 }
 
 void
-mux_ring_settle (MuxRing *ring)
+mux_ring_clear_event (MuxRing *ring)
 {
   eventfd_t seen;
 
--- a/src/cell/roster.c
+++ b/src/cell/roster.c
@@ -36,7 +36,7 @@
   const json_t *expiry = json_object_get (json, "over_ms");
   json_int_t expires_ms = json_integer_value (expiry);
 
-  if (addr == NULL || !mux_address_reachable (addr))
+  if (addr == NULL || !mux_address_is_connectable (addr))
     return "addr";
   return json_is_integer (expiry) && expires_ms >= 0
                  && expires_ms - store_clock_ms <= EXPIRY_MAX_MS
--- a/src/cli/arg_spec.c
+++ b/src/cli/arg_spec.c
@@ -47,7 +47,7 @@
   [MUX_ARG_MEM_MIB] = { "mem-mib", "MIB", MODEL, "mem_mib", "memory, in MiB" },
   [MUX_ARG_ACCELS] = { "accels", "N", MODEL, "accels", "accelerators" },
   [MUX_ARG_SLOTS]
-  = { "slots", "N", MODEL, "slots", "tasks running at once; all 0: no limit" },
+  = { "slots", "N", MODEL, "slots", "tasks held at once; all 0: no bound" },
   [MUX_ARG_RUN_MS] = { "run-ms", "MS", MODEL, "run_ms",
                        "declared run time of a task; 0 for long_running" },
   [MUX_ARG_IDLE_PPM] = { "idle-ppm", "PPM", MODEL, "idle_ppm",
@@ -65,7 +65,7 @@
   [MUX_ARG_TO] = { "to", "REV", MUX_CHECK_NUMBER, 1, REVISION_MAX, 0, NULL,
                    "revision to go back to" },
   [MUX_ARG_AFTER] = { "after", "REV", MUX_CHECK_NUMBER, 0, REVISION_MAX, 0,
-                      NULL, "show only changes after this revision" },
+                      NULL, "show changes after this revision alone" },
   [MUX_ARG_TASKS] = { "tasks", "N", MUX_CHECK_NUMBER, 1, UINT32_MAX, 1, NULL,
                       "tasks of the job; default 1" },
   [MUX_ARG_KEY] = { "key", "KEY", MUX_CHECK_KEY, 0, 0, 0, NULL,
@@ -74,7 +74,7 @@
   [MUX_ARG_TICKET] = { "ticket", "TICKET", MUX_CHECK_TICKET, 0, 0, 0, NULL,
                        "ticket that names the work, in place of a key" },
   [MUX_ARG_ALL] = { "all", NULL, MUX_CHECK_SWITCH, 0, 1, 0, NULL,
-                    "query every daemon of --server and merge the responses" },
+                    "ask every daemon of --server and merge their answers" },
   [MUX_ARG_BODY] = { "body", "TEXT", MUX_CHECK_TEXT, 0, 0, 0, NULL,
                      "the body; default: standard input" },
   [MUX_ARG_FILE] = { "file", "PATH", MUX_CHECK_TEXT, 0, 0, 0, NULL,
@@ -84,10 +84,10 @@
       "give up when it has not ended by then; default 30000" },
   [MUX_ARG_SPAN_S] = { "span-s", "S", MUX_CHECK_NUMBER, 1, SPAN_MAX_S, 10, NULL,
                        "length of the spans of time; default 10" },
-  [MUX_ARG_BY_SIZE] = { "by-size", NULL, MUX_CHECK_SWITCH, 0, 1, 0, NULL,
-                        "what steps of large and small jobs waited for, "
-                        "instead of spans of time" },
+  [MUX_ARG_BY_SIZE]
+  = { "by-size", NULL, MUX_CHECK_SWITCH, 0, 1, 0, NULL,
+      "what the steps of large and small jobs waited for, in place of spans" },
   [MUX_ARG_BY_WORKSPACE]
   = { "by-workspace", NULL, MUX_CHECK_SWITCH, 0, 1, 0, NULL,
-      "service level of each workspace, instead of spans of time" },
+      "what callers of each workspace got, in place of spans" },
 };
--- a/src/cli/explain.c
+++ b/src/cli/explain.c
@@ -33,10 +33,9 @@
   { "refused", "not accepted, or not known to be: {why}" },
   { "cancel", "its cancel was answered ({outcome})" },
   { "cancelling", "cancelled; {running} of its runs are stopped" },
-  { "state_refused", "a query about it could not be answered" },
-  { "approvals",
-    "step {step}: {approved} of {asked} workers approved, queried by {asker}, "
-    "{took_ms} ms" },
+  { "state_refused", "a question about it could not be answered" },
+  { "approvals", "step {step}: {approved} of {asked} workers approved, asked "
+                 "by {asker}, {took_ms} ms" },
   { "step_waits", "step {step}: {tasks} tasks wait for {waited_ms} ms, lacking "
                   "{lacks}; approved workers hold {approved_now} now, "
                   "{approved_ever} when empty" },
@@ -53,23 +52,23 @@
   { "worker_crashed_under", "step {step} task {task} run {run}: worker "
                             "{worker} at {addr} was lost with "
                             "it at {lost_wall_ms}" },
-  { "run_still", "step {step} task {task} on {worker} made no progress at "
-                 "{percent} percent" },
+  { "run_still",
+    "step {step} task {task} on {worker} stood still at {percent} percent" },
   { "run_evacuated",
     "step {step} task {task} on {worker}, which leaves in {stays_ms} ms, is "
     "stopped at {percent} percent" },
-  { "stray_run", "step {step} task {task} run {run} is an orphan on {worker}, "
-                 "and is stopped" },
+  { "stray_run",
+    "step {step} task {task} run {run} found on {worker} and stopped" },
   { "job_failing", "it fails: {why}" },
   { "job_ended", "{state} after {took_ms} ms; promised were {due_ms} ms" },
   { "store_failing", "the store does not serve this daemon: {status}" },
   { "store_back", "the store serves it again after {away_ms} ms" },
   { "planner_began", "begins to plan, term {term}" },
   { "planning", "plans {jobs} jobs, {after_ms} ms after it began" },
-  { "planner_ended", "stops planning: {why}" },
-  { "claim_doubted", "can't confirm its claim and sends no orders: {why}" },
+  { "planner_ended", "plans no more: {why}" },
+  { "claim_doubted", "doubts its claim and orders nothing: {why}" },
   { "worker_lost", "worker {worker} does not answer: {status}" },
-  { "worker_dead", "worker {worker} is considered dead: {why}" },
+  { "worker_dead", "worker {worker} counts as dead: {why}" },
 };
 
 static const Template *
@@ -284,7 +283,7 @@
   if (strcmp (counts->why_failing, "crashes_workers") == 0)
     return "one worker after the other crashed under a task of it";
   if (strcmp (counts->why_failing, "progress_unreadable") == 0)
-    return "its stored progress can't be read";
+    return "what was stored of its progress can't be read";
   return "its tasks failed as often as the queue allows";
 }
 
@@ -314,7 +313,7 @@
   if (counts->lost > 0)
     return "a worker with its tasks was lost";
   if (counts->stalled > 0)
-    return "its tasks made no progress on a worker and were run elsewhere";
+    return "its tasks stood still on a worker and were run elsewhere";
   if (counts->failed > 0)
     return "failed runs were repeated";
   if (counts->store_failing > 0)
--- a/src/core/core.c
+++ b/src/core/core.c
@@ -45,7 +45,7 @@
 {
   MuxId incarnation = { mux_hash_name (core->name, 0), core->opt.incarnation };
 
-  return mux_id_of_part (incarnation, ++core->next_task);
+  return mux_id_derive (incarnation, ++core->next_task);
 }
 
 void
@@ -96,7 +96,7 @@
     .outcome = outcome,
     .reason = reason,
     .status = mux_reason_status (reason),
-    .retry_after_ms = mux_reason_passes (reason) ? retry_ms : 0,
+    .retry_after_ms = mux_reason_is_transient (reason) ? retry_ms : 0,
     .task = task,
     .body = body,
   };
--- a/src/core/jobs_gang.c
+++ b/src/core/jobs_gang.c
@@ -196,7 +196,7 @@
 
   if (job->slots[index].state != SLOT_NEW || !job->slots[index].has_task)
     return NULL;
-  task = task_find (core, mux_id_of_part (job->id, index));
+  task = task_find (core, mux_id_derive (job->id, index));
   return task != NULL && task->in_gang ? task : NULL;
 }
 
@@ -205,7 +205,7 @@
 {
   uint32_t now = job->gang_current_part;
   GangPart *part = &job->gang_part[now];
-  MuxId group = mux_id_of_part (
+  MuxId group = mux_id_derive (
       job->id, MUX_JOB_TASKS_MAX + job->gang_rounds * GANG_PARTS_MAX + now + 1);
 
   for (uint32_t i = part->first_task; i < job->header.task_count; i++)
--- a/src/core/jobs_show.c
+++ b/src/core/jobs_show.c
@@ -30,7 +30,7 @@
 static const char *
 blocked_on (MuxCore *core, const Job *job, uint32_t index)
 {
-  const Task *task = task_find (core, mux_id_of_part (job->id, index));
+  const Task *task = task_find (core, mux_id_derive (job->id, index));
 
   if (task == NULL || job->slots[index].state != SLOT_NEW)
     return "";
--- a/src/core/jobs_submit.c
+++ b/src/core/jobs_submit.c
@@ -233,8 +233,9 @@
 {
   MuxReason reason
       = check_request (core, request, config_class (core, request->name));
-  MuxId id = request->key[0] == 0 ? core_new_task_id (core)
-                                  : mux_id_of_key (request->name, request->key);
+  MuxId id = request->key[0] == 0
+                 ? core_new_task_id (core)
+                 : mux_id_from_key (request->name, request->key);
   JobSubmit *submit = NULL;
 
   if (reason == MUX_REASON_NONE && submit_find (core, id) != NULL)
--- a/src/core/jobs_tasks.c
+++ b/src/core/jobs_tasks.c
@@ -81,7 +81,7 @@
 {
   Slot *slot = &job->slots[index];
   bool gang = spec->kind == MUX_KIND_GANG && job_none_placed (job);
-  TaskOptions options = { .key = mux_id_of_part (job->id, index),
+  TaskOptions options = { .key = mux_id_derive (job->id, index),
                           .spec = spec,
                           .body = job->body,
                           .expires_ms = INT64_MAX,
@@ -160,7 +160,7 @@
     return;
   for (uint32_t i = 0; i < job->header.task_count; i++)
     {
-      Task *task = task_find (core, mux_id_of_part (job->id, i));
+      Task *task = task_find (core, mux_id_derive (job->id, i));
 
       if (task != NULL)
         task_event (core, task, &event);
@@ -179,7 +179,7 @@
   job->dropped = true;
   for (uint32_t i = 0; i < job->header.task_count; i++)
     {
-      Task *task = task_find (core, mux_id_of_part (job->id, i));
+      Task *task = task_find (core, mux_id_derive (job->id, i));
 
       if (task != NULL && task->has_job)
         task_drop (core, task);
--- a/src/core/task.c
+++ b/src/core/task.c
@@ -82,7 +82,7 @@
   if (task->by_id.tbl != NULL)
     HASH_DELETE (by_id, core->tasks_by_id, task);
   task->attempt = attempt;
-  task->id = mux_id_of_part (task->key, attempt);
+  task->id = mux_id_derive (task->key, attempt);
   HASH_ADD (by_id, core->tasks_by_id, id, sizeof task->id, task);
 }
 
--- a/src/core/task_request.c
+++ b/src/core/task_request.c
@@ -23,8 +23,8 @@
                || request->ticket[0] != 0;
 
   core_respond (core, request->call_id,
-                named && mux_reason_passes (reason) ? MUX_OUTCOME_UNKNOWN
-                                                    : MUX_OUTCOME_NOT_RUN,
+                named && mux_reason_is_transient (reason) ? MUX_OUTCOME_UNKNOWN
+                                                          : MUX_OUTCOME_NOT_RUN,
                 reason, retry_ms, (MuxId){ 0, 0 }, NULL);
 }
 
@@ -90,7 +90,7 @@
     }
   else
     {
-      options.key = mux_id_of_key (request->name, request->key);
+      options.key = mux_id_from_key (request->name, request->key);
       options.keyed = true;
       options.key_is_new = request->key_is_new;
     }
--- a/src/core/task_steps.h
+++ b/src/core/task_steps.h
@@ -21,9 +21,9 @@
 /** task_next_attempt() - the current attempt has certainly ended or will never
  * start: goes on with the next number, whose id no worker has seen */
 void task_next_attempt (MuxCore *core, Task *task, MuxReason reason);
-/** task_request_room_anew() - requests room, also from owners that refused
+/** task_request_room_again() - requests room, also from owners that refused
  * before */
-void task_request_room_anew (MuxCore *core, Task *task);
+void task_request_room_again (MuxCore *core, Task *task);
 /** task_request_room_later() - does so after @pause_ms plus jitter; WAITING
  * until then */
 void task_request_room_later (MuxCore *core, Task *task, int64_t pause_ms);
--- a/src/core/task_steps_end.c
+++ b/src/core/task_steps_end.c
@@ -55,7 +55,7 @@
     }
   if (doublings == 0)
     {
-      task_request_room_anew (core, task);
+      task_request_room_again (core, task);
       return;
     }
   if (doublings > BACKOFF_DOUBLINGS)
--- a/src/core/task_steps_grant.c
+++ b/src/core/task_steps_grant.c
@@ -21,7 +21,7 @@
 }
 
 void
-task_request_room_anew (MuxCore *core, Task *task)
+task_request_room_again (MuxCore *core, Task *task)
 {
   task->state = TASK_REQUESTING;
   task->owners_tried = 0;
@@ -33,7 +33,7 @@
 step_request_room (MuxCore *core, Task *task, const TaskEvent *event)
 {
   (void) event;
-  task_request_room_anew (core, task);
+  task_request_room_again (core, task);
 }
 
 void
@@ -44,7 +44,7 @@
   if (task_room_elsewhere (core, task))
     {
       task_cancel_request (core, task);
-      task_request_room_anew (core, task);
+      task_request_room_again (core, task);
       return;
     }
   task_repeat_request (core, task);
--- a/src/core/task_steps_refuse.c
+++ b/src/core/task_steps_refuse.c
@@ -59,7 +59,7 @@
     }
   task->last_reason = MUX_REASON_NONE;
   task->granted = false;
-  task_request_room_anew (core, task);
+  task_request_room_again (core, task);
 }
 
 /* The row can't be read, or not in time.  The callers' time limit may have
--- a/src/core/ticket.c
+++ b/src/core/ticket.c
@@ -18,7 +18,7 @@
               char out[MUX_TICKET_LEN])
 {
   char key[MUX_ID_HEX_LEN];
-  char code[MUX_MAC_HEX_LEN];
+  char code[MUX_HMAC_HEX_LEN];
   int len;
 
   mux_id_format (ticket->key, key);
@@ -27,8 +27,8 @@
       TICKET_VERSION ";%s;%s;%s;%s;%s;%" PRIu64 ";%" PRIu64 ";%" PRId64, key,
       ticket->class_name, ticket->owner, ticket->worker, ticket->addr,
       ticket->incarnation, ticket->epoch, ticket->not_after_ms);
-  if (len < 0 || len + MUX_MAC_HEX_LEN + 1 > MUX_TICKET_LEN
-      || !mux_mac (core->opt.ticket_key, out, code))
+  if (len < 0 || len + MUX_HMAC_HEX_LEN + 1 > MUX_TICKET_LEN
+      || !mux_hmac_hex (core->opt.ticket_key, out, code))
     return false;
   snprintf (out + len, MUX_TICKET_LEN - (size_t) len, ";%s", code);
   return true;
@@ -38,13 +38,13 @@
 verify_code (const MuxCore *core, char *text)
 {
   char *last = strrchr (text, ';');
-  char code[MUX_MAC_HEX_LEN];
+  char code[MUX_HMAC_HEX_LEN];
 
-  if (last == NULL || strlen (last + 1) != MUX_MAC_HEX_LEN - 1)
+  if (last == NULL || strlen (last + 1) != MUX_HMAC_HEX_LEN - 1)
     return false;
   *last = 0;
-  return mux_mac (core->opt.ticket_key, text, code)
-         && mux_mac_equal (code, last + 1);
+  return mux_hmac_hex (core->opt.ticket_key, text, code)
+         && mux_hmac_hex_equal (code, last + 1);
 }
 
 static bool
--- a/src/daemon/http_respond.c
+++ b/src/daemon/http_respond.c
@@ -107,16 +107,17 @@
 {
   /* An earlier attempt with the same key may have run.  Only the core can
    * exclude that, after it has read the key's row. */
-  MuxOutcome outcome = reason == MUX_REASON_UNKNOWN_FATE
-                               || (may_have_run && mux_reason_passes (reason))
-                           ? MUX_OUTCOME_UNKNOWN
-                           : MUX_OUTCOME_NOT_RUN;
+  MuxOutcome outcome
+      = reason == MUX_REASON_UNKNOWN_FATE
+                || (may_have_run && mux_reason_is_transient (reason))
+            ? MUX_OUTCOME_UNKNOWN
+            : MUX_OUTCOME_NOT_RUN;
 
   mux_count_refused (server->options.counters, reason);
   response->status = (long) mux_reason_status (reason);
   add_header (response, "Cuminmux-Outcome", mux_outcome_name (outcome));
   add_header (response, "Cuminmux-Reason", mux_reason_name (reason));
-  if (reason != MUX_REASON_UNKNOWN_FATE && mux_reason_passes (reason))
+  if (reason != MUX_REASON_UNKNOWN_FATE && mux_reason_is_transient (reason))
     add_retry (response, REFUSED_RETRY_MS);
   set_error_body (response, outcome, reason, findings);
 }
--- a/src/daemon/run.c
+++ b/src/daemon/run.c
@@ -305,7 +305,7 @@
 warn_without_keys (const Daemon *daemon)
 {
   if (*daemon->options->curve_secret_key == 0
-      && !mux_address_loopback (daemon->peer_listen))
+      && !mux_address_is_loopback (daemon->peer_listen))
     mux_log (MUX_LOG_WARNING, "peers_unchecked", "peer=%s keys=none",
              daemon->peer_listen);
 }
--- a/test/proof/proof_faults.c
+++ b/test/proof/proof_faults.c
@@ -49,7 +49,7 @@
 
   load (s, 1000, SCENARIO_MANY);
   s->workers[0].state = MUX_INSTANCE_LEAVING;
-  s->lists_late = s->mechanism_off;
+  s->lists_withheld = s->mechanism_off;
   load (s, LEAVING_MS, SCENARIO_MANY);
   seen = starts_seen (s, 0);
   load (s, 3000, SCENARIO_MANY);
@@ -69,7 +69,7 @@
   load (s, 500, SCENARIO_MANY);
   memset (s->workers[0].cut, 1, sizeof s->workers[0].cut);
   s->workers[0].state = MUX_INSTANCE_LEAVING;
-  s->lists_late = s->mechanism_off;
+  s->lists_withheld = s->mechanism_off;
   load (s, LEAVING_MS, SCENARIO_MANY);
   memset (s->workers[0].cut, 0, sizeof s->workers[0].cut);
   seen = starts_seen (s, 0);
--- a/test/proof/proof_random.c
+++ b/test/proof/proof_random.c
@@ -234,10 +234,10 @@
     if (c.s->net->nodes[i].core != NULL && below (&c, 3) == 0)
       fake_net_kill (c.s->net, i);
   scenario_heal_and_check (c.s, SETTLE_MS);
-  wrong = c.s->wrong;
+  wrong = c.s->violations;
   if (wrong > 0)
     printf ("seed %" PRIu64 ": %u wrong, first: %s\n", seed, wrong,
-            c.s->first_wrong);
+            c.s->first_violation);
   *steps += c.s->steps;
   scenario_free (c.s);
   return wrong;
--- a/test/standin/worker_fault.h
+++ b/test/standin/worker_fault.h
@@ -6,7 +6,7 @@
 #include <stdint.h>
 
 /**
- * struct StandinFaults - faults set by POST /ctl
+ * struct StandinWorkerFaults - faults set by POST /ctl
  * @hang: calls are held, without effect, until this is cleared or for 60 s
  * @cut_calls: connections are closed without effect ("deaf" in JSON)
  * @fail_all: every task fails within 10 ms
--- a/test/support/cell_chaos.c
+++ b/test/support/cell_chaos.c
@@ -269,7 +269,7 @@
 chaos_check (Chaos *c, uint64_t seed)
 {
   bool twice = world_double_run_acked (c->world);
-  bool over = world_over_crash_budget (c->world) || c->world->over_room > 0;
+  bool over = world_over_crash_budget (c->world) || c->world->over_capacity > 0;
   uint32_t lost = count_lost_jobs (c);
 
   if (twice || over || lost > 0)
--- a/test/support/cell_world.c
+++ b/test/support/cell_world.c
@@ -450,10 +450,10 @@
 
   if (call->verb != MUX_CELL_COMMIT)
     {
-      world->late_order = true;
+      world->late_call_running = true;
       if (worker != NULL && worker->down_until_ms == 0)
         mux_cell_reply_free (world_worker_execute (world, worker, call));
-      world->late_order = false;
+      world->late_call_running = false;
       return;
     }
   reply = mux_cell_reply_new (call, MUX_CELL_OK);
@@ -758,8 +758,10 @@
     .seed = number,
     .lease_ms = world->lease_ms != 0 ? world->lease_ms : LEASE_MS,
     .dead_ms = DEAD_MS,
-    .ended_retention_s = world->keep_s != 0 ? world->keep_s : ENDED_RETENTION_S,
-    .unreadable_max = world->unread_max,
+    .ended_retention_s = world->ended_retention_s != 0
+                             ? world->ended_retention_s
+                             : ENDED_RETENTION_S,
+    .unreadable_max = world->unreadable_max,
     .revoke_timeout_ms = world->revoke_timeout_ms,
     .quota_overrun_milli = world->quota_overrun_milli,
     .cpu_share_milli
--- a/test/support/cell_world.h
+++ b/test/support/cell_world.h
@@ -237,7 +237,7 @@
   WorldEndedRun *ended_run;
   uint32_t job_count;
   WorldJob *job;                      /* submitted, in order */
-  uint32_t over_room;                 /* starts beyond a worker's capacity */
+  uint32_t over_capacity;             /* starts beyond a worker's capacity */
   uint32_t over_quota;                /* starts beyond a workspace's quota */
   MuxWorkspaces *workspaces;          /* configured; NULL: none */
   MuxWorkspaces *previous_workspaces; /* until the last change */
@@ -245,7 +245,7 @@
   char key[MUX_KEY_DIGEST_LEN + 1];   /* of all callers; "": none */
   uint32_t revoke_timeout_ms;         /* setting of daemons started later */
   uint32_t quota_overrun_milli;       /* likewise */
-  bool late_order;         /* while a delayed START or STOP is carried out */
+  bool late_call_running;  /* while a delayed START or STOP is carried out */
   int64_t task_ms;         /* run time of a task */
   int64_t crash_ms;        /* time from a start to the crash that it causes */
   int64_t down_ms;         /* time from a worker's crash to its restart */
@@ -254,20 +254,21 @@
   bool silent_crashes;     /* calls to a crashed worker hang; false: refused */
   bool peers_cut;          /* all messages between daemons are lost */
   bool lose_approvals;
-  bool lists_backwards;    /* workers report their newest runs first */
-  int64_t late_ms;         /* delay of WORLD_LATE calls */
-  int64_t approval_ms;     /* time that an approval query takes, */
-  uint32_t approval_us;    /* plus this for each candidate */
-  uint32_t approve_one_in; /* every n-th worker is approved; 0: all */
-  bool approve_by_job;     /* shifted by a hash of the job */
-  bool approve_by_chance;  /* by a hash of worker and job instead */
+  bool reports_newest_first; /* workers report their newest runs first */
+  int64_t late_ms;           /* delay of WORLD_LATE calls */
+  int64_t approval_ms;       /* time that an approval query takes, */
+  uint32_t approval_us;      /* plus this for each candidate */
+  uint32_t approve_one_in;   /* every n-th worker is approved; 0: all */
+  bool approve_by_job;       /* shifted by a hash of the job */
+  bool approve_by_chance;    /* by a hash of worker and job instead */
   bool times_at_submit; /* task and approval times as of a job's submission */
-  uint32_t keep_s; /* ended_retention_s of daemons started later; 0: a day */
-  uint32_t unread_max; /* unreadable_max of these; 0: default */
-  uint32_t lease_ms;   /* of these; 0: 4 s */
-  int64_t store_ms;    /* latency of a call to the store */
-  uint32_t page_rows;  /* page size of a scan; 0: unlimited */
-  uint32_t feed_rows;  /* likewise of a feed's reply */
+  uint32_t ended_retention_s; /* ended_retention_s of daemons started later; 0:
+                                 a day */
+  uint32_t unreadable_max;    /* unreadable_max of these; 0: default */
+  uint32_t lease_ms;          /* of these; 0: 4 s */
+  int64_t store_ms;           /* latency of a call to the store */
+  uint32_t page_rows;         /* page size of a scan; 0: unlimited */
+  uint32_t feed_rows;         /* likewise of a feed's reply */
   uint32_t approval_queries;
   uint32_t blocked_logged; /* step_waits lines logged */
   char blocked_on[32];     /* reason in the last of them */
@@ -366,8 +367,8 @@
  * is also its key */
 MuxWorkspaces *
 world_workspaces (const char *const *names, uint32_t count, MuxQuota quota);
-/** world_show_key() - sets the key that requests carry from now on; "": none */
-void world_show_key (World *world, const char *key);
+/** world_set_key() - sets the key that requests carry from now on; "": none */
+void world_set_key (World *world, const char *key);
 /** world_running() - sums what the workspace's running tasks take at all
  * workers */
 MuxQuota world_running (const World *world, const char *workspace);
@@ -417,9 +418,9 @@
 void world_worker_drains (World *world, uint32_t worker, bool draining);
 /** world_worker_leaves() - lists a worker as draining, with @in_ms left */
 void world_worker_leaves (World *world, uint32_t worker, uint32_t in_ms);
-/** world_worker_unlist() - removes a worker's list entry, or restores it; the
- * worker goes on running */
-void world_worker_unlist (World *world, uint32_t worker, bool gone);
+/** world_worker_set_unlisted() - removes a worker's list entry, or restores it;
+ * the worker goes on running */
+void world_worker_set_unlisted (World *world, uint32_t worker, bool gone);
 /** world_worker_room() - changes a worker's capacity and its list entry */
 void world_worker_room (World *world, uint32_t worker, uint32_t cpu_milli);
 /** world_worker_crash() - crashes a worker with all its runs; it restarts after
--- a/test/support/cell_world_worker.c
+++ b/test/support/cell_world_worker.c
@@ -209,9 +209,9 @@
     if (worker->run[i].used && worker->run[i].number == 0)
       booked
           = mux_size_add (booked, world_size_of (world, &worker->run[i].task));
-  if (world->late_order || !is_over (world, worker, booked))
+  if (world->late_call_running || !is_over (world, worker, booked))
     return;
-  world->over_room++;
+  world->over_capacity++;
   print_message ("%s.%u.%u at %lld: worker %u holds %u of %u\n",
                  start->task.job, start->task.step, start->task.index,
                  (long long) world->now_ms, start->worker, booked.cpu_milli,
@@ -281,7 +281,7 @@
   reply->report = calloc (WORLD_RUNS_MAX, sizeof *reply->report);
   for (uint32_t i = 0; i < worker->run_end; i++)
     {
-      uint32_t slot = world->lists_backwards ? worker->run_end - 1 - i : i;
+      uint32_t slot = world->reports_newest_first ? worker->run_end - 1 - i : i;
       WorldRun *run = &worker->run[slot];
       MuxRunReport *report = &reply->report[reply->report_count];
       int64_t spent = world->now_ms - run->began_ms;
@@ -499,7 +499,7 @@
 }
 
 void
-world_worker_unlist (World *world, uint32_t number, bool gone)
+world_worker_set_unlisted (World *world, uint32_t number, bool gone)
 {
   WorldRow *row;
 
--- a/test/support/cell_world_workspaces.c
+++ b/test/support/cell_world_workspaces.c
@@ -39,7 +39,7 @@
 }
 
 void
-world_show_key (World *world, const char *key)
+world_set_key (World *world, const char *key)
 {
   snprintf (world->key, sizeof world->key, "%s", key);
 }
@@ -139,7 +139,7 @@
   MuxSize size = world_size_of (world, task);
   MuxQuota running;
 
-  if (name[0] == 0 || now == NULL || world->late_order)
+  if (name[0] == 0 || now == NULL || world->late_call_running)
     return;
   running = world_running (world, name);
   if (is_within (world, now, running, size)
--- a/test/support/chaos_variants.c
+++ b/test/support/chaos_variants.c
@@ -205,7 +205,7 @@
                               .cpu_milli = 5000,
                               .attempts = CHAOS_ATTEMPTS };
   world->task_ms = 300;
-  world->feed_rows = variant->follow_rows;
+  world->feed_rows = variant->feed_rows;
   if (variant->same_ids)
     world_keep_ids (world);
   world->relist_delay_ms = variant->same_ids ? LIST_LATE_MS : 0;
--- a/test/support/chaos_variants.h
+++ b/test/support/chaos_variants.h
@@ -7,7 +7,7 @@
 
 /**
  * struct ChaosVariant - faults added to those of cell_chaos.h
- * @follow_rows: most rows in a feed's reply; 0: unlimited
+ * @feed_rows: most rows in a feed's reply; 0: unlimited
  * @late: daemons process their input late
  * @slow: the store is slow, and data centres are cut off
  * @crashes: workers crash, and some jobs crash their workers
@@ -19,7 +19,7 @@
  */
 typedef struct
 {
-  uint32_t follow_rows;
+  uint32_t feed_rows;
   bool late;
   bool slow;
   bool crashes;
--- a/test/support/cli_door.c
+++ b/test/support/cli_server.c
@@ -1,4 +1,4 @@
-#include "support/cli_door.h"
+#include "support/cli_server.h"
 
 #include <arpa/inet.h>
 #include <stdio.h>
@@ -33,7 +33,7 @@
 }
 
 static void
-note (CliDoor *door, const char *name, const char *value)
+note (CliServer *door, const char *name, const char *value)
 {
   size_t cap = sizeof door->seen - door->seen_len;
 
@@ -43,7 +43,7 @@
 }
 
 static void
-note_call (CliDoor *door, const struct _u_request *request)
+note_call (CliServer *door, const struct _u_request *request)
 {
   char body[512];
   size_t len = request->binary_body_length;
@@ -89,8 +89,8 @@
              struct _u_response *response,
              void *data)
 {
-  CliDoor *door = data;
-  CliDoorAnswer answer
+  CliServer *door = data;
+  CliServerResponse answer
       = { .status = 500, .body = "{\"text\":\"the script is over\"}" };
 
   pthread_mutex_lock (&door->lock);
@@ -115,7 +115,7 @@
 }
 
 bool
-cli_door_open (CliDoor *door)
+cli_server_open (CliServer *door)
 {
   struct MHD_OptionItem options[]
       = { { MHD_OPTION_LISTEN_SOCKET, -1, NULL },
@@ -141,7 +141,7 @@
 }
 
 void
-cli_door_close (CliDoor *door)
+cli_server_close (CliServer *door)
 {
   ulfius_stop_framework (&door->instance);
   ulfius_clean_instance (&door->instance);
@@ -149,7 +149,7 @@
 }
 
 void
-cli_door_will (CliDoor *door, CliDoorAnswer answer)
+cli_server_will_respond (CliServer *door, CliServerResponse answer)
 {
   pthread_mutex_lock (&door->lock);
   if (door->count < CLI_DOOR_ANSWERS_MAX)
--- a/test/support/cli_door.h
+++ b/test/support/cli_server.h
@@ -1,5 +1,5 @@
-#ifndef SUPPORT_CLI_DOOR_H
-#define SUPPORT_CLI_DOOR_H
+#ifndef SUPPORT_CLI_SERVER_H
+#define SUPPORT_CLI_SERVER_H
 
 #include <pthread.h>
 #include <stdbool.h>
@@ -11,7 +11,7 @@
 #define CLI_DOOR_SEEN_LEN 65536
 
 /**
- * struct CliDoorAnswer - a response of the scripted server
+ * struct CliServerResponse - a response of the scripted server
  * @status: HTTP status; 0: the connection is closed in mid-response
  * @outcome: header Cuminmux-Outcome, or NULL
  * @reason: header Cuminmux-Reason, or NULL
@@ -27,10 +27,10 @@
   const char *retry_ms;
   const char *body;
   size_t body_len;
-} CliDoorAnswer;
+} CliServerResponse;
 
 /**
- * struct CliDoor - a HTTP server in the place of a daemon, with scripted
+ * struct CliServer - a HTTP server in the place of a daemon, with scripted
  *   responses
  * @next: index in @answers of the next response
  * @answers: responses in the order of the requests
@@ -42,17 +42,17 @@
   pthread_mutex_t lock;
   uint32_t next;
   uint32_t count;
-  CliDoorAnswer answers[CLI_DOOR_ANSWERS_MAX];
+  CliServerResponse answers[CLI_DOOR_ANSWERS_MAX];
   char seen[CLI_DOOR_SEEN_LEN];
   size_t seen_len;
   uint16_t port;
-} CliDoor;
+} CliServer;
 
-/** cli_door_open() - listens on a port that the kernel picks */
-bool cli_door_open (CliDoor *door);
-void cli_door_close (CliDoor *door);
-/** cli_door_will() - appends a response to the script */
-void cli_door_will (CliDoor *door, CliDoorAnswer answer);
+/** cli_server_open() - listens on a port that the kernel picks */
+bool cli_server_open (CliServer *door);
+void cli_server_close (CliServer *door);
+/** cli_server_will_respond() - appends a response to the script */
+void cli_server_will_respond (CliServer *door, CliServerResponse answer);
 /** cli_port_refusing() - returns a bound port that refuses connections
  * @fd: receives the socket, which keeps the port bound until it is closed */
 uint16_t cli_port_refusing (int *fd);
--- a/test/support/cli_session.c
+++ b/test/support/cli_session.c
@@ -59,7 +59,7 @@
 {
   CliSession *session = calloc (1, sizeof *session);
 
-  if (session == NULL || !cli_door_open (&session->door))
+  if (session == NULL || !cli_server_open (&session->door))
     return -1;
   session->host = (MuxCliHost){ .setting = fake_setting,
                                 .now_ms = fake_now_ms,
@@ -79,7 +79,7 @@
   CliSession *session = *state;
 
   unsetenv ("http_proxy");
-  cli_door_close (&session->door);
+  cli_server_close (&session->door);
   fclose (session->log);
   free (session->text);
   free (session);
@@ -151,8 +151,8 @@
 void
 cli_session_will (CliSession *session, unsigned int status, const char *body)
 {
-  cli_door_will (&session->door,
-                 (CliDoorAnswer){ .status = status, .body = body });
+  cli_server_will_respond (
+      &session->door, (CliServerResponse){ .status = status, .body = body });
 }
 
 void
@@ -162,17 +162,18 @@
                          const char *reason,
                          const char *body)
 {
-  cli_door_will (&session->door, (CliDoorAnswer){ .status = status,
-                                                  .outcome = outcome,
-                                                  .reason = reason,
-                                                  .retry_ms = "250",
-                                                  .body = body });
+  cli_server_will_respond (&session->door,
+                           (CliServerResponse){ .status = status,
+                                                .outcome = outcome,
+                                                .reason = reason,
+                                                .retry_ms = "250",
+                                                .body = body });
 }
 
 void
 cli_session_will_break_off (CliSession *session)
 {
-  cli_door_will (&session->door, (CliDoorAnswer){ .status = 0 });
+  cli_server_will_respond (&session->door, (CliServerResponse){ .status = 0 });
 }
 
 void
--- a/test/support/cli_session.h
+++ b/test/support/cli_session.h
@@ -2,7 +2,7 @@
 #define SUPPORT_CLI_SESSION_H
 
 #include "cli/cli.h"
-#include "support/cli_door.h"
+#include "support/cli_server.h"
 
 /**
  * struct CliSession - runs of a command line program against a scripted server
@@ -17,7 +17,7 @@
 typedef struct
 {
   MuxCliHost host;
-  CliDoor door;
+  CliServer door;
   char server[128];
   const char *who;
   uint64_t now_ms;
--- a/test/support/config_cell.c
+++ b/test/support/config_cell.c
@@ -58,7 +58,7 @@
 }
 
 void
-config_cell_ask (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask)
+config_cell_request (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask)
 {
   config_cell_send (cell, node, ask);
   while (cell->answers == 0)
@@ -76,7 +76,7 @@
 
   mux_name_copy (ask.name, name);
   ask.body = mux_blob_new (value, strlen (value));
-  config_cell_ask (cell, node, &ask);
+  config_cell_request (cell, node, &ask);
   mux_blob_unref (ask.body);
   return cell->answer.status == 200 ? config_cell_number (cell, "revision") : 0;
 }
--- a/test/support/config_cell.h
+++ b/test/support/config_cell.h
@@ -31,9 +31,9 @@
 void config_cell_take (ConfigCell *cell, const MuxCoreResponse *answer);
 /** config_cell_send() - sends a request without waiting for its response */
 void config_cell_send (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask);
-/** config_cell_ask() - sends a request and runs the daemons until its response
- * arrives */
-void config_cell_ask (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask);
+/** config_cell_request() - sends a request and runs the daemons until its
+ * response arrives */
+void config_cell_request (ConfigCell *cell, uint32_t node, MuxCoreRequest *ask);
 /** config_cell_put() - writes an object; Return: its revision, 0: refused */
 uint64_t config_cell_put (ConfigCell *cell,
                           uint32_t node,
--- a/test/support/fake_backend.h
+++ b/test/support/fake_backend.h
@@ -48,9 +48,9 @@
 
 /** fake_backend_open() - a server with @options on a port the kernel picks */
 void fake_backend_open (FakeBackend *fake, MuxHttpServerOptions options);
-/** fake_backend_wait_asks() - wait until so many requests have arrived */
+/** fake_backend_wait_requests() - wait until so many requests have arrived */
 void fake_backend_wait_requests (FakeBackend *fake, uint32_t count);
-/** fake_backend_wait_gone() - wait for a disconnect
+/** fake_backend_wait_disconnect() - wait for a disconnect
  * Return: its call. */
 uint64_t fake_backend_wait_disconnect (FakeBackend *fake);
 void fake_backend_close (FakeBackend *fake);
--- a/test/support/fake_worker.h
+++ b/test/support/fake_worker.h
@@ -8,7 +8,7 @@
  * struct FakeWorker - a worker on a simulated network, with the logic of the
  *   worker stand-in (standin/worker_logic.h)
  * @user: for the options' on_event, whose ctx is the worker
- * @clock_ahead_ms: its clock minus the network's
+ * @clock_offset_ms: its clock minus the network's
  * @silent: calls are lost
  * @cut: calls of one node are lost
  * @lost_ppm: share of replies that are lost, after the effect
--- a/test/support/proof.c
+++ b/test/support/proof.c
@@ -55,10 +55,10 @@
       s->verbose = getenv ("PROOF_VERBOSE") != NULL;
       s->mechanism_off = without;
       proof->play (s);
-      if (s->wrong > 0 && !without)
+      if (s->violations > 0 && !without)
         printf ("# %s, seed %u: %s\n", proof->id, (uint32_t) seed,
-                s->first_wrong);
-      broken += s->wrong > 0;
+                s->first_violation);
+      broken += s->violations > 0;
       scenario_free (s);
     }
   return broken;
--- a/test/support/scenario.c
+++ b/test/support/scenario.c
@@ -43,7 +43,7 @@
       mux_name_copy (item->rack, "rack-1");
       memcpy (item->addr, worker->addr, sizeof item->addr);
     }
-  for (uint32_t i = 0; i < s->net->node_count && !s->lists_late; i++)
+  for (uint32_t i = 0; i < s->net->node_count && !s->lists_withheld; i++)
     if (s->net->nodes[i].core != NULL
         && s->net->nodes[i].thaw_ms <= s->net->now_ms)
       fake_net_deliver (s->net, i, &event);
@@ -218,7 +218,7 @@
                                   .parts = parts,
                                   .run_ms = run_ms };
   key_of (tag, key);
-  s->works[tag].id = mux_id_of_key (class_names[class_id], key);
+  s->works[tag].id = mux_id_from_key (class_names[class_id], key);
   return tag;
 }
 
@@ -330,7 +330,7 @@
   s->net->lost_ppm = s->net->peer_lost_ppm = 0;
   s->net->table_slow_ms = s->net->peer_slow_ms = 0;
   s->net->table.down = false;
-  s->lists_late = false;
+  s->lists_withheld = false;
   for (uint32_t i = 0; i < s->net->node_count; i++)
     {
       s->net->nodes[i].table_cut = false;
--- a/test/support/scenario.h
+++ b/test/support/scenario.h
@@ -78,10 +78,10 @@
  * @booked: sum of the sizes of a worker's runs
  * @owner: node that holds the claim on a worker; UINT32_MAX: none
  * @claims: number of claims that a worker has granted
- * @wrong: number of guarantees violated; @first_wrong describes the first
+ * @violations: number of guarantees violated; @first_violation describes the first
  * @store_fails: the table is down at times; idempotent requests are then
  *   started without their rows, and two submissions of one may both run
- * @lists_late: the platform's list of instances is not delivered
+ * @lists_withheld: the platform's list of instances is not delivered
  * @mechanism_off: the mechanism that a proof checks is to be disabled
  * @sends_time: requests carry the time of day, without which no expired row is
  *   removed
@@ -101,10 +101,10 @@
   uint32_t run_count, run_cap;
   ScenarioCall *calls;
   uint32_t call_count, call_cap;
-  uint32_t wrong;
-  char first_wrong[256];
+  uint32_t violations;
+  char first_violation[256];
   bool store_fails;
-  bool lists_late;
+  bool lists_withheld;
   bool mechanism_off;
   bool sends_time;
   bool verbose;
--- a/test/support/scenario_check.c
+++ b/test/support/scenario_check.c
@@ -20,8 +20,8 @@
   va_end (args);
   if (s->verbose)
     printf ("%lld WRONG %s\n", (long long) s->net->now_ms, text);
-  if (s->wrong++ == 0)
-    memcpy (s->first_wrong, text, sizeof text);
+  if (s->violations++ == 0)
+    memcpy (s->first_violation, text, sizeof text);
 }
 
 /* Return: the tag at the end of a body, "#TAG"; SCENARIO_NO_TAG: none. */
@@ -44,8 +44,8 @@
 {
   for (uint32_t part = 0; part < work->parts; part++)
     for (uint32_t attempt = 1; attempt <= ATTEMPTS_MAX; attempt++)
-      if (mux_id_equal (
-              mux_id_of_part (mux_id_of_part (work->id, part), attempt), id))
+      if (mux_id_equal (mux_id_derive (mux_id_derive (work->id, part), attempt),
+                        id))
         return part;
   return 0;
 }
--- a/test/support/sched_cell.c
+++ b/test/support/sched_cell.c
@@ -89,20 +89,20 @@
 }
 
 MuxId
-cell_ask_for (Cell *cell,
-              const char *class_name,
-              int64_t give_up_ms,
-              MuxAdmitResult *verdict)
+sched_cell_submit_until (Cell *cell,
+                         const char *class_name,
+                         int64_t give_up_ms,
+                         MuxAdmitResult *verdict)
 {
   *verdict = submit (cell, class_name, give_up_ms, 0, 0);
   return (MuxId){ 1, cell->next_id };
 }
 
 MuxId
-cell_ask (Cell *cell, const char *class_name)
+sched_cell_submit (Cell *cell, const char *class_name)
 {
   MuxAdmitResult verdict;
-  MuxId id = cell_ask_for (cell, class_name, 60000, &verdict);
+  MuxId id = sched_cell_submit_until (cell, class_name, 60000, &verdict);
 
   assert_int_equal (verdict.reason, MUX_REASON_NONE);
   return id;
@@ -133,7 +133,7 @@
 MuxPlacement
 cell_start_run (Cell *cell, const char *class_name)
 {
-  cell_ask (cell, class_name);
+  sched_cell_submit (cell, class_name);
   return cell_place (cell);
 }
 
--- a/test/support/sched_cell.h
+++ b/test/support/sched_cell.h
@@ -26,15 +26,15 @@
 MuxClassSpec cell_class (const char *name, MuxKind kind, uint32_t within_ms);
 /** cell_set() - configures a class */
 void cell_set (Cell *cell, const MuxClassSpec *spec);
-/** cell_ask() - submits a task that expires after a minute; asserts that it is
- * admitted */
-MuxId cell_ask (Cell *cell, const char *class_name);
-/** cell_ask_for() - submits a task that expires after @give_up_ms; @verdict
- * receives the result of admission control */
-MuxId cell_ask_for (Cell *cell,
-                    const char *class_name,
-                    int64_t give_up_ms,
-                    MuxAdmitResult *verdict);
+/** sched_cell_submit() - submits a task that expires after a minute; asserts
+ * that it is admitted */
+MuxId sched_cell_submit (Cell *cell, const char *class_name);
+/** sched_cell_submit_until() - submits a task that expires after @give_up_ms;
+ * @verdict receives the result of admission control */
+MuxId sched_cell_submit_until (Cell *cell,
+                               const char *class_name,
+                               int64_t give_up_ms,
+                               MuxAdmitResult *verdict);
 /** cell_gang() - submits @count tasks of one gang
  * Return: the id of the first; the others' follow in order */
 MuxId cell_gang (Cell *cell, const char *class_name, uint32_t count);
--- a/test/unit/test_cell.c
+++ b/test/unit/test_cell.c
@@ -751,7 +751,7 @@
   World *world = world_new (CELLS, 1);
 
   (void) state;
-  world->lists_backwards = true;
+  world->reports_newest_first = true;
   (void) world_submit (world, 0, world_job (1, 3, 1000), "job-a");
   world_run (world, 6000);
   assert_int_equal (world_state (world, 0, "job-a"), MUX_JOB_COMPLETED);
--- a/test/unit/test_cell_gang_faults.c
+++ b/test/unit/test_cell_gang_faults.c
@@ -191,7 +191,7 @@
   if (play->removed_workers++ >= REMOVED_WORKERS_MAX)
     return;
   world_worker_restart (play->world, number);
-  world_worker_unlist (play->world, number, true);
+  world_worker_set_unlisted (play->world, number, true);
   play->world->worker[number].used = false;
 }
 
@@ -217,7 +217,7 @@
         world_worker_drains (play->world, number, true);
       if (fault == FAULT_WORKERS_UNLISTED)
         {
-          world_worker_unlist (play->world, number, true);
+          world_worker_set_unlisted (play->world, number, true);
           play->unlisted[number] = true;
         }
       if (fault == FAULT_WORKERS_LEAVE)
@@ -301,7 +301,7 @@
     if (now >= play->worker_fault_until_ms[i])
       {
         if (play->unlisted[i] && play->world->worker[i].used)
-          world_worker_unlist (play->world, i, false);
+          world_worker_set_unlisted (play->world, i, false);
         play->unlisted[i] = false;
         if (play->world->worker[i].info.draining)
           world_worker_drains (play->world, i, false);
--- a/test/unit/test_cell_keys.c
+++ b/test/unit/test_cell_keys.c
@@ -23,7 +23,7 @@
     world_cell_start (world, i);
   world_set_workspaces (world, world_workspaces (both, 2, (MuxQuota){ 0 }));
   world_run (world, 5000);
-  world_show_key (world, "desk");
+  world_set_key (world, "desk");
   return world;
 }
 
@@ -64,7 +64,7 @@
   assert_int_equal (submit (world, 0, "job-a"), MUX_RESPONSE_ACCEPTED);
   for (uint32_t i = 0; i < 2; i++)
     {
-      world_show_key (world, keys[i]);
+      world_set_key (world, keys[i]);
       for (uint32_t cell = 0; cell < CELLS; cell++)
         {
           assert_int_equal (submit (world, cell, "job-b"),
@@ -93,7 +93,7 @@
   assert_int_equal (submit (world, 0, "job-a"), MUX_RESPONSE_ACCEPTED);
   for (uint32_t round = 0; round < 2; round++)
     {
-      world_show_key (world, "night");
+      world_set_key (world, "night");
       for (uint32_t cell = 0; cell < CELLS; cell++)
         {
           assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, "job-a"),
@@ -101,7 +101,7 @@
           assert_int_equal (ask (world, cell, MUX_REQUEST_CANCEL, "job-a"),
                             MUX_RESPONSE_NO_JOB);
         }
-      world_show_key (world, "desk");
+      world_set_key (world, "desk");
       for (uint32_t cell = 0; cell < CELLS; cell++)
         assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, "job-a"),
                           MUX_RESPONSE_STATE);
@@ -119,10 +119,10 @@
   (void) state;
   world->task_ms = 20000;
   assert_int_equal (submit (world, 0, "job-a"), MUX_RESPONSE_ACCEPTED);
-  world_show_key (world, "night");
+  world_set_key (world, "night");
   for (uint32_t cell = 0; cell < CELLS; cell++)
     assert_int_equal (submit (world, cell, "job-a"), MUX_RESPONSE_ID_IN_USE);
-  world_show_key (world, "desk");
+  world_set_key (world, "desk");
   assert_int_equal (submit (world, 1, "job-a"), MUX_RESPONSE_ACCEPTED);
   world_free (world);
 }
@@ -251,7 +251,7 @@
   (void) state;
   world->cell[cell].hanging_feeds = WORLD_FEED_BIT (MUX_TABLE_CONFIG);
   world_run (world, 4000);
-  world_show_key (world, "later");
+  world_set_key (world, "later");
   assert_int_equal (ask (world, cell, MUX_REQUEST_QUERY, ""),
                     MUX_RESPONSE_REFUSED);
   world_free (world);
@@ -283,7 +283,7 @@
   assert_int_equal (submit (world, 0, "job-a"), MUX_RESPONSE_ACCEPTED);
   world_set_workspaces (world, world_workspaces (both, 2, (MuxQuota){ 0 }));
   world_run (world, KNOWN_MS);
-  world_show_key (world, "desk");
+  world_set_key (world, "desk");
   assert_int_equal (ask (world, 0, MUX_REQUEST_QUERY, "job-a"),
                     MUX_RESPONSE_STATE);
   world_run (world, 6000);
--- a/test/unit/test_cell_load.c
+++ b/test/unit/test_cell_load.c
@@ -284,7 +284,7 @@
   uint32_t planner;
 
   (void) state;
-  world->keep_s = KEEP_S;
+  world->ended_retention_s = KEEP_S;
   for (uint32_t i = 0; i < CELLS; i++)
     world_cell_start (world, i);
   world_run (world, 2000);
--- a/test/unit/test_cell_named.c
+++ b/test/unit/test_cell_named.c
@@ -193,7 +193,7 @@
   for (uint32_t i = 0; i < WORKERS; i++)
     if (i % DATA_CENTRES == planner % DATA_CENTRES)
       {
-        world_worker_unlist (world, i, true);
+        world_worker_set_unlisted (world, i, true);
         world->worker[i].unreachable = true;
       }
   world_run (world, 12000);
--- a/test/unit/test_cell_quota.c
+++ b/test/unit/test_cell_quota.c
@@ -30,7 +30,7 @@
 
   set_quota (world, tasks);
   world_run (world, 5000);
-  world_show_key (world, "desk");
+  world_set_key (world, "desk");
   return world;
 }
 
@@ -90,7 +90,7 @@
   (void) world_submit (world, 0, world_job (1, 4 * QUOTA_TASKS, CPU_MILLI),
                        "job-a");
   world_run (world, 2000);
-  world_show_key (world, "night");
+  world_set_key (world, "night");
   (void) world_submit (world, 1, world_job (1, QUOTA_TASKS, CPU_MILLI),
                        "job-b");
   world_run (world, 2000);
@@ -135,11 +135,11 @@
     world_cell_start (world, i);
   set_quota (world, 10);
   world_run (world, 5000);
-  world_show_key (world, "desk");
+  world_set_key (world, "desk");
   (void) world_submit (world, 0, gang (11), "gang");
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "gang"), 11);
-  world_show_key (world, "night");
+  world_set_key (world, "night");
   (void) world_submit (world, 0, world_job (1, 1, 11 * CPU_MILLI), "large");
   world_run (world, 2000);
   assert_int_equal (world_starts (world, "large"), 1);
@@ -278,7 +278,7 @@
   world_cell_kill (world, planner);
   world_run (world, 2500);
   planner = world_planner (world);
-  world_show_key (world, "night");
+  world_set_key (world, "night");
   (void) world_submit (world, planner, world_job (1, 4, CPU_MILLI), "job-b");
   world_run (world, 1000);
   assert_int_equal (world_starts (world, "job-b"), 4);
--- a/test/unit/test_cell_quota_random.c
+++ b/test/unit/test_cell_quota_random.c
@@ -68,7 +68,7 @@
     }
   job->step[0].gang = tasks > 1 && chance (play, GANG_PERCENT);
   snprintf (id, sizeof id, "job-%u", play->jobs);
-  world_show_key (play->world, names[below (play, 2)]);
+  world_set_key (play->world, names[below (play, 2)]);
   play->call[play->jobs++]
       = world_submit (play->world, below (play, CELLS), job, id);
 }
@@ -162,7 +162,7 @@
 {
   uint32_t left = 0;
 
-  world_show_key (play->world, names[0]);
+  world_set_key (play->world, names[0]);
   for (uint32_t i = 0; i < play->jobs; i++)
     {
       char id[MUX_JOB_ID_LEN];
@@ -199,7 +199,7 @@
                      (unsigned) seed, play.jobs, play.world->start_count,
                      play.world->over_quota, not_ended (&play));
       assert_int_equal (play.world->over_quota, 0);
-      assert_int_equal (play.world->over_room, 0);
+      assert_int_equal (play.world->over_capacity, 0);
       assert_false (world_double_run_acked (play.world));
       assert_int_equal (not_ended (&play), 0);
       world_free (play.world);
--- a/test/unit/test_cell_random.c
+++ b/test/unit/test_cell_random.c
@@ -6,7 +6,7 @@
 static void
 test_no_task_runs_twice_and_no_job_is_lost (void **state)
 {
-  ChaosVariant usual = { .follow_rows = 0 };
+  ChaosVariant usual = { .feed_rows = 0 };
 
   (void) state;
   chaos_play_seeds (&usual);
@@ -17,7 +17,7 @@
 static void
 test_jobs_end_once_with_short_feed_responses (void **state)
 {
-  ChaosVariant cut = { .follow_rows = 1 };
+  ChaosVariant cut = { .feed_rows = 1 };
 
   (void) state;
   chaos_play_seeds (&cut);
--- a/test/unit/test_cell_room.c
+++ b/test/unit/test_cell_room.c
@@ -33,7 +33,7 @@
       submit (world, i, 4, 4000);
       world_run (world, 400);
     }
-  assert_int_equal (world->over_room, 0);
+  assert_int_equal (world->over_capacity, 0);
   world_free (world);
 }
 
@@ -54,10 +54,10 @@
       submit (world, i, 8, 4000);
       world_run (world, 500);
     }
-  assert_int_equal (world->over_room, 0);
+  assert_int_equal (world->over_capacity, 0);
   world->cell[0].hanging_feeds = 0;
   world_run (world, 60000);
-  assert_int_equal (world->over_room, 0);
+  assert_int_equal (world->over_capacity, 0);
   assert_int_equal (world_state (world, 0, "job-0"), MUX_JOB_COMPLETED);
   assert_int_equal (world_state (world, 0, "job-23"), MUX_JOB_COMPLETED);
   world_free (world);
@@ -92,9 +92,9 @@
           world->worker[i].room[0].until_ms = 0;
         }
       world_run (world, KNOWN_AFTER_MS);
-      world->over_room = 0;
+      world->over_capacity = 0;
       world_run (world, 6000);
-      assert_int_equal (world->over_room, 0);
+      assert_int_equal (world->over_capacity, 0);
       world_free (world);
     }
 }
--- a/test/unit/test_cell_time_of_day.c
+++ b/test/unit/test_cell_time_of_day.c
@@ -170,7 +170,7 @@
   uint32_t planner;
 
   (void) state;
-  world->keep_s = KEEP_S;
+  world->ended_retention_s = KEEP_S;
   for (uint32_t i = 0; i < CELLS; i++)
     world_cell_kill (world, i);
   for (uint32_t i = 0; i < CELLS; i++)
--- a/test/unit/test_cell_unread.c
+++ b/test/unit/test_cell_unread.c
@@ -190,7 +190,7 @@
   (void) state;
   assert_true (row_exists (world, "job-a+"));
   world_remove_row (world, MUX_TABLE_JOBS, corrupted.part, "job-a");
-  world->keep_s = KEEP_S;
+  world->ended_retention_s = KEEP_S;
   for (uint32_t i = 0; i < CELLS; i++)
     world_cell_kill (world, i);
   for (uint32_t i = 0; i < CELLS; i++)
@@ -323,7 +323,7 @@
   char id[MUX_JOB_ID_LEN];
 
   (void) state;
-  world->unread_max = FEW_REMEMBERED;
+  world->unreadable_max = FEW_REMEMBERED;
   for (uint32_t i = 0; i < CELLS; i++)
     world_cell_start (world, i);
   world_run (world, 3000);
--- a/test/unit/test_cli.c
+++ b/test/unit/test_cli.c
@@ -147,9 +147,10 @@
   cli_session_expect (session, "request seats --give-up-ms 700", MUX_EXIT_OK);
   cli_session_will (session, 200, "seat 4 is yours");
   cli_session_expect (session, "request seats --json --body x", MUX_EXIT_OK);
-  cli_door_will (
-      &session->door,
-      (CliDoorAnswer){ .status = 200, .body = "\xff\x00\x01", .body_len = 3 });
+  cli_server_will_respond (&session->door,
+                           (CliServerResponse){ .status = 200,
+                                                .body = "\xff\x00\x01",
+                                                .body_len = 3 });
   cli_session_expect (session, "request seats --json --body x", MUX_EXIT_OK);
   cli_session_assert_golden (session, "work");
 }
--- a/test/unit/test_config.c
+++ b/test/unit/test_config.c
@@ -24,7 +24,7 @@
   MuxCoreRequest it = { .verb = verb, .sort = sort };
 
   mux_name_copy (it.name, name);
-  config_cell_ask (cell, node, &it);
+  config_cell_request (cell, node, &it);
 }
 
 /* Returns the revision of the class "desk" that a node shows. */
@@ -75,7 +75,7 @@
   MuxCoreRequest it = { .verb = MUX_CORE_DRAIN, .drain = on };
 
   mux_name_copy (it.name, worker);
-  config_cell_ask (cell, node, &it);
+  config_cell_request (cell, node, &it);
 }
 
 static void
@@ -208,10 +208,10 @@
   it.expected_revision = begin (cell, 5);
   config_cell_class (value, 200);
   it.body = mux_blob_new (value, strlen (value));
-  config_cell_ask (cell, 1, &it);
+  config_cell_request (cell, 1, &it);
   revision = config_cell_number (cell, "revision");
   assert_int_equal (cell->answer.status, 200);
-  config_cell_ask (cell, 2, &it);
+  config_cell_request (cell, 2, &it);
   assert_refused (cell, MUX_REASON_REVISION);
   assert_int_equal (cell->answer.status, 409);
   assert_int_equal (config_cell_number (cell, "revision"), revision);
@@ -220,7 +220,7 @@
           json_object_get (cell->json, "value"), "start_within_ms")),
       200);
   it.expected_revision = 0;
-  config_cell_ask (cell, 2, &it);
+  config_cell_request (cell, 2, &it);
   assert_refused (cell, MUX_REASON_REVISION);
   mux_blob_unref (it.body);
 }
@@ -251,11 +251,11 @@
       assert_int_equal (cell.answer.outcome, MUX_OUTCOME_UNKNOWN);
       assert_int_equal (cell.answer.reason, MUX_REASON_WRITE_UNKNOWN);
       cell.net->lost_ppm = 0;
-      config_cell_ask (&cell, 1, &it);
+      config_cell_request (&cell, 1, &it);
       assert_int_equal (cell.answer.status, 200);
       revision = config_cell_number (&cell, "revision");
       fake_net_run (cell.net, 3000);
-      config_cell_ask (&cell, 2, &it);
+      config_cell_request (&cell, 2, &it);
       assert_int_equal (config_cell_number (&cell, "revision"), revision);
       ask (&cell, 2, MUX_CORE_CONFIG_HISTORY, MUX_CONFIG_CLASS, "");
       assert_int_equal (
@@ -460,7 +460,7 @@
                         .author = "on-call",
                         .wall_ms = 5 };
 
-  config_cell_ask (cell, node, &it);
+  config_cell_request (cell, node, &it);
 }
 
 static void
--- a/test/unit/test_golden_core.c
+++ b/test/unit/test_golden_core.c
@@ -30,8 +30,8 @@
 {
   char *text = core_record_end (session->record);
 
-  if (session->s->wrong > 0)
-    fail_msg ("%s", session->s->first_wrong);
+  if (session->s->violations > 0)
+    fail_msg ("%s", session->s->first_violation);
   scenario_free (session->s);
   return text;
 }
--- a/test/unit/test_retry_advice.c
+++ b/test/unit/test_retry_advice.c
@@ -20,7 +20,7 @@
   MuxCoreRequest ask = { .verb = MUX_CORE_JOB_SUBMIT, .task_count = tasks };
 
   mux_name_copy (ask.name, class);
-  config_cell_ask (cell, 0, &ask);
+  config_cell_request (cell, 0, &ask);
 }
 
 /* A program sends the same malformed request ten times a second, for ever,
@@ -65,9 +65,9 @@
 
   (void) state;
   for (size_t i = 0; i < sizeof pass / sizeof *pass; i++)
-    assert_true (mux_reason_passes (pass[i]));
+    assert_true (mux_reason_is_transient (pass[i]));
   for (size_t i = 0; i < sizeof stay / sizeof *stay; i++)
-    assert_false (mux_reason_passes (stay[i]));
+    assert_false (mux_reason_is_transient (stay[i]));
 }
 
 int
--- a/test/unit/test_sched_faults.c
+++ b/test/unit/test_sched_faults.c
@@ -77,7 +77,7 @@
       assert_int_equal (placed.worker,
                         mux_sched_booked_on (cell->sched, placed.task));
     }
-  cell_ask (cell, "urgent-a");
+  sched_cell_submit (cell, "urgent-a");
   cell_idle (cell);
 }
 
@@ -182,7 +182,7 @@
   assert_int_equal (room.cpu_milli, 0);
   assert_int_equal (room.mem_mib, 0);
   assert_int_equal (room.slots, 2);
-  cell_ask (cell, "urgent-a");
+  sched_cell_submit (cell, "urgent-a");
   cell_idle (cell);
   cell_end (cell, (MuxId){ 5, 1 }, 1000);
   assert_int_equal (mux_sched_worker_free (cell->sched, 0).cpu_milli, 2000);
@@ -202,7 +202,7 @@
   cell_set (cell, &spec);
   for (int i = 0; i < 4; i++)
     {
-      cell_ask (cell, "lasting");
+      sched_cell_submit (cell, "lasting");
       in_rack[cell_place (cell).worker / 2]++;
     }
   for (int r = 0; r < 4; r++)
--- a/test/unit/test_sched_gang.c
+++ b/test/unit/test_sched_gang.c
@@ -120,7 +120,7 @@
       cell->now_ms += 125;
       if (head < tail)
         cell_end (cell, running[head++ % 64], 1000);
-      cell_ask (cell, "batch");
+      sched_cell_submit (cell, "batch");
       while (mux_sched_next (cell->sched, cell->now_ms, &placed))
         if (placed.task.lo >= gang.lo && placed.task.lo < gang.lo + 4)
           members++;
--- a/test/unit/test_sched_order.c
+++ b/test/unit/test_sched_order.c
@@ -22,14 +22,14 @@
   MuxId first, late, urgent;
 
   open_two (cell, 1);
-  first = cell_ask (cell, "batch");
+  first = sched_cell_submit (cell, "batch");
   for (int i = 0; i < 3; i++)
-    cell_ask (cell, "batch");
+    sched_cell_submit (cell, "batch");
   for (int i = 0; i < 4; i++)
     cell_place (cell);
-  late = cell_ask (cell, "batch");
+  late = sched_cell_submit (cell, "batch");
   cell->now_ms += 10;
-  urgent = cell_ask (cell, "urgent");
+  urgent = sched_cell_submit (cell, "urgent");
   cell_idle (cell);
   cell_end (cell, first, 100);
   assert_true (mux_id_equal (cell_place (cell).task, urgent));
@@ -55,7 +55,7 @@
     {
       running[count] = cell_start_run (cell, "urgent").task;
     }
-  batch = cell_ask (cell, "batch");
+  batch = sched_cell_submit (cell, "batch");
   for (int i = 0; i < 4000 && !started; i++)
     {
       MuxPlacement placed;
@@ -64,8 +64,8 @@
       cell->now_ms += 50;
       cell_end (cell, running[first++ % 8], 400);
       count--;
-      cell_ask_for (cell, "urgent", 500, &verdict);
-      cell_ask_for (cell, "urgent", 500, &verdict);
+      sched_cell_submit_until (cell, "urgent", 500, &verdict);
+      sched_cell_submit_until (cell, "urgent", 500, &verdict);
       while (mux_sched_next (cell->sched, cell->now_ms, &placed))
         {
           if (placed.worker == MUX_NO_WORKER)
@@ -94,20 +94,20 @@
   open_two (cell, 1);
   for (int i = 0; i < 4; i++)
     {
-      running = cell_ask (cell, "batch");
+      running = sched_cell_submit (cell, "batch");
       cell_place (cell);
     }
-  late[0] = cell_ask (cell, "batch");
-  late[1] = cell_ask (cell, "batch");
+  late[0] = sched_cell_submit (cell, "batch");
+  late[1] = sched_cell_submit (cell, "batch");
   cell->now_ms += 9000;
-  cell_ask (cell, "batch");
+  sched_cell_submit (cell, "batch");
   cell->now_ms += 1001;
   cell_idle (cell);
   for (int i = 0; i < 40; i++)
     {
       bool is_late;
 
-      cell_ask (cell, "batch");
+      sched_cell_submit (cell, "batch");
       cell_end (cell, running, 100);
       running = cell_place (cell).task;
       is_late = mux_id_equal (running, late[starts[1] > 0]);
@@ -132,20 +132,20 @@
     cell_start_run (cell, "batch");
   for (int i = 0; i < 100; i++)
     {
-      cell_ask_for (cell, "batch", 400000, &verdict);
+      sched_cell_submit_until (cell, "batch", 400000, &verdict);
       assert_int_equal (verdict.reason, MUX_REASON_NONE);
     }
   cell->now_ms += 10001;
   cell_idle (cell);
   for (int i = 0; i < 40; i++)
     {
-      cell_ask_for (cell, "batch", 400000, &verdict);
+      sched_cell_submit_until (cell, "batch", 400000, &verdict);
       assert_int_equal (verdict.reason, MUX_REASON_NONE);
     }
-  cell_ask_for (cell, "batch", 60000, &verdict);
+  sched_cell_submit_until (cell, "batch", 60000, &verdict);
   assert_int_equal (verdict.reason, MUX_REASON_OVERLOAD);
   assert_true (verdict.retry_ms > 0);
-  cell_ask_for (cell, "batch", 400000, &verdict);
+  sched_cell_submit_until (cell, "batch", 400000, &verdict);
   assert_int_equal (verdict.reason, MUX_REASON_NONE);
 }
 
@@ -164,7 +164,7 @@
     {
       cell_start_run (cell, "urgent");
     }
-  late = cell_ask_for (cell, "urgent", 300, &verdict);
+  late = sched_cell_submit_until (cell, "urgent", 300, &verdict);
   assert_int_equal (verdict.reason, MUX_REASON_NONE);
   cell_idle (cell);
   assert_in_range (mux_sched_wake_ms (cell->sched), 0, cell->now_ms + 300);
@@ -188,7 +188,7 @@
   open_two (cell, 1);
   while (verdict.reason == MUX_REASON_NONE && batch < 2000)
     {
-      cell_ask_for (cell, "batch", 100000000, &verdict);
+      sched_cell_submit_until (cell, "batch", 100000000, &verdict);
       batch++;
     }
   assert_int_equal (verdict.reason, MUX_REASON_QUEUE_FULL);
@@ -196,7 +196,7 @@
   assert_in_range (batch, 700, 800);
   for (int i = 0; i < 250; i++)
     {
-      cell_ask_for (cell, "urgent", 100000000, &verdict);
+      sched_cell_submit_until (cell, "urgent", 100000000, &verdict);
       assert_int_equal (verdict.reason, MUX_REASON_NONE);
     }
 }
@@ -230,14 +230,14 @@
     {
       lent[i] = cell_start_run (cell, "urgent-b").task;
     }
-  cell_ask (cell, "urgent-b");
-  back = cell_ask (cell, "urgent-a");
+  sched_cell_submit (cell, "urgent-b");
+  back = sched_cell_submit (cell, "urgent-a");
   cell_end (cell, lent[0], 100);
   assert_true (mux_id_equal (cell_place (cell).task, back));
   cell_end (cell, lent[1], 100);
   cell_place (cell);
   cell_end (cell, lent[2], 100);
-  cell_ask (cell, "lasting");
+  sched_cell_submit (cell, "lasting");
   cell_idle (cell);
 }
 
@@ -253,7 +253,7 @@
   open_two (cell, 25);
   for (int i = 0; i < 400; i++)
     {
-      cell_ask_for (cell, "batch", 10000, &verdict);
+      sched_cell_submit_until (cell, "batch", 10000, &verdict);
       assert_int_equal (verdict.reason, MUX_REASON_NONE);
     }
   for (int i = 0; i < 100; i++)
@@ -261,7 +261,7 @@
   cell_idle (cell);
   /* What really comes too late is refused. */
   for (int i = 0; i < 200; i++)
-    cell_ask_for (cell, "batch", 1000, &verdict);
+    sched_cell_submit_until (cell, "batch", 1000, &verdict);
   assert_int_equal (verdict.reason, MUX_REASON_OVERLOAD);
   assert_true (verdict.retry_ms > 0);
 }
@@ -277,15 +277,15 @@
   MuxId runs, waits;
 
   open_two (cell, 1);
-  runs = cell_ask (cell, "batch");
+  runs = sched_cell_submit (cell, "batch");
   cell_place (cell);
-  waits = cell_ask (cell, "batch");
+  waits = sched_cell_submit (cell, "batch");
   mux_sched_class_remove (cell->sched, "batch");
   assert_true (mux_sched_next (cell->sched, cell->now_ms, &dropped));
   assert_true (mux_id_equal (dropped.task, waits));
   assert_int_equal (dropped.reason, MUX_REASON_UNKNOWN_CLASS);
   assert_int_equal (mux_sched_booked_on (cell->sched, runs), 0);
-  cell_ask_for (cell, "batch", 1000, &verdict);
+  sched_cell_submit_until (cell, "batch", 1000, &verdict);
   assert_int_equal (verdict.reason, MUX_REASON_UNKNOWN_CLASS);
   cell_end (cell, runs, 100);
 }
@@ -304,13 +304,13 @@
   cell.sched = mux_sched_new (&options);
   mux_sched_worker_add (cell.sched, "w", "r", (MuxSize){ 1000, 1024, 0, 1 });
   cell_set (&cell, &batch);
-  cell_ask (&cell, "batch");
+  sched_cell_submit (&cell, "batch");
   cell_place (&cell);
   for (int i = 0; i < 10000; i++)
     {
       MuxAdmitResult verdict;
 
-      cell_ask_for (&cell, "batch", INT32_MAX, &verdict);
+      sched_cell_submit_until (&cell, "batch", INT32_MAX, &verdict);
       assert_int_equal (verdict.reason, MUX_REASON_NONE);
     }
   for (uint64_t id = 10001; id > 1; id--)
--- a/test/unit/test_sched_risk.c
+++ b/test/unit/test_sched_risk.c
@@ -40,7 +40,7 @@
             k--;
           }
       for (uint32_t k = 0; k < per_tick; k++)
-        cell_ask_for (cell, "urgent", 5000, &verdict);
+        sched_cell_submit_until (cell, "urgent", 5000, &verdict);
       while (mux_sched_next (cell->sched, cell->now_ms, &placed))
         if (placed.worker != MUX_NO_WORKER)
           {
@@ -99,7 +99,7 @@
   assert_true (mux_sched_product_set (cell->sched, &product));
   cell_set (cell, &spec);
   cell_start_run (cell, "lasting");
-  cell_ask (cell, "lasting");
+  sched_cell_submit (cell, "lasting");
   cell->now_ms += 11000;
   cell_idle (cell);
   risk = risk_of (cell, "lasting");
@@ -130,7 +130,7 @@
       while (mux_sched_next (cell->sched, cell->now_ms, &placed))
         assert_int_equal (placed.worker, MUX_NO_WORKER);
       do
-        cell_ask_for (cell, "batch", 100, &verdict);
+        sched_cell_submit_until (cell, "batch", 100, &verdict);
       while (verdict.reason == MUX_REASON_NONE);
       assert_int_equal (verdict.reason, MUX_REASON_OVERLOAD);
     }
--- a/test/unit/test_tls.c
+++ b/test/unit/test_tls.c
@@ -223,12 +223,12 @@
 test_loopback_addresses (void **state)
 {
   (void) state;
-  assert_true (mux_address_loopback ("127.0.0.1:1"));
-  assert_true (mux_address_loopback ("127.9.0.1:1"));
-  assert_true (mux_address_loopback ("[::1]:1"));
-  assert_false (mux_address_loopback ("0.0.0.0:1"));
-  assert_false (mux_address_loopback ("[::]:1"));
-  assert_false (mux_address_loopback ("10.0.0.127:1"));
+  assert_true (mux_address_is_loopback ("127.0.0.1:1"));
+  assert_true (mux_address_is_loopback ("127.9.0.1:1"));
+  assert_true (mux_address_is_loopback ("[::1]:1"));
+  assert_false (mux_address_is_loopback ("0.0.0.0:1"));
+  assert_false (mux_address_is_loopback ("[::]:1"));
+  assert_false (mux_address_is_loopback ("10.0.0.127:1"));
 }
 
 int
--- a/test/unit/test_worker_adapter.c
+++ b/test/unit/test_worker_adapter.c
@@ -3,7 +3,7 @@
 #include "standin/listen.h"
 #include "standin/worker_server.h"
 #include "support/canned_server.h"
-#include "support/cli_door.h"
+#include "support/cli_server.h"
 #include "support/raw_http.h"
 #include "support/test.h"
 
