--- a/test/support/scenario.h
+++ b/test/support/scenario.h
@@ -78,7 +78,8 @@
  * @booked: sum of the sizes of a worker's runs
  * @owner: node that holds the claim on a worker; UINT32_MAX: none
  * @claims: number of claims that a worker has granted
- * @violations: number of guarantees violated; @first_violation describes the first
+ * @violations: number of guarantees violated; @first_violation describes the
+ * first
  * @store_fails: the table is down at times; idempotent requests are then
  *   started without their rows, and two submissions of one may both run
  * @lists_withheld: the platform's list of instances is not delivered
